--- a/basaltspindle/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The balancer as a program: `python -m basaltspindle`, told all it needs by the file in `LB_CONFIG`.
+"""The balancer as a program: `python -m loadbalancer`, told all it needs by the file in `LB_CONFIG`.
 
 Signals are seen to first: what the program is made of is imported only after that, since it takes a while.
 """
@@ -13,12 +13,12 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from basaltspindle.net.config import Config
+    from loadbalancer.net.config import Config
 
 
 def load(path: str, note: Callable[[str], None]) -> Config:
     """The configuration in a file."""
-    from basaltspindle.net.config import read_config
+    from loadbalancer.net.config import read_config
 
     with open(path, encoding="utf-8") as file:
         return read_config(file.read(), note)
@@ -28,7 +28,7 @@
     """Balance until SIGTERM, then until all that was taken is answered."""
     import asyncio
 
-    from basaltspindle.net.driver import Driver
+    from loadbalancer.net.driver import Driver
 
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -70,15 +70,15 @@
             raise ValueError("LB_CONFIG is not set")
         config = load(path, notes.append)
     except (OSError, ValueError) as error:
-        print(f"basaltspindle: configuration: {' '.join(str(error).split())}", file=sys.stderr)
+        print(f"loadbalancer: configuration: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
     for note in notes:
-        print(f"basaltspindle: {note}", file=sys.stderr)
+        print(f"loadbalancer: {note}", file=sys.stderr)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, path, asked_early))
     except OSError as error:
-        print(f"basaltspindle: can't serve on {config.listen}: {error}", file=sys.stderr)
+        print(f"loadbalancer: can't serve on {config.listen}: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/basaltspindle/net/callers.py
+++ b/loadbalancer/net/callers.py
@@ -16,9 +16,9 @@
 
 import httptools
 
-from basaltspindle.interface import Effect, RequestClass
-from basaltspindle.net.config import Config
-from basaltspindle.net.upstreams import (
+from loadbalancer.interface import Effect, RequestClass
+from loadbalancer.net.config import Config
+from loadbalancer.net.upstreams import (
     BODY_MAX,
     HEAD_MAX,
     SPARE_SOCKETS,
--- a/basaltspindle/net/driver.py
+++ b/loadbalancer/net/driver.py
@@ -10,13 +10,13 @@
 from collections import deque
 from typing import assert_never
 
-from basaltspindle import interface as face
-from basaltspindle.interface import NEVER_RAN, ListKind, Outcome
-from basaltspindle.net.callers import Callers, Taken
-from basaltspindle.net.config import Config, ServerList
-from basaltspindle.net.discovery import Discovery
-from basaltspindle.net.upstreams import Answer, Attempt, Upstreams, end_to_end
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import NEVER_RAN, ListKind, Outcome
+from loadbalancer.net.callers import Callers, Taken
+from loadbalancer.net.config import Config, ServerList
+from loadbalancer.net.discovery import Discovery
+from loadbalancer.net.upstreams import Answer, Attempt, Upstreams, end_to_end
+from loadbalancer.policy import Balancer
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
 NET_MS = 5.0  # so long before the deadline the safety net answers what is still open
--- a/basaltspindle/net/upstreams.py
+++ b/loadbalancer/net/upstreams.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from basaltspindle.interface import Outcome, Readiness
-from basaltspindle.net.config import Address, Config, ServerList
+from loadbalancer.interface import Outcome, Readiness
+from loadbalancer.net.config import Address, Config, ServerList
 
 BODY_MAX = 65_536  # the protocol's bound on a body
 HEAD_MAX = 65_536
--- a/basaltspindle/policy.py
+++ b/loadbalancer/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer; its types, events and actions are in basaltspindle/interface.py.
+"""Every decision of the balancer; its types, events and actions are in loadbalancer/interface.py.
 
 A request's path: `_arrived` sheds it (`_admitted`) or sends it (`_try_send`); `_pick` chooses its server: the
 ordinary path. `_ended` books each outcome and, if an answer is still owed, tries again (`_try_again`)
@@ -13,8 +13,8 @@
 from collections import deque
 from itertools import accumulate
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Effect, ListKind, Outcome, RepeatGroup
+from loadbalancer import interface as face
+from loadbalancer.interface import Effect, ListKind, Outcome, RepeatGroup
 
 DRAWS = 4  # the most for d of the design, while each server drawn holds a call of ours
 MEMORY_MS = 6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins, loads and experiments that measure `basaltspindle` at the sizes it is meant for.
+"""Stand-ins, loads and experiments that measure `loadbalancer` at the sizes it is meant for.
 
-Nothing in `basaltspindle` imports this package; its dependencies are the optional ones named `testbed`.
+Nothing in `loadbalancer` imports this package; its dependencies are the optional ones named `testbed`.
 """
--- a/testbed/chain.py
+++ b/testbed/chain.py
@@ -1,9 +1,9 @@
 """Tiers of servers that call one another through real decision modules, on one virtual clock.
 
-Every server of the tiers 1..depth-1 has a `basaltspindle.policy.Balancer` of its own that calls the next
+Every server of the tiers 1..depth-1 has a `loadbalancer.policy.Balancer` of its own that calls the next
 tier; front balancers call the first one (PROTOCOL, "Callers to balancers"). Nothing here waits or opens a
 socket: a heap of events stands for time, and all chance comes from the seed. `Host` carries out a module's
-actions as `basaltspindle.net.driver` does. Connections are always up: a message takes `hop_ms` each way, a
+actions as `loadbalancer.net.driver` does. Connections are always up: a message takes `hop_ms` each way, a
 refused connect one `hop_ms`. A server and its own balancer are on one machine: no time passes between them.
 
 All times are milliseconds of the virtual clock; only `decision_s` is the machine's time.
@@ -21,10 +21,10 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from basaltspindle import interface as face
-from basaltspindle.interface import NEVER_RAN, ListKind, Outcome
-from basaltspindle.net.driver import ANSWER_MS, NET_MS
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import NEVER_RAN, ListKind, Outcome
+from loadbalancer.net.driver import ANSWER_MS, NET_MS
+from loadbalancer.policy import Balancer
 
 
 class Behaviour(enum.Enum):
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -15,7 +15,7 @@
 from testbed.runs import RUNS
 
 app = typer.Typer(
-    help="Experiments on basaltspindle at the sizes it is meant for.",
+    help="Experiments on loadbalancer at the sizes it is meant for.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -19,9 +19,9 @@
 import uvloop
 from numpy.typing import NDArray
 
-from basaltspindle.interface import ListKind
-from basaltspindle.net.config import Config, ServerList, read_config
-from basaltspindle.net.driver import Driver
+from loadbalancer.interface import ListKind
+from loadbalancer.net.config import Config, ServerList, read_config
+from loadbalancer.net.driver import Driver
 from testbed.meter import LoopLag
 
 OnForce = Callable[[int, float], None]
--- a/testbed/real.py
+++ b/testbed/real.py
@@ -13,10 +13,10 @@
 from contextlib import suppress
 from pathlib import Path
 
-from basaltspindle.net.config import Address, read_address
+from loadbalancer.net.config import Address, read_address
 
 ROOT = Path(__file__).parent.parent
-SAME_PYTHON = f"exec {sys.executable} -m basaltspindle"
+SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
 """A command that runs the balancer of this tree on the Python that plays, without the deploy file's build."""
 MOST = 150
 """No more of them run at a time: each takes some 40 MiB."""
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth.py
@@ -19,7 +19,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 from structlog.typing import FilteringBoundLogger
 
-from basaltspindle import interface as face
+from loadbalancer import interface as face
 from testbed import experiment
 from testbed.chain import Behaviour, Call, Chain, Shape
 from testbed.results import Findings, Fit, fit_line
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -26,10 +26,10 @@
 from pydantic import Field
 from structlog.typing import FilteringBoundLogger
 
-from basaltspindle import interface as face
-from basaltspindle.net.config import Config, read_config, read_list
-from basaltspindle.net.upstreams import Upstreams
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.net.config import Config, read_config, read_list
+from loadbalancer.net.upstreams import Upstreams
+from loadbalancer.policy import Balancer
 from testbed import experiment, settings
 from testbed.discovery import Discovery
 from testbed.hollow import Hollow
--- a/testbed/upstream.py
+++ b/testbed/upstream.py
@@ -20,7 +20,7 @@
 import httptools
 import uvloop
 
-from basaltspindle.net.config import Address
+from loadbalancer.net.config import Address
 from testbed.load import Client, Clock, compose
 from testbed.settings import loopback
 
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     Action,
     AttemptEnded,
     Effect,
@@ -32,7 +32,7 @@
     Settings,
     TimerDue,
 )
-from basaltspindle.policy import Balancer
+from loadbalancer.policy import Balancer
 
 SMALL = RequestClass("small", 1_000, 3_000, Effect.SAFE)
 LARGE = RequestClass("large", 1_000, 3_000, Effect.SAFE)
--- a/tests/test_bad_callers.py
+++ b/tests/test_bad_callers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from basaltspindle.net import callers as net_callers
+from loadbalancer.net import callers as net_callers
 from tests.loopback import Caller, Rig, Upstream, response, run, silent, status
 
 GOOD = b"X-Class: read\r\nX-Request-Id: a1\r\nX-Deadline: 900m\r\n"
@@ -88,8 +88,8 @@
 
 
 def test_ids_are_not_remembered_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("basaltspindle.net.driver.IDS_KEPT", 10)
-    from basaltspindle.net.driver import _Ids
+    monkeypatch.setattr("loadbalancer.net.driver.IDS_KEPT", 10)
+    from loadbalancer.net.driver import _Ids
 
     ids = _Ids()
     for i in range(100):
@@ -231,11 +231,11 @@
     from collections import Counter
 
     # Else the pool keeps as many connections as calls fit into that time, which is the machine's speed.
-    monkeypatch.setattr("basaltspindle.net.upstreams.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.net.upstreams.SETTLE_S", 0.0)
 
     def count() -> Counter[str]:
         return Counter(
-            type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("basaltspindle")
+            type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("loadbalancer")
         )
 
     async def scenario() -> None:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from basaltspindle.interface import Outcome
+from loadbalancer.interface import Outcome
 from tests.cold_fleet import Fleet
 
 ROOMY = {"cold_ms": 8_900.0, "cold_from": 0.31, "cold_overload_factor": 4.0, "cold_window_ms": 1_000.0}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Outcome
-from basaltspindle.net.config import read_config
-from basaltspindle.net.driver import Driver
-from basaltspindle.net.upstreams import Connection, Pool
+from loadbalancer import interface as face
+from loadbalancer.interface import Outcome
+from loadbalancer.net.config import read_config
+from loadbalancer.net.driver import Driver
+from loadbalancer.net.upstreams import Connection, Pool
 from tests.loopback import (
     Caller,
     ListServer,
@@ -44,7 +44,7 @@
         node = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "basaltspindle",
+            "loadbalancer",
             env=os.environ | {"LB_CONFIG": str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
@@ -196,7 +196,7 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.driver.NET_MS", -1e6)  # the safety net comes too late
+        monkeypatch.setattr("loadbalancer.net.driver.NET_MS", -1e6)  # the safety net comes too late
         async with Rig(Upstream()) as rig:
             handle, told = rig.driver.balancer.handle, list[face.Event]()
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.net import callers as net_callers
-from basaltspindle.net.upstreams import BODY_MAX, Connection
+from loadbalancer import interface as face
+from loadbalancer.net import callers as net_callers
+from loadbalancer.net.upstreams import BODY_MAX, Connection
 from tests.loopback import Asked, Rig, Upstream, entry, reset, response, run, silent, status
 from tests.test_left import LIMITS, ask, before, client_of, over, settle
 
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.net import callers as net_callers
-from basaltspindle.net.upstreams import Connection, Pool
+from loadbalancer import interface as face
+from loadbalancer.net import callers as net_callers
+from loadbalancer.net.upstreams import Connection, Pool
 from tests.loopback import Asked, Rig, Upstream, response, run, silent, status
 
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from basaltspindle.net import callers as net_callers
-from basaltspindle.net.callers import CallerConnection, Callers
+from loadbalancer.net import callers as net_callers
+from loadbalancer.net.callers import CallerConnection, Callers
 from tests.loopback import PATIENCE_S, ListServer, Rig, Upstream, config_text, entry, run, status
 from tests.test_left import ask, client_of
 
@@ -35,7 +35,7 @@
             os.replace(os.environ["LB_CONFIG"] + ".new", os.environ["LB_CONFIG"])
             os.kill(os.getpid(), int(number))
     sys.addaudithook(at)
-    runpy.run_module("basaltspindle", run_name="__main__")
+    runpy.run_module("loadbalancer", run_name="__main__")
 """
 
 
@@ -99,8 +99,8 @@
 def test_what_comes_with_a_sigterm_as_it_begins_to_listen_is_answered(tmp_path: Path) -> None:
     program = """if True:
         import os, signal, socket
-        from basaltspindle import __main__ as program
-        from basaltspindle.net.callers import Callers
+        from loadbalancer import __main__ as program
+        from loadbalancer.net.callers import Callers
         start, clients = Callers.start, []
         def at_once(callers):
             os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind, Outcome
-from basaltspindle.net import discovery
+from loadbalancer import interface as face
+from loadbalancer.interface import ListKind, Outcome
+from loadbalancer.net import discovery
 from tests.loopback import (
     PATIENCE_S,
     Asked,
@@ -271,7 +271,7 @@
 
 def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.upstreams.SETTLE_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.upstreams.SETTLE_S", 0.0)
         upstream = Upstream()
         async with Rig(upstream) as rig:
             for _ in range(3):
@@ -344,9 +344,9 @@
     """While one of two balancers restarted, the other was told to end: clients had nowhere to go."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 60.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_LONGEST_S", 120.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 60.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_LONGEST_S", 120.0)
         async with Rig(Upstream()) as rig:
             callers = rig.driver.callers
             callers._longest_s = 120.0
@@ -360,7 +360,7 @@
                 caller.send()
                 answer = await caller.answer()
                 assert status(answer) == 200 and "connection" not in answer.headers
-            monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 0.0)
+            monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
             assert await caller.reader.read() == b""  # a clean end, once the time is up
             caller.writer.close()
             await ending
@@ -372,7 +372,7 @@
     """The platform kills soon after the longest wait: what came on a connection kept for longer is lost."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 60.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 60.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
@@ -389,7 +389,7 @@
 
 def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
         upstream = Upstream(response(), silent, response())
         async with Rig(upstream) as rig:
             idle, busy = await rig.caller(), await rig.caller()
@@ -418,7 +418,7 @@
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    from basaltspindle.net.driver import Clock
+    from loadbalancer.net.driver import Clock
 
     clock = Clock()
     first = clock.now()
@@ -439,7 +439,7 @@
             path.write_text(text)
             environment["LB_CONFIG"] = str(path)
         done = subprocess.run(
-            [sys.executable, "-m", "basaltspindle"], env=environment, capture_output=True, text=True
+            [sys.executable, "-m", "loadbalancer"], env=environment, capture_output=True, text=True
         )
         assert done.returncode != 0
         assert len(done.stderr.splitlines()) == 1, done.stderr
@@ -449,8 +449,8 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
         async with Rig(Upstream()) as rig:
             callers, clients = rig.driver.callers, list[socket.socket]()
             accept = callers._accept
@@ -481,7 +481,7 @@
     """With no room for it, what waited in the queue was reset as the listener closed."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
         upstream = Upstream(silent, response())
         async with Rig(upstream) as rig:
             rig.driver.callers._cap = 1
@@ -528,7 +528,7 @@
 
     program = """if True:
         import asyncio, os, signal
-        from basaltspindle import __main__ as program
+        from loadbalancer import __main__ as program
         serve = program.serve
         async def serve_briefly(*args):
             asyncio.get_running_loop().call_soon(os.kill, os.getpid(), signal.SIGTERM)
@@ -553,7 +553,7 @@
 def test_what_is_null_counts_as_absent() -> None:
     import json
 
-    from basaltspindle.net.config import read_config
+    from loadbalancer.net.config import read_config
 
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
@@ -566,9 +566,9 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 0.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_LONGEST_S", 0.2)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_LONGEST_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             caller = await rig.caller()
@@ -613,7 +613,7 @@
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace("127.0.0.1:0", f"127.0.0.1:{port}"))
     node = subprocess.Popen(
-        [sys.executable, "-m", "basaltspindle"],
+        [sys.executable, "-m", "loadbalancer"],
         env=os.environ | {"LB_CONFIG": str(path)},
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40)),
     )
@@ -651,8 +651,8 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("basaltspindle.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from basaltspindle.interface import (
+from loadbalancer.interface import (
     AnswerStarted,
     AttemptEnded,
     Cancel,
@@ -30,7 +30,7 @@
     Tenant,
     TimerDue,
 )
-from basaltspindle.policy import Balancer
+from loadbalancer.policy import Balancer
 from tests.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
 
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -26,8 +26,8 @@
 BRIEFLY = """if True:
     import gc, json, os, signal, sys
     {before}
-    from basaltspindle import __main__ as program
-    from basaltspindle.net.callers import Callers
+    from loadbalancer import __main__ as program
+    from loadbalancer.net.callers import Callers
     start = Callers.start
     def start_and_end(callers):
         start(callers)
@@ -81,7 +81,7 @@
             text = config_text(agent, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
             path.write_text(text.replace("127.0.0.1:0", f"127.0.0.1:{port}"))
             node = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "basaltspindle", cwd=ROOT, env=os.environ | {"LB_CONFIG": str(path)}
+                sys.executable, "-m", "loadbalancer", cwd=ROOT, env=os.environ | {"LB_CONFIG": str(path)}
             )
             try:
                 caller = await Caller.of_program(port)
@@ -102,15 +102,15 @@
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
     )
     new = loaded - set(bare.stdout.split())
-    ours = {name for name in new if name.partition(".")[0] == "basaltspindle"}
-    assert ours == {"basaltspindle"} | {
-        f"basaltspindle.{name}"
+    ours = {name for name in new if name.partition(".")[0] == "loadbalancer"}
+    assert ours == {"loadbalancer"} | {
+        f"loadbalancer.{name}"
         for name in "__main__ interface net net.callers net.config net.discovery net.driver net.upstreams "
         "policy wire".split()
     }
     tops = {name.partition(".")[0] for name in new}
     others = {name for name in tops - set(sys.stdlib_module_names) if "cython" not in name}
-    assert others == {"basaltspindle", "uvloop", "httptools"}
+    assert others == {"loadbalancer", "uvloop", "httptools"}
     heavy = "ctypes email http multiprocessing pathlib pickle sqlite3 tempfile unittest urllib".split()
     assert not tops.intersection(heavy)
 
@@ -118,9 +118,9 @@
 def test_the_build_compiles_every_file(tmp_path: Path) -> None:
     """At run time the file system is read-only: what is not compiled then is compiled at every start."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-    package = tmp_path / "basaltspindle"
-    for source in (ROOT / "basaltspindle").rglob("*.py"):
-        copy = package / source.relative_to(ROOT / "basaltspindle")
+    package = tmp_path / "loadbalancer"
+    for source in (ROOT / "loadbalancer").rglob("*.py"):
+        copy = package / source.relative_to(ROOT / "loadbalancer")
         copy.parent.mkdir(parents=True, exist_ok=True)
         copy.write_bytes(source.read_bytes())
     (tmp_path / ".venv").symlink_to(sys.prefix)
@@ -132,8 +132,8 @@
 
 def test_a_long_known_list_is_read_and_told_once(tmp_path: Path) -> None:
     before = """if True:
-        from basaltspindle import interface, policy
-        from basaltspindle.net import config
+        from loadbalancer import interface, policy
+        from loadbalancer.net import config
         counts = dict(files=0, entries=0, told=0)
         def counting(name, function, applies=lambda *args: True):
             def counted(*args):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from basaltspindle import interface as face
-from basaltspindle.interface import ListKind
-from basaltspindle.net.config import read_config
+from loadbalancer import interface as face
+from loadbalancer.interface import ListKind
+from loadbalancer.net.config import read_config
 from tests.loopback import (
     PATIENCE_S,
     Caller,
@@ -76,7 +76,7 @@
         node = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "basaltspindle",
+            "loadbalancer",
             env=os.environ | {"LB_CONFIG": str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
@@ -105,7 +105,7 @@
 
 def test_a_discovery_that_says_nothing_is_given_up_soon() -> None:
     """Its machine is away: the connection never comes up, though the call may wait for half a minute."""
-    from basaltspindle.net import discovery
+    from loadbalancer.net import discovery
     from tests.test_upstreams import full_backlog
 
     async def scenario() -> None:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from basaltspindle import policy
-from basaltspindle.interface import (
+from loadbalancer import policy
+from loadbalancer.interface import (
     AttemptEnded,
     ClientLeft,
     Effect,
--- a/tests/test_testbed_chain.py
+++ b/tests/test_testbed_chain.py
@@ -7,9 +7,9 @@
 import structlog
 from structlog.testing import capture_logs
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Action, Effect, Event, Outcome
-from basaltspindle.policy import Balancer
+from loadbalancer import interface as face
+from loadbalancer.interface import Action, Effect, Event, Outcome
+from loadbalancer.policy import Balancer
 from testbed.chain import Behaviour, Chain, Shape
 from testbed.results import Findings
 from testbed.runs import depth as depth_run
--- a/tests/test_testbed_core.py
+++ b/tests/test_testbed_core.py
@@ -17,10 +17,10 @@
 import pytest
 import structlog
 
-from basaltspindle.interface import Effect
-from basaltspindle.net import discovery as client
-from basaltspindle.net.config import Address, read_config
-from basaltspindle.policy import SUBSET_COVER
+from loadbalancer.interface import Effect
+from loadbalancer.net import discovery as client
+from loadbalancer.net.config import Address, read_config
+from loadbalancer.policy import SUBSET_COVER
 from testbed.discovery import Counts, Discovery, Mode, State, play, restarts, single_changes, times
 from testbed.experiment import FOLDER, read_plan
 from testbed.hollow import Hollow, HollowProcess
@@ -362,7 +362,7 @@
 
 
 def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("basaltspindle.policy.LIST_RETRY_MS", 2.0)
+    monkeypatch.setattr("loadbalancer.policy.LIST_RETRY_MS", 2.0)
     monkeypatch.setattr(client, "ANSWER_S", 0.05)
 
     async def scenario() -> None:
--- a/tests/test_testbed_load.py
+++ b/tests/test_testbed_load.py
@@ -13,7 +13,7 @@
 import pytest
 import structlog
 
-from basaltspindle.net.config import read_address
+from loadbalancer.net.config import read_address
 from testbed import real
 from testbed.latency import Latencies, added
 from testbed.load import NO_ANSWER, Alarm, Client, Report, Stream, arrivals, compose, play, request_ids
@@ -38,7 +38,7 @@
         balancer = await RealBalancer.start(_started("127.81.0.1"), real.SAME_PYTHON)
         try:
             await balancer.ready(10.0)
-            assert psutil.Process(balancer.pid).cmdline()[-2:] == ["-m", "basaltspindle"]
+            assert psutil.Process(balancer.pid).cmdline()[-2:] == ["-m", "loadbalancer"]
             assert psutil.Process(balancer.pid).ppid() == os.getpid()
             assert balancer.address[0] == "127.81.0.1"
             assert list(tmp_path.iterdir())
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -22,13 +22,13 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle import policy
-from basaltspindle.interface import ListKind, Outcome
-from basaltspindle.net import discovery
-from basaltspindle.net.config import read_config
-from basaltspindle.net.driver import Driver
-from basaltspindle.net.upstreams import SPARE_SOCKETS
+from loadbalancer import interface as face
+from loadbalancer import policy
+from loadbalancer.interface import ListKind, Outcome
+from loadbalancer.net import discovery
+from loadbalancer.net.config import read_config
+from loadbalancer.net.driver import Driver
+from loadbalancer.net.upstreams import SPARE_SOCKETS
 from tests.helpers import Desk, of_kind
 from tests.loopback import (
     Caller,
@@ -487,7 +487,7 @@
             raw |= {"listen": f"127.0.0.1:{port}", "limits": {"memory_mb": 192, "sockets": sockets}}
             path = tmp_path / "config.json"
             path.write_text(json.dumps(raw))
-            limited = f'ulimit -n {sockets} && exec "$0" -m basaltspindle'
+            limited = f'ulimit -n {sockets} && exec "$0" -m loadbalancer'
             node = await asyncio.create_subprocess_exec(
                 "sh",
                 "-c",
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from basaltspindle import interface as face
-from basaltspindle.interface import Outcome
-from basaltspindle.net.config import read_config, read_list
-from basaltspindle.net.upstreams import SETTLE_S, Answer, Attempt, Pool, Upstreams, peek
+from loadbalancer import interface as face
+from loadbalancer.interface import Outcome
+from loadbalancer.net.config import read_config, read_list
+from loadbalancer.net.upstreams import SETTLE_S, Answer, Attempt, Pool, Upstreams, peek
 from tests.loopback import (
     Asked,
     Rig,
