--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -13,12 +13,12 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from loadbalancer.net.config import Config
+    from loadbalancer.configuration import Config
 
 
 def load(path: str, note: Callable[[str], None]) -> Config:
     """The configuration in a file."""
-    from loadbalancer.net.config import read_config
+    from loadbalancer.configuration import read_config
 
     with open(path, encoding="utf-8") as file:
         return read_config(file.read(), note)
@@ -28,7 +28,7 @@
     """Balance until SIGTERM, then until all that was taken is answered."""
     import asyncio
 
-    from loadbalancer.net.driver import Driver
+    from loadbalancer.network.proxy import Driver
 
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
--- a/loadbalancer/net/config.py
+++ b/loadbalancer/configuration.py
@@ -1,7 +1,7 @@
 """What the platform tells a balancer at its start: the file that `LB_CONFIG` names, as typed values.
 
 The settings bear the names of the simulator's wire, nested. They are flattened to the wire's own form and
-read by `loadbalancer.wire`, so that the simulator and the real balancer cannot come to differ.
+read by `loadbalancer.settings_reader`, so that the simulator and the real balancer cannot come to differ.
 """
 
 from __future__ import annotations
@@ -12,8 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loadbalancer import wire
-from loadbalancer.interface import Member, Readiness, Settings
+from loadbalancer import settings_reader as wire
+from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.settings import Settings
 
 Address = tuple[str, int]
 
--- a/loadbalancer/net/callers.py
+++ b/loadbalancer/network/client_connection.py
@@ -16,19 +16,11 @@
 
 import httptools
 
-from loadbalancer.interface import Effect, RequestClass
-from loadbalancer.net.config import Config
-from loadbalancer.net.upstreams import (
-    BODY_MAX,
-    HEAD_MAX,
-    SPARE_SOCKETS,
-    Headers,
-    Malformed,
-    end_sending,
-    end_to_end,
-    peek,
-    set_no_delay,
-)
+from loadbalancer.configuration import Config
+from loadbalancer.network.headers import BODY_MAX, HEAD_MAX, Headers, end_to_end
+from loadbalancer.network.sockets import end_sending, peek, set_no_delay
+from loadbalancer.network.upstream_pool import SPARE_SOCKETS, Malformed
+from loadbalancer.settings import Effect, RequestClass
 
 BACKLOG = 2_048  # callers queue in the kernel while we are busy, instead of being turned away
 PIPELINED_MAX = 16  # requests read ahead on one connection; past that, reading waits
--- a/loadbalancer/net/discovery.py
+++ b/loadbalancer/network/endpoint_watch.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from loadbalancer.net.config import Address, Config, ServerList, read_list
-from loadbalancer.net.upstreams import Answer, Malformed, ResponseReader
+from loadbalancer.configuration import Address, Config, ServerList, read_list
+from loadbalancer.network.upstream_pool import Answer, Malformed, ResponseReader
 
 # Guards against a watch that went silent with nothing to see of it, as one does that was open while discovery
 # was cut off: until its wait is over we hear of no server that comes or goes. Each call costs discovery work,
--- a/loadbalancer/net/driver.py
+++ b/loadbalancer/network/proxy.py
@@ -3,39 +3,48 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import sys
 import time
-import traceback
 from collections import deque
 from typing import assert_never
 
-from loadbalancer import interface as face
-from loadbalancer.interface import NEVER_RAN, ListKind, Outcome
-from loadbalancer.net.callers import Callers, Taken
-from loadbalancer.net.config import Config, ServerList
-from loadbalancer.net.discovery import Discovery
-from loadbalancer.net.upstreams import Answer, Attempt, Upstreams, end_to_end
-from loadbalancer.policy import Balancer
+from loadbalancer.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+)
+from loadbalancer.configuration import Config, ServerList
+from loadbalancer.events import (
+    NEVER_RAN,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    ProbeEnded,
+    RequestArrived,
+    TimerDue,
+)
+from loadbalancer.network.client_connection import Callers, Taken
+from loadbalancer.network.clock import Clock
+from loadbalancer.network.endpoint_watch import Discovery
+from loadbalancer.network.headers import end_to_end
+from loadbalancer.network.log import RateLimitedLog
+from loadbalancer.network.request_ids import RequestIds
+from loadbalancer.network.upstream_pool import Answer, Attempt, Upstreams
+from loadbalancer.policy.balancer import Balancer
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
 NET_MS = 5.0  # so long before the deadline the safety net answers what is still open
 PROBE_MS = 250.0
 SWEEP_S = 1.0
-IDS_S, IDS_KEPT = 5.0, 4_096  # ended requests whose ids are remembered, in each of two spans
-LOG_LINES, LOG_SPAN_S = 50, 10.0  # at most so many lines in each span: a log is no leak
-
-
-class Clock:
-    """Unix milliseconds at the start plus what has passed since: it never goes back, and yet compares
-    with the `since_ms` of servers."""
-
-    def __init__(self) -> None:
-        self._offset = time.time() * 1000 - time.monotonic() * 1000
-
-    def now(self) -> float:
-        """This moment."""
-        return self._offset + time.monotonic() * 1000
 
 
 class _Request:
@@ -53,73 +62,21 @@
         self.net: asyncio.TimerHandle | None = None
 
 
-class _Ids:
-    """The ids of requests: those that are open, and for a while those that were.
-
-    Guards against a request that bears another's id, from whomever: an effect could happen twice. The
-    memory of ended ones is bounded in time and number.
-    """
-
-    def __init__(self) -> None:
-        self._open: set[bytes] = set()
-        self._recent: set[bytes] = set()
-        self._older: set[bytes] = set()
-        self._turned = time.monotonic()
-
-    def add(self, name: bytes) -> bool:
-        """Take in a new id; false if it is known."""
-        if name in self._open or name in self._recent or name in self._older:
-            return False
-        self._open.add(name)
-        return True
-
-    def over(self, name: bytes) -> None:
-        """The last attempt of its request has ended."""
-        self._open.discard(name)
-        now = time.monotonic()
-        if len(self._recent) >= IDS_KEPT or now - self._turned > IDS_S:
-            self._older = self._recent if now - self._turned <= 2 * IDS_S else set()
-            self._recent, self._turned = set(), now
-        self._recent.add(name)
-
-
-class Log:
-    """Lines on standard error, bounded in each span of time."""
-
-    def __init__(self, name: str) -> None:
-        self._name = name
-        self._span = self._lines = 0
-
-    def write(self, text: str) -> None:
-        """Write a text unless the span is full."""
-        span = int(time.monotonic() / LOG_SPAN_S)
-        if span != self._span:
-            self._span, self._lines = span, 0
-        self._lines += 1
-        if self._lines <= LOG_LINES:
-            with contextlib.suppress(OSError):  # a log that nobody reads must not end the balancer
-                print(f"{self._name}: {text}", file=sys.stderr, flush=True)
-
-    def exception(self, what: str) -> None:
-        """Write the exception being handled with its traceback."""
-        self.write(f"{what}\n{traceback.format_exc()}")
-
-
 class Driver:
     """One balancer: the module and all that it is connected to."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self.log = Log(config.name or "balancer")
+        self.log = RateLimitedLog(config.name or "balancer")
         self.clock = Clock()
         self.balancer = Balancer(config.settings, config.seed)
         self.upstreams = Upstreams(config, loop)
         self.callers = Callers(config, loop, self, self.log.exception)
         self._discovery = Discovery(config, self._news, self._list_failed)
         self._requests: dict[int, _Request] = {}
-        self._ids = _Ids()
+        self._ids = RequestIds()
         self._last = 0
-        self._events: deque[face.Event] = deque()
+        self._events: deque[Event] = deque()
         self._busy = self._closed = False
         self._known = config.known
 
@@ -141,7 +98,7 @@
 
     # ---- events -------------------------------------------------------------------------------
 
-    def _tell(self, event: face.Event, request: _Request | None = None) -> None:
+    def _tell(self, event: Event, request: _Request | None = None) -> None:
         """Pass an event on. What actions bring about at once waits until they are all carried out."""
         if request is not None:
             request.queued += 1
@@ -155,7 +112,7 @@
         finally:
             self._busy = False
 
-    def _handle(self, event: face.Event) -> None:
+    def _handle(self, event: Event) -> None:
         number = getattr(event, "request", None)
         try:
             actions = self.balancer.handle(event, self.clock.now())
@@ -196,7 +153,7 @@
         self._requests[request.id] = request
         request.net = self._loop.call_later(max(left - NET_MS, 0.0) / 1000, self._rescue, request.id)
         self._tell(
-            face.RequestArrived(
+            RequestArrived(
                 request.id,
                 taken.class_name,
                 max(left - ANSWER_MS, 0.0),
@@ -212,7 +169,7 @@
         request = self._requests.get(taken.request)
         if request is not None and request.open:
             self._close(request)
-            self._tell(face.ClientLeft(request.id), request)
+            self._tell(ClientLeft(request.id), request)
             self._drop_rest(request)
 
     def _is_wanted(self, request: _Request) -> bool:
@@ -240,7 +197,7 @@
             return
         self._close(request)
         request.taken.answer(502 if request.ran or request.out else 503)
-        self._tell(face.ClientLeft(request.id), request)  # it calls off what is out
+        self._tell(ClientLeft(request.id), request)  # it calls off what is out
         self._drop_rest(request)
 
     def _close(self, request: _Request) -> None:
@@ -257,7 +214,7 @@
         if request.open and outcome is Outcome.SERVED and answer is not None:
             self._close(request)
             request.taken.answer(200, end_to_end(answer.headers), answer.body)
-        self._tell(face.AttemptEnded(request.id, index, server, outcome, not request.open), request)
+        self._tell(AttemptEnded(request.id, index, server, outcome, not request.open), request)
         if not request.open:
             self._drop_rest(request)
 
@@ -266,37 +223,37 @@
 
     def _listed(self, kind: ListKind, news: ServerList) -> None:
         self.upstreams.listed(news)
-        self._tell(face.ListUpdate(kind, tuple([e.member for e in news.endpoints])))
+        self._tell(ListUpdate(kind, tuple([e.member for e in news.endpoints])))
 
     def _list_failed(self) -> None:
-        self._tell(face.ListUpdate(ListKind.FAILED))
+        self._tell(ListUpdate(ListKind.FAILED))
 
     # ---- actions ------------------------------------------------------------------------------
 
-    def _do(self, action: face.Action) -> None:
+    def _do(self, action: Action) -> None:
         match action:
-            case face.Send():
+            case Send():
                 self._send(action)
-            case face.SetTimer(at, token):
+            case SetTimer(at, token):
                 delay_s = max(at - self.clock.now(), 0.0) / 1000
-                self._loop.call_later(delay_s, self._tell, face.TimerDue(token))
-            case face.Refuse(number, after_ms):
+                self._loop.call_later(delay_s, self._tell, TimerDue(token))
+            case Refuse(number, after_ms):
                 retry = [(b"Retry-After", b"%.3f" % (after_ms / 1000))] if after_ms > 0 else []
                 self._answer(number, 503, retry)
-            case face.Fail(number):
+            case Fail(number):
                 self._answer(number, 502, [])
-            case face.Cancel(number, index):
+            case Cancel(number, index):
                 request = self._requests.get(number)
                 attempt = request.attempts[index] if request else None
                 if attempt is not None:
                     attempt.cancel()
-            case face.Probe(server):
+            case Probe(server):
                 self._probe(server)
-            case face.CloseIdle(server):
+            case CloseIdle(server):
                 self.upstreams.close_idle(server)
-            case face.Subscribe():
+            case Subscribe():
                 self._discovery.subscribe()
-            case face.Log(text):
+            case Log(text):
                 self.log.write(text)
             case _:
                 assert_never(action)
@@ -307,7 +264,7 @@
             self._close(request)
             request.taken.answer(status, headers)
 
-    def _send(self, action: face.Send) -> None:
+    def _send(self, action: Send) -> None:
         request, server = self._requests[action.request], action.server
         index = len(request.attempts)
         request.out += 1
@@ -341,8 +298,8 @@
 
     def _probe(self, server: str) -> None:
         def on_end(outcome: Outcome, answer: Answer | None) -> None:
-            self._tell(face.ProbeEnded(server, outcome))
+            self._tell(ProbeEnded(server, outcome))
 
         request = b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
         if self.upstreams.attempt(server, PROBE_MS / 1000, lambda: request, on_end) is None:
-            self._tell(face.ProbeEnded(server, Outcome.NOT_SENT))
+            self._tell(ProbeEnded(server, Outcome.NOT_SENT))
--- a/loadbalancer/net/upstreams.py
+++ b/loadbalancer/network/upstream_pool.py
@@ -8,65 +8,28 @@
 
 import asyncio
 import errno
-import socket
 import time
 from collections.abc import Callable
 from typing import cast
 
 import httptools
 
-from loadbalancer.interface import Outcome, Readiness
-from loadbalancer.net.config import Address, Config, ServerList
+from loadbalancer.configuration import Address, Config, ServerList
+from loadbalancer.endpoints import Readiness
+from loadbalancer.events import Outcome
+from loadbalancer.network.headers import BODY_MAX, HEAD_MAX, Headers
+from loadbalancer.network.sockets import end_sending, peek, set_no_delay
 
-BODY_MAX = 65_536  # the protocol's bound on a body
-HEAD_MAX = 65_536
 IDLE_PART = 0.8  # of the upstream's idle limit: a request that crosses its closing would end as a reset
 CALLERS_PART = 0.5  # of the sockets are kept for callers
 SPARE_SOCKETS = 24  # on each side, for the event loop, the log, discovery and what is just closing
 SETTLE_S = 0.02  # so long what does not belong to an answer may lag behind it: some milliseconds, they say
 OWN_WANT = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
 DRAIN_PART = 0.5  # of the grace: the news may have waited in our buffer before it was read
-_HOP_BY_HOP = frozenset(
-    b"connection content-length keep-alive proxy-connection te trailer transfer-encoding upgrade".split()
-)
 
-Headers = list[tuple[bytes, bytes]]
 Done = Callable[[Outcome, "Answer | None"], None]
 
 
-def set_no_delay(transport: asyncio.BaseTransport) -> None:
-    """Send small messages at once."""
-    transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-
-
-def peek(transport: asyncio.BaseTransport) -> bytes | None:
-    """What the kernel holds that the loop has not read: a first byte, b"" for the end, None for nothing."""
-    wrapped = transport.get_extra_info("socket")
-    probe = socket.socket(wrapped.family, wrapped.type, wrapped.proto, wrapped.fileno())
-    try:
-        return probe.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-    except BlockingIOError:
-        return None
-    except OSError:
-        return b""
-    finally:
-        probe.detach()  # the file descriptor stays the transport's
-
-
-def end_sending(transport: asyncio.BaseTransport) -> None:
-    """Tell the peer now that nothing more comes; for a transport with nothing left in its buffer."""
-    if transport.is_closing():
-        return
-    wrapped = transport.get_extra_info("socket")
-    ended = socket.socket(wrapped.family, wrapped.type, wrapped.proto, wrapped.fileno())
-    try:
-        ended.shutdown(socket.SHUT_WR)
-    except OSError:
-        pass  # it is over already
-    finally:
-        ended.detach()  # the file descriptor stays the transport's
-
-
 class Malformed(Exception):
     """A message that can't be read, or is larger than the protocol allows."""
 
@@ -159,12 +122,6 @@
             self._answer = Answer(status, self._headers, b"".join(self._chunks))
 
 
-def end_to_end(headers: Headers) -> Headers:
-    """The headers that are not about this one connection, or said to be about it."""
-    named = {part.strip().lower() for n, v in headers if n == b"connection" for part in v.split(b",")}
-    return [(n, v) for n, v in headers if n not in _HOP_BY_HOP and n not in named]
-
-
 def _meaning(answer: Answer) -> Outcome:
     if answer.status == 200:
         return Outcome.SERVED
--- /dev/null
+++ b/loadbalancer/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision of the load balancer: sans-I/O, standard library only."""
--- a/loadbalancer/policy.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer; its types, events and actions are in loadbalancer/interface.py.
+"""Every decision of the balancer; what it takes is in loadbalancer/events.py.
 
 A request's path: `_arrived` sheds it (`_admitted`) or sends it (`_try_send`); `_pick` chooses its server: the
 ordinary path. `_ended` books each outcome and, if an answer is still owed, tries again (`_try_again`)
@@ -13,8 +13,21 @@
 from collections import deque
 from itertools import accumulate
 
-from loadbalancer import interface as face
-from loadbalancer.interface import Effect, ListKind, Outcome, RepeatGroup
+from loadbalancer.actions import Action, Cancel, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.events import (
+    NEVER_RAN,
+    AnswerStarted,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    RequestArrived,
+    TimerDue,
+)
+from loadbalancer.settings import Effect, RepeatGroup, RequestClass, Settings
 
 DRAWS = 4  # the most for d of the design, while each server drawn holds a call of ours
 MEMORY_MS = 6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
@@ -63,7 +76,7 @@
     __slots__ = tuple("away busy in_flight luck member memory rank ready seen sends".split())
     __slots__ += tuple("served size turn used".split())
 
-    def __init__(self, member: face.Member, now: float, rank: float) -> None:
+    def __init__(self, member: Member, now: float, rank: float) -> None:
         self.member, self.rank = member, rank
         self.ready, self.size, self.used = False, 1.0, math.inf
         self.memory = MEMORY_MS
@@ -146,7 +159,7 @@
 class _Request:
     __slots__ = tuple("arrived attempts cls id owed size streaming useful_until".split())
 
-    def __init__(self, event: face.RequestArrived, cls: face.RequestClass, now: float) -> None:
+    def __init__(self, event: RequestArrived, cls: RequestClass, now: float) -> None:
         self.id, self.cls = event.request, cls
         self.arrived, deadline = now, now + event.remaining_ms
         self.useful_until = deadline if cls.late_share else min(deadline, now + cls.aim_ms)
@@ -166,7 +179,7 @@
 class Balancer:
     """The decisions of one balancer instance: feed it events in order, carry out the actions it returns."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._classes = {c.name: c for c in settings.classes}
         self._random = random.Random(seed)
@@ -196,34 +209,34 @@
         self._quota = {t.name: t.quota_per_s / 1000 for t in settings.tenants}
         self._share: dict[str, float] = {}  # requests that a tenant may still send inside its share
         self._share_seen: dict[str, float] = {}
-        self._unsaid: list[face.Action] = [face.Subscribe()] if settings.list_is_asked else []
+        self._unsaid: list[Action] = [Subscribe()] if settings.list_is_asked else []
         self._idles: deque[tuple[float, bool]] = deque(maxlen=IDLE_CALLS)
         self._idle_limit, self._hint = math.inf, 0.0
         self._retries = _RetryBudget(RETRY_EARNED, RETRY_FIRST, RETRY_BURST)
         self._resends = _RetryBudget(RESEND_EARNED, RESEND_FIRST, RESEND_BURST)
-        self._actions: list[face.Action] = []
+        self._actions: list[Action] = []
 
-    def handle(self, event: face.Event, now: float) -> list[face.Action]:
+    def handle(self, event: Event, now: float) -> list[Action]:
         """Take one event at time `now` and return what to do, in order."""
         self._actions, self._unsaid = self._unsaid, []
         match event:
-            case face.AttemptEnded():
+            case AttemptEnded():
                 self._ended(event, now)
-            case face.RequestArrived():
+            case RequestArrived():
                 self._arrived(event, now)
-            case face.TimerDue():
+            case TimerDue():
                 self._due(event.token, now)
-            case face.ListUpdate():
+            case ListUpdate():
                 self._listed(event, now)
-            case face.ClientLeft():
+            case ClientLeft():
                 self._left(event.request)
-            case face.AnswerStarted():
+            case AnswerStarted():
                 self._made(event)[0].streaming = True
         return self._actions
 
     # ---- the list -------------------------------------------------------------------------------
 
-    def _listed(self, event: face.ListUpdate, now: float) -> None:
+    def _listed(self, event: ListUpdate, now: float) -> None:
         if event.kind is ListKind.FAILED:
             # The list is out of reach: the old one stands; ask again, not all balancers in step. What grows
             # is the time from call to call: one that was slow to fail has been pause enough.
@@ -232,14 +245,14 @@
             spread = 0.5 + self._random.random()
             self._list_failures += 1
             if self._list_failures == 1:
-                self._actions.append(face.Log("server list out of reach; keeping the last one"))
+                self._actions.append(Log("server list out of reach; keeping the last one"))
             rested = now + min(LIST_REST_MS, pause) * spread
             self._list_ask_at = max(min(self._list_ask_at, now) + pause * spread, rested)
-            self._actions.append(face.SetTimer(self._list_ask_at, "list"))
+            self._actions.append(SetTimer(self._list_ask_at, "list"))
             return
         if self._list_failures and event.kind is not ListKind.CACHED:
             self._list_failures = 0
-            self._actions.append(face.Log("server list is back"))
+            self._actions.append(Log("server list is back"))
         self._born = min(self._born, now)
         if event.kind is not ListKind.DELTA:
             for known in self._servers.values():
@@ -249,7 +262,7 @@
                 server = self._servers[member.server] = _Server(member, now, self._random.random())
             if member.up_since_ms > server.member.up_since_ms:
                 server.forget(now)  # the same name, a new process
-            server.member, server.ready = member, member.readiness is face.Readiness.READY
+            server.member, server.ready = member, member.readiness is Readiness.READY
             server.size = member.size if 0 < member.size < math.inf else 1.0  # a list may give odd ones
         self._servers = {name: s for name, s in self._servers.items() if s.ready or s.in_flight}
         self._ready = [s for s in self._servers.values() if s.ready]
@@ -263,7 +276,7 @@
 
     # ---- a request's path -----------------------------------------------------------------------
 
-    def _arrived(self, event: face.RequestArrived, now: float) -> None:
+    def _arrived(self, event: RequestArrived, now: float) -> None:
         if event.request in self._requests:
             raise ValueError(f"request {event.request} has arrived before")
         if event.class_name not in self._classes:
@@ -294,7 +307,7 @@
             self._share[tenant] -= 1  # what is shed uses up nothing: its client may ask again
         return True
 
-    def _came_late(self, cls: face.RequestClass, remaining: float) -> bool:
+    def _came_late(self, cls: RequestClass, remaining: float) -> bool:
         """Whether it is a client's further try, past its aim before it came.
 
         Guards against clients that give each try a part of the deadline only: what is missing from it has
@@ -375,7 +388,7 @@
     def _shed(self, request: _Request, reason: str, now: float) -> None:
         """Give up a request that was never sent; one line in the log for a whole spell."""
         if now > self._shedding_until:
-            self._actions.append(face.Log(reason))
+            self._actions.append(Log(reason))
         self._shedding_until = now + MEMORY_MS
         self._give_up(request)
 
@@ -386,7 +399,7 @@
             return False
         idle = 0.0 if server.in_flight else max(now - server.used, 0.0)
         if idle and (request.attempts or idle >= self._idle_limit):
-            self._actions.append(face.CloseIdle(server.member.server))  # what is unused so long may be dead
+            self._actions.append(CloseIdle(server.member.server))  # what is unused so long may be dead
             idle = 0.0
         repeatable = request.cls.effect is not Effect.UNSAFE and self._settings.max_attempts > 1
         if repeatable and self._settings.may_duplicate and not request.attempts:
@@ -394,7 +407,7 @@
             # It could harm by adding to a crowd: it keeps to the retry budget, and a crowd holds it back.
             # Where no second copy may go out, none is made room for: to cut the call short loses its work.
             patience = min(HEDGE_TIMES * request.heft * self._work[request.cls.name], HEDGE_PART * timeout)
-            self._actions.append(face.SetTimer(now + patience, f"hedge:{request.id}"))
+            self._actions.append(SetTimer(now + patience, f"hedge:{request.id}"))
         server.catch_up(now)
         server.in_flight += 1
         self._out += 1
@@ -404,7 +417,7 @@
         request.attempts[-1].light = light
         if now < self._cold_until and self._warmth(server, now) < 1:
             server.sends.append(now)
-        self._actions.append(face.Send(request.id, server.member.server, timeout))
+        self._actions.append(Send(request.id, server.member.server, timeout))
         return True
 
     def _due(self, token: str, now: float) -> None:
@@ -412,21 +425,21 @@
         hedging = kind == "hedge" and self._settings.may_duplicate
         request = self._requests.get(int(number)) if hedging else None
         if kind == "list":
-            self._actions.append(face.Subscribe())
+            self._actions.append(Subscribe())
         elif request and request.owed and len(request.attempts) == 1 and not self._crowded(0.0, now):
             self._try_again(request, now)
 
-    def _made(self, event: face.AttemptEnded | face.AnswerStarted) -> tuple[_Request, _Attempt]:
+    def _made(self, event: AttemptEnded | AnswerStarted) -> tuple[_Request, _Attempt]:
         request = self._requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             raise ValueError(f"attempt {event.attempt} of request {event.request} was never made")
         return request, request.attempts[event.attempt]
 
-    def _ended(self, event: face.AttemptEnded, now: float) -> None:
+    def _ended(self, event: AttemptEnded, now: float) -> None:
         request, attempt = self._made(event)
         if not attempt.out:
             return
-        attempt.out, attempt.ran = False, event.outcome not in face.NEVER_RAN
+        attempt.out, attempt.ran = False, event.outcome not in NEVER_RAN
         self._book(attempt, event.outcome, request, now)
         if event.answered:
             if request.owed and event.outcome is Outcome.SERVED:
@@ -471,12 +484,12 @@
         harmless = request.cls.effect is Effect.SAFE or not any(a.ran for a in request.attempts)
         # By the time that a usual call takes there is room again, of calls that are out now.
         after = min(self._work[request.cls.name], self._settings.max_retry_after_ms)
-        self._actions.append(face.Refuse(request.id, after) if harmless else face.Fail(request.id))
+        self._actions.append(Refuse(request.id, after) if harmless else Fail(request.id))
         self._drop_if_over(request)
 
     def _cancel_rest(self, request: _Request) -> None:
         if self._settings.may_cancel and not request.streaming:
-            self._actions.extend(face.Cancel(request.id, i) for i, a in enumerate(request.attempts) if a.out)
+            self._actions.extend(Cancel(request.id, i) for i, a in enumerate(request.attempts) if a.out)
 
     def _left(self, request_id: int) -> None:
         if request := self._requests.get(request_id):
--- /dev/null
+++ b/loadbalancer/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Runs balancers on the simulator's wire."""
--- /dev/null
+++ b/loadbalancer/simulator/__main__.py
@@ -0,0 +1,8 @@
+"""`python -m loadbalancer.simulator`: serve the simulator's wire on standard input and output."""
+
+import sys
+
+from loadbalancer.simulator.host import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/loadbalancer/simhost.py
+++ b/loadbalancer/simulator/host.py
@@ -7,9 +7,10 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from loadbalancer import wire
-from loadbalancer.interface import Member
-from loadbalancer.policy import Balancer
+from loadbalancer import settings_reader
+from loadbalancer.endpoints import Member
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.simulator import codec as wire
 
 
 class Host:
@@ -35,7 +36,7 @@
                     target.write("\n".join(self._answer(lines)) + "\n")
                     target.flush()
                     self._inside = False
-        except (wire.WireError, UnicodeDecodeError) as error:
+        except (settings_reader.WireError, UnicodeDecodeError) as error:
             self._complain(str(error))
             return 1
         except BrokenPipeError:
@@ -53,15 +54,15 @@
     def _next(self, lines: Iterator[str]) -> list[str]:
         for self._line in lines:
             return self._line.split(" ")
-        raise wire.WireError("the input ended inside a batch")
+        raise settings_reader.WireError("the input ended inside a batch")
 
     def _answer(self, lines: Iterator[str]) -> list[str]:
         word, *parts = self._line.split(" ")
         if word != "sync":
-            raise wire.WireError("a batch must begin with 'sync'")
+            raise settings_reader.WireError("a batch must begin with 'sync'")
         fields = wire.read_fields(parts)
-        self._batch = wire.need(fields, "batch")
-        self._now = wire.number(fields, "time")
+        self._batch = settings_reader.need(fields, "batch")
+        self._now = settings_reader.number(fields, "time")
         reply: list[str] = []
         while True:
             word, *parts = self._next(lines)
@@ -74,30 +75,30 @@
             else:
                 self._take(word, fields, reply)
 
-    def _read_ledger(self, fields: wire.Fields, lines: Iterator[str]) -> None:
+    def _read_ledger(self, fields: settings_reader.Fields, lines: Iterator[str]) -> None:
         members = []
-        for _ in range(wire.whole(fields, "membersList")):
+        for _ in range(settings_reader.whole(fields, "membersList")):
             word, *parts = self._next(lines)
             if word != "m":
-                raise wire.WireError("the entries of a ledger are cut short")
+                raise settings_reader.WireError("the entries of a ledger are cut short")
             members.append(wire.read_member(wire.read_fields(parts)))
-        self._ledgers[wire.whole(fields, "list")] = tuple(members)
+        self._ledgers[settings_reader.whole(fields, "list")] = tuple(members)
 
-    def _take(self, word: str, fields: wire.Fields, reply: list[str]) -> None:
+    def _take(self, word: str, fields: settings_reader.Fields, reply: list[str]) -> None:
         try:
             event = wire.read_event(word, fields, self._note)
-        except wire.WireError:
+        except settings_reader.WireError:
             raise
         except ValueError as error:  # settings out of range
-            raise wire.WireError(str(error)) from None
+            raise settings_reader.WireError(str(error)) from None
         if event is None:
             return
-        who = wire.need(fields, "who")
+        who = settings_reader.need(fields, "who")
         if isinstance(event, wire.Start):
             self._balancers[who] = Balancer(event.settings, event.seed)
             return
         if who not in self._balancers:
-            raise wire.WireError(f"instance {who!r} is unknown")
+            raise settings_reader.WireError(f"instance {who!r} is unknown")
         if isinstance(event, wire.Stop):
             del self._balancers[who]
             return
@@ -105,7 +106,7 @@
             members: tuple[Member, ...] = ()
             if event.ledger is not None:
                 if event.ledger not in self._ledgers:
-                    raise wire.WireError(f"ledger {event.ledger} was never sent")
+                    raise settings_reader.WireError(f"ledger {event.ledger} was never sent")
                 members = self._ledgers[event.ledger]
             event = wire.list_update(event, members)
         balancer = self._balancers[who]
@@ -124,7 +125,3 @@
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     return Host(sys.stderr).run(sys.stdin, sys.stdout)
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/testbed/chain.py
+++ b/testbed/chain.py
@@ -3,7 +3,7 @@
 Every server of the tiers 1..depth-1 has a `loadbalancer.policy.Balancer` of its own that calls the next
 tier; front balancers call the first one (PROTOCOL, "Callers to balancers"). Nothing here waits or opens a
 socket: a heap of events stands for time, and all chance comes from the seed. `Host` carries out a module's
-actions as `loadbalancer.net.driver` does. Connections are always up: a message takes `hop_ms` each way, a
+actions as `loadbalancer.network.proxy` does. Connections are always up: a message takes `hop_ms` each way, a
 refused connect one `hop_ms`. A server and its own balancer are on one machine: no time passes between them.
 
 All times are milliseconds of the virtual clock; only `decision_s` is the machine's time.
@@ -21,10 +21,33 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from loadbalancer import interface as face
-from loadbalancer.interface import NEVER_RAN, ListKind, Outcome
-from loadbalancer.net.driver import ANSWER_MS, NET_MS
-from loadbalancer.policy import Balancer
+from loadbalancer.actions import (
+    Action,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Subscribe,
+)
+from loadbalancer.endpoints import Member
+from loadbalancer.events import (
+    NEVER_RAN,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    RequestArrived,
+    TimerDue,
+)
+from loadbalancer.network.proxy import ANSWER_MS, NET_MS
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import RequestClass, Settings
 
 
 class Behaviour(enum.Enum):
@@ -259,12 +282,12 @@
         self._below = {server.name: server for server in below}
         self._balancer = Balancer(chain.shape.settings(tier - 1), seed)
         self._requests: dict[int, Request] = {}
-        self._events: deque[tuple[face.Event, Request | None]] = deque()
+        self._events: deque[tuple[Event, Request | None]] = deque()
         self._busy = False
         self._last = 0
         self._class = chain.shape.request_class.name
-        self._tell(face.ListUpdate(ListKind.CACHED, self._members()))
-        self._tell(face.ListUpdate(ListKind.FULL, self._members()))
+        self._tell(ListUpdate(ListKind.CACHED, self._members()))
+        self._tell(ListUpdate(ListKind.FULL, self._members()))
 
     @property
     def open(self) -> int:
@@ -278,7 +301,7 @@
         request = Request(self._last, taken, call, now + left_ms - ANSWER_MS)
         self._requests[request.id] = request
         self._clock.at(now + max(left_ms - NET_MS, 0.0), self._rescue, request)
-        self._tell(face.RequestArrived(request.id, self._class, max(left_ms - ANSWER_MS, 0.0)), request)
+        self._tell(RequestArrived(request.id, self._class, max(left_ms - ANSWER_MS, 0.0)), request)
         return request
 
     def left(self, request: Request) -> None:
@@ -286,12 +309,12 @@
         if request.open:
             self._leave(request)
 
-    def _members(self) -> tuple[face.Member, ...]:
-        return tuple(face.Member(name) for name in self._below)
+    def _members(self) -> tuple[Member, ...]:
+        return tuple(Member(name) for name in self._below)
 
     def _leave(self, request: Request) -> None:
         request.open = False
-        self._tell(face.ClientLeft(request.id), request)
+        self._tell(ClientLeft(request.id), request)
         self._drop_rest(request)
 
     def _drop_rest(self, request: Request) -> None:
@@ -305,7 +328,7 @@
             request.taken.answer(502 if request.ran or request.out else 503)
             self._leave(request)
 
-    def _tell(self, event: face.Event, request: Request | None = None) -> None:
+    def _tell(self, event: Event, request: Request | None = None) -> None:
         """Pass an event on. What actions bring about at once waits until they are all carried out."""
         if request is not None:
             request.queued += 1
@@ -317,7 +340,7 @@
             self._handle(*self._events.popleft())
         self._busy = False
 
-    def _handle(self, event: face.Event, request: Request | None) -> None:
+    def _handle(self, event: Event, request: Request | None) -> None:
         began = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
         self._chain.decision_s += time.perf_counter() - began
@@ -329,26 +352,26 @@
             if not (request.open or request.out or request.queued):
                 self._requests.pop(request.id, None)
 
-    def _do(self, action: face.Action) -> None:
+    def _do(self, action: Action) -> None:
         match action:
-            case face.Send():
+            case Send():
                 self._send(action)
-            case face.SetTimer(at, token):
-                self._clock.at(at, self._tell, face.TimerDue(token))
-            case face.Refuse(number):
+            case SetTimer(at, token):
+                self._clock.at(at, self._tell, TimerDue(token))
+            case Refuse(number):
                 self._answer(number, 503)
-            case face.Fail(number):
+            case Fail(number):
                 self._answer(number, 502)
-            case face.Cancel(number, index):
+            case Cancel(number, index):
                 request = self._requests.get(number)
                 attempt = request.attempts[index] if request else None
                 if attempt is not None:
                     attempt.cancel()
-            case face.Subscribe():
-                self._clock.at(self._clock.now, self._tell, face.ListUpdate(ListKind.FULL, self._members()))
-            case face.CloseIdle() | face.Log():
+            case Subscribe():
+                self._clock.at(self._clock.now, self._tell, ListUpdate(ListKind.FULL, self._members()))
+            case CloseIdle() | Log():
                 pass  # connections are always up, and nobody reads the log
-            case face.Probe():
+            case Probe():
                 raise ValueError("a probe, though the settings allow none")
 
     def _answer(self, number: int, status: int) -> None:
@@ -357,7 +380,7 @@
             request.open = False
             request.taken.answer(status)
 
-    def _send(self, action: face.Send) -> None:
+    def _send(self, action: Send) -> None:
         request = self._requests[action.request]
         index = len(request.attempts)
         request.out += 1
@@ -379,7 +402,7 @@
         if request.open and outcome is Outcome.SERVED:
             request.open = False
             request.taken.answer(200)
-        self._tell(face.AttemptEnded(request.id, index, server, outcome, not request.open), request)
+        self._tell(AttemptEnded(request.id, index, server, outcome, not request.open), request)
         if not request.open:
             self._drop_rest(request)
 
@@ -389,7 +412,7 @@
     """How a chain is built; spans in milliseconds."""
 
     depth: int
-    request_class: face.RequestClass
+    request_class: RequestClass
     servers_a_tier: int = 6
     fronts: int = 6
     hop_ms: float = 0.2
@@ -404,9 +427,9 @@
     may_cancel: bool = True
     may_duplicate: bool = False
 
-    def settings(self, calling_tier: int) -> face.Settings:
+    def settings(self, calling_tier: int) -> Settings:
         """What a balancer is told that calls from this tier; 0 is the fronts'."""
-        return face.Settings(
+        return Settings(
             classes=(self.request_class,),
             balancers=self.servers_a_tier if calling_tier else self.fronts,
             calling_tier=calling_tier,
--- a/testbed/discovery.py
+++ b/testbed/discovery.py
@@ -20,7 +20,7 @@
 
 import httptools
 
-from loadbalancer.net.config import Address
+from loadbalancer.configuration import Address
 from testbed.settings import Entry
 
 WAIT_MOST_MS = 60_000  # of one watch call
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -19,9 +19,9 @@
 import uvloop
 from numpy.typing import NDArray
 
-from loadbalancer.interface import ListKind
-from loadbalancer.net.config import Config, ServerList, read_config
-from loadbalancer.net.driver import Driver
+from loadbalancer.configuration import Config, ServerList, read_config
+from loadbalancer.events import ListKind
+from loadbalancer.network.proxy import Driver
 from testbed.meter import LoopLag
 
 OnForce = Callable[[int, float], None]
--- a/testbed/load.py
+++ b/testbed/load.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from loadbalancer.net.config import Address
+from loadbalancer.configuration import Address
 from testbed.latency import Latencies
 
 Clock = Callable[[], float]
--- a/testbed/real.py
+++ b/testbed/real.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from loadbalancer.net.config import Address, read_address
+from loadbalancer.configuration import Address, read_address
 
 ROOT = Path(__file__).parent.parent
 SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth.py
@@ -19,7 +19,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 from structlog.typing import FilteringBoundLogger
 
-from loadbalancer import interface as face
+from loadbalancer.settings import Effect, RepeatGroup, RequestClass
 from testbed import experiment
 from testbed.chain import Behaviour, Call, Chain, Shape
 from testbed.results import Findings, Fit, fit_line
@@ -68,7 +68,7 @@
     """After the trouble has ended; with 0 it lasts until the last call is over."""
     single_call: bool = False
     """Only one call comes while the trouble lasts."""
-    effect: face.Effect = face.Effect.SAFE
+    effect: Effect = Effect.SAFE
     """Keyed calls are kept apart by all servers together for `repeat_window_ms`."""
     repeat_window_ms: NotNegative = 2_000.0
     aim_ms: Positive = 1_000.0
@@ -92,15 +92,15 @@
 
     def shape(self, depth: int) -> Shape:
         """The chain of so many tiers."""
-        window = self.repeat_window_ms if self.effect is face.Effect.KEYED else 0.0
+        window = self.repeat_window_ms if self.effect is Effect.KEYED else 0.0
         return Shape(
             depth,
-            face.RequestClass(
+            RequestClass(
                 "call",
                 self.aim_ms,
                 self.deadline_ms,
                 self.effect,
-                face.RepeatGroup.ALL,
+                RepeatGroup.ALL,
                 window,
                 late_share=self.late_share,
             ),
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -26,10 +26,11 @@
 from pydantic import Field
 from structlog.typing import FilteringBoundLogger
 
-from loadbalancer import interface as face
-from loadbalancer.net.config import Config, read_config, read_list
-from loadbalancer.net.upstreams import Upstreams
-from loadbalancer.policy import Balancer
+from loadbalancer.actions import Send
+from loadbalancer.configuration import Config, read_config, read_list
+from loadbalancer.events import AttemptEnded, ListKind, ListUpdate, Outcome, RequestArrived
+from loadbalancer.network.upstream_pool import Upstreams
+from loadbalancer.policy.balancer import Balancer
 from testbed import experiment, settings
 from testbed.discovery import Discovery
 from testbed.hollow import Hollow
@@ -218,7 +219,7 @@
         self._ends: list[tuple[float, int, str]] = []
         self._called: set[str] = set()
         members = tuple([e.member for e in config.known.endpoints])
-        self._balancer.handle(face.ListUpdate(face.ListKind.CACHED, members), self._now)
+        self._balancer.handle(ListUpdate(ListKind.CACHED, members), self._now)
         _frozen()
         self._calls(plan.warm_calls)
 
@@ -232,17 +233,17 @@
             self._now += self._chance.expovariate(self._plan.calls_per_s / 1000)
             while self._ends and self._ends[0][0] <= self._now:
                 at, request, server = heapq.heappop(self._ends)
-                ended = face.AttemptEnded(request, _ATTEMPT, server, face.Outcome.SERVED, True)
+                ended = AttemptEnded(request, _ATTEMPT, server, Outcome.SERVED, True)
                 began = time.perf_counter_ns()
                 self._balancer.handle(ended, at)
                 spans["end"].append(time.perf_counter_ns() - began)
             self._last += 1
             cls = self._classes[self._last % len(self._classes)]
-            arrived = face.RequestArrived(self._last, cls.name, cls.deadline_ms)
+            arrived = RequestArrived(self._last, cls.name, cls.deadline_ms)
             began = time.perf_counter_ns()
             actions = self._balancer.handle(arrived, self._now)
             spans["arrival"].append(time.perf_counter_ns() - began)
-            sends = [a for a in actions if isinstance(a, face.Send)]
+            sends = [a for a in actions if isinstance(a, Send)]
             spans["shed"].append(not sends)
             for send in sends:
                 takes = self._chance.expovariate(1 / self._plan.service_ms)
@@ -295,9 +296,9 @@
         marks.append(time.perf_counter_ns())
         self._upstreams.listed(news)
         marks.append(time.perf_counter_ns())
-        kind = face.ListKind.FULL if news.whole else face.ListKind.DELTA
+        kind = ListKind.FULL if news.whole else ListKind.DELTA
         members = tuple([e.member for e in news.endpoints])
-        self._balancer.handle(face.ListUpdate(kind, members), self._now)
+        self._balancer.handle(ListUpdate(kind, members), self._now)
         marks.append(time.perf_counter_ns())
         return [after - before for before, after in pairwise(marks)]
 
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from loadbalancer.net.config import Address
+from loadbalancer.configuration import Address
 
 Entry = dict[str, Any]
 """One entry of discovery's list, as the PROTOCOL page shows it."""
--- a/testbed/upstream.py
+++ b/testbed/upstream.py
@@ -20,7 +20,7 @@
 import httptools
 import uvloop
 
-from loadbalancer.net.config import Address
+from loadbalancer.configuration import Address
 from testbed.load import Client, Clock, compose
 from testbed.settings import loopback
 
--- a/tests/loopback.py
+++ b/tests/network/loopback.py
@@ -11,8 +11,8 @@
 
 import uvloop
 
-from loadbalancer.net.config import read_config
-from loadbalancer.net.driver import Driver
+from loadbalancer.configuration import read_config
+from loadbalancer.network.proxy import Driver
 
 T = TypeVar("T")
 PATIENCE_S = 10.0  # for what must happen; reached only when a test fails
--- a/tests/test_left.py
+++ b/tests/network/test_abandoned_requests.py
@@ -9,10 +9,11 @@
 
 import pytest
 
-from loadbalancer import interface as face
-from loadbalancer.net import callers as net_callers
-from loadbalancer.net.upstreams import Connection, Pool
-from tests.loopback import Asked, Rig, Upstream, response, run, silent, status
+from loadbalancer.actions import Action, Send, SetTimer
+from loadbalancer.events import ClientLeft, Event, RequestArrived, TimerDue
+from loadbalancer.network import client_connection as net_callers
+from loadbalancer.network.upstream_pool import Connection, Pool
+from tests.network.loopback import Asked, Rig, Upstream, response, run, silent, status
 
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 
@@ -34,7 +35,7 @@
     """Act as an event of a kind is told to the module, before anything comes of it."""
     handle = rig.driver.balancer.handle
 
-    def acting(event: face.Event, now: float) -> list[face.Action]:
+    def acting(event: Event, now: float) -> list[Action]:
         if isinstance(event, kind):
             act(event)
         return handle(event, now)
@@ -83,12 +84,12 @@
         async with Rig(upstream) as rig:
             client = client_of(rig)
 
-            def hold(event: face.Event, now: float) -> list[face.Action]:
-                if isinstance(event, face.RequestArrived):
-                    return [face.SetTimer(now, f"go:{event.request}")]
-                if isinstance(event, face.TimerDue):
+            def hold(event: Event, now: float) -> list[Action]:
+                if isinstance(event, RequestArrived):
+                    return [SetTimer(now, f"go:{event.request}")]
+                if isinstance(event, TimerDue):
                     client.close()
-                    return [face.Send(int(event.token[3:]), "s0", 1_000.0)]
+                    return [Send(int(event.token[3:]), "s0", 1_000.0)]
                 return []
 
             rig.driver.balancer.handle = hold  # type: ignore[method-assign]
@@ -136,13 +137,13 @@
             client = client_of(rig)
             arrived = list[int]()
 
-            def leave_at_the_second(event: face.RequestArrived) -> None:
+            def leave_at_the_second(event: RequestArrived) -> None:
                 arrived.append(event.request)
                 if len(arrived) == 2:
                     settle(rig)
                     client.close()
 
-            before(rig, face.RequestArrived, leave_at_the_second)
+            before(rig, RequestArrived, leave_at_the_second)
             client.sendall(ask("/read", 1) + ask("/read", 2))
             while len(arrived) < 2:
                 await asyncio.sleep(0.001)
@@ -236,7 +237,7 @@
         held, upstream = Held(monkeypatch), Upstream()
         async with Rig(upstream, limits=LIMITS | {"mayCancel": may_cancel}) as rig:
             left = asyncio.Event()
-            before(rig, face.ClientLeft, lambda event: left.set())
+            before(rig, ClientLeft, lambda event: left.set())
             client = client_of(rig)
             client.sendall(ask("/pay", 1, b"debit"))
             await held.waits.wait()
@@ -280,7 +281,7 @@
         upstreams = Upstream(fail_later), Upstream(fail_later)
         async with Rig(*upstreams, limits=LIMITS | {"mayCancel": False}) as rig:
             left = asyncio.Event()
-            before(rig, face.ClientLeft, lambda event: left.set())
+            before(rig, ClientLeft, lambda event: left.set())
             client = client_of(rig)
             client.sendall(ask("/pay", 1, b"debit"))
             await seen.wait()
--- a/tests/test_gone.py
+++ b/tests/network/test_client_disconnects.py
@@ -14,11 +14,13 @@
 
 import pytest
 
-from loadbalancer import interface as face
-from loadbalancer.net import callers as net_callers
-from loadbalancer.net.upstreams import BODY_MAX, Connection
-from tests.loopback import Asked, Rig, Upstream, entry, reset, response, run, silent, status
-from tests.test_left import LIMITS, ask, before, client_of, over, settle
+from loadbalancer.actions import Action, Send, SetTimer
+from loadbalancer.events import AttemptEnded, ClientLeft, Event, RequestArrived, TimerDue
+from loadbalancer.network import client_connection as net_callers
+from loadbalancer.network.headers import BODY_MAX
+from loadbalancer.network.upstream_pool import Connection
+from tests.network.loopback import Asked, Rig, Upstream, entry, reset, response, run, silent, status
+from tests.network.test_abandoned_requests import LIMITS, ask, before, client_of, over, settle
 
 Leave = Callable[[socket.socket], None]
 NOT_RUN = response(503, b"", "X-Not-Run: 1")
@@ -106,13 +108,13 @@
             await warm(rig, monkeypatch)
             client, left, handle = client_of(rig), asyncio.Event(), rig.driver.balancer.handle
 
-            def hold(event: face.Event, now: float) -> list[face.Action]:
-                if isinstance(event, face.RequestArrived):
-                    return [face.SetTimer(now, f"go:{event.request}")]
-                if isinstance(event, face.TimerDue) and event.token.startswith("go:"):
+            def hold(event: Event, now: float) -> list[Action]:
+                if isinstance(event, RequestArrived):
+                    return [SetTimer(now, f"go:{event.request}")]
+                if isinstance(event, TimerDue) and event.token.startswith("go:"):
                     leave(client)
-                    return [face.Send(int(event.token[3:]), "s0", 1_000.0)]
-                if isinstance(event, face.ClientLeft):
+                    return [Send(int(event.token[3:]), "s0", 1_000.0)]
+                if isinstance(event, ClientLeft):
                     left.set()
                 return []
 
@@ -146,14 +148,14 @@
     async def scenario() -> None:
         async with Rig(Upstream(only_first(script)), Upstream(only_first(script))) as rig:
             await warm(rig, monkeypatch)
-            client, ends = client_of(rig), list[face.AttemptEnded]()
+            client, ends = client_of(rig), list[AttemptEnded]()
 
-            def leave_once(event: face.AttemptEnded) -> None:
+            def leave_once(event: AttemptEnded) -> None:
                 ends.append(event)
                 if len(ends) == 1:
                     leave(client)
 
-            before(rig, face.AttemptEnded, leave_once)
+            before(rig, AttemptEnded, leave_once)
             client.sendall(request_bytes)
             while not ends:
                 await asyncio.sleep(0.001)
@@ -185,11 +187,9 @@
     """The timers for second copies, as the module sets them."""
     handle, tokens = rig.driver.balancer.handle, list[str]()
 
-    def noting(event: face.Event, now: float) -> list[face.Action]:
+    def noting(event: Event, now: float) -> list[Action]:
         actions = handle(event, now)
-        tokens.extend(
-            a.token for a in actions if isinstance(a, face.SetTimer) and a.token.startswith("hedge")
-        )
+        tokens.extend(a.token for a in actions if isinstance(a, SetTimer) and a.token.startswith("hedge"))
         return actions
 
     rig.driver.balancer.handle = noting  # type: ignore[method-assign]
@@ -210,7 +210,7 @@
                 await asyncio.sleep(0.001)
             if leave is not None:
                 leave(client)
-            rig.driver._tell(face.TimerDue(tokens[0]))
+            rig.driver._tell(TimerDue(tokens[0]))
             assert await sent_on(rig) == ["1"] * (1 if leave else 2)
 
     run(scenario())
@@ -224,13 +224,13 @@
         async with Rig(Upstream(script), Upstream(script), limits=LIMITS | {"mayCancel": False}) as rig:
             await warm(rig, monkeypatch)
             client, tokens, left = client_of(rig), hedges(rig), asyncio.Event()
-            before(rig, face.ClientLeft, lambda event: left.set())
+            before(rig, ClientLeft, lambda event: left.set())
             client.sendall(ask("/read", 1))
             while not tokens:
                 await asyncio.sleep(0.001)
             client.close()
             await left.wait()
-            rig.driver._tell(face.TimerDue(tokens[0]))
+            rig.driver._tell(TimerDue(tokens[0]))
             assert rig.driver._requests, "the first copy is out still"
             assert await sent_on(rig) == ["1"]
 
@@ -249,7 +249,7 @@
         async with Rig(upstream, limits=LIMITS | {"mayCancel": may_cancel}) as rig:
             await warm(rig, monkeypatch)
             left = asyncio.Event()
-            before(rig, face.ClientLeft, lambda event: left.set())
+            before(rig, ClientLeft, lambda event: left.set())
             client = client_of(rig)
             client.sendall(ask("/read", 1) + ask("/read", 2) + ask("/read", 3))
             while upstream.asked[-1].headers["x-request-id"] != "1":
@@ -281,7 +281,7 @@
             client.sendall(b"".join(ask("/read", number) for number in range(1, many)))
             while not (failing and any(c._blocked for c in rig.driver.callers._connections)):
                 await asyncio.sleep(0.001)
-            before(rig, face.AttemptEnded, lambda event: None if client.fileno() < 0 else leave(client))
+            before(rig, AttemptEnded, lambda event: None if client.fileno() < 0 else leave(client))
             failing[0].write(response(500))
             await over(rig)
             while rig.driver.callers._connections:
@@ -315,7 +315,7 @@
             rig.entries.append(entry("s0", address))
             async with rig:
                 client, left = client_of(rig), asyncio.Event()
-                before(rig, face.ClientLeft, lambda event: left.set())
+                before(rig, ClientLeft, lambda event: left.set())
                 client.setblocking(False)
                 await loop.sock_sendall(client, ask("/pay", 1, b"x" * BODY_MAX))
                 while not (made and made[0]._transport and made[0]._transport.get_write_buffer_size()):
--- a/tests/test_told.py
+++ b/tests/network/test_endpoint_watch.py
@@ -22,15 +22,15 @@
 
 import pytest
 
-from loadbalancer import interface as face
-from loadbalancer import policy
-from loadbalancer.interface import ListKind, Outcome
-from loadbalancer.net import discovery
-from loadbalancer.net.config import read_config
-from loadbalancer.net.driver import Driver
-from loadbalancer.net.upstreams import SPARE_SOCKETS
-from tests.helpers import Desk, of_kind
-from tests.loopback import (
+from loadbalancer.actions import Action, SetTimer
+from loadbalancer.configuration import read_config
+from loadbalancer.endpoints import Readiness
+from loadbalancer.events import Event, ListKind, ListUpdate, Outcome
+from loadbalancer.network import endpoint_watch as discovery
+from loadbalancer.network.proxy import Driver
+from loadbalancer.network.upstream_pool import SPARE_SOCKETS
+from loadbalancer.policy import balancer as policy
+from tests.network.loopback import (
     Caller,
     ListServer,
     Rig,
@@ -43,7 +43,8 @@
     silent,
     status,
 )
-from tests.test_upstreams import Try, make
+from tests.network.test_upstreams import Try, make
+from tests.policy.helpers import Desk, of_kind
 
 TOLD_S = 6.0  # after a failed call: from when discovery had a change, and could be reached
 SILENT_S = 2.0  # after the wait of a watch that fell silent, if that is later
@@ -227,10 +228,10 @@
         self.heard: asyncio.Future[float] = loop.create_future()
         self.kinds: list[ListKind] = []
 
-        def spy(event: face.Event, now: float) -> list[face.Action]:
-            if isinstance(event, face.ListUpdate):
+        def spy(event: Event, now: float) -> list[Action]:
+            if isinstance(event, ListUpdate):
                 self.kinds.append(event.kind)
-                drains = any(m.readiness is face.Readiness.DRAINING for m in event.members)
+                drains = any(m.readiness is Readiness.DRAINING for m in event.members)
                 if drains and not self.heard.done():
                     self.heard.set_result(loop.time())
             return handle(event, now)
@@ -455,8 +456,8 @@
 def test_failures_that_nobody_asked_for_do_not_add_up_to_a_long_pause() -> None:
     desk = Desk(2, list_is_asked=True)
     for _ in range(100):
-        timer = of_kind(desk.tell(face.ListUpdate(ListKind.FAILED)), face.SetTimer)[0]
-    assert isinstance(timer, face.SetTimer)
+        timer = of_kind(desk.tell(ListUpdate(ListKind.FAILED)), SetTimer)[0]
+    assert isinstance(timer, SetTimer)
     assert desk.now < timer.at_ms <= desk.now + policy.LIST_RETRY_MOST_MS * SPREAD_MOST
 
 
--- a/tests/test_crossings.py
+++ b/tests/network/test_event_ordering.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from loadbalancer import interface as face
-from loadbalancer.interface import Outcome
-from loadbalancer.net.config import read_config
-from loadbalancer.net.driver import Driver
-from loadbalancer.net.upstreams import Connection, Pool
-from tests.loopback import (
+from loadbalancer.actions import Action, Send
+from loadbalancer.configuration import read_config
+from loadbalancer.events import AttemptEnded, Event, Outcome, RequestArrived
+from loadbalancer.network.proxy import Driver
+from loadbalancer.network.upstream_pool import Connection, Pool
+from tests.network.loopback import (
     Caller,
     ListServer,
     Rig,
@@ -31,7 +31,7 @@
     silent,
     status,
 )
-from tests.test_upstreams import Try, make, told_list
+from tests.network.test_upstreams import Try, make, told_list
 
 
 def test_sigterm_twice_and_beside_a_sighup_leaves_what_was_taken_unharmed(tmp_path: Path) -> None:
@@ -151,8 +151,8 @@
             told = list[Outcome]()
             handle = rig.driver.balancer.handle
 
-            def spy(event: face.Event, now: float) -> list[face.Action]:
-                if isinstance(event, face.AttemptEnded):
+            def spy(event: Event, now: float) -> list[Action]:
+                if isinstance(event, AttemptEnded):
                     told.append(event.outcome)
                 return handle(event, now)
 
@@ -196,16 +196,16 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.driver.NET_MS", -1e6)  # the safety net comes too late
+        monkeypatch.setattr("loadbalancer.network.proxy.NET_MS", -1e6)  # the safety net comes too late
         async with Rig(Upstream()) as rig:
-            handle, told = rig.driver.balancer.handle, list[face.Event]()
+            handle, told = rig.driver.balancer.handle, list[Event]()
 
-            def faulty(event: face.Event, now: float) -> list[face.Action]:
+            def faulty(event: Event, now: float) -> list[Action]:
                 told.append(event)
-                if isinstance(event, face.RequestArrived) and event.request == 1:
+                if isinstance(event, RequestArrived) and event.request == 1:
                     # Both fail at once: two endings are queued as the first of them is told.
-                    return [face.Send(1, "nowhere", 100.0), face.Send(1, "nowhere", 100.0)]
-                if isinstance(event, face.AttemptEnded) and (event.request, event.attempt) == (1, 0):
+                    return [Send(1, "nowhere", 100.0), Send(1, "nowhere", 100.0)]
+                if isinstance(event, AttemptEnded) and (event.request, event.attempt) == (1, 0):
                     raise RuntimeError("a fault of the module")
                 return handle(event, now) if getattr(event, "request", 0) != 1 else []
 
--- a/tests/test_bad_callers.py
+++ b/tests/network/test_invalid_clients.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from loadbalancer.net import callers as net_callers
-from tests.loopback import Caller, Rig, Upstream, response, run, silent, status
+from loadbalancer.network import client_connection as net_callers
+from tests.network.loopback import Caller, Rig, Upstream, response, run, silent, status
 
 GOOD = b"X-Class: read\r\nX-Request-Id: a1\r\nX-Deadline: 900m\r\n"
 
@@ -88,10 +88,10 @@
 
 
 def test_ids_are_not_remembered_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.net.driver.IDS_KEPT", 10)
-    from loadbalancer.net.driver import _Ids
+    monkeypatch.setattr("loadbalancer.network.request_ids.IDS_KEPT", 10)
+    from loadbalancer.network.request_ids import RequestIds
 
-    ids = _Ids()
+    ids = RequestIds()
     for i in range(100):
         name = b"%d" % i
         assert ids.add(name) and not ids.add(name)
@@ -231,7 +231,7 @@
     from collections import Counter
 
     # Else the pool keeps as many connections as calls fit into that time, which is the machine's speed.
-    monkeypatch.setattr("loadbalancer.net.upstreams.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.network.upstream_pool.SETTLE_S", 0.0)
 
     def count() -> Counter[str]:
         return Counter(
--- a/tests/test_net.py
+++ b/tests/network/test_proxy.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from loadbalancer import interface as face
-from loadbalancer.interface import ListKind, Outcome
-from loadbalancer.net import discovery
-from tests.loopback import (
+from loadbalancer.actions import Action
+from loadbalancer.events import AttemptEnded, ClientLeft, Event, ListKind, ListUpdate, Outcome, RequestArrived
+from loadbalancer.network import endpoint_watch as discovery
+from tests.network.loopback import (
     PATIENCE_S,
     Asked,
     Rig,
@@ -32,7 +32,7 @@
     told: list[Any] = []
     handle = rig.driver.balancer.handle
 
-    def spy(event: face.Event, now: float) -> list[face.Action]:
+    def spy(event: Event, now: float) -> list[Action]:
         told.append(event)
         return handle(event, now)
 
@@ -41,7 +41,7 @@
 
 
 def outcomes(told: list[Any]) -> list[Outcome]:
-    return [e.outcome for e in told if isinstance(e, face.AttemptEnded)]
+    return [e.outcome for e in told if isinstance(e, AttemptEnded)]
 
 
 def test_a_request_goes_on_unchanged_and_the_answer_comes_back_unchanged() -> None:
@@ -177,7 +177,7 @@
             await upstream.seen.wait()
             caller.writer.close()
             await upstream.ended.wait()
-            assert any(isinstance(e, face.ClientLeft) for e in told)
+            assert any(isinstance(e, ClientLeft) for e in told)
             assert outcomes(told) == [Outcome.CANCELLED]
             assert not rig.driver._requests
 
@@ -190,8 +190,8 @@
         async with Rig(upstream) as rig:
             handle = rig.driver.balancer.handle
 
-            def faulty(event: face.Event, now: float) -> list[face.Action]:
-                if isinstance(event, face.RequestArrived) and event.request == 1:
+            def faulty(event: Event, now: float) -> list[Action]:
+                if isinstance(event, RequestArrived) and event.request == 1:
                     raise RuntimeError("a fault of the module")
                 return handle(event, now)
 
@@ -271,7 +271,7 @@
 
 def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.upstreams.SETTLE_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.upstream_pool.SETTLE_S", 0.0)
         upstream = Upstream()
         async with Rig(upstream) as rig:
             for _ in range(3):
@@ -318,7 +318,7 @@
             await rig.discovery.calls.get()
             rig.discovery.answers.put_nowait(response(503, b""))
             await rig.discovery.calls.get()  # asked again when the module's timer says so
-            kinds = [e.kind for e in told if isinstance(e, face.ListUpdate)]
+            kinds = [e.kind for e in told if isinstance(e, ListUpdate)]
             assert kinds == [ListKind.DELTA, ListKind.FULL, ListKind.FAILED]
 
     run(scenario())
@@ -344,9 +344,9 @@
     """While one of two balancers restarted, the other was told to end: clients had nowhere to go."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 60.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_LONGEST_S", 120.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 60.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_LONGEST_S", 120.0)
         async with Rig(Upstream()) as rig:
             callers = rig.driver.callers
             callers._longest_s = 120.0
@@ -360,7 +360,7 @@
                 caller.send()
                 answer = await caller.answer()
                 assert status(answer) == 200 and "connection" not in answer.headers
-            monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
+            monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
             assert await caller.reader.read() == b""  # a clean end, once the time is up
             caller.writer.close()
             await ending
@@ -372,7 +372,7 @@
     """The platform kills soon after the longest wait: what came on a connection kept for longer is lost."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 60.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 60.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
@@ -389,7 +389,7 @@
 
 def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
         upstream = Upstream(response(), silent, response())
         async with Rig(upstream) as rig:
             idle, busy = await rig.caller(), await rig.caller()
@@ -418,7 +418,7 @@
 def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
-    from loadbalancer.net.driver import Clock
+    from loadbalancer.network.clock import Clock
 
     clock = Clock()
     first = clock.now()
@@ -449,8 +449,8 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
         async with Rig(Upstream()) as rig:
             callers, clients = rig.driver.callers, list[socket.socket]()
             accept = callers._accept
@@ -481,7 +481,7 @@
     """With no room for it, what waited in the queue was reset as the listener closed."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
         upstream = Upstream(silent, response())
         async with Rig(upstream) as rig:
             rig.driver.callers._cap = 1
@@ -553,7 +553,7 @@
 def test_what_is_null_counts_as_absent() -> None:
     import json
 
-    from loadbalancer.net.config import read_config
+    from loadbalancer.configuration import read_config
 
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
@@ -566,9 +566,9 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_LONGEST_S", 0.2)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_LONGEST_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             caller = await rig.caller()
@@ -651,8 +651,8 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.net.callers.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
         async with Rig(Upstream()) as rig:
             caller = await rig.caller()
             caller.send()
@@ -705,7 +705,7 @@
                 await rig.discovery.calls.get()
                 rig.discovery.answers.put_nowait(response(200, body))
             await rig.discovery.calls.get()
-            kinds = [e.kind for e in told if isinstance(e, face.ListUpdate)]
+            kinds = [e.kind for e in told if isinstance(e, ListUpdate)]
             assert kinds == [ListKind.FAILED] * 2
 
     run(scenario())
--- a/tests/test_ready.py
+++ b/tests/network/test_readiness.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from tests.loopback import PATIENCE_S, Caller, config_text, entry, free_port, run, status
+from tests.network.loopback import PATIENCE_S, Caller, config_text, entry, free_port, run, status
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 ENTRIES = 7_000  # a full fleet's list
 
 # Does `before`, starts the program, ends it as it begins to listen and prints `looked`.
@@ -27,7 +27,7 @@
     import gc, json, os, signal, sys
     {before}
     from loadbalancer import __main__ as program
-    from loadbalancer.net.callers import Callers
+    from loadbalancer.network.client_connection import Callers
     start = Callers.start
     def start_and_end(callers):
         start(callers)
@@ -105,8 +105,12 @@
     ours = {name for name in new if name.partition(".")[0] == "loadbalancer"}
     assert ours == {"loadbalancer"} | {
         f"loadbalancer.{name}"
-        for name in "__main__ interface net net.callers net.config net.discovery net.driver net.upstreams "
-        "policy wire".split()
+        for name in (
+            "__main__ actions configuration endpoints events network network.client_connection "
+            "network.clock network.endpoint_watch network.headers network.log network.proxy "
+            "network.request_ids network.sockets network.upstream_pool policy policy.balancer "
+            "settings settings_reader"
+        ).split()
     }
     tops = {name.partition(".")[0] for name in new}
     others = {name for name in tops - set(sys.stdlib_module_names) if "cython" not in name}
@@ -132,8 +136,9 @@
 
 def test_a_long_known_list_is_read_and_told_once(tmp_path: Path) -> None:
     before = """if True:
-        from loadbalancer import interface, policy
-        from loadbalancer.net import config
+        from loadbalancer import events
+        from loadbalancer.policy import balancer
+        from loadbalancer import configuration as config
         counts = dict(files=0, entries=0, told=0)
         def counting(name, function, applies=lambda *args: True):
             def counted(*args):
@@ -144,8 +149,8 @@
             counts["files"] += name == "open" and args[0] == os.environ["LB_CONFIG"]
         sys.addaudithook(opened)
         config._read_endpoint = counting("entries", config._read_endpoint)
-        policy.Balancer.handle = counting("told", policy.Balancer.handle,
-            lambda _, event, now: isinstance(event, interface.ListUpdate) and event.kind.name != "FAILED")
+        balancer.Balancer.handle = counting("told", balancer.Balancer.handle,
+            lambda _, event, now: isinstance(event, events.ListUpdate) and event.kind.name != "FAILED")
     """
     counts = look_at_a_start(tmp_path, "counts", before, ENTRIES)
     assert counts == {"files": 1, "entries": ENTRIES, "told": 1}
--- a/tests/test_reload.py
+++ b/tests/network/test_reload.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from loadbalancer import interface as face
-from loadbalancer.interface import ListKind
-from loadbalancer.net.config import read_config
-from tests.loopback import (
+from loadbalancer.actions import Action
+from loadbalancer.configuration import read_config
+from loadbalancer.events import Event, ListKind, ListUpdate
+from tests.network.loopback import (
     PATIENCE_S,
     Caller,
     ListServer,
@@ -36,7 +36,7 @@
             told: list[Any] = []
             handle = rig.driver.balancer.handle
 
-            def spy(event: face.Event, now: float) -> list[face.Action]:
+            def spy(event: Event, now: float) -> list[Action]:
                 told.append(event)
                 return handle(event, now)
 
@@ -52,7 +52,7 @@
                 assert f"?after={index}&" in await new.calls.get()
             await rig.discovery.ended.wait()
             rig.discovery.tell(8, entry("s9", "127.0.0.1:9"))  # too late: nobody listens to it
-            kinds = [e.kind for e in told if isinstance(e, face.ListUpdate)]
+            kinds = [e.kind for e in told if isinstance(e, ListUpdate)]
             assert kinds == [ListKind.FULL, ListKind.FULL]
             assert set(rig.driver.upstreams._pools) == {"s1"}
 
@@ -105,8 +105,8 @@
 
 def test_a_discovery_that_says_nothing_is_given_up_soon() -> None:
     """Its machine is away: the connection never comes up, though the call may wait for half a minute."""
-    from loadbalancer.net import discovery
-    from tests.test_upstreams import full_backlog
+    from loadbalancer.network import endpoint_watch as discovery
+    from tests.network.test_upstreams import full_backlog
 
     async def scenario() -> None:
         async with full_backlog() as address:
--- a/tests/test_moments.py
+++ b/tests/network/test_startup_and_shutdown_races.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from loadbalancer.net import callers as net_callers
-from loadbalancer.net.callers import CallerConnection, Callers
-from tests.loopback import PATIENCE_S, ListServer, Rig, Upstream, config_text, entry, run, status
-from tests.test_left import ask, client_of
+from loadbalancer.network import client_connection as net_callers
+from loadbalancer.network.client_connection import CallerConnection, Callers
+from tests.network.loopback import PATIENCE_S, ListServer, Rig, Upstream, config_text, entry, run, status
+from tests.network.test_abandoned_requests import ask, client_of
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 # Runs the program as `python -m` does; at a moment of its start the file changes and a signal comes.
 SIGNALLED = """if True:
@@ -100,7 +100,7 @@
     program = """if True:
         import os, signal, socket
         from loadbalancer import __main__ as program
-        from loadbalancer.net.callers import Callers
+        from loadbalancer.network.client_connection import Callers
         start, clients = Callers.start, []
         def at_once(callers):
             os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -11,11 +11,12 @@
 
 import pytest
 
-from loadbalancer import interface as face
-from loadbalancer.interface import Outcome
-from loadbalancer.net.config import read_config, read_list
-from loadbalancer.net.upstreams import SETTLE_S, Answer, Attempt, Pool, Upstreams, peek
-from tests.loopback import (
+from loadbalancer.actions import Action, Refuse, Send
+from loadbalancer.configuration import read_config, read_list
+from loadbalancer.events import AttemptEnded, Event, Outcome, RequestArrived
+from loadbalancer.network.sockets import peek
+from loadbalancer.network.upstream_pool import SETTLE_S, Answer, Attempt, Pool, Upstreams
+from tests.network.loopback import (
     Asked,
     Rig,
     Script,
@@ -201,18 +202,18 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            driver, events = rig.driver, list[face.Event]()
+            driver, events = rig.driver, list[Event]()
 
-            def answer_then_send(event: face.Event, now: float) -> list[face.Action]:
+            def answer_then_send(event: Event, now: float) -> list[Action]:
                 events.append(event)
-                if isinstance(event, face.RequestArrived):
-                    return [face.Refuse(event.request, 250.0), face.Send(event.request, "s0", 100.0)]
+                if isinstance(event, RequestArrived):
+                    return [Refuse(event.request, 250.0), Send(event.request, "s0", 100.0)]
                 return []
 
             driver.balancer.handle = answer_then_send  # type: ignore[method-assign]
             answer = await rig.ask()
             assert (status(answer), answer.headers["retry-after"]) == (503, "0.250")
-            assert events[1:] == [face.AttemptEnded(1, 0, "s0", Outcome.NOT_SENT, True)]
+            assert events[1:] == [AttemptEnded(1, 0, "s0", Outcome.NOT_SENT, True)]
             assert not upstream.asked and not driver._requests
 
     run(scenario())
@@ -272,8 +273,8 @@
         async with Rig(*upstreams) as rig:
             handle, ended = rig.driver.balancer.handle, list[bool]()
 
-            def look(event: face.Event, now: float) -> list[face.Action]:
-                if isinstance(event, face.AttemptEnded):
+            def look(event: Event, now: float) -> list[Action]:
+                if isinstance(event, AttemptEnded):
                     seen = peek(next(u for u in upstreams if u.asked).writers[0].transport)
                     ended.append(seen == b"")
                 return handle(event, now)
--- a/tests/helpers.py
+++ b/tests/policy/helpers.py
@@ -4,21 +4,11 @@
 
 from typing import Any
 
-from loadbalancer.interface import (
-    Action,
-    AttemptEnded,
-    Effect,
-    ListKind,
-    ListUpdate,
-    Member,
-    Outcome,
-    RepeatGroup,
-    RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
-)
-from loadbalancer.policy import Balancer
+from loadbalancer.actions import Action, Send
+from loadbalancer.endpoints import Member
+from loadbalancer.events import AttemptEnded, ListKind, ListUpdate, Outcome, RequestArrived
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import Effect, RepeatGroup, RequestClass, Settings
 
 READ = RequestClass("read", 1_000, 3_000, Effect.SAFE)
 ORDER = RequestClass("order", 1_000, 3_000, Effect.KEYED, RepeatGroup.CELL, 2_000)
--- a/tests/cold_fleet.py
+++ b/tests/policy/slow_start_simulation.py
@@ -14,25 +14,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from loadbalancer.interface import (
-    Action,
-    AttemptEnded,
-    Effect,
-    Fail,
-    ListKind,
-    ListUpdate,
-    Member,
-    Outcome,
-    Readiness,
-    Refuse,
-    RequestArrived,
-    RequestClass,
-    Send,
-    SetTimer,
-    Settings,
-    TimerDue,
-)
-from loadbalancer.policy import Balancer
+from loadbalancer.actions import Action, Fail, Refuse, Send, SetTimer
+from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.events import AttemptEnded, ListKind, ListUpdate, Outcome, RequestArrived, TimerDue
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import Effect, RequestClass, Settings
 
 SMALL = RequestClass("small", 1_000, 3_000, Effect.SAFE)
 LARGE = RequestClass("large", 1_000, 3_000, Effect.SAFE)
--- a/tests/test_policy.py
+++ b/tests/policy/test_balancer.py
@@ -7,31 +7,21 @@
 
 import pytest
 
-from loadbalancer.interface import (
+from loadbalancer.actions import Cancel, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
+from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.events import (
     AnswerStarted,
     AttemptEnded,
-    Cancel,
     ClientLeft,
-    CloseIdle,
-    Fail,
     ListKind,
     ListUpdate,
-    Log,
-    Member,
     Outcome,
-    Readiness,
-    Refuse,
     RequestArrived,
-    RequestClass,
-    Send,
-    SetTimer,
-    Settings,
-    Subscribe,
-    Tenant,
     TimerDue,
 )
-from loadbalancer.policy import Balancer
-from tests.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import RequestClass, Settings, Tenant
+from tests.policy.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
 
 
 def shares(desk: Desk, rounds: int) -> Counter[str]:
--- a/tests/test_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -11,31 +11,21 @@
 
 import pytest
 
-from loadbalancer.interface import (
-    Action,
+from loadbalancer.actions import Action, Cancel, Fail, Refuse, Send, SetTimer, Subscribe
+from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.events import (
     AttemptEnded,
-    Cancel,
     ClientLeft,
-    Effect,
     Event,
-    Fail,
     ListKind,
     ListUpdate,
-    Member,
     Outcome,
-    Readiness,
-    Refuse,
-    RepeatGroup,
     RequestArrived,
-    RequestClass,
-    Send,
-    SetTimer,
-    Settings,
-    Subscribe,
     TimerDue,
 )
-from loadbalancer.policy import Balancer
-from tests.helpers import CLASSES, settings
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import Effect, RepeatGroup, RequestClass, Settings
+from tests.policy.helpers import CLASSES, settings
 
 GRACE_MS = 20.0
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
--- a/tests/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -7,17 +7,11 @@
 
 import pytest
 
-from loadbalancer import policy
-from loadbalancer.interface import (
-    AttemptEnded,
-    ClientLeft,
-    Effect,
-    Outcome,
-    RequestClass,
-    SetTimer,
-    TimerDue,
-)
-from tests.helpers import ANYWHERE, PAY, READ, Desk, of_kind, sent
+from loadbalancer.actions import SetTimer
+from loadbalancer.events import AttemptEnded, ClientLeft, Outcome, TimerDue
+from loadbalancer.policy import balancer as policy
+from loadbalancer.settings import Effect, RequestClass
+from tests.policy.helpers import ANYWHERE, PAY, READ, Desk, of_kind, sent
 
 NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
--- a/tests/test_limits.py
+++ b/tests/policy/test_size_limits.py
@@ -4,11 +4,11 @@
 
 from pathlib import Path
 
-MODULE = Path(__file__).parent.parent / "loadbalancer" / "policy.py"
+MODULE = Path(__file__).parents[2] / "loadbalancer" / "policy" / "balancer.py"
 
 
 def test_the_module_stays_readable() -> None:
     lines = MODULE.read_text(encoding="utf-8").splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 800
     assert max(map(len, lines)) <= 110
-    assert "loadbalancer/interface.py" in lines[0]
+    assert "loadbalancer/events.py" in lines[0]
--- a/tests/test_cold_sum.py
+++ b/tests/policy/test_slow_start.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from loadbalancer.interface import Outcome
-from tests.cold_fleet import Fleet
+from loadbalancer.events import Outcome
+from tests.policy.slow_start_simulation import Fleet
 
 ROOMY = {"cold_ms": 8_900.0, "cold_from": 0.31, "cold_overload_factor": 4.0, "cold_window_ms": 1_000.0}
 TIGHT = {"cold_ms": 20_000.0, "cold_from": 0.1, "cold_overload_factor": 1.5, "cold_window_ms": 500.0}
--- a/tests/test_testbed_chain.py
+++ b/tests/testbed/test_chain.py
@@ -7,9 +7,19 @@
 import structlog
 from structlog.testing import capture_logs
 
-from loadbalancer import interface as face
-from loadbalancer.interface import Action, Effect, Event, Outcome
-from loadbalancer.policy import Balancer
+from loadbalancer.actions import Action, Cancel, Send, SetTimer
+from loadbalancer.events import (
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    RequestArrived,
+    TimerDue,
+)
+from loadbalancer.policy.balancer import Balancer
+from loadbalancer.settings import Effect, RequestClass, Settings
 from testbed.chain import Behaviour, Chain, Shape
 from testbed.results import Findings
 from testbed.runs import depth as depth_run
@@ -27,7 +37,7 @@
         "service_ms": SERVICE,
         "steady_service": True,
     }
-    cls = face.RequestClass("call", aim, 3_000.0, effect)
+    cls = RequestClass("call", aim, 3_000.0, effect)
     return Shape(depth, cls, **(base | changes))
 
 
@@ -39,7 +49,7 @@
         ears = self
 
         class Listening(Balancer):
-            def __init__(self, settings: face.Settings, seed: int) -> None:
+            def __init__(self, settings: Settings, seed: int) -> None:
                 super().__init__(settings, seed)
                 self.tier = settings.calling_tier
 
@@ -97,11 +107,11 @@
 ) -> None:
     ears = Ears(monkeypatch)
     chain = Chain(shape(1, aim=500.0, attempts_cap=1), 1)
-    assert [e.kind for _, e in ears.of(0, face.ListUpdate)] == [face.ListKind.CACHED, face.ListKind.FULL]
+    assert [e.kind for _, e in ears.of(0, ListUpdate)] == [ListKind.CACHED, ListKind.FULL]
     chain.behave(1, 2, behaviour)
     chain.call(0)
     play(chain)
-    [(at, ended)] = ears.of(0, face.AttemptEnded)
+    [(at, ended)] = ears.of(0, AttemptEnded)
     served = outcome is Outcome.SERVED
     assert (ended.outcome, at, ended.answered) == (outcome, after_ms, served)
     # Nothing is owed after an answer; a class that is safe to repeat is refused, not failed.
@@ -124,8 +134,8 @@
     chain.behave(2, 2, Behaviour.TURNS_AWAY)
     chain.call(0)
     play(chain)
-    assert [e.outcome for _, e in ears.of(1, face.AttemptEnded)] == [Outcome.REJECTED]
-    assert [e.outcome for _, e in ears.of(0, face.AttemptEnded)] == [Outcome.ERROR]
+    assert [e.outcome for _, e in ears.of(1, AttemptEnded)] == [Outcome.REJECTED]
+    assert [e.outcome for _, e in ears.of(0, AttemptEnded)] == [Outcome.ERROR]
 
 
 def test_each_tier_gets_the_time_that_remains(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -133,7 +143,7 @@
     chain = Chain(shape(4), 1)
     chain.call(0)
     play(chain)
-    arrived = [[e.remaining_ms for _, e in ears.of(tier, face.RequestArrived)] for tier in range(4)]
+    arrived = [[e.remaining_ms for _, e in ears.of(tier, RequestArrived)] for tier in range(4)]
     # Each balancer keeps 10 ms for its answer; each server has worked 1 ms before it calls.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
     assert chain.calls[0].status == 200 and chain.calls[0].done == 4 * (2 * HOP + SERVICE)
@@ -144,9 +154,9 @@
     """A front that sends a call at once and calls it off at a moment."""
 
     def act(event: Event, now: float) -> list[Action]:
-        if isinstance(event, face.RequestArrived):
-            return [face.Send(event.request, "t1-0", event.remaining_ms), face.SetTimer(at, "off")]
-        return [face.Cancel(1, 0)] if isinstance(event, face.TimerDue) else []
+        if isinstance(event, RequestArrived):
+            return [Send(event.request, "t1-0", event.remaining_ms), SetTimer(at, "off")]
+        return [Cancel(1, 0)] if isinstance(event, TimerDue) else []
 
     return act
 
@@ -158,10 +168,10 @@
     chain.call(0)
     play(chain)
     # The connection's end travels one hop to each server, whose balancer then calls off its own call.
-    assert [(now, e.outcome) for now, e in ears.of(0, face.AttemptEnded)] == [(100.0, Outcome.CANCELLED)]
+    assert [(now, e.outcome) for now, e in ears.of(0, AttemptEnded)] == [(100.0, Outcome.CANCELLED)]
     for tier, left in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
-        assert [now for now, _ in ears.of(tier, face.ClientLeft)] == [left]
-        ended = [(now, e.outcome, e.answered) for now, e in ears.of(tier, face.AttemptEnded)]
+        assert [now for now, _ in ears.of(tier, ClientLeft)] == [left]
+        ended = [(now, e.outcome, e.answered) for now, e in ears.of(tier, AttemptEnded)]
         assert ended == [(left, Outcome.CANCELLED, True)]
     assert [server.busy for tier in chain.tiers for server in tier] == [0] * 6
 
@@ -172,17 +182,17 @@
     chain.behave(3, 2, Behaviour.HANGS)
     chain.call(0)
     play(chain)
-    assert [now for now, _ in ears.of(1, face.ClientLeft)] == [100.0 + HOP]
-    assert ears.of(2, face.ClientLeft) == []
+    assert [now for now, _ in ears.of(1, ClientLeft)] == [100.0 + HOP]
+    assert ears.of(2, ClientLeft) == []
     # The tier behind gave up by its own time, 500 came up, and nobody owed an answer any more.
-    [(_, ended)] = ears.of(1, face.AttemptEnded)
+    [(_, ended)] = ears.of(1, AttemptEnded)
     assert ended.outcome is Outcome.ERROR and ended.answered
 
 
 def test_a_call_out_of_time_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
     def act(event: Event, now: float) -> list[Action]:
-        if isinstance(event, face.RequestArrived):
-            return [face.Send(event.request, "t1-0", 0.75 if event.request < 3 else 0.0)]
+        if isinstance(event, RequestArrived):
+            return [Send(event.request, "t1-0", 0.75 if event.request < 3 else 0.0)]
         return []
 
     ears = Ears(monkeypatch, act)
@@ -191,7 +201,7 @@
         chain.call(0)
     play(chain)
     # The first is worked on to its end though nobody waits; the second is not; then comes the third.
-    assert [(e.request, now, e.outcome) for now, e in ears.of(0, face.AttemptEnded)] == [
+    assert [(e.request, now, e.outcome) for now, e in ears.of(0, AttemptEnded)] == [
         (1, 0.75, Outcome.TIMED_OUT),
         (2, 0.75, Outcome.TIMED_OUT),
         (3, 2 * HOP + 2 * SERVICE, Outcome.SERVED),
@@ -203,15 +213,15 @@
 
     def act(event: Event, now: float) -> list[Action]:
         match event:
-            case face.RequestArrived(number):
-                timers = [face.SetTimer(served - HOP / 2, "second"), face.SetTimer(served + 1.0, "third")]
-                return [face.Send(number, "t1-0", 0.0), *timers]
-            case face.TimerDue("second"):
-                return [face.Send(1, "t1-1", 0.0), face.Send(1, "t1-0", 0.0)]
-            case face.TimerDue("third"):
-                return [face.Send(1, "t1-0", 0.0), face.Send(1, "t1-0", 0.0)]
-            case face.AttemptEnded(attempt=3):
-                return [face.Cancel(1, 4)]  # told only once both of them were carried out
+            case RequestArrived(number):
+                timers = [SetTimer(served - HOP / 2, "second"), SetTimer(served + 1.0, "third")]
+                return [Send(number, "t1-0", 0.0), *timers]
+            case TimerDue("second"):
+                return [Send(1, "t1-1", 0.0), Send(1, "t1-0", 0.0)]
+            case TimerDue("third"):
+                return [Send(1, "t1-0", 0.0), Send(1, "t1-0", 0.0)]
+            case AttemptEnded(attempt=3):
+                return [Cancel(1, 4)]  # told only once both of them were carried out
         return []
 
     ears = Ears(monkeypatch, act)
@@ -220,7 +230,7 @@
     chain.behave(1, 1, Behaviour.SERVES)
     chain.call(0)
     play(chain)
-    ended = [(now, e.attempt, e.outcome) for now, e in ears.of(0, face.AttemptEnded)]
+    ended = [(now, e.attempt, e.outcome) for now, e in ears.of(0, AttemptEnded)]
     assert ended == [
         (served, 0, Outcome.SERVED),
         (served, 1, Outcome.NOT_SENT),  # its connection had not come up
@@ -236,9 +246,9 @@
     monkeypatch: pytest.MonkeyPatch, sends: bool, status: int
 ) -> None:
     def lazy(event: Event, now: float) -> list[Action]:
-        if sends and isinstance(event, face.RequestArrived):
-            return [face.SetTimer(now, "late")]
-        return [face.Send(1, "t1-0", 0.0)] if isinstance(event, face.TimerDue) else []
+        if sends and isinstance(event, RequestArrived):
+            return [SetTimer(now, "late")]
+        return [Send(1, "t1-0", 0.0)] if isinstance(event, TimerDue) else []
 
     ears = Ears(monkeypatch, lazy)
     chain = Chain(shape(1), 1)
@@ -246,7 +256,7 @@
     chain.call(0)
     play(chain)
     assert (chain.calls[0].status, chain.calls[0].done) == (status, 2995.0)
-    assert [now for now, _ in ears.of(0, face.ClientLeft)] == [2995.0]
+    assert [now for now, _ in ears.of(0, ClientLeft)] == [2995.0]
 
 
 def test_a_full_server_turns_calls_away() -> None:
--- a/tests/test_testbed_load.py
+++ b/tests/testbed/test_load.py
@@ -13,15 +13,15 @@
 import pytest
 import structlog
 
-from loadbalancer.net.config import read_address
+from loadbalancer.configuration import read_address
 from testbed import real
 from testbed.latency import Latencies, added
 from testbed.load import NO_ANSWER, Alarm, Client, Report, Stream, arrivals, compose, play, request_ids
 from testbed.real import RealBalancer, RealError
 from testbed.runs import added_time, real_depth
 from testbed.upstream import Asked, Behaviour, Upstreams, UpstreamsApart, Way, next_tier
-from tests.loopback import Upstream as Scripted
-from tests.loopback import config_text, response, run
+from tests.network.loopback import Upstream as Scripted
+from tests.network.loopback import config_text, response, run
 
 
 def _started(host: str, **settings: object) -> str:
--- a/tests/test_testbed_core.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -17,17 +17,17 @@
 import pytest
 import structlog
 
-from loadbalancer.interface import Effect
-from loadbalancer.net import discovery as client
-from loadbalancer.net.config import Address, read_config
-from loadbalancer.policy import SUBSET_COVER
+from loadbalancer.configuration import Address, read_config
+from loadbalancer.network import endpoint_watch as client
+from loadbalancer.policy.balancer import SUBSET_COVER
+from loadbalancer.settings import Effect
 from testbed.discovery import Counts, Discovery, Mode, State, play, restarts, single_changes, times
 from testbed.experiment import FOLDER, read_plan
 from testbed.hollow import Hollow, HollowProcess
 from testbed.meter import CoresWatch, LoopLag, processor_s, usage
 from testbed.runs import RUNS, control, list_size
 from testbed.settings import Entry, config, entry, fleet, site
-from tests.loopback import Asked, read_message, run
+from tests.network.loopback import Asked, read_message, run
 
 Known = dict[str, Entry]
 # Of its own: a test of the command line leaves the shared one with an output that is closed.
@@ -362,7 +362,7 @@
 
 
 def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.policy.LIST_RETRY_MS", 2.0)
+    monkeypatch.setattr("loadbalancer.policy.balancer.LIST_RETRY_MS", 2.0)
     monkeypatch.setattr(client, "ANSWER_S", 0.05)
 
     async def scenario() -> None:
