--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -7,20 +7,30 @@
 
 import pytest
 
-from loadbalancer.actions import Cancel, CloseIdle, Fail, Log, Refuse, Send, SetTimer, Subscribe
-from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from loadbalancer.endpoints import Endpoint, EndpointState
 from loadbalancer.events import (
-    AnswerStarted,
-    AttemptEnded,
-    ClientLeft,
-    ListKind,
-    ListUpdate,
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
     Outcome,
-    RequestArrived,
-    TimerDue,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
 )
-from loadbalancer.policy.balancer import Balancer
+from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.settings import RequestClass, Settings, Tenant
+from loadbalancer.timers import EndpointListTimer, HedgeTimer
 from tests.policy.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
 
 
@@ -40,10 +50,10 @@
     got: Counter[str] = Counter()
     for _ in range(rounds):
         request, actions = desk.ask(PAY)
-        server = sent(actions)[0].server
+        server = sent(actions)[0].endpoint
         got[server] += 1
         desk.now += 5
-        desk.end(request, 0, server, Outcome.ERROR if server == "s0" else Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.ERROR if server == "s0" else Outcome.SUCCEEDED)
     return got
 
 
@@ -64,15 +74,15 @@
 
 def test_lowest_load_after_placing_wins_and_busy_servers_are_passed_over() -> None:
     desk = Desk(2)
-    got = Counter(sent(desk.ask()[1])[0].server for _ in range(8))
+    got = Counter(sent(desk.ask()[1])[0].endpoint for _ in range(8))
     assert abs(got["s0"] - got["s1"]) <= 4
 
 
 def test_a_new_server_starts_at_the_median() -> None:
     desk = Desk(3)
     teach(desk, {"s0": 10.0, "s1": 20.0, "s2": 60.0})
-    desk.show(*members(3), Member("new"))
-    got = Counter(sent(desk.ask()[1])[0].server for _ in range(9))
+    desk.show(*members(3), Endpoint("new"))
+    got = Counter(sent(desk.ask()[1])[0].endpoint for _ in range(9))
     assert got["s0"] >= got["new"] > got["s2"]
 
 
@@ -81,8 +91,8 @@
     got: Counter[str] = Counter()
     for seed in range(1_000):
         desk = Desk(0, seed=seed)
-        desk.show(Member("s0", size=4.0), *(Member(f"s{i}", size=1.0) for i in range(1, 7)))
-        got[sent(desk.ask()[1])[0].server] += 1
+        desk.show(Endpoint("s0", weight=4.0), *(Endpoint(f"s{i}", weight=1.0) for i in range(1, 7)))
+        got[sent(desk.ask()[1])[0].endpoint] += 1
     assert 330 < got["s0"] < 470, "4 of 10 by size"
     assert min(got.values()) > 60
 
@@ -90,12 +100,12 @@
 @pytest.mark.parametrize("size", [0.0, -1.0, float("inf"), float("nan")])
 def test_odd_sizes_in_the_list_are_survived(size: float) -> None:
     desk = Desk(0)
-    desk.show(Member("s0", size=size), Member("s1"))
+    desk.show(Endpoint("s0", weight=size), Endpoint("s1"))
     assert {desk.serve() for _ in range(60)} == {"s0", "s1"}
 
 
 def test_classes_without_worth_are_survived() -> None:
-    desk = Desk(2, classes=(RequestClass("free", 1_000, 3_000, READ.effect, worth=0.0),))
+    desk = Desk(2, classes=(RequestClass("free", 1_000, 3_000, READ.idempotency, priority_weight=0.0),))
     assert {desk.serve(desk.balancer._classes["free"]) for _ in range(60)} == {"s0", "s1"}
 
 
@@ -104,8 +114,8 @@
     got: Counter[str] = Counter()
     for seed in range(600):
         desk = Desk(0, seed=seed, zone="a")
-        desk.show(*(Member(zone, zone=zone, size=size) for zone, size in sizes.items()))
-        got[sent(desk.ask()[1])[0].server] += 1
+        desk.show(*(Endpoint(zone, zone=zone, weight=size) for zone, size in sizes.items()))
+        got[sent(desk.ask()[1])[0].endpoint] += 1
     return got
 
 
@@ -128,19 +138,19 @@
     for servers in (1, 3):
         stayed.append(0)
         for seed in range(30):
-            desk = Desk(0, seed=seed, zone="a", may_duplicate=False)
-            desk.show(*(Member(f"{zone}{i}", zone=zone) for zone in "abcd" for i in range(servers)))
-            stayed[-1] += sum(sent(desk.ask(PAY)[1])[0].server[0] == "a" for _ in range(2 * servers))
+            desk = Desk(0, seed=seed, zone="a", may_hedge=False)
+            desk.show(*(Endpoint(f"{zone}{i}", zone=zone) for zone in "abcd" for i in range(servers)))
+            stayed[-1] += sum(sent(desk.ask(PAY)[1])[0].endpoint[0] == "a" for _ in range(2 * servers))
     assert stayed[0] <= 45  # the first of two at the most, and now and then the second
     assert 30 * 2 <= stayed[1] <= 30 * 6 * 0.7  # drawn first, then weighed by load alone
 
 
 def test_a_zone_that_holds_many_of_our_calls_makes_way_for_the_others() -> None:
     """One of two balancers sent nearly all to the one server of its zone; two zones stood idle."""
-    desk = Desk(0, zone="a", balancers=2, may_duplicate=False)
-    desk.show(*(Member(zone, zone=zone) for zone in "abcd"))
+    desk = Desk(0, zone="a", balancers=2, may_hedge=False)
+    desk.show(*(Endpoint(zone, zone=zone) for zone in "abcd"))
     desk.balancer._done, desk.balancer._done_at = 16.0, desk.now  # not at its start
-    got = Counter(sent(desk.ask(PAY)[1])[0].server for _ in range(16))
+    got = Counter(sent(desk.ask(PAY)[1])[0].endpoint for _ in range(16))
     assert got.keys() == {"a", "b", "c", "d"}
     assert max(got.values()) == got["a"] < 12
 
@@ -153,9 +163,9 @@
     desk = Desk(2)
     teach(desk, {"s0": 20.0, "s1": 20.0}, 100)
     request, actions = desk.ask()
-    slow = sent(actions)[0].server
+    slow = sent(actions)[0].endpoint
     desk.now += 200
-    desk.end(request, 0, slow, Outcome.SERVED)
+    desk.end(request, 0, slow, Outcome.SUCCEEDED)
     got = Counter(desk.serve(takes=20.0) for _ in range(400))
     assert got[slow] > 10
 
@@ -163,18 +173,18 @@
 def test_a_silent_server_sinks_before_its_first_time_out() -> None:
     desk = Desk(2)
     teach(desk, {"s0": 20.0, "s1": 20.0}, 100)
-    first = sent(desk.ask()[1])[0].server
+    first = sent(desk.ask()[1])[0].endpoint
     desk.now += 500
     got = Counter(desk.serve(takes=20.0) for _ in range(20))
     assert got[first] <= 2
 
 
 def test_a_fast_failing_server_does_not_look_idle() -> None:
-    assert s0_fails(Desk(2, calling_tier=1), 60)["s0"] < 10
+    assert s0_fails(Desk(2, tier=1), 60)["s0"] < 10
 
 
 def test_a_server_that_recovers_is_found_again() -> None:
-    desk = Desk(2, calling_tier=1)  # nothing is shed there
+    desk = Desk(2, tier=1)  # nothing is shed there
     s0_fails(desk, 30)
     got = Counter(desk.serve(takes=20.0) for _ in range(1_500))
     assert got["s0"] > 10
@@ -191,14 +201,14 @@
     got: Counter[str] = Counter()
     for _ in range(200):
         request, actions = desk.ask(PAY)
-        server = sent(actions)[0].server
+        server = sent(actions)[0].endpoint
         got[server] += 1
         desk.now += 5
         lost = server in ("s0", "s1", "s2")
-        actions = desk.end(request, 0, server, Outcome.CONNECT_FAILED if lost else Outcome.SERVED)
+        actions = desk.end(request, 0, server, Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED)
         for send in sent(actions):
-            desk.tell(ClientLeft(request))
-            desk.end(request, 1, send.server, Outcome.CANCELLED)
+            desk.tell(ClientDisconnected(request))
+            desk.end(request, 1, send.endpoint, Outcome.CANCELLED)
     assert got["s0"] + got["s1"] + got["s2"] <= 8, (
         "more than half of the servers, yet each is away for certain"
     )
@@ -210,39 +220,41 @@
     desk = Desk(0)
     for _ in range(3):
         request, actions = desk.ask()
-        assert Refuse(request) in actions and not sent(actions)
-    assert len([a for a in desk.log if isinstance(a, Log)]) == 1, "one line for the spell"
+        assert RejectRequest(request) in actions and not sent(actions)
+    assert len([a for a in desk.log if isinstance(a, LogMessage)]) == 1, "one line for the spell"
 
 
 def test_a_request_with_no_time_left_is_answered_at_once() -> None:
     desk = Desk(2)
     request, actions = desk.ask(remaining=0.0)
-    assert Refuse(request) in actions and not sent(actions)
+    assert RejectRequest(request) in actions and not sent(actions)
 
 
 def test_a_time_out_at_the_deadline_is_answered_at_once() -> None:
     desk = Desk(2)
     request, actions = desk.ask(PAY, remaining=300)
     desk.now += 300
-    assert of_kind(desk.end(request, 0, sent(actions)[0].server, Outcome.TIMED_OUT), Fail) == [Fail(request)]
+    assert of_kind(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.TIMED_OUT), FailRequest) == [
+        FailRequest(request)
+    ]
 
 
 def test_late_and_odd_events_are_ignored_and_impossible_ones_raise() -> None:
     desk = Desk(2)
-    assert desk.tell(ClientLeft(99)) == []
-    assert desk.tell(TimerDue("wait:99")) == []
+    assert desk.tell(ClientDisconnected(99)) == []
+    assert desk.tell(TimerFired(HedgeTimer(99))) == []
     with pytest.raises(ValueError, match="never made"):
-        desk.tell(AttemptEnded(99, 0, "s0", Outcome.SERVED))
+        desk.tell(AttemptFinished(99, 0, "s0", Outcome.SUCCEEDED))
     with pytest.raises(ValueError, match="never made"):
-        desk.tell(AnswerStarted(99, 0))
+        desk.tell(ResponseStarted(99, 0))
     request, _ = desk.ask()
     for attempt in (-1, 1):
         with pytest.raises(ValueError, match="never made"):
-            desk.tell(AttemptEnded(request, attempt, "s0", Outcome.SERVED))
+            desk.tell(AttemptFinished(request, attempt, "s0", Outcome.SUCCEEDED))
     with pytest.raises(ValueError, match="arrived before"):
-        desk.tell(RequestArrived(request, "read", 10))
+        desk.tell(RequestReceived(request, "read", 10))
     with pytest.raises(ValueError, match="unknown class"):
-        desk.tell(RequestArrived(12345, "nosuch", 10))
+        desk.tell(RequestReceived(12345, "nosuch", 10))
 
 
 # ---- no doubled effect --------------------------------------------------------------------------
@@ -251,9 +263,9 @@
 def test_an_unsafe_request_is_retried_only_if_it_never_ran() -> None:
     desk = Desk(4)
     request, actions = desk.ask(PAY)
-    again = sent(desk.end(request, 0, sent(actions)[0].server, Outcome.REJECTED))
+    again = sent(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.REJECTED))
     assert len(again) == 1
-    assert desk.end(request, 1, again[0].server, Outcome.RESET) == [Fail(request)]
+    assert desk.end(request, 1, again[0].endpoint, Outcome.RESET) == [FailRequest(request)]
 
 
 def test_a_keyed_request_stays_in_its_cell_and_window() -> None:
@@ -262,15 +274,17 @@
         request, actions = desk.ask(ORDER)
         if not sent(actions):
             continue  # errors shed load
-        first = sent(actions)[0].server
+        first = sent(actions)[0].endpoint
         again = sent(desk.end(request, 0, first, Outcome.ERROR))
         if again:
-            assert int(again[0].server[1]) // 2 == int(first[1]) // 2
+            assert int(again[0].endpoint[1]) // 2 == int(first[1]) // 2
         desk.now += 100
-    desk = Desk(6, classes=(RequestClass("order", 5_000, 9_000, ORDER.effect, ORDER.repeat_group, 2_000),))
+    desk = Desk(
+        6, classes=(RequestClass("order", 5_000, 9_000, ORDER.idempotency, ORDER.idempotency_scope, 2_000),)
+    )
     request, actions = desk.ask(ORDER, remaining=9_000)
     desk.now += 2_000
-    assert desk.end(request, 0, sent(actions)[0].server, Outcome.ERROR) == [Fail(request)]
+    assert desk.end(request, 0, sent(actions)[0].endpoint, Outcome.ERROR) == [FailRequest(request)]
 
 
 @pytest.mark.parametrize(("after", "again"), [(1_600.0, 1), (1_750.0, 0)])
@@ -278,56 +292,56 @@
     after: float, again: int
 ) -> None:
     """A connect of up to 300 ms began inside the window of 2,000 and brought the repeat behind it."""
-    order = replace(ANYWHERE, aim_ms=5_000, deadline_ms=9_000)
-    desk = Desk(6, classes=(order,), connect_ms=300.0)
+    order = replace(ANYWHERE, latency_objective_ms=5_000, deadline_ms=9_000)
+    desk = Desk(6, classes=(order,), connect_timeout_ms=300.0)
     request, actions = desk.ask(order, remaining=9_000)
     desk.now += after
-    assert len(sent(desk.end(request, 0, sent(actions)[0].server, Outcome.ERROR))) == again
+    assert len(sent(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.ERROR))) == again
 
 
 def test_a_server_that_restarted_since_is_not_trusted_to_drop_a_repeat() -> None:
-    desk = Desk(2, cold_ms=0)
+    desk = Desk(2, slow_start_ms=0)
     request, actions = desk.ask(ANYWHERE)
-    first = sent(actions)[0].server
+    first = sent(actions)[0].endpoint
     desk.now += 50
     other = "s1" if first == "s0" else "s0"
-    desk.show(Member(other, up_since_ms=desk.now), kind=ListKind.DELTA)
+    desk.show(Endpoint(other, started_at_ms=desk.now), kind=EndpointListKind.DELTA)
     again = sent(desk.end(request, 0, first, Outcome.ERROR))
-    assert [a.server for a in again] in ([], [first])
+    assert [a.endpoint for a in again] in ([], [first])
 
 
 # ---- drains, the list ---------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.GONE])
-def test_nothing_new_goes_to_what_drains_or_is_gone(readiness: Readiness) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_nothing_new_goes_to_what_drains_or_is_gone(state: EndpointState) -> None:
     desk = Desk(2)
-    desk.show(Member("s0", readiness), kind=ListKind.DELTA)
+    desk.show(Endpoint("s0", state), kind=EndpointListKind.DELTA)
     assert {desk.serve() for _ in range(30)} == {"s1"}
 
 
 def test_missing_from_a_whole_list_means_gone() -> None:
     desk = Desk(2)
-    desk.show(Member("s1"))
+    desk.show(Endpoint("s1"))
     assert {desk.serve() for _ in range(30)} == {"s1"}
 
 
 def test_the_list_is_asked_at_once_and_again_after_a_failure_never_in_step() -> None:
     pauses = set()
     for seed in range(4):
-        desk = Desk(2, seed=seed, list_is_asked=True)
-        assert of_kind(desk.log, Subscribe) == [Subscribe()]
-        actions = desk.tell(ListUpdate(ListKind.FAILED))
-        assert any(isinstance(a, Log) for a in actions)
+        desk = Desk(2, seed=seed, polls_discovery=True)
+        assert of_kind(desk.log, WatchEndpoints) == [WatchEndpoints()]
+        actions = desk.tell(EndpointListUpdate(EndpointListKind.FAILED))
+        assert any(isinstance(a, LogMessage) for a in actions)
         timer = of_kind(actions, SetTimer)[0]
         assert isinstance(timer, SetTimer) and timer.at_ms < desk.now + 5_000
         pauses.add(timer.at_ms)
-        assert Subscribe() in desk.tell(TimerDue(timer.token))
+        assert WatchEndpoints() in desk.tell(TimerFired(timer.timer))
         assert {desk.serve() for _ in range(30)} == {"s0", "s1"}, "the old list stands"
     assert len(pauses) == 4
     for _ in range(2_000):  # an outage of hours
-        actions = desk.tell(ListUpdate(ListKind.FAILED))
-        assert not any(isinstance(a, Log) for a in actions)
+        actions = desk.tell(EndpointListUpdate(EndpointListKind.FAILED))
+        assert not any(isinstance(a, LogMessage) for a in actions)
 
 
 # ---- cold servers -------------------------------------------------------------------------------
@@ -336,15 +350,15 @@
 def test_a_cold_server_gets_little() -> None:
     desk = Desk(4)
     teach(desk, dict.fromkeys(("s0", "s1", "s2", "s3"), 10.0))
-    desk.show(Member("s0", up_since_ms=desk.now), kind=ListKind.DELTA)
-    got = Counter(s.server for _ in range(16) for s in sent(desk.ask()[1]))
+    desk.show(Endpoint("s0", started_at_ms=desk.now), kind=EndpointListKind.DELTA)
+    got = Counter(s.endpoint for _ in range(16) for s in sent(desk.ask()[1]))
     assert got["s0"] <= 2 < min(got["s1"], got["s2"], got["s3"])
 
 
 def test_a_fleet_that_is_all_cold_is_not_pushed_over() -> None:
     desk = Desk(2)
-    desk.show(*(Member(f"s{i}", up_since_ms=desk.now) for i in range(2)))
-    got = Counter(s.server for _ in range(50) for s in sent(desk.ask()[1]))
+    desk.show(*(Endpoint(f"s{i}", started_at_ms=desk.now) for i in range(2)))
+    got = Counter(s.endpoint for _ in range(50) for s in sent(desk.ask()[1]))
     assert set(got.values()) == {1}
 
 
@@ -359,15 +373,15 @@
         if sent(actions):
             let_in += 1
             desk.now += takes
-            desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
+            desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED)
         else:
-            assert Refuse(request) in actions
+            assert RejectRequest(request) in actions
             desk.now += 20
     return let_in
 
 
-CHEAP = RequestClass("cheap", 1_000, 3_000, READ.effect, worth=1.0)
-DEAR = RequestClass("dear", 1_000, 3_000, PAY.effect, worth=10.0)
+CHEAP = RequestClass("cheap", 1_000, 3_000, READ.idempotency, priority_weight=1.0)
+DEAR = RequestClass("dear", 1_000, 3_000, PAY.idempotency, priority_weight=10.0)
 
 
 def settled(desk: Desk) -> Desk:
@@ -381,7 +395,7 @@
     """Requests at once until one is shed; those that were let in, with their servers."""
     out: list[tuple[int, str]] = []
     while sends := sent(desk.ask(cls, tenant=tenant)[1]):
-        out.append((sends[0].request, sends[0].server))
+        out.append((sends[0].request_id, sends[0].endpoint))
         assert len(out) < 1_000
     return out
 
@@ -391,11 +405,11 @@
     desk = settled(Desk(4, balancers=2))
     out = flood(desk)
     assert 10 <= len(out) <= 20, "a few calls for each server, of which the other balancer sends its part"
-    logs = [a for a in desk.log if isinstance(a, Log) and "shedding" in a.text]
+    logs = [a for a in desk.log if isinstance(a, LogMessage) and "shedding" in a.text]
     assert len(logs) == 1, "one line for a whole spell of shedding"
     desk.now += 50
     for request, server in out[:5]:
-        desk.end(request, 0, server, Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.SUCCEEDED)
     assert len(flood(desk)) == 5
 
 
@@ -407,11 +421,11 @@
     out: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = desk.ask()
-        out.append((request, sent(actions)[0].server))
+        out.append((request, sent(actions)[0].endpoint))
         desk.now += takes / 14
         if len(out) >= 14:
             request, server = out.popleft()
-            desk.end(request, 0, server, Outcome.SERVED)
+            desk.end(request, 0, server, Outcome.SUCCEEDED)
 
 
 def load(desk: Desk, takes: float, *asks: tuple[RequestClass, str | None], rounds: int = 200) -> Counter[str]:
@@ -423,13 +437,13 @@
             desk.now += 20
             while out and out[0][0] <= desk.now:
                 _, request, server = out.popleft()
-                desk.end(request, 0, server, Outcome.SERVED)
+                desk.end(request, 0, server, Outcome.SUCCEEDED)
             request, actions = desk.ask(cls, tenant=tenant)
             if sent(actions):
                 let_in[tenant or cls.name] += 1
-                out.append((desk.now + takes, request, sent(actions)[0].server))
+                out.append((desk.now + takes, request, sent(actions)[0].endpoint))
     for desk.now, request, server in out:
-        desk.end(request, 0, server, Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.SUCCEEDED)
     return let_in
 
 
@@ -460,13 +474,13 @@
 
 def test_a_class_of_little_worth_is_not_shed_like_excess_work() -> None:
     """At an eighth of the dearest it had the bound of work worth nothing: a third of it was refused."""
-    cheap, dear = (replace(cls, worth=worth) for cls, worth in ((CHEAP, 1.0), (DEAR, 8.0)))
+    cheap, dear = (replace(cls, priority_weight=worth) for cls, worth in ((CHEAP, 1.0), (DEAR, 8.0)))
     let_in = {cls: len(flood(settled(Desk(4, classes=(READ, cheap, dear))), cls)) for cls in (cheap, dear)}
     assert 0.7 * let_in[dear] < let_in[cheap] < let_in[dear]
 
 
 def test_inner_tiers_do_not_shed_what_others_have_worked_on() -> None:
-    assert serve_in(Desk(2, calling_tier=1), 950.0, READ, 100) == 100
+    assert serve_in(Desk(2, tier=1), 950.0, READ, 100) == 100
 
 
 def test_one_of_many_balancers_is_not_held_to_a_call_or_two() -> None:
@@ -486,10 +500,10 @@
         desk.now += 20
         while out and out[0][0] <= desk.now:
             _, request, server = out.popleft()
-            desk.end(request, 0, server, Outcome.SERVED)
+            desk.end(request, 0, server, Outcome.SUCCEEDED)
         request, actions = desk.ask(tenant=tenant)
         if sent(actions):
-            out.append((desk.now + 600, request, sent(actions)[0].server))
+            out.append((desk.now + 600, request, sent(actions)[0].endpoint))
         counts.append(len(out))
     half = counts[len(counts) // 2 :]
     return sum(half) / len(half)
@@ -498,11 +512,11 @@
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_all_balancers_together_keep_to_the_same_bound_however_many(balancers: int) -> None:
     """Eight calls that each might have in any case were 11 for each server that a lost zone had left."""
-    desk = Desk(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_share_worth=0.0)
+    desk = Desk(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert held(desk, "big", 10) * balancers == pytest.approx(24, rel=0.25), "four for each server"
 
 
-@pytest.mark.parametrize(("change", "most"), [({}, 48), ({"up_since_ms": 1_000.0}, 29)])
+@pytest.mark.parametrize(("change", "most"), [({}, 48), ({"started_at_ms": 1_000.0}, 29)])
 def test_cold_servers_make_room_for_no_more_calls_than_they_can_take(
     change: dict[str, float], most: int
 ) -> None:
@@ -518,21 +532,21 @@
     desk = settled(Desk(6, max_attempts=1))
     out = flood(desk)
     for request, server in out:
-        desk.end(request, 0, server, Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.SUCCEEDED)
     for _ in range(100):
         request, actions = desk.ask()
-        server = sent(actions)[0].server
+        server = sent(actions)[0].endpoint
         desk.now += 20
         lost = server in ("s0", "s1", "s2")
-        desk.end(request, 0, server, Outcome.CONNECT_FAILED if lost else Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED)
     assert len(flood(desk)) < 0.6 * len(out)
 
 
 def test_calls_at_servers_that_drain_crowd_none_of_those_left() -> None:
     """In a release the calls that old servers still held filled the bound of the others."""
     desk = Desk(6)
-    servers = [sent(desk.ask()[1])[0].server for _ in range(24)]
-    desk.show(*members(6)[:3], *members(6, readiness=Readiness.DRAINING)[3:])
+    servers = [sent(desk.ask()[1])[0].endpoint for _ in range(24)]
+    desk.show(*members(6)[:3], *members(6, state=EndpointState.DRAINING)[3:])
     left = sum(server in ("s0", "s1", "s2") for server in servers)
     assert left + len(flood(desk)) == pytest.approx(24, abs=1), "eight for each server that is left"
 
@@ -559,7 +573,7 @@
 
 
 def test_who_takes_over_for_others_takes_over_their_part_of_the_shares() -> None:
-    desk = Desk(10, balancers=4, tenants=(Tenant("small", 30.0),), over_share_worth=0.0)
+    desk = Desk(10, balancers=4, tenants=(Tenant("small", 30.0),), over_quota_weight=0.0)
     steadily(desk, 40.0, 10)
     desk.show(*members(10)[:5])
     steadily(desk, 10.0, 3)
@@ -572,7 +586,7 @@
     for _ in range(60):
         request, actions = desk.ask(PAY)
         desk.now += 5
-        desk.end(request, 0, sent(actions)[0].server, Outcome.ERROR)
+        desk.end(request, 0, sent(actions)[0].endpoint, Outcome.ERROR)
     assert 0 < len(flood(desk)) <= 9
 
 
@@ -585,7 +599,7 @@
 
 
 def test_a_tenant_over_its_share_is_shed_before_the_others() -> None:
-    desk = Desk(4, tenants=(Tenant("big", 0.1), Tenant("small", 500.0)), over_share_worth=0.1)
+    desk = Desk(4, tenants=(Tenant("big", 0.1), Tenant("small", 500.0)), over_quota_weight=0.1)
     let_in = load(desk, 600.0, (READ, "big"), (READ, "small"))
     assert let_in["small"] > 1.5 * let_in["big"] > 0
 
@@ -596,18 +610,18 @@
     for _ in range(500):
         desk.serve(takes=40.0)
     flood(desk)
-    (refused,) = (a for a in desk.ask()[1] if isinstance(a, Refuse))
+    (refused,) = (a for a in desk.ask()[1] if isinstance(a, RejectRequest))
     assert refused.retry_after_ms == pytest.approx(wanted, rel=0.05), "the time that a usual call takes"
 
 
 def test_what_is_shed_uses_up_no_share() -> None:
     """Clients ask again after a refusal: a request shed in a crowd was counted twice."""
-    desk = settled(Desk(4, tenants=(Tenant("small", 4.0),), over_share_worth=0.1))
+    desk = settled(Desk(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     out = flood(desk)
     for _ in range(20):
         assert not sent(desk.ask(tenant="small")[1])
     for request, server in out[:6]:
-        desk.end(request, 0, server, Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.SUCCEEDED)
     assert len(flood(desk, tenant="small")) == 6, "all inside its share: what is past it would be shed here"
 
 
@@ -616,7 +630,7 @@
     desk = Desk(4)
     assert sent(desk.ask(remaining=1_900)[1]), "nothing else asks for the room"
     for request, server in flood(desk)[:6]:
-        desk.end(request, 0, server, Outcome.SERVED)
+        desk.end(request, 0, server, Outcome.SUCCEEDED)
     assert not sent(desk.ask(remaining=1_900)[1]), "its client began 1,100 ms ago and wanted it within 1,000"
     assert sent(desk.ask(remaining=2_100)[1])
 
@@ -637,7 +651,7 @@
     for seed in range(40):
         desk = Desk(60, seed=seed, balancers=300)
         parts.append({desk.serve() for _ in range(300)})
-        desk.show(Member("s60"), kind=ListKind.DELTA)
+        desk.show(Endpoint("s60"), kind=EndpointListKind.DELTA)
         assert len({desk.serve() for _ in range(100)} - parts[-1]) <= 1, "a new entry moves one place"
     assert {len(part) for part in parts} == {12}
     assert len(set[str]().union(*parts)) > 55, "each balancer has a part of its own"
@@ -651,10 +665,10 @@
     for _ in range(60):
         request, actions = desk.ask(ORDER)
         if sent(actions):
-            first = int(sent(actions)[0].server[1:])
-            again = sent(desk.end(request, 0, sent(actions)[0].server, Outcome.ERROR))
-            assert all(int(s.server[1:]) // 2 == first // 2 for s in again)
-            mates += any(int(s.server[1:]) != first for s in again)
+            first = int(sent(actions)[0].endpoint[1:])
+            again = sent(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.ERROR))
+            assert all(int(s.endpoint[1:]) // 2 == first // 2 for s in again)
+            mates += any(int(s.endpoint[1:]) != first for s in again)
         desk.now += 500
     assert mates > 0
 
@@ -664,26 +678,28 @@
 def test_a_silent_server_costs_a_repeatable_request_no_more_than_a_second_copy(
     cls: RequestClass, tier: int
 ) -> None:
-    desk = Desk(4, calling_tier=tier)
+    desk = Desk(4, tier=tier)
     teach(desk, dict.fromkeys(("s0", "s1", "s2", "s3"), 50.0), 50)
     request, actions = desk.ask(cls)
     first, timer = sent(actions)[0], of_kind(actions, SetTimer)[0]
     assert first.timeout_ms == pytest.approx(1_000) and isinstance(timer, SetTimer)
     assert timer.at_ms < desk.now + 501
     desk.now = timer.at_ms
-    actions = desk.tell(TimerDue(timer.token))
+    actions = desk.tell(TimerFired(timer.timer))
     copy = sent(actions)[0]
-    assert copy.server != first.server
-    assert actions.index(CloseIdle(copy.server)) < actions.index(copy), "on a connection that is surely whole"
-    assert cls is READ or int(copy.server[1]) // 2 == int(first.server[1]) // 2, "inside its group"
-    assert not sent(desk.tell(TimerDue(timer.token))), "one copy, not more"
+    assert copy.endpoint != first.endpoint
+    assert actions.index(CloseIdleConnections(copy.endpoint)) < actions.index(copy), (
+        "on a connection that is surely whole"
+    )
+    assert cls is READ or int(copy.endpoint[1]) // 2 == int(first.endpoint[1]) // 2, "inside its group"
+    assert not sent(desk.tell(TimerFired(timer.timer))), "one copy, not more"
     desk.now += 40
-    assert Cancel(request, 0) in desk.end(request, 1, copy.server, Outcome.SERVED)
+    assert CancelAttempt(request, 0) in desk.end(request, 1, copy.endpoint, Outcome.SUCCEEDED)
 
 
 def test_no_second_copy_of_what_must_not_run_twice_or_may_not_be_doubled() -> None:
     assert not of_kind(Desk(4).ask(PAY)[1], SetTimer)
-    actions = Desk(4, may_duplicate=False).ask(READ)[1]
+    actions = Desk(4, may_hedge=False).ask(READ)[1]
     assert not of_kind(actions, SetTimer)
     assert sent(actions)[0].timeout_ms == pytest.approx(1_000), "cut short, the work done so far is lost"
     assert sent(Desk(4, max_attempts=1).ask(READ)[1])[0].timeout_ms == pytest.approx(1_000)
@@ -691,13 +707,13 @@
 
 def test_a_call_of_many_usual_times_keeps_its_time_where_no_copy_may_go_out() -> None:
     """Cut at four usual times, large requests were begun anew elsewhere and lost there just the same."""
-    desk = Desk(4, may_duplicate=False)
+    desk = Desk(4, may_hedge=False)
     for _ in range(400):
         desk.serve(takes=20.0)
     request, actions = desk.ask()
-    assert sent(actions)[0].timeout_ms == pytest.approx(READ.aim_ms)
+    assert sent(actions)[0].timeout_ms == pytest.approx(READ.latency_objective_ms)
     desk.now += 900
-    assert not sent(desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED))
+    assert not sent(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED))
 
 
 # ---- settings, determinism ----------------------------------------------------------------------
@@ -710,16 +726,16 @@
         ({"classes": (READ, READ)}, "classes"),
         ({"balancers": 0}, "balancers"),
         ({"max_attempts": 0}, "max_attempts"),
-        ({"cold_from": 0.0}, "cold_from"),
+        ({"slow_start_initial_fraction": 0.0}, "slow_start_initial_fraction"),
         ({"tick_ms": float("inf")}, "tick_ms"),
-        ({"over_share_worth": 2.0}, "over_share_worth"),
+        ({"over_quota_weight": 2.0}, "over_quota_weight"),
     ],
 )
 def test_bad_settings_name_their_field(change: dict[str, object], name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**change)
-    with pytest.raises(ValueError, match="aim_ms"):
-        RequestClass("x", 0, 10, READ.effect)
+    with pytest.raises(ValueError, match="latency_objective_ms"):
+        RequestClass("x", 0, 10, READ.idempotency)
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
@@ -727,26 +743,26 @@
         desk = Desk(6, seed=seed)
         for i in range(200):
             desk.serve(takes=5.0 + i % 7)
-        return [a for a in desk.log if isinstance(a, Send)]
+        return [a for a in desk.log if isinstance(a, StartAttempt)]
 
     assert run(3) == run(3) != run(4)
 
 
 def test_a_balancer_needs_no_list_to_start() -> None:
-    balancer = Balancer(Settings(classes=(READ,), list_is_asked=True), 1)
-    assert Subscribe() in balancer.handle(RequestArrived(1, "read", 500), 0.0)
+    balancer = LoadBalancer(Settings(classes=(READ,), polls_discovery=True), 1)
+    assert WatchEndpoints() in balancer.handle(RequestReceived(1, "read", 500), 0.0)
 
 
 def test_ties_go_to_the_larger_capacity_and_draws_follow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(desk.balancer, "_capacity", lambda s, _median, _now: capacity[s.member.server])
+    monkeypatch.setattr(desk.balancer, "_capacity", lambda s, _median, _now: capacity[s.member.name])
     request, _ = desk.ask()
     known = desk.balancer._requests[request]
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
     desk.balancer._servers["s0"].in_flight, desk.balancer._servers["s1"].in_flight = 3, 1
-    got = Counter(s.member.server for _ in range(2_000) if (s := desk.balancer._pick(known, desk.now)))
+    got = Counter(s.member.name for _ in range(2_000) if (s := desk.balancer._pick(known, desk.now)))
     assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert got["s1"] > 5
 
@@ -767,13 +783,13 @@
     desk.now += pause
     request, actions = desk.ask(PAY)
     desk.now += 20
-    desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
-    return bool(of_kind(actions, CloseIdle))
+    desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED)
+    return bool(of_kind(actions, CloseIdleConnections))
 
 
 def test_connections_that_die_when_idle_are_closed_sooner() -> None:
     """Unseen drops after a second without use cost each later call there its whole time-out."""
-    desk = Desk(1, calling_tier=1)  # nothing is shed there
+    desk = Desk(1, tier=1)  # nothing is shed there
     for _ in range(20):
         assert not closes(desk, 400.0)
     assert not closes(desk, 1_500.0)
@@ -781,7 +797,7 @@
         closes(desk, 10.0)
         desk.now += 1_500
         request, actions = desk.ask(PAY)
-        assert not of_kind(actions, CloseIdle)
+        assert not of_kind(actions, CloseIdleConnections)
         desk.now += 1_000
         desk.end(request, 0, "s0", Outcome.TIMED_OUT)
     closes(desk, 10.0)
@@ -793,20 +809,20 @@
 
 
 def test_a_request_never_has_two_attempts_out_unless_allowed() -> None:
-    desk = Desk(4, may_duplicate=False)
+    desk = Desk(4, may_hedge=False)
     request, _ = desk.ask()
-    for token in (f"wait:{request}", f"hedge:{request}", "list", "unheard-of:7"):
+    for timer in (HedgeTimer(request), EndpointListTimer(), HedgeTimer(99)):
         desk.now += 100
-        assert sent(desk.tell(TimerDue(token))) == []
+        assert sent(desk.tell(TimerFired(timer))) == []
 
 
 def test_heavy_calls_by_their_hint_do_not_make_a_server_look_slow() -> None:
     """Heavy-tailed work booked as one call each made capacity estimates swing by chance."""
     desk = Desk(1)
     for hint in (20.0, 20.0, 20.0, 200.0) * 50:
-        request, actions = desk.ask(PAY, hint_ms=hint)
+        request, actions = desk.ask(PAY, cost_hint_ms=hint)
         desk.now += hint * 2
-        desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
+        desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED)
     server = desk.balancer._servers["s0"]
     mean = (20 * 3 + 200) / 4
     server.catch_up(desk.now)
@@ -816,12 +832,12 @@
 def test_a_heavy_call_may_take_long_before_a_copy_goes_out() -> None:
     desk = Desk(4)
     for _ in range(60):
-        request, actions = desk.ask(hint_ms=10.0)
+        request, actions = desk.ask(cost_hint_ms=10.0)
         desk.now += 20
-        desk.end(request, 0, sent(actions)[0].server, Outcome.SERVED)
+        desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED)
 
     def copy_after(hint: float) -> float:
-        timer = of_kind(desk.ask(hint_ms=hint)[1], SetTimer)[0]
+        timer = of_kind(desk.ask(cost_hint_ms=hint)[1], SetTimer)[0]
         assert isinstance(timer, SetTimer)
         return timer.at_ms - desk.now
 
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -11,20 +11,28 @@
 
 import pytest
 
-from loadbalancer.actions import Action, Cancel, Fail, Refuse, Send, SetTimer, Subscribe
-from loadbalancer.endpoints import Member, Readiness
+from loadbalancer.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from loadbalancer.endpoints import Endpoint, EndpointState
 from loadbalancer.events import (
-    AttemptEnded,
-    ClientLeft,
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
-    ListKind,
-    ListUpdate,
     Outcome,
-    RequestArrived,
-    TimerDue,
+    RequestReceived,
+    TimerFired,
 )
-from loadbalancer.policy.balancer import Balancer
-from loadbalancer.settings import Effect, RepeatGroup, RequestClass, Settings
+from loadbalancer.policy.balancer import LoadBalancer
+from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from tests.policy.helpers import CLASSES, settings
 
 GRACE_MS = 20.0
@@ -56,7 +64,7 @@
 
     def __init__(self, seed: int, **changes: object) -> None:
         self.random = random.Random(seed)
-        self.settings: Settings = settings(**({"calling_tier": 1} | changes))
+        self.settings: Settings = settings(**({"tier": 1} | changes))
         self.now = 50_000.0
         self.queue: list[tuple[float, int, Event]] = []
         self.count = 0
@@ -64,7 +72,7 @@
         self.finished = 0
         self.finals = {"served": 0, "refused": 0, "failed": 0}
         self.retried = 0
-        self.list: dict[str, Member] = {}
+        self.list: dict[str, Endpoint] = {}
         self.sends: dict[str, list[float]] = {}
         self.subscribed_at = -1.0
         self.restart()
@@ -74,11 +82,11 @@
         self.cases = {}
         self.sends = {}
         self.busiest = 0
-        self.balancer = Balancer(self.settings, self.random.getrandbits(40))
+        self.balancer = LoadBalancer(self.settings, self.random.getrandbits(40))
         if not self.list:
             for i in range(6):
-                self.list[f"s{i}"] = Member(f"s{i}", zone=f"z{i % 2}", cell=i // 3)
-        self.tell(ListUpdate(ListKind.CACHED, tuple(self.list.values())))
+                self.list[f"s{i}"] = Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 3)
+        self.tell(EndpointListUpdate(EndpointListKind.CACHED, tuple(self.list.values())))
 
     def push(self, at: float, event: Event) -> None:
         self.count += 1
@@ -90,60 +98,64 @@
 
     def carry_out(self, action: Action) -> None:
         match action:
-            case Send(request, server, timeout):
+            case StartAttempt(request, server, timeout):
                 self.check_send(self.cases[request], server)
                 self.start(request, server, timeout)
-            case Refuse(request):
+            case RejectRequest(request):
                 case = self.cases[request]
                 maybe = [t for t in case.tries if t.may_have_run]
-                once_more = case.cls.effect is Effect.SAFE or (
-                    case.cls.effect is Effect.KEYED and case.cls.repeat_group is RepeatGroup.ALL
+                once_more = case.cls.idempotency is Idempotency.SAFE or (
+                    case.cls.idempotency is Idempotency.KEYED
+                    and case.cls.idempotency_scope is IdempotencyScope.ALL
                 )
                 assert not maybe or once_more, "refused what may have run"
                 self.finish(case, "refused")
-            case Fail(request):
+            case FailRequest(request):
                 self.finish(self.cases[request], "failed")
-            case Cancel(request, attempt):
+            case CancelAttempt(request, attempt):
                 assert self.settings.may_cancel
                 case = self.cases[request]
                 assert attempt < len(case.tries), "cancelled an attempt never made"
                 if case.tries[attempt].out:
                     self.push(self.now, self.ending(request, attempt, Outcome.CANCELLED))
             case SetTimer(at, token):
-                self.push(max(at, self.now + 0.01), TimerDue(token))
-            case Subscribe():
+                self.push(max(at, self.now + 0.01), TimerFired(token))
+            case WatchEndpoints():
                 self.subscribed_at = self.now
                 if self.random.random() < 0.4:
-                    self.push(self.now + 30, ListUpdate(ListKind.FAILED))
+                    self.push(self.now + 30, EndpointListUpdate(EndpointListKind.FAILED))
                 else:
-                    self.push(self.now + 30, ListUpdate(ListKind.FULL, tuple(self.list.values())))
+                    self.push(
+                        self.now + 30,
+                        EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(self.list.values())),
+                    )
 
     def check_send(self, case: Case, server: str) -> None:
         assert case.final is None and not case.gone, "sent after the end"
         assert self.now <= case.deadline, "sent after the deadline"
         assert len(case.tries) < self.settings.max_attempts, "more attempts than allowed"
         member = self.list.get(server)
-        assert member is not None and member.readiness is Readiness.READY, "sent to what drains or is gone"
-        if not self.settings.may_duplicate:
+        assert member is not None and member.state is EndpointState.READY, "sent to what drains or is gone"
+        if not self.settings.may_hedge:
             assert not any(t.out for t in case.tries), "two attempts out"
         maybe = [t for t in case.tries if t.may_have_run]
-        if maybe and case.cls.effect is not Effect.SAFE:
-            assert case.cls.effect is Effect.KEYED, "an unsafe request sent twice"
-            assert self.now < maybe[0].sent + case.cls.repeat_window_ms, "repeated after the window"
+        if maybe and case.cls.idempotency is not Idempotency.SAFE:
+            assert case.cls.idempotency is Idempotency.KEYED, "an unsafe request sent twice"
+            assert self.now < maybe[0].sent + case.cls.idempotency_window_ms, "repeated after the window"
             for earlier in maybe:
-                if case.cls.repeat_group is RepeatGroup.CELL:
+                if case.cls.idempotency_scope is IdempotencyScope.CELL:
                     assert earlier.cell == member.cell, "repeated outside the cell"
-                if case.cls.repeat_group is RepeatGroup.ZONE:
+                if case.cls.idempotency_scope is IdempotencyScope.ZONE:
                     assert earlier.zone == member.zone, "repeated outside the zone"
         self.check_cold(member)
 
-    def check_cold(self, member: Member) -> None:
+    def check_cold(self, member: Endpoint) -> None:
         """A cold server may get one call in a window, or what its warmth allows of the busiest warm one."""
-        window = self.settings.cold_window_ms
-        mine = self.sends.setdefault(member.server, [])
+        window = self.settings.slow_start_window_ms
+        mine = self.sends.setdefault(member.name, [])
         warmth = self.warmth(member)
         if warmth < 1:
-            most = self.settings.cold_overload_factor * warmth * self.busiest
+            most = self.settings.slow_start_overload_factor * warmth * self.busiest
             count = 1 + sum(t > self.now - window for t in mine)
             assert count <= max(1, most), f"a cold server pushed over: {count} calls, at most {most}"
         else:
@@ -151,11 +163,14 @@
             self.busiest = max(self.busiest, recent)
         mine.append(self.now)
 
-    def warmth(self, member: Member) -> float:
-        age = self.now - member.up_since_ms
-        if not member.up_since_ms or age >= self.settings.cold_ms:
+    def warmth(self, member: Endpoint) -> float:
+        age = self.now - member.started_at_ms
+        if not member.started_at_ms or age >= self.settings.slow_start_ms:
             return 1.0
-        return self.settings.cold_from + (1 - self.settings.cold_from) * age / self.settings.cold_ms
+        return (
+            self.settings.slow_start_initial_fraction
+            + (1 - self.settings.slow_start_initial_fraction) * age / self.settings.slow_start_ms
+        )
 
     def start(self, request: int, server: str, timeout: float) -> None:
         case = self.cases[request]
@@ -169,7 +184,7 @@
         takes = self.random.expovariate(1 / 80)
         kind = self.random.random()
         if kind < 0.6 and takes < limit:
-            self.push(self.now + takes, self.ending(request, attempt, Outcome.SERVED))
+            self.push(self.now + takes, self.ending(request, attempt, Outcome.SUCCEEDED))
         elif kind < 0.75 and takes < limit:
             self.push(self.now + takes, self.ending(request, attempt, self.random.choice(NEVER_RAN)))
         elif kind < 0.9 and takes < limit:
@@ -177,8 +192,8 @@
         else:
             self.push(self.now + limit, self.ending(request, attempt, Outcome.TIMED_OUT))
 
-    def ending(self, request: int, attempt: int, outcome: Outcome) -> AttemptEnded:
-        return AttemptEnded(request, attempt, self.cases[request].tries[attempt].server, outcome)
+    def ending(self, request: int, attempt: int, outcome: Outcome) -> AttemptFinished:
+        return AttemptFinished(request, attempt, self.cases[request].tries[attempt].server, outcome)
 
     def finish(self, case: Case, how: str) -> None:
         assert case.final is None, "two final answers"
@@ -189,24 +204,28 @@
         self.finals[how] += 1
 
     def deliver(self, event: Event) -> None:
-        if isinstance(event, AttemptEnded):
-            case = self.cases[event.request]
-            this = case.tries[event.attempt]
+        if isinstance(event, AttemptFinished):
+            case = self.cases[event.request_id]
+            this = case.tries[event.attempt_index]
             if not this.out:
                 return
             this.out = False
             this.may_have_run = event.outcome not in NEVER_RAN
-            if event.outcome is Outcome.SERVED and case.final is None and not case.gone:
+            if event.outcome is Outcome.SUCCEEDED and case.final is None and not case.gone:
                 self.finish(case, "served")
             answered = case.final is not None or case.gone
-            event = AttemptEnded(event.request, event.attempt, event.server, event.outcome, answered)
-        if isinstance(event, ClientLeft):
-            case = self.cases[event.request]
+            event = AttemptFinished(
+                event.request_id, event.attempt_index, event.endpoint, event.outcome, answered
+            )
+        if isinstance(event, ClientDisconnected):
+            case = self.cases[event.request_id]
             if case.final is not None:
                 return
             case.gone = True
-        if isinstance(event, ListUpdate):
-            event = ListUpdate(event.kind, tuple(self.list.values()) if event.kind is ListKind.FULL else ())
+        if isinstance(event, EndpointListUpdate):
+            event = EndpointListUpdate(
+                event.kind, tuple(self.list.values()) if event.kind is EndpointListKind.SNAPSHOT else ()
+            )
         self.tell(event)
 
     def change_list(self) -> None:
@@ -214,14 +233,14 @@
         old = self.list[name]
         choice = self.random.random()
         if choice < 0.2:
-            new = Member(name, Readiness.DRAINING, old.zone, old.cell, 1.0, old.up_since_ms)
+            new = Endpoint(name, EndpointState.DRAINING, old.zone, old.cell, 1.0, old.started_at_ms)
         elif choice < 0.35:
-            new = Member(name, Readiness.GONE, old.zone, old.cell, 1.0, old.up_since_ms)
+            new = Endpoint(name, EndpointState.REMOVED, old.zone, old.cell, 1.0, old.started_at_ms)
         else:
-            new = Member(name, Readiness.READY, old.zone, old.cell, 1.0, self.now)
+            new = Endpoint(name, EndpointState.READY, old.zone, old.cell, 1.0, self.now)
             self.sends[name] = []  # what went to the process before it is no burden to the new one
         self.list[name] = new
-        self.tell(ListUpdate(ListKind.DELTA, (new,)))
+        self.tell(EndpointListUpdate(EndpointListKind.DELTA, (new,)))
 
     def shorten_list(self) -> None:
         if len(self.list) > 3:
@@ -230,8 +249,8 @@
             self.count += 1
             for i in range(4):
                 name = f"n{self.count}-{i}"
-                self.list[name] = Member(name, zone=f"z{i % 2}", cell=self.count + i // 2)
-        self.tell(ListUpdate(ListKind.FULL, tuple(self.list.values())))
+                self.list[name] = Endpoint(name, zone=f"z{i % 2}", cell=self.count + i // 2)
+        self.tell(EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(self.list.values())))
 
     def play(self, steps: int) -> None:
         number = 0
@@ -255,9 +274,9 @@
                 cls = self.random.choice(self.settings.classes)
                 left = self.random.choice((0.0, 1.0, 40.0, 400.0, 2_500.0))
                 self.cases[number] = Case(cls, self.now + left)
-                self.tell(RequestArrived(number, cls.name, left))
+                self.tell(RequestReceived(number, cls.name, left))
                 if self.random.random() < 0.05:
-                    self.push(self.now + self.random.random() * left, ClientLeft(number))
+                    self.push(self.now + self.random.random() * left, ClientDisconnected(number))
 
     def check_overdue(self) -> None:
         for number, case in self.cases.items():
@@ -267,12 +286,12 @@
 
 VARIANTS: list[dict[str, object]] = [
     {},
-    {"calling_tier": 0, "classes": tuple(replace(c, aim_ms=2_990.0) for c in CLASSES)},
-    {"may_duplicate": False},
-    {"list_is_asked": True},
+    {"tier": 0, "classes": tuple(replace(c, latency_objective_ms=2_990.0) for c in CLASSES)},
+    {"may_hedge": False},
+    {"polls_discovery": True},
     {"may_cancel": False, "max_attempts": 1},
-    {"balancers": 9, "cold_from": 0.05, "cold_window_ms": 3_000.0},
-    {"classes": CLASSES[:1], "may_duplicate": False, "list_is_asked": True},
+    {"balancers": 9, "slow_start_initial_fraction": 0.05, "slow_start_window_ms": 3_000.0},
+    {"classes": CLASSES[:1], "may_hedge": False, "polls_discovery": True},
 ]
 
 
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -8,18 +8,18 @@
 import pytest
 
 from loadbalancer.actions import SetTimer
-from loadbalancer.events import AttemptEnded, ClientLeft, Outcome, TimerDue
+from loadbalancer.events import AttemptFinished, ClientDisconnected, Outcome, TimerFired
 from loadbalancer.policy import balancer as policy
-from loadbalancer.settings import Effect, RequestClass
+from loadbalancer.settings import Idempotency, RequestClass
 from tests.policy.helpers import ANYWHERE, PAY, READ, Desk, of_kind, sent
 
 NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
 
 
-def inner(seed: int = 1, may_duplicate: bool = False) -> Desk:
+def inner(seed: int = 1, may_hedge: bool = False) -> Desk:
     """A balancer behind the first tier, where nothing is shed, with eight warm servers."""
-    return Desk(8, seed, cold_ms=0, calling_tier=1, may_duplicate=may_duplicate)
+    return Desk(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
 
 
 def play(
@@ -34,17 +34,17 @@
         while sends := sent(actions):
             desk.now += 5
             outcome = next(outcomes)
-            actions = desk.end(request, attempt, sends[0].server, outcome)
-            answers += outcome is Outcome.SERVED
+            actions = desk.end(request, attempt, sends[0].endpoint, outcome)
+            answers += outcome is Outcome.SUCCEEDED
             attempt += 1
         further += max(attempt - 1, 0)
     return further, answers
 
 
-def filled(may_duplicate: bool = False) -> Desk:
+def filled(may_hedge: bool = False) -> Desk:
     """A balancer with both buckets full."""
-    desk = inner(may_duplicate=may_duplicate)
-    play(desk, 100, repeat(Outcome.SERVED))
+    desk = inner(may_hedge=may_hedge)
+    play(desk, 100, repeat(Outcome.SUCCEEDED))
     return desk
 
 
@@ -64,18 +64,18 @@
 def test_two_of_three_servers_gone_cost_nothing(outcome: Outcome) -> None:
     """With half of all connections refused a ration by requests ran out before the try that would serve."""
     desk = inner()
-    assert play(desk, 300, cycle((outcome, outcome, Outcome.SERVED))) == (600, 300)
+    assert play(desk, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
 
 def test_one_call_in_ten_that_fails_is_made_good() -> None:
     desk = inner()
-    assert play(desk, 900, cycle([Outcome.SERVED] * 9 + [Outcome.ERROR])) == (99, 900)
+    assert play(desk, 900, cycle([Outcome.SUCCEEDED] * 9 + [Outcome.ERROR])) == (99, 900)
 
 
 def test_retries_are_a_fifth_of_the_answers_where_more_fail() -> None:
     """Nine in ten fail: one answer in ten calls or so pays for a fifth of a retry."""
     desk = inner()
-    further, answers = play(desk, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SERVED]))
+    further, answers = play(desk, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert answers > 200
     paid = policy.RETRY_FIRST + answers * policy.RETRY_EARNED
     assert paid - 1 <= further <= paid
@@ -98,11 +98,11 @@
 def test_after_an_outage_five_answers_earn_a_retry_and_fifty_fill_the_bucket() -> None:
     desk = filled()
     play(desk, 100, repeat(Outcome.ERROR))
-    assert play(desk, 4, repeat(Outcome.SERVED)) == (0, 4)
+    assert play(desk, 4, repeat(Outcome.SUCCEEDED)) == (0, 4)
     assert play(desk, 1, iter([Outcome.ERROR])) == (0, 0)
-    assert play(desk, 1, repeat(Outcome.SERVED)) == (0, 1)
-    assert play(desk, 1, iter([Outcome.ERROR, Outcome.SERVED])) == (1, 1)
-    play(desk, 50, repeat(Outcome.SERVED))
+    assert play(desk, 1, repeat(Outcome.SUCCEEDED)) == (0, 1)
+    assert play(desk, 1, iter([Outcome.ERROR, Outcome.SUCCEEDED])) == (1, 1)
+    play(desk, 50, repeat(Outcome.SUCCEEDED))
     assert play(desk, 100, repeat(Outcome.ERROR)) == (policy.RETRY_BURST, 0)
 
 
@@ -113,7 +113,7 @@
 
 
 def test_a_class_unsafe_to_repeat_spends_resends_alone() -> None:
-    assert PAY.effect is Effect.UNSAFE
+    assert PAY.idempotency is Idempotency.NOT_IDEMPOTENT
     desk = filled()
     assert play(desk, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
     assert play(desk, 100, repeat(Outcome.REJECTED), PAY) == (policy.RESEND_BURST, 0)
@@ -125,33 +125,33 @@
     copies = 0
     for _ in range(requests):
         request, actions = desk.ask()
-        first = sent(actions)[0].server
+        first = sent(actions)[0].endpoint
         (timer,) = of_kind(actions, SetTimer)
         assert isinstance(timer, SetTimer)
         desk.now = timer.at_ms
-        copied = sent(desk.tell(TimerDue(timer.token)))
+        copied = sent(desk.tell(TimerFired(timer.timer)))
         copies += len(copied)
-        desk.tell(ClientLeft(request))  # with nobody waiting no third attempt follows
-        for attempt, server in enumerate([first, *(copy.server for copy in copied)]):
+        desk.tell(ClientDisconnected(request))  # with nobody waiting no third attempt follows
+        for attempt, server in enumerate([first, *(copy.endpoint for copy in copied)]):
             desk.end(request, attempt, server, Outcome.CANCELLED)
     return copies
 
 
 def test_second_copies_spend_retries_and_end_with_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    desk = filled(may_duplicate=True)
+    desk = filled(may_hedge=True)
     monkeypatch.setattr(desk.balancer, "_crowded", lambda part, now: False)  # it holds copies back, too
     assert hedges(desk, 40) == policy.RETRY_BURST
 
 
 def test_an_answer_earns_once_whatever_copies_come_after_it() -> None:
-    desk = inner(may_duplicate=True)
+    desk = inner(may_hedge=True)
     play(desk, 100, repeat(Outcome.ERROR))
     for _ in range(4):
-        play(desk, 1, repeat(Outcome.SERVED))
+        play(desk, 1, repeat(Outcome.SUCCEEDED))
     request, actions = desk.ask()
-    first = sent(actions)[0].server
-    desk.tell(ClientLeft(request))  # nobody waits: what comes now is no answer
-    desk.tell(AttemptEnded(request, 0, first, Outcome.SERVED, True))
+    first = sent(actions)[0].endpoint
+    desk.tell(ClientDisconnected(request))  # nobody waits: what comes now is no answer
+    desk.tell(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, True))
     assert play(desk, 1, iter([Outcome.ERROR])) == (0, 0), "four answers pay for no retry"
 
 
@@ -159,4 +159,4 @@
     desk = filled()
     play(desk, 100, repeat(Outcome.ERROR))
     request, actions = desk.ask()
-    assert len(desk.end(request, 0, sent(actions)[0].server, Outcome.ERROR)) == 1
+    assert len(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.ERROR)) == 1
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -12,8 +12,18 @@
 from loadbalancer.events import Outcome
 from tests.policy.slow_start_simulation import Fleet
 
-ROOMY = {"cold_ms": 8_900.0, "cold_from": 0.31, "cold_overload_factor": 4.0, "cold_window_ms": 1_000.0}
-TIGHT = {"cold_ms": 20_000.0, "cold_from": 0.1, "cold_overload_factor": 1.5, "cold_window_ms": 500.0}
+ROOMY = {
+    "slow_start_ms": 8_900.0,
+    "slow_start_initial_fraction": 0.31,
+    "slow_start_overload_factor": 4.0,
+    "slow_start_window_ms": 1_000.0,
+}
+TIGHT = {
+    "slow_start_ms": 20_000.0,
+    "slow_start_initial_fraction": 0.1,
+    "slow_start_overload_factor": 1.5,
+    "slow_start_window_ms": 500.0,
+}
 RATE = 40.0  # calls of mean work a second that a warm server takes
 LEARN_MS, WATCH_MS = 8_000.0, 5_000.0
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -9,9 +9,20 @@
 
 import pytest
 
-from loadbalancer.actions import Cancel, CloseIdle, Fail, Log, Probe, Refuse, Send, SetTimer, Subscribe
+from loadbalancer.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpoints,
+)
 from loadbalancer.simulator.codec import write_action
 from loadbalancer.simulator.host import Host
+from loadbalancer.timers import EndpointListTimer, HedgeTimer
 
 FACTS = (
     "azs=a balancers=2 classes.count=1 classes.0.name=read classes.0.target=900.0 "
@@ -41,19 +52,21 @@
     assert [
         write_action("4", a)
         for a in (
-            Send(7, "u1", 80),
-            SetTimer(12.5, "wait"),
-            Refuse(7, 250),
-            Fail(7),
-            Cancel(7, 1),
-            Probe("u1"),
-            Subscribe(),
-            CloseIdle("u1"),
-            Log("two\nlines"),
+            StartAttempt(7, "u1", 80),
+            SetTimer(12.5, HedgeTimer(7)),
+            SetTimer(13.5, EndpointListTimer()),
+            RejectRequest(7, 250),
+            FailRequest(7),
+            CancelAttempt(7, 1),
+            StartHealthCheck("u1"),
+            WatchEndpoints(),
+            CloseIdleConnections("u1"),
+            LogMessage("two\nlines"),
         )
     ] == [
         "send who=4 corr=7 upstream=u1 timeout=80.000",
-        "remind who=4 moment=12.500 ctx=wait",
+        "remind who=4 moment=12.500 ctx=hedge:7",
+        "remind who=4 moment=13.500 ctx=list",
         "reject who=4 corr=7 stayAway=250.000",
         "abort who=4 corr=7",
         "cancel who=4 corr=7 shot=1",
@@ -96,7 +109,10 @@
         ("membership who=1 generation=2 mode=2 list=9", "ledger 9 was never sent"),
         ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
         ("knock who=1 corr", "not name=value"),
-        (up(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"), "aim_ms is -1.0"),
+        (
+            up(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
+            "latency_objective_ms is -1.0",
+        ),
     ],
 )
 def test_a_bad_line_is_named_in_one_message(bad: str, reason: str) -> None:
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/test_chain.py
@@ -7,19 +7,20 @@
 import structlog
 from structlog.testing import capture_logs
 
-from loadbalancer.actions import Action, Cancel, Send, SetTimer
+from loadbalancer.actions import Action, CancelAttempt, SetTimer, StartAttempt
 from loadbalancer.events import (
-    AttemptEnded,
-    ClientLeft,
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
-    ListKind,
-    ListUpdate,
     Outcome,
-    RequestArrived,
-    TimerDue,
+    RequestReceived,
+    TimerFired,
 )
-from loadbalancer.policy.balancer import Balancer
-from loadbalancer.settings import Effect, RequestClass, Settings
+from loadbalancer.policy.balancer import LoadBalancer
+from loadbalancer.settings import Idempotency, RequestClass, Settings
+from loadbalancer.timers import HedgeTimer
 from testbed.chain import Behaviour, Chain, Shape
 from testbed.results import Findings
 from testbed.runs import depth as depth_run
@@ -29,7 +30,7 @@
 Script = Callable[[Event, float], list[Action]]
 
 
-def shape(depth: int, aim: float = 3_000.0, effect: Effect = Effect.SAFE, **changes: Any) -> Shape:
+def shape(depth: int, aim: float = 3_000.0, effect: Idempotency = Idempotency.SAFE, **changes: Any) -> Shape:
     base: dict[str, Any] = {
         "servers_a_tier": 2,
         "fronts": 1,
@@ -48,16 +49,16 @@
         self.heard: list[tuple[int, float, Event]] = []
         ears = self
 
-        class Listening(Balancer):
+        class Listening(LoadBalancer):
             def __init__(self, settings: Settings, seed: int) -> None:
                 super().__init__(settings, seed)
-                self.tier = settings.calling_tier
+                self.tier = settings.tier
 
             def handle(self, event: Event, now: float) -> list[Action]:
                 ears.heard.append((self.tier, now, event))
                 return front(event, now) if front and self.tier == 0 else super().handle(event, now)
 
-        monkeypatch.setattr("testbed.chain.Balancer", Listening)
+        monkeypatch.setattr("testbed.chain.LoadBalancer", Listening)
 
     def of(self, tier: int, *kinds: type) -> list[tuple[float, Any]]:
         return [(now, event) for at, now, event in self.heard if at == tier and isinstance(event, kinds)]
@@ -95,7 +96,7 @@
 @pytest.mark.parametrize(
     ("behaviour", "outcome", "after_ms"),
     [
-        (Behaviour.SERVES, Outcome.SERVED, 2 * HOP + SERVICE),
+        (Behaviour.SERVES, Outcome.SUCCEEDED, 2 * HOP + SERVICE),
         (Behaviour.FAILS, Outcome.ERROR, 2 * HOP + SERVICE),
         (Behaviour.REFUSES, Outcome.CONNECT_FAILED, HOP),
         (Behaviour.TURNS_AWAY, Outcome.REJECTED, 2 * HOP),
@@ -107,20 +108,23 @@
 ) -> None:
     ears = Ears(monkeypatch)
     chain = Chain(shape(1, aim=500.0, attempts_cap=1), 1)
-    assert [e.kind for _, e in ears.of(0, ListUpdate)] == [ListKind.CACHED, ListKind.FULL]
+    assert [e.kind for _, e in ears.of(0, EndpointListUpdate)] == [
+        EndpointListKind.CACHED,
+        EndpointListKind.SNAPSHOT,
+    ]
     chain.behave(1, 2, behaviour)
     chain.call(0)
     play(chain)
-    [(at, ended)] = ears.of(0, AttemptEnded)
-    served = outcome is Outcome.SERVED
-    assert (ended.outcome, at, ended.answered) == (outcome, after_ms, served)
+    [(at, ended)] = ears.of(0, AttemptFinished)
+    served = outcome is Outcome.SUCCEEDED
+    assert (ended.outcome, at, ended.is_answered) == (outcome, after_ms, served)
     # Nothing is owed after an answer; a class that is safe to repeat is refused, not failed.
     assert chain.calls[0].status == (200 if served else 503) and chain.calls[0].done == after_ms
     assert all(front.open == 0 for front in chain.fronts)
 
 
 def test_a_call_that_may_have_run_and_must_not_twice_fails() -> None:
-    chain = Chain(shape(2, effect=Effect.UNSAFE), 1)
+    chain = Chain(shape(2, effect=Idempotency.NOT_IDEMPOTENT), 1)
     chain.behave(2, 2, Behaviour.FAILS)
     chain.call(0)
     play(chain)
@@ -134,8 +138,8 @@
     chain.behave(2, 2, Behaviour.TURNS_AWAY)
     chain.call(0)
     play(chain)
-    assert [e.outcome for _, e in ears.of(1, AttemptEnded)] == [Outcome.REJECTED]
-    assert [e.outcome for _, e in ears.of(0, AttemptEnded)] == [Outcome.ERROR]
+    assert [e.outcome for _, e in ears.of(1, AttemptFinished)] == [Outcome.REJECTED]
+    assert [e.outcome for _, e in ears.of(0, AttemptFinished)] == [Outcome.ERROR]
 
 
 def test_each_tier_gets_the_time_that_remains(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -143,7 +147,7 @@
     chain = Chain(shape(4), 1)
     chain.call(0)
     play(chain)
-    arrived = [[e.remaining_ms for _, e in ears.of(tier, RequestArrived)] for tier in range(4)]
+    arrived = [[e.remaining_ms for _, e in ears.of(tier, RequestReceived)] for tier in range(4)]
     # Each balancer keeps 10 ms for its answer; each server has worked 1 ms before it calls.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
     assert chain.calls[0].status == 200 and chain.calls[0].done == 4 * (2 * HOP + SERVICE)
@@ -154,9 +158,9 @@
     """A front that sends a call at once and calls it off at a moment."""
 
     def act(event: Event, now: float) -> list[Action]:
-        if isinstance(event, RequestArrived):
-            return [Send(event.request, "t1-0", event.remaining_ms), SetTimer(at, "off")]
-        return [Cancel(1, 0)] if isinstance(event, TimerDue) else []
+        if isinstance(event, RequestReceived):
+            return [StartAttempt(event.request_id, "t1-0", event.remaining_ms), SetTimer(at, HedgeTimer(1))]
+        return [CancelAttempt(1, 0)] if isinstance(event, TimerFired) else []
 
     return act
 
@@ -168,10 +172,10 @@
     chain.call(0)
     play(chain)
     # The connection's end travels one hop to each server, whose balancer then calls off its own call.
-    assert [(now, e.outcome) for now, e in ears.of(0, AttemptEnded)] == [(100.0, Outcome.CANCELLED)]
+    assert [(now, e.outcome) for now, e in ears.of(0, AttemptFinished)] == [(100.0, Outcome.CANCELLED)]
     for tier, left in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
-        assert [now for now, _ in ears.of(tier, ClientLeft)] == [left]
-        ended = [(now, e.outcome, e.answered) for now, e in ears.of(tier, AttemptEnded)]
+        assert [now for now, _ in ears.of(tier, ClientDisconnected)] == [left]
+        ended = [(now, e.outcome, e.is_answered) for now, e in ears.of(tier, AttemptFinished)]
         assert ended == [(left, Outcome.CANCELLED, True)]
     assert [server.busy for tier in chain.tiers for server in tier] == [0] * 6
 
@@ -182,17 +186,17 @@
     chain.behave(3, 2, Behaviour.HANGS)
     chain.call(0)
     play(chain)
-    assert [now for now, _ in ears.of(1, ClientLeft)] == [100.0 + HOP]
-    assert ears.of(2, ClientLeft) == []
+    assert [now for now, _ in ears.of(1, ClientDisconnected)] == [100.0 + HOP]
+    assert ears.of(2, ClientDisconnected) == []
     # The tier behind gave up by its own time, 500 came up, and nobody owed an answer any more.
-    [(_, ended)] = ears.of(1, AttemptEnded)
-    assert ended.outcome is Outcome.ERROR and ended.answered
+    [(_, ended)] = ears.of(1, AttemptFinished)
+    assert ended.outcome is Outcome.ERROR and ended.is_answered
 
 
 def test_a_call_out_of_time_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
     def act(event: Event, now: float) -> list[Action]:
-        if isinstance(event, RequestArrived):
-            return [Send(event.request, "t1-0", 0.75 if event.request < 3 else 0.0)]
+        if isinstance(event, RequestReceived):
+            return [StartAttempt(event.request_id, "t1-0", 0.75 if event.request_id < 3 else 0.0)]
         return []
 
     ears = Ears(monkeypatch, act)
@@ -201,10 +205,10 @@
         chain.call(0)
     play(chain)
     # The first is worked on to its end though nobody waits; the second is not; then comes the third.
-    assert [(e.request, now, e.outcome) for now, e in ears.of(0, AttemptEnded)] == [
+    assert [(e.request_id, now, e.outcome) for now, e in ears.of(0, AttemptFinished)] == [
         (1, 0.75, Outcome.TIMED_OUT),
         (2, 0.75, Outcome.TIMED_OUT),
-        (3, 2 * HOP + 2 * SERVICE, Outcome.SERVED),
+        (3, 2 * HOP + 2 * SERVICE, Outcome.SUCCEEDED),
     ]
 
 
@@ -213,15 +217,15 @@
 
     def act(event: Event, now: float) -> list[Action]:
         match event:
-            case RequestArrived(number):
-                timers = [SetTimer(served - HOP / 2, "second"), SetTimer(served + 1.0, "third")]
-                return [Send(number, "t1-0", 0.0), *timers]
-            case TimerDue("second"):
-                return [Send(1, "t1-1", 0.0), Send(1, "t1-0", 0.0)]
-            case TimerDue("third"):
-                return [Send(1, "t1-0", 0.0), Send(1, "t1-0", 0.0)]
-            case AttemptEnded(attempt=3):
-                return [Cancel(1, 4)]  # told only once both of them were carried out
+            case RequestReceived(number):
+                timers = [SetTimer(served - HOP / 2, HedgeTimer(2)), SetTimer(served + 1.0, HedgeTimer(3))]
+                return [StartAttempt(number, "t1-0", 0.0), *timers]
+            case TimerFired(HedgeTimer(2)):
+                return [StartAttempt(1, "t1-1", 0.0), StartAttempt(1, "t1-0", 0.0)]
+            case TimerFired(HedgeTimer(3)):
+                return [StartAttempt(1, "t1-0", 0.0), StartAttempt(1, "t1-0", 0.0)]
+            case AttemptFinished(attempt_index=3):
+                return [CancelAttempt(1, 4)]  # told only once both of them were carried out
         return []
 
     ears = Ears(monkeypatch, act)
@@ -230,13 +234,13 @@
     chain.behave(1, 1, Behaviour.SERVES)
     chain.call(0)
     play(chain)
-    ended = [(now, e.attempt, e.outcome) for now, e in ears.of(0, AttemptEnded)]
+    ended = [(now, e.attempt_index, e.outcome) for now, e in ears.of(0, AttemptFinished)]
     assert ended == [
-        (served, 0, Outcome.SERVED),
+        (served, 0, Outcome.SUCCEEDED),
         (served, 1, Outcome.NOT_SENT),  # its connection had not come up
         (served + 1.0, 3, Outcome.NOT_SENT),  # decided too late
         (served + 1.0, 4, Outcome.NOT_SENT),
-        (2 * served - HOP / 2, 2, Outcome.SERVED),
+        (2 * served - HOP / 2, 2, Outcome.SUCCEEDED),
     ]
     assert chain.calls[0].status == 200 and chain.attempts[0] == [3]
 
@@ -246,9 +250,9 @@
     monkeypatch: pytest.MonkeyPatch, sends: bool, status: int
 ) -> None:
     def lazy(event: Event, now: float) -> list[Action]:
-        if sends and isinstance(event, RequestArrived):
-            return [SetTimer(now, "late")]
-        return [Send(1, "t1-0", 0.0)] if isinstance(event, TimerDue) else []
+        if sends and isinstance(event, RequestReceived):
+            return [SetTimer(now, HedgeTimer(1))]
+        return [StartAttempt(1, "t1-0", 0.0)] if isinstance(event, TimerFired) else []
 
     ears = Ears(monkeypatch, lazy)
     chain = Chain(shape(1), 1)
@@ -256,7 +260,7 @@
     chain.call(0)
     play(chain)
     assert (chain.calls[0].status, chain.calls[0].done) == (status, 2995.0)
-    assert [now for now, _ in ears.of(0, ClientLeft)] == [2995.0]
+    assert [now for now, _ in ears.of(0, ClientDisconnected)] == [2995.0]
 
 
 def test_a_full_server_turns_calls_away() -> None:
@@ -294,7 +298,7 @@
 
 def test_the_first_call_at_a_lost_last_tier_multiplies_by_tiers() -> None:
     troubles = [{"name": "refused", "behaviour": "refuses"}]
-    one, two = rows(single_call=True, deadline_ms=600_000, aim_ms=600_000, troubles=troubles)
+    one, two = rows(single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, troubles=troubles)
     assert (one["bottom_attempts_a_call"], two["bottom_attempts_a_call"]) == (4, 16)
     assert one["attempts_a_call_by_tier"] == [4] and two["attempts_a_call_by_tier"] == [4, 16]
     assert one["served_before"] == two["served_before"] == 1.0 and one["served_while"] == 0.0
@@ -305,7 +309,7 @@
 
 
 def test_the_same_seed_gives_the_same_rows() -> None:
-    more: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_duplicate": True}
+    more: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_hedge": True}
     first, again, other = (without_machine(rows(seed=seed, **more)) for seed in (5, 5, 6))
     assert first == again and first != other
     assert sum(row["calls"] for row in first) > 400
--- a/tests/testbed/test_load.py
+++ b/tests/testbed/test_load.py
@@ -19,7 +19,7 @@
 from testbed.load import NO_ANSWER, Alarm, Client, Report, Stream, arrivals, compose, play, request_ids
 from testbed.real import RealBalancer, RealError
 from testbed.runs import added_time, real_depth
-from testbed.upstream import Asked, Behaviour, Upstreams, UpstreamsApart, Way, next_tier
+from testbed.upstream import Asked, Behaviour, UpstreamPools, UpstreamsApart, Way, next_tier
 from tests.network.loopback import Upstream as Scripted
 from tests.network.loopback import config_text, response, run
 
@@ -118,7 +118,7 @@
 )
 def test_an_upstream_does_as_it_is_told(way: Way, status: int, health: int, counted: dict[str, int]) -> None:
     async def scenario() -> None:
-        upstreams = Upstreams(seed=1)
+        upstreams = UpstreamPools(seed=1)
         (upstream,) = await upstreams.start(1, hosts=82)
         assert upstream.address[0] == "127.82.0.1"
         await upstream.act(Behaviour(way))
@@ -143,7 +143,7 @@
 
 def test_a_turned_away_call_is_marked_as_never_run() -> None:
     async def scenario() -> None:
-        upstreams = Upstreams(seed=1)
+        upstreams = UpstreamPools(seed=1)
         (upstream,) = await upstreams.start(1, hosts=82)
         await upstream.act(Behaviour(Way.TURN_AWAY))
         reader, writer = await asyncio.open_connection(*upstream.address)
@@ -158,7 +158,7 @@
 
 def test_a_part_of_the_calls_fails_as_the_seed_says() -> None:
     async def scenario(seed: int) -> list[int]:
-        upstreams = Upstreams(seed)
+        upstreams = UpstreamPools(seed)
         (upstream,) = await upstreams.start(1, hosts=82)
         await upstream.act(Behaviour(Way.FAIL, part=0.5))
         client = Client(upstream.address)
@@ -175,7 +175,7 @@
 def test_a_chain_of_three_passes_the_time_that_remains_under_new_ids() -> None:
     async def scenario() -> None:
         clock = VirtualClock(step=0.1)
-        upstreams = Upstreams(seed=1, clock=clock)
+        upstreams = UpstreamPools(seed=1, clock=clock)
         chain = await upstreams.start(3, hosts=82)
         came: list[Asked] = []
         for number, upstream in enumerate(chain):
@@ -201,7 +201,7 @@
 
 def test_a_caller_that_gives_up_is_followed_down_the_chain() -> None:
     async def scenario() -> None:
-        upstreams = Upstreams(seed=1)
+        upstreams = UpstreamPools(seed=1)
         top, bottom = await upstreams.start(2, hosts=82)
         top.calls = next_tier(Client(bottom.address), request_ids(seed=2))
         await bottom.act(Behaviour(Way.HANG))
@@ -244,7 +244,7 @@
 
 def test_a_server_that_stalls_delays_no_send() -> None:
     async def scenario() -> None:
-        upstreams = Upstreams(seed=1)
+        upstreams = UpstreamPools(seed=1)
         (upstream,) = await upstreams.start(1, hosts=82)
         planned = len(arrivals(4_000.0, 0.01, random.Random("7/calls")))
         assert planned > 20
@@ -273,7 +273,7 @@
 def test_latency_runs_from_the_due_time_and_a_late_load_doubts_itself() -> None:
     async def scenario(stall: float) -> Report:
         clock = VirtualClock(stall=stall)
-        upstreams = Upstreams(seed=1)
+        upstreams = UpstreamPools(seed=1)
         (upstream,) = await upstreams.start(1, hosts=82)
         stream = Stream("calls", [Client(upstream.address, clock)], 20.0, "read", 5_000.0)
         report = (await play([stream], 1.0, seed=3, clock=clock, sleep=clock.sleep))["calls"]
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -17,10 +17,10 @@
 import pytest
 import structlog
 
-from loadbalancer.configuration import Address, read_config
+from loadbalancer.configuration import Address, read_configuration
 from loadbalancer.network import endpoint_watch as client
 from loadbalancer.policy.balancer import SUBSET_COVER
-from loadbalancer.settings import Effect
+from loadbalancer.settings import Idempotency
 from testbed.discovery import Counts, Discovery, Mode, State, play, restarts, single_changes, times
 from testbed.experiment import FOLDER, read_plan
 from testbed.hollow import Hollow, HollowProcess
@@ -85,15 +85,20 @@
     notes: list[str] = []
     entries = fleet(60)
     settings = site(balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True})
-    read = read_config(
+    read = read_configuration(
         config("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41), notes.append
     )
     assert notes == []
-    assert (read.settings.balancers, read.settings.calling_tier, read.settings.list_is_asked) == (7, 1, True)
-    assert {c.effect for c in read.settings.classes} == set(Effect)
-    assert read.settings.may_duplicate and read.settings.may_cancel and read.settings.max_attempts == 4
-    assert (read.seed, read.discovery, read.known.index, read.sockets) == (5, ("127.0.0.2", 8500), 41, 1024)
-    assert [e.member.server for e in read.known.endpoints] == [e["name"] for e in entries]
+    assert (read.settings.balancers, read.settings.tier, read.settings.polls_discovery) == (7, 1, True)
+    assert {c.idempotency for c in read.settings.classes} == set(Idempotency)
+    assert read.settings.may_hedge and read.settings.may_cancel and read.settings.max_attempts == 4
+    assert (read.seed, read.discovery, read.known_endpoints.index, read.descriptor_limit) == (
+        5,
+        ("127.0.0.2", 8500),
+        41,
+        1024,
+    )
+    assert [e.endpoint.name for e in read.known_endpoints.endpoints] == [e["name"] for e in entries]
 
 
 def test_a_fleet_is_spread_over_its_zones_and_regions() -> None:
@@ -340,7 +345,7 @@
         for i in range(2):
             text = config(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], settings, seed=i)
             hollow = Hollow(
-                read_config(text, lambda note: None),
+                read_configuration(text, lambda note: None),
                 asyncio.get_running_loop(),
                 partial(lambda book, index, at: book.append(index), forced[i]),
             )
@@ -354,9 +359,9 @@
         assert discovery.counts().whole == 2
         for hollow in hollows:
             assert len(hollow.balancer._ready) == 19 and len(hollow.upstreams._pools) == 20
-            assert draining["name"] not in {s.member.server for s in hollow.balancer._ready}
+            assert draining["name"] not in {s.member.name for s in hollow.balancer._ready}
             with pytest.raises(ConnectionError):  # no callers
-                await asyncio.open_connection(*hollow.callers.address)
+                await asyncio.open_connection(*hollow.listener.address)
 
     run(scenario())
 
@@ -373,7 +378,7 @@
         discovery.put(State(Mode.SILENT))
         text = config("n0", "127.0.0.1:0", address, [], site(balancers=1, pushed=False), seed=1)
         Hollow(
-            read_config(text, lambda note: None),
+            read_configuration(text, lambda note: None),
             asyncio.get_running_loop(),
             lambda index, at: forced.append(index),
         ).start()
