--- a/loadbalancer/network/client_connection.py
+++ b/loadbalancer/network/client_connection.py
@@ -263,7 +263,8 @@
     def on_message_complete(self) -> None:
         """The request is whole, and so taken."""
         taken, self._coming = self._coming, None
-        assert taken is not None and self._parser is not None
+        assert taken is not None
+        assert self._parser is not None
         taken.body = b"".join(self._chunks)
         taken.size = len(taken.head) + len(taken.body)
         taken.received_at = time.monotonic() if self._sent is None else self._sent
--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -7,7 +7,8 @@
 
 class Clock:
     """Unix milliseconds at the start plus what has passed since: it never goes back, and yet compares
-    with the `since_ms` of servers."""
+    with the `since_ms` of servers.
+    """
 
     def __init__(self) -> None:
         self._offset = time.time() * 1000 - time.monotonic() * 1000
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -606,7 +606,7 @@
         return [weight[s.member.zone] * c for s, c in zip(able, capacity, strict=True)]
 
     def _capacity(self, server: _Server, median: float, now: float) -> float:
-        """c of the design: served calls over our time in flight there, leaning on the median."""
+        """C of the design: served calls over our time in flight there, leaning on the median."""
         if now - server.seen >= STEP_MS:
             server.catch_up(now)
         median *= server.size  # a fleet of hundreds is called too seldom to learn its sizes
--- a/testbed/chain.py
+++ b/testbed/chain.py
@@ -238,7 +238,8 @@
         if attempt.stage is Stage.QUEUED:
             self._queue.remove(attempt)
         elif attempt.stage is Stage.CALLING:
-            assert self.host is not None and attempt.inner is not None
+            assert self.host is not None
+            assert attempt.inner is not None
             attempt.stage = Stage.OVER
             self.host.left(attempt.inner)
             self._end()
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -74,7 +74,7 @@
     settle(rig)
 
 
-async def sent_on(rig: Rig) -> list[HedgeTimer]:
+async def sent_on(rig: Rig) -> list[str]:
     """The ids that reached upstreams, the warming aside, once all that was on its way has arrived."""
     settle(rig)
     assert status(await rig.ask()) == 200
@@ -328,7 +328,8 @@
                     while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
                         got += part
                 head, _, body = got.partition(b"\r\n\r\n")
-                assert head.startswith(b"POST /pay ") and len(body) < MAX_BODY_BYTES
+                assert head.startswith(b"POST /pay ")
+                assert len(body) < MAX_BODY_BYTES
                 assert not rig.driver._requests
 
     run(scenario())
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -122,7 +122,8 @@
         attempt.attempt._timed_out()
         connection.data_received(response())  # it was read before, and is handed on only now
         await upstream.ended.wait()
-        assert attempt.ends == [Outcome.TIMED_OUT] and upstreams.open_connections == 0
+        assert attempt.ends == [Outcome.TIMED_OUT]
+        assert upstreams.open_connections == 0
 
     run(scenario())
 
@@ -158,7 +159,8 @@
 
             rig.driver.balancer.handle = spy  # type: ignore[method-assign]
             assert status(await rig.ask("/pay/x", b"debit")) == 502
-            assert looked == [True] and told == [Outcome.RESET]
+            assert looked == [True]
+            assert told == [Outcome.RESET]
 
     run(scenario())
 
@@ -187,7 +189,8 @@
 
         monkeypatch.setattr(UpstreamPool, "connect", at_last)
         assert await Try(upstreams).outcome() is Outcome.CONNECT_FAILED
-        assert not upstream.asked and upstreams.open_connections == 0
+        assert not upstream.asked
+        assert upstreams.open_connections == 0
 
     run(scenario())
 
--- a/tests/network/test_invalid_clients.py
+++ b/tests/network/test_invalid_clients.py
@@ -64,7 +64,8 @@
             caller.writer.write(raw)
             assert status(await caller.answer()) == wanted
             assert await caller.reader.read() == b""
-            assert upstream.connections == 0 and not rig.driver._requests
+            assert upstream.connections == 0
+            assert not rig.driver._requests
 
     run(scenario())
 
@@ -94,10 +95,12 @@
     ids = RequestIds()
     for i in range(100):
         name = b"%d" % i
-        assert ids.add(name) and not ids.add(name)
+        assert ids.add(name)
+        assert not ids.add(name)
         ids.over(name)
         assert not ids.add(name)
-    assert len(ids._recent) + len(ids._older) <= 21 and not ids._open
+    assert len(ids._recent) + len(ids._older) <= 21
+    assert not ids._open
 
 
 @pytest.mark.parametrize(
@@ -137,7 +140,8 @@
                 sock, _ = rig.driver.listener._listener.accept()
                 with sock:
                     stood_s, waited_s = net_callers.ages_s(sock)
-                    assert stood_s >= 0.05 and waited_s >= 0.05
+                    assert stood_s >= 0.05
+                    assert waited_s >= 0.05
 
     run(scenario())
 
@@ -259,7 +263,8 @@
             finally:
                 gc.enable()
             assert all(n < 20 for n in grown.values()), grown
-            assert len(rig.driver.balancer._requests) == 0 and not rig.driver._requests
+            assert len(rig.driver.balancer._requests) == 0
+            assert not rig.driver._requests
 
     run(scenario())
 
@@ -276,7 +281,8 @@
             asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
             caller.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status(await caller.answer()) == 200
-            assert await caller.reader.read() == b"" and not faults
+            assert await caller.reader.read() == b""
+            assert not faults
 
     run(scenario())
 
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -71,7 +71,8 @@
             assert asked.headers["idempotency-key"] == "5c0f"
             assert asked.headers["x-class"] == "put"
             left = asked.headers["x-deadline"]
-            assert left.endswith("u") and 0 < int(left[:-1]) <= 2_000_000  # its aim is 2 s
+            assert left.endswith("u")
+            assert 0 < int(left[:-1]) <= 2_000_000
 
     run(scenario())
 
@@ -247,7 +248,8 @@
             caller = await rig.caller()
             caller.writer.write(raw)
             assert status(await caller.answer()) == wanted
-            assert not upstream.asked and upstream.connections == 0
+            assert not upstream.asked
+            assert upstream.connections == 0
 
     run(scenario())
 
@@ -367,7 +369,8 @@
             for _ in range(2):
                 caller.send()
                 answer = await caller.answer()
-                assert status(answer) == 200 and "connection" not in answer.headers
+                assert status(answer) == 200
+                assert "connection" not in answer.headers
             monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
             assert await caller.reader.read() == b""  # a clean end, once the time is up
             caller.writer.close()
@@ -682,7 +685,8 @@
             monkeypatch.setattr(connection, "is_idle", crossing)
             ending = asyncio.ensure_future(rig.driver.listener.shut_down())
             answer = await caller.answer()
-            assert status(answer) == 200 and answer.headers["connection"] == "close"
+            assert status(answer) == 200
+            assert answer.headers["connection"] == "close"
             caller.writer.close()
             await ending
 
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -175,4 +175,5 @@
         gc.freeze = last
     """
     (ran, frozen), enabled = look_at_a_start(tmp_path, "(seen, gc.isenabled())", before, ENTRIES)
-    assert ran == frozen and enabled
+    assert ran == frozen
+    assert enabled
--- a/tests/network/test_startup_and_shutdown_races.py
+++ b/tests/network/test_startup_and_shutdown_races.py
@@ -93,7 +93,8 @@
         timeout=PATIENCE_S,
     )
     assert done.returncode == (0 if moment == "binds" else -signal.SIGTERM)
-    assert "Traceback" not in done.stderr and done.stdout == ""
+    assert "Traceback" not in done.stderr
+    assert done.stdout == ""
 
 
 def test_what_comes_with_a_sigterm_as_it_begins_to_listen_is_answered(tmp_path: Path) -> None:
@@ -204,9 +205,11 @@
             loop = asyncio.get_running_loop()
             answers = [await loop.sock_recv(peer, 65_536) for peer in peers]
             for answer, start in zip(answers, wanted.values(), strict=True):
-                assert answer.startswith(start) and bool(answer) == bool(start)
+                assert answer.startswith(start)
+                assert bool(answer) == bool(start)
             # Counted anew from when they were accepted it would have been ten.
-            assert len(sweeps) <= 6 and not upstream.connections
+            assert len(sweeps) <= 6
+            assert not upstream.connections
 
     run(scenario())
 
@@ -231,7 +234,8 @@
             monkeypatch.setattr(ClientConnection, "expire_if_slow", byte_before)
             peer.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(peer, 65_536)
-            assert answer.startswith(b"HTTP/1.1 408 ") and len(looks) <= 4
+            assert answer.startswith(b"HTTP/1.1 408 ")
+            assert len(looks) <= 4
 
     run(scenario())
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -62,7 +62,8 @@
 
 def test_equal_servers_get_equal_shares() -> None:
     got = shares(Desk(4), 2_000)
-    assert len(got) == 4 and min(got.values()) > 100
+    assert len(got) == 4
+    assert min(got.values()) > 100
 
 
 def test_share_follows_learned_capacity() -> None:
@@ -129,7 +130,8 @@
 def test_a_zone_short_of_capacity_spills_to_those_with_more_than_their_part() -> None:
     got = zone_shares({"a": 1.0, "b": 3.0, "c": 2.0})
     assert 240 < got["a"] < 360, "it keeps half of what it gets: its part would be 2"
-    assert got["c"] == 0 and got["b"] == 600 - got["a"]
+    assert got["c"] == 0
+    assert got["b"] == 600 - got["a"]
 
 
 def test_a_zone_makes_way_for_the_others_as_soon_as_its_servers_hold_calls() -> None:
@@ -220,14 +222,16 @@
     desk = Desk(0)
     for _ in range(3):
         request, actions = desk.ask()
-        assert RejectRequest(request) in actions and not sent(actions)
+        assert RejectRequest(request) in actions
+        assert not sent(actions)
     assert len([a for a in desk.log if isinstance(a, LogMessage)]) == 1, "one line for the spell"
 
 
 def test_a_request_with_no_time_left_is_answered_at_once() -> None:
     desk = Desk(2)
     request, actions = desk.ask(remaining=0.0)
-    assert RejectRequest(request) in actions and not sent(actions)
+    assert RejectRequest(request) in actions
+    assert not sent(actions)
 
 
 def test_a_time_out_at_the_deadline_is_answered_at_once() -> None:
@@ -334,7 +338,8 @@
         actions = desk.tell(EndpointListUpdate(EndpointListKind.FAILED))
         assert any(isinstance(a, LogMessage) for a in actions)
         timer = of_kind(actions, SetTimer)[0]
-        assert isinstance(timer, SetTimer) and timer.at_ms < desk.now + 5_000
+        assert isinstance(timer, SetTimer)
+        assert timer.at_ms < desk.now + 5_000
         pauses.add(timer.at_ms)
         assert WatchEndpoints() in desk.tell(TimerFired(timer.timer))
         assert {desk.serve() for _ in range(30)} == {"s0", "s1"}, "the old list stands"
@@ -682,7 +687,8 @@
     teach(desk, dict.fromkeys(("s0", "s1", "s2", "s3"), 50.0), 50)
     request, actions = desk.ask(cls)
     first, timer = sent(actions)[0], of_kind(actions, SetTimer)[0]
-    assert first.timeout_ms == pytest.approx(1_000) and isinstance(timer, SetTimer)
+    assert first.timeout_ms == pytest.approx(1_000)
+    assert isinstance(timer, SetTimer)
     assert timer.at_ms < desk.now + 501
     desk.now = timer.at_ms
     actions = desk.tell(TimerFired(timer.timer))
@@ -774,7 +780,8 @@
     desk.now += 5
     desk.end(1, 0, "s0", Outcome.ERROR)
     server = desk.balancer._servers["s0"]
-    assert server.in_flight == 0 and server.busy == pytest.approx(sent(actions)[0].timeout_ms, rel=0.01)
+    assert server.in_flight == 0
+    assert server.busy == pytest.approx(sent(actions)[0].timeout_ms, rel=0.01)
     assert server.served == 0
 
 
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -34,7 +34,8 @@
 def test_a_lost_last_tier_is_called_once_a_call_and_by_what_the_buckets_hold(behaviour: str) -> None:
     """Earned by arrivals, 28 tiers made 88 attempts of each call let in; of what never ran, 320."""
     for row in rows([{"name": "lost", "behaviour": behaviour}]):
-        assert row["served"] == 0 and row["calls"] > 150
+        assert row["served"] == 0
+        assert row["calls"] > 150
         made = row["bottom_attempts_a_call"] * row["calls"]
         saved_up = policy.RETRY_FIRST * SERVERS * row["depth"]
         if behaviour != "fails":
@@ -53,4 +54,5 @@
     troubles = [{"name": b, "behaviour": b} for b in ("fails", "refuses", "turns away")]
     for row in rows(troubles, warm_s=2, trouble_s=5, after_s=6, sizes=[28]):
         assert row["served_before"] == 1
-        assert row["back_after_s"] <= 5 and row["served_after"] >= 0.95
+        assert row["back_after_s"] <= 5
+        assert row["served_after"] >= 0.95
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -150,7 +150,8 @@
     """Each sent a cold server one call a window: of hundreds that was twice what it can bear."""
     fleet = Fleet(balancers, 20, RATE, 0.9, 2, TIGHT)
     story(fleet)
-    assert fleet.cold_calls and fleet.worst <= 1
+    assert fleet.cold_calls
+    assert fleet.worst <= 1
 
 
 @pytest.mark.parametrize(
@@ -178,7 +179,8 @@
     """Balancers that see a call in seconds: nothing of it is refused where the servers have room."""
     fleet = Fleet(balancers, 20, RATE, 0.05, 1, ROOMY)
     story(fleet)
-    assert fleet.cold_calls and fleet.refused <= 0.02 * fleet.asked
+    assert fleet.cold_calls
+    assert fleet.refused <= 0.02 * fleet.asked
     assert fleet.worst <= 1
 
 
@@ -186,4 +188,5 @@
     """Warm servers that turn calls away: calls were sent on, and twelve in a window met one cold server."""
     fleet = Fleet(300, 20, RATE, 0.9, 22, TIGHT)
     half_of_the_warm_turn_calls_away(fleet)
-    assert fleet.cold_calls and fleet.worst <= 1
+    assert fleet.cold_calls
+    assert fleet.worst <= 1
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -92,8 +92,10 @@
     text = start().replace("tick=5.0", "tick=5.0 moon.phase=3")
     text += "sync time=110.0 batch=2\nfrobnicate who=1\nfrobnicate who=1\neob\n"
     status, out, err = host(text)
-    assert status == 0 and out.endswith("yield batch=2\n")
-    assert err.count("frobnicate") == 1 and err.count("moon.phase") == 1
+    assert status == 0
+    assert out.endswith("yield batch=2\n")
+    assert err.count("frobnicate") == 1
+    assert err.count("moon.phase") == 1
 
 
 @pytest.mark.parametrize(
@@ -118,13 +120,16 @@
 def test_a_bad_line_is_named_in_one_message(bad: str, reason: str) -> None:
     status, _, err = host(start() + f"sync time=110.0 batch=2\n{bad}\neob\n")
     assert status == 1
-    assert reason in err and "batch 2" in err and err.count("\n") == 1
+    assert reason in err
+    assert "batch 2" in err
+    assert err.count("\n") == 1
 
 
 def test_input_may_end_between_batches_but_not_inside() -> None:
     assert host(start())[0] == 0
     status, _, err = host(start() + "sync time=110.0 batch=2\n")
-    assert status == 1 and "inside a batch" in err
+    assert status == 1
+    assert "inside a batch" in err
 
 
 def test_a_fault_is_said_for_its_instance_only() -> None:
@@ -132,7 +137,9 @@
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
     status, out, err = host(text)
-    assert status == 0 and "give_in who=1 bodyText=ValueError" in out and "give_in who=2" not in out
+    assert status == 0
+    assert "give_in who=1 bodyText=ValueError" in out
+    assert "give_in who=2" not in out
     assert "Traceback" in err
 
 
@@ -141,7 +148,9 @@
     text = unsafe + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
     status, out, err = host(text)
-    assert status == 0 and "abort who=1 corr=9" in out and out.count("send ") == 1
+    assert status == 0
+    assert "abort who=1 corr=9" in out
+    assert out.count("send ") == 1
     assert "'42'" in err
 
 
@@ -152,7 +161,8 @@
         "worthBy=work weights=nominal myNumber=0 contract.drainGrace=2000.0 contract.graceToAnswer=8.0"
     )
     status, _, err = host(start().replace("tick=5.0", f"tick=5.0 {facts}"))
-    assert status == 0 and err == ""
+    assert status == 0
+    assert err == ""
 
 
 def drive(instances: list[int], hash_seed: str) -> str:
@@ -180,4 +190,5 @@
     for who in (1, 2):
         mine = [line for line in together.split("\n") if f"who={who} " in line]
         alone = [line for line in drive([who], "3").split("\n") if f"who={who} " in line]
-        assert mine == alone and mine
+        assert mine == alone
+        assert mine
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/test_chain.py
@@ -119,7 +119,8 @@
     served = outcome is Outcome.SUCCEEDED
     assert (ended.outcome, at, ended.is_answered) == (outcome, after_ms, served)
     # Nothing is owed after an answer; a class that is safe to repeat is refused, not failed.
-    assert chain.calls[0].status == (200 if served else 503) and chain.calls[0].done == after_ms
+    assert chain.calls[0].status == (200 if served else 503)
+    assert chain.calls[0].done == after_ms
     assert all(front.open == 0 for front in chain.fronts)
 
 
@@ -128,7 +129,8 @@
     chain.behave(2, 2, Behaviour.FAILS)
     chain.call(0)
     play(chain)
-    assert chain.calls[0].status == 502 and chain.attempts[0] == [1, 1]
+    assert chain.calls[0].status == 502
+    assert chain.attempts[0] == [1, 1]
 
 
 def test_a_server_fails_if_its_call_fails(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,7 +152,8 @@
     arrived = [[e.remaining_ms for _, e in ears.of(tier, RequestReceived)] for tier in range(4)]
     # Each balancer keeps 10 ms for its answer; each server has worked 1 ms before it calls.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
-    assert chain.calls[0].status == 200 and chain.calls[0].done == 4 * (2 * HOP + SERVICE)
+    assert chain.calls[0].status == 200
+    assert chain.calls[0].done == 4 * (2 * HOP + SERVICE)
     assert chain.calls[0].deadline_part == pytest.approx(2957 / 3000)
 
 
@@ -190,7 +193,8 @@
     assert ears.of(2, ClientDisconnected) == []
     # The tier behind gave up by its own time, 500 came up, and nobody owed an answer any more.
     [(_, ended)] = ears.of(1, AttemptFinished)
-    assert ended.outcome is Outcome.ERROR and ended.is_answered
+    assert ended.outcome is Outcome.ERROR
+    assert ended.is_answered
 
 
 def test_a_call_out_of_time_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -242,7 +246,8 @@
         (served + 1.0, 4, Outcome.NOT_SENT),
         (2 * served - HOP / 2, 2, Outcome.SUCCEEDED),
     ]
-    assert chain.calls[0].status == 200 and chain.attempts[0] == [3]
+    assert chain.calls[0].status == 200
+    assert chain.attempts[0] == [3]
 
 
 @pytest.mark.parametrize(("sends", "status"), [(False, 503), (True, 502)])
@@ -293,15 +298,18 @@
         for _ in range(5):
             chain.call(0)
             play(chain)
-        assert chain.attempts[0] == [5 * cap] and {call.bottom for call in chain.calls} == {cap}
+        assert chain.attempts[0] == [5 * cap]
+        assert {call.bottom for call in chain.calls} == {cap}
 
 
 def test_the_first_call_at_a_lost_last_tier_multiplies_by_tiers() -> None:
     troubles = [{"name": "refused", "behaviour": "refuses"}]
     one, two = rows(single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, troubles=troubles)
     assert (one["bottom_attempts_a_call"], two["bottom_attempts_a_call"]) == (4, 16)
-    assert one["attempts_a_call_by_tier"] == [4] and two["attempts_a_call_by_tier"] == [4, 16]
-    assert one["served_before"] == two["served_before"] == 1.0 and one["served_while"] == 0.0
+    assert one["attempts_a_call_by_tier"] == [4]
+    assert two["attempts_a_call_by_tier"] == [4, 16]
+    assert one["served_before"] == two["served_before"] == 1.0
+    assert one["served_while"] == 0.0
 
 
 def without_machine(played: list[dict[str, Any]]) -> list[dict[str, Any]]:
@@ -311,7 +319,8 @@
 def test_the_same_seed_gives_the_same_rows() -> None:
     more: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_hedge": True}
     first, again, other = (without_machine(rows(seed=seed, **more)) for seed in (5, 5, 6))
-    assert first == again and first != other
+    assert first == again
+    assert first != other
     assert sum(row["calls"] for row in first) > 400
 
 
@@ -322,7 +331,8 @@
     most = whole.rows[1]["events"]
     cut = found(sizes=(1, 2, 4), events_most=most)
     assert [row["cut_short"] for row in cut.rows] == [False, False, True]
-    assert cut.rows[2]["events"] == most and {fit.points for fit in cut.fits} == {2}
+    assert cut.rows[2]["events"] == most
+    assert {fit.points for fit in cut.fits} == {2}
     assert cut.rows[2]["attempts_a_call_by_tier"][0] > 0
 
 
@@ -337,14 +347,17 @@
     assert (row["served_before"], row["served_while"]) == (1.0, 0.0)
     windows = row["served_after_by_window"]
     back = round(row["back_after_s"] / 0.5)
-    assert len(windows) == 24 and windows[back - 1] == 1.0 and max(windows[: back - 1], default=0.0) < 1.0
+    assert len(windows) == 24
+    assert windows[back - 1] == 1.0
+    assert max(windows[: back - 1], default=0.0) < 1.0
 
 
 @pytest.mark.parametrize(("tier", "struck"), [("first", 1), ("middle", 2), ("bottom", 4)])
 def test_a_trouble_strikes_its_tier_and_number_of_servers(tier: str, struck: int) -> None:
     trouble = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
     one = depth_run.Trouble.model_validate(trouble)
-    assert one.tier_of(4) == struck and one.tier_of(1) == 1
+    assert one.tier_of(4) == struck
+    assert one.tier_of(1) == 1
     [row] = rows(sizes=(4,), troubles=[trouble])
     by_tier = row["attempts_a_call_by_tier"]
     # Only there calls need a second attempt, until the lost server is known.
@@ -357,8 +370,10 @@
 def test_a_part_of_calls_fails_at_random_and_refusals_without_attempts_count_as_shed() -> None:
     part = [{"name": "part", "behaviour": "fails", "part": 0.25}]
     [row] = rows(sizes=(1,), attempts_cap=1, trouble_s=10, troubles=part)
-    assert 0.70 < row["served_while"] < 0.80 and row["bottom_attempts_a_call"] == 1.0
+    assert 0.70 < row["served_while"] < 0.80
+    assert row["bottom_attempts_a_call"] == 1.0
     [hung] = rows(sizes=(1,), trouble_s=5, troubles=[{"name": "hang", "behaviour": "hangs"}])
-    assert hung["shed_while"] > 0.5 and hung["served_while"] == 0.0
+    assert hung["shed_while"] > 0.5
+    assert hung["served_while"] == 0.0
     assert hung["bottom_attempts_a_call"] == pytest.approx(1 - hung["shed_while"])
     assert hung["bottom_attempts_an_admitted"] == 1.0
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -42,7 +42,8 @@
     path.write_text(text)
     with pytest.raises(ExperimentError, match=r"bad\.toml") as caught:
         read_plan(path, NONE)
-    assert says in str(caught.value) and "\n" not in str(caught.value)
+    assert says in str(caught.value)
+    assert "\n" not in str(caught.value)
 
 
 def test_a_run_that_doubts_itself_gives_no_figures(tmp_path: Path) -> None:
@@ -50,13 +51,18 @@
     findings.fits.append(fit_line(findings.rows, "ms", "n"))
     write(tmp_path / "good.json", "good", {"about": "A line."}, findings)
     good = json.loads((tmp_path / "good.json").read_text())
-    assert good["valid"] and good["rows"] == findings.rows and good["fits"][0]["slope"] == pytest.approx(2.0)
-    assert {"program", "python", "numpy"} <= good["versions"].keys() and good["machine"]["cores"] > 0
+    assert good["valid"]
+    assert good["rows"] == findings.rows
+    assert good["fits"][0]["slope"] == pytest.approx(2.0)
+    assert {"program", "python", "numpy"} <= good["versions"].keys()
+    assert good["machine"]["cores"] > 0
     assert "2 (+- 0) x n" in table(good)
     findings.doubts.append("the load was late")
     write(tmp_path / "late.json", "late", {"about": "A line."}, findings)
     late = json.loads((tmp_path / "late.json").read_text())
-    assert not late["valid"] and late["rows"] == [] and late["fits"] == []
+    assert not late["valid"]
+    assert late["rows"] == []
+    assert late["fits"] == []
     assert "no figures: the load was late" in table(late)
 
 
@@ -67,6 +73,8 @@
 
 def test_the_command_line_says_what_is_wrong_in_one_line(tmp_path: Path) -> None:
     missing = CliRunner().invoke(app, ["run", str(tmp_path / "no.toml")])
-    assert missing.exit_code == 2 and missing.output.startswith("testbed: no.toml: ")
+    assert missing.exit_code == 2
+    assert missing.output.startswith("testbed: no.toml: ")
     broken = CliRunner().invoke(app, ["show", str(tmp_path / "no.json")])
-    assert broken.exit_code == 2 and broken.output.count("\n") == 1
+    assert broken.exit_code == 2
+    assert broken.output.count("\n") == 1
--- a/tests/testbed/test_load.py
+++ b/tests/testbed/test_load.py
@@ -149,7 +149,8 @@
         reader, writer = await asyncio.open_connection(*upstream.address)
         writer.write(compose("read", next(IDS), 100.0))
         head = await reader.readuntil(b"\r\n\r\n")
-        assert head.startswith(b"HTTP/1.1 503 ") and b"\r\nX-Not-Run: 1\r\n" in head
+        assert head.startswith(b"HTTP/1.1 503 ")
+        assert b"\r\nX-Not-Run: 1\r\n" in head
         writer.close()
         upstreams.close()
 
@@ -260,10 +261,12 @@
         stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
         report = (await play([stream], 0.01, seed=7))["calls"]
         assert report.sends == report.opened == planned
-        assert report.statuses == {200: planned} and report.unserved == []
+        assert report.statuses == {200: planned}
+        assert report.unserved == []
         await upstream.act(Behaviour(Way.FAIL))
         report = (await play([stream], 0.01, seed=7))["calls"]
-        assert report.statuses == {500: planned} and report.served.count == 0
+        assert report.statuses == {500: planned}
+        assert report.served.count == 0
         assert sorted(report.unserved) == pytest.approx(arrivals(4_000.0, 0.01, random.Random("7/calls")))
         upstreams.close()
 
@@ -288,7 +291,8 @@
     assert shortest == pytest.approx((3.0 + due[0] - due[-1]) * 1000, rel=0.01)
     assert late.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
     (doubt,) = late.doubts("direct", late_ms=1.0)
-    assert doubt.startswith("direct: ") and "late" in doubt
+    assert doubt.startswith("direct: ")
+    assert "late" in doubt
     assert run(scenario(0.0)).doubts("direct", late_ms=1.0) == []
 
 
@@ -307,7 +311,8 @@
 def test_arrivals_come_from_the_seed_at_the_rate_that_was_asked_for() -> None:
     times = arrivals(200.0, 20.0, random.Random(1))
     assert times == sorted(times) == arrivals(200.0, 20.0, random.Random(1))
-    assert times[0] > 0 and times[-1] < 20.0
+    assert times[0] > 0
+    assert times[-1] < 20.0
     assert abs(len(times) - 4_000) < 5 * 4_000**0.5
 
 
@@ -333,7 +338,8 @@
             assert (counts.served, counts.connections) == (3, 3)
         finally:
             apart.stop()
-        assert apart.pid is not None and not psutil.pid_exists(apart.pid)
+        assert apart.pid is not None
+        assert not psutil.pid_exists(apart.pid)
 
     run(scenario())
 
@@ -356,9 +362,11 @@
     )
     findings = added_time.play(plan, LOG)
     (row,) = findings.rows
-    assert row["entries"] == 3 and row["calls"] == len(arrivals(200.0, 0.1, random.Random("5/through")))
+    assert row["entries"] == 3
+    assert row["calls"] == len(arrivals(200.0, 0.1, random.Random("5/through")))
     assert row["served"] == row["calls"] <= row["calls"] * row["attempts_a_call"]
-    assert row["processor_us_a_call"] > 0 and row["direct_50_ms"] > 0
+    assert row["processor_us_a_call"] > 0
+    assert row["direct_50_ms"] > 0
     assert [doubt.partition(": ")[0] for doubt in findings.doubts if "late" in doubt] == [
         "3 entries, direct",
         "3 entries, through",
@@ -380,15 +388,18 @@
         late_ms=1_000.0,
     )
     rows = {row["phase"]: row for row in real_depth.play(plan, LOG).rows}
-    assert next(iter(rows)) == "calm" and len(rows) == 7
+    assert next(iter(rows)) == "calm"
+    assert len(rows) == 7
     for phase, row in rows.items():
         assert row["calls"] == row["served"] + row["refused"] + row["failed"] > 0
         top, bottom = row["attempts_by_tier"]
-        assert top >= row["calls"] and (row["attempts_top"], row["attempts_bottom"]) == (
+        assert top >= row["calls"]
+        assert (row["attempts_top"], row["attempts_bottom"]) == (
             top / row["calls"],
             bottom / row["calls"],
         )
         if phase in ("fails all", "hangs"):
             assert row["served"] == 0
     calm = rows["calm"]
-    assert calm["served"] == calm["calls"] and 0 < calm["bottom_deadline_50_ms"] < 1_000
+    assert calm["served"] == calm["calls"]
+    assert 0 < calm["bottom_deadline_50_ms"] < 1_000
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -91,7 +91,9 @@
     assert notes == []
     assert (read.settings.balancers, read.settings.tier, read.settings.polls_discovery) == (7, 1, True)
     assert {c.idempotency for c in read.settings.classes} == set(Idempotency)
-    assert read.settings.may_hedge and read.settings.may_cancel and read.settings.max_attempts == 4
+    assert read.settings.may_hedge
+    assert read.settings.may_cancel
+    assert read.settings.max_attempts == 4
     assert (read.seed, read.discovery, read.known_endpoints.index, read.descriptor_limit) == (
         5,
         ("127.0.0.2", 8500),
@@ -105,7 +107,8 @@
     entries = fleet(290, seed=3)
     assert entries == fleet(290, seed=3) != fleet(290, seed=4)
     zones = [e["zone"] for e in entries]
-    assert len(set(zones)) == 29 and {zones.count(zone) for zone in zones} == {10}
+    assert len(set(zones)) == 29
+    assert {zones.count(zone) for zone in zones} == {10}
     assert len({zone.partition("-")[0] for zone in zones}) == 8
     assert len({e["name"] for e in entries}) == len({e["address"] for e in entries}) == 290
     # The WIRE page: no two zones share a group's number.
@@ -218,7 +221,8 @@
             counts = discovery.counts()
             assert (counts.calls, counts.whole, counts.entries) == (3, 2, 6)
             assert (counts.bytes_in, counts.bytes_out) == (sent, got)
-            assert discovery.agents[7].counts.calls == 1 and discovery.agents[0].taken_up == index
+            assert discovery.agents[7].counts.calls == 1
+            assert discovery.agents[0].taken_up == index
             assert seen == [(0, index)]
             assert counts.plus(counts, -1) == Counts()
         await discovery.stop()
@@ -232,7 +236,8 @@
         await discovery.start("127.32.0.9")
         index = discovery.set(three())
         near, far = discovery.agent(0, "r0", "r0-z0"), discovery.agent(1, "r1", "r1-z1")
-        assert near[0] != far[0] and discovery.agent(0) == near
+        assert near[0] != far[0]
+        assert discovery.agent(0) == near
         async with Watcher(near) as one, Watcher(far) as other:
             for watcher in (one, other):
                 watcher.send(f"?after={index}&wait_ms=60000")
@@ -286,7 +291,8 @@
 
     assert played(1) == played(1) != played(2)
     assert list(times(5.0, 10.0, 1)) == list(times(5.0, 10.0, 1)) != list(times(5.0, 10.0, 2))
-    assert 30 <= len(list(times(5.0, 10.0, 1))) <= 70 and max(times(5.0, 10.0, 1)) < 10.0
+    assert 30 <= len(list(times(5.0, 10.0, 1))) <= 70
+    assert max(times(5.0, 10.0, 1)) < 10.0
     status = {e["name"]: "in_service" for e in fleet(60)}
     seen, gone = set(), set()
     for (changed,) in played(1):
@@ -297,7 +303,8 @@
             status[changed["name"]] = changed["status"]
         else:
             gone.add(changed["name"])
-        assert 57 <= len(status) <= 60 and list(status.values()).count("in_service") >= 57
+        assert 57 <= len(status) <= 60
+        assert list(status.values()).count("in_service") >= 57
     assert {(before, after) for before, after, since in seen} == {
         ("in_service", "terminating"),
         ("terminating", "terminated"),
@@ -325,7 +332,8 @@
         discovery = Discovery()
         first = discovery.set(fleet(10))
         late = await play(discovery, restarts(fleet(10), 5, 1, lambda: 9.0), [0.0] * 9)
-        assert discovery.index == first + 4 and late >= 0
+        assert discovery.index == first + 4
+        assert late >= 0
         assert {e["since_ms"] for e in discovery.entries} == {9}
 
     run(scenario())
@@ -358,7 +366,8 @@
         assert forced == [[0, first, second]] * 2
         assert discovery.counts().whole == 2
         for hollow in hollows:
-            assert len(hollow.balancer._ready) == 19 and len(hollow.upstreams._pools) == 20
+            assert len(hollow.balancer._ready) == 19
+            assert len(hollow.upstreams._pools) == 20
             assert draining["name"] not in {s.member.name for s in hollow.balancer._ready}
             with pytest.raises(ConnectionError):  # no callers
                 await asyncio.open_connection(*hollow.listener.address)
@@ -400,11 +409,13 @@
         process = HollowProcess(texts)
         await until(lambda: all(agent.taken_up == first for agent in discovery.agents.values()))
         began = process.report()
-        assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2] and set(began.indexes) == {0, first}
+        assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
+        assert set(began.indexes) == {0, first}
         second = discovery.change([three()[1] | {"weight": 2.0}])
         await until(lambda: all(agent.taken_up == second for agent in discovery.agents.values()))
         last = process.stop()
-        assert sorted(last.balancers) == [0, 1, 2] and set(last.indexes) == {second}
+        assert sorted(last.balancers) == [0, 1, 2]
+        assert set(last.indexes) == {second}
         assert all(discovery.changed_at[second] <= at for at in last.times)
         assert last.lag_longest_s >= last.lag_99_s >= 0
         await discovery.stop()
@@ -421,13 +432,17 @@
     held = "kept = [open('/dev/null') for _ in range(20)]"
     code = "\n".join(("import sys, time", held, work, "print(1, flush=True)", "sys.stdin.read()"))
     child = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    assert child.stdout is not None and child.stdin is not None
+    assert child.stdout is not None
+    assert child.stdin is not None
     child.stdout.readline()
     one = usage([child.pid])
-    assert 0.14 <= one.processor_s < 5 and 20 < one.descriptors < 60 and one.resident > 1 << 20
+    assert 0.14 <= one.processor_s < 5
+    assert 20 < one.descriptors < 60
+    assert one.resident > 1 << 20
     own = processor_s(os.getpid())
     both = usage([child.pid, os.getpid()])
-    assert both.descriptors > one.descriptors and both.processor_s >= one.processor_s + own
+    assert both.descriptors > one.descriptors
+    assert both.processor_s >= one.processor_s + own
     child.stdin.close()
     child.wait()
     child.stdout.close()
@@ -504,7 +519,8 @@
         discovery.set(fleet(row["entries"], seed=plan.seed))
         assert row["list_bytes"] == len(discovery.body(-1)[0])
         parts = sum(row[f"list_{part}_ms"] for part in ("parse", "read", "pools", "module"))
-        assert 0 < row["list_module_ms"] < parts and 0 < row["delta_module_us"] < row["delta_whole_us_99"]
+        assert 0 < row["list_module_ms"] < parts
+        assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
         assert row["memory_kib"] > row["entries"]  # the list alone takes less than 1 KiB an entry
     slopes = {fit.y: fit for fit in findings.fits}
     assert slopes["list_bytes (all)"].slope == pytest.approx(
@@ -579,7 +595,9 @@
         for told in ("in_force_ms", "taken_up_ms", "real_taken_up_ms"):
             assert 0 < row[f"{told}_median"] <= row[f"{told}_longest"] < float("inf")
         assert row["in_force_ms_median"] <= row["everywhere_ms_median"] <= row["in_force_ms_longest"]
-        assert row["core_percent"] > 0 and row["real_core_percent"] > 0 and row["bytes_per_s"] > 0
+        assert row["core_percent"] > 0
+        assert row["real_core_percent"] > 0
+        assert row["bytes_per_s"] > 0
     assert {row["whole_lists"] for row in findings.rows} == {0}  # all followed the list from the start
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in findings.fits}
 
