--- a/tests/network/loopback.py
+++ b/tests/network/loopback.py
@@ -15,12 +15,12 @@
 from loadbalancer.network.proxy import Proxy
 
 T = TypeVar("T")
-PATIENCE_S = 10.0  # for what must happen; reached only when a test fails
+TIMEOUT_S = 10.0  # for what must happen; reached only when a test fails
 _NUMBERS = itertools.count(1)  # an id is new with every request
-Script = Callable[["Asked", asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
 
 
-class Asked:
+class ReceivedMessage:
     """A request as an upstream saw it."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
@@ -29,9 +29,9 @@
         self.body = body
 
 
-async def read_message(reader: asyncio.StreamReader) -> Asked:
+async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
     head = await reader.readuntil(b"\r\n\r\n")
-    asked = Asked(head[:-4], b"")
+    asked = ReceivedMessage(head[:-4], b"")
     asked.body = await reader.readexactly(int(asked.headers.get("content-length", "0")))
     return asked
 
@@ -46,7 +46,7 @@
 
     def __init__(self, *scripts: Script | bytes) -> None:
         self._scripts = scripts or (response(),)
-        self.asked: list[Asked] = []
+        self.asked: list[ReceivedMessage] = []
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.seen = asyncio.Event()
@@ -75,16 +75,16 @@
             writer.close()
 
 
-async def silent(asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def silent(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
     """Never answer."""
 
 
-async def reset(asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def reset(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
     """Drop the connection instead of an answer."""
     writer.transport.abort()
 
 
-class ListServer:
+class DiscoveryServer:
     """Discovery: each call takes the next answer put in; with none there it waits, as a watch does."""
 
     def __init__(self) -> None:
@@ -165,31 +165,31 @@
 
     def __init__(self, *upstreams: Upstream, **settings: Any) -> None:
         self.upstreams, self._settings = upstreams, settings
-        self.discovery = ListServer()
+        self.discovery = DiscoveryServer()
         self.entries: list[dict[str, Any]] = []
-        self.driver: Proxy
+        self.proxy: Proxy
 
     async def __aenter__(self) -> Rig:
         for i, upstream in enumerate(self.upstreams):
             self.entries.append(entry(f"s{i}", await upstream.start()))
         text = config_text(await self.discovery.start(), self.entries, **self._settings)
-        self.driver = Proxy(read_configuration(text, lambda note: None), asyncio.get_running_loop())
-        self.driver.start()
+        self.proxy = Proxy(read_configuration(text, lambda note: None), asyncio.get_running_loop())
+        self.proxy.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         return
 
-    async def caller(self) -> Caller:
-        caller = Caller()
-        caller.reader, caller.writer = await asyncio.open_connection(*self.driver.listener.address[:2])
-        return caller
+    async def client(self) -> Client:
+        client = Client()
+        client.reader, client.writer = await asyncio.open_connection(*self.proxy.listener.address[:2])
+        return client
 
-    async def ask(self, *args: Any, **more: Any) -> Asked:
-        caller = await self.caller()
-        caller.send(*args, **more)
-        answer = await caller.answer()
-        caller.writer.close()
+    async def ask(self, *args: Any, **more: Any) -> ReceivedMessage:
+        client = await self.client()
+        client.send(*args, **more)
+        answer = await client.answer()
+        client.writer.close()
         return answer
 
 
@@ -200,20 +200,20 @@
         return int(probe.getsockname()[1])
 
 
-class Caller:
+class Client:
     """A client on one connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     @classmethod
-    async def of_program(cls, port: int) -> Caller:
+    async def of_program(cls, port: int) -> Client:
         """A caller of a program that was started just now: it is tried until it listens."""
-        caller, end = cls(), asyncio.get_running_loop().time() + PATIENCE_S
+        client, end = cls(), asyncio.get_running_loop().time() + TIMEOUT_S
         while True:
             try:
-                caller.reader, caller.writer = await asyncio.open_connection("127.0.0.1", port)
-                return caller
+                client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
+                return client
             except ConnectionRefusedError:
                 assert asyncio.get_running_loop().time() < end
                 await asyncio.sleep(0.01)
@@ -236,7 +236,7 @@
         lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    async def answer(self) -> Asked:
+    async def answer(self) -> ReceivedMessage:
         return await read_message(self.reader)
 
 
@@ -244,11 +244,11 @@
     """Run a scenario on the loop that the program uses."""
 
     async def bounded() -> T:
-        return await asyncio.wait_for(scenario, PATIENCE_S)
+        return await asyncio.wait_for(scenario, TIMEOUT_S)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(bounded())
 
 
-def status(answer: Asked) -> int:
+def status(answer: ReceivedMessage) -> int:
     return int(answer.line.split(" ")[1])
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -11,10 +11,10 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import client_connection as net_callers
+from loadbalancer.network import client_connection as client_connection
 from loadbalancer.network.upstream_pool import UpstreamConnection, UpstreamPool
 from loadbalancer.timers import HedgeTimer
-from tests.network.loopback import Asked, Rig, Upstream, response, run, silent, status
+from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, run, silent, status
 
 LIMITS = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 5_000.0, "mayDuplicate": True}
 
@@ -29,30 +29,30 @@
 
 def client_of(rig: Rig) -> socket.socket:
     """One whose every move is made at once, between two lines of the balancer if need be."""
-    return socket.create_connection(rig.driver.listener.address[:2])
+    return socket.create_connection(rig.proxy.listener.address[:2])
 
 
 def before(rig: Rig, kind: type, act: Callable[[Any], None]) -> None:
     """Act as an event of a kind is told to the module, before anything comes of it."""
-    handle = rig.driver.balancer.handle
+    handle = rig.proxy.balancer.handle
 
     def acting(event: Event, now: float) -> list[Action]:
         if isinstance(event, kind):
             act(event)
         return handle(event, now)
 
-    rig.driver.balancer.handle = acting  # type: ignore[method-assign]
+    rig.proxy.balancer.handle = acting  # type: ignore[method-assign]
 
 
 async def over(rig: Rig) -> None:
     """Until no request is open nor any attempt out."""
-    while rig.driver._requests:
+    while rig.proxy._requests:
         await asyncio.sleep(0.005)
 
 
 def settle(rig: Rig) -> None:
     """Let idle connections to upstreams carry a further request at once."""
-    for pool in rig.driver.upstreams._pools.values():
+    for pool in rig.proxy.upstreams._pools.values():
         for connection in pool.idle:
             connection.idle_since -= 1.0
 
@@ -93,7 +93,7 @@
                     return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
                 return []
 
-            rig.driver.balancer.handle = hold  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = hold  # type: ignore[method-assign]
             client.sendall(ask("/read", 1))
             while client.fileno() >= 0:
                 await asyncio.sleep(0.001)
@@ -108,7 +108,7 @@
 
     async def scenario() -> None:
 
-        async def by_class(asked: Asked, writer: Any) -> None:
+        async def by_class(asked: ReceivedMessage, writer: Any) -> None:
             turned_away = asked.headers["x-class"] == "pay"
             writer.write(response(503, b"", "X-Not-Run: 1") if turned_away else response())
 
@@ -159,8 +159,8 @@
     """A client with two requests sent, which has not read the answer to the first."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-    client.connect(rig.driver.listener.address[:2])
-    while not (connections := rig.driver.listener._connections):
+    client.connect(rig.proxy.listener.address[:2])
+    while not (connections := rig.proxy.listener._connections):
         await asyncio.sleep(0.001)
     (connection,) = connections
     while (transport := connection._transport) is None:
@@ -194,7 +194,7 @@
         upstream = Upstream(response(200, b"x" * 60_000))
         async with Rig(upstream) as rig:
             client = await unread_answer(rig)
-            (connection,) = rig.driver.listener._connections
+            (connection,) = rig.proxy.listener._connections
             client.shutdown(socket.SHUT_WR)
             while not (connection._transport and connection._transport.is_closing()):
                 await asyncio.sleep(0.001)
@@ -214,10 +214,10 @@
         upstream = Upstream(silent, response())
         async with Rig(upstream, tier=1) as rig:
             client = client_of(rig)
-            many = 2 * net_callers.PIPELINED_MAX + net_callers.SLICE // 50
+            many = 2 * client_connection.PIPELINED_MAX + client_connection.SLICE // 50
             client.sendall(b"".join(ask("/read", number) for number in range(many)))
             await upstream.seen.wait()
-            (connection,) = rig.driver.listener._connections
+            (connection,) = rig.proxy.listener._connections
             while not connection._blocked:
                 await asyncio.sleep(0.001)
             client.close()
@@ -274,7 +274,7 @@
     """The first attempt is out and stays; its failure brings no further one."""
 
     async def scenario() -> None:
-        async def fail_later(asked: Asked, writer: Any) -> None:
+        async def fail_later(asked: ReceivedMessage, writer: Any) -> None:
             failing.append(writer)
             seen.set()
 
@@ -304,15 +304,15 @@
         held = Held(monkeypatch, first=1)
         upstreams = Upstream(silent), Upstream(silent)
         async with Rig(*upstreams, limits=LIMITS | {"mayCancel": False}) as rig:
-            caller = await rig.caller()
-            caller.send(deadline="1200m")
+            client = await rig.client()
+            client.send(deadline="1200m")
             await held.waits.wait()  # the second copy connects
             first = next(upstream for upstream in upstreams if upstream.asked)
             first.writers[0].write(response(200, b"first"))
-            assert (await caller.answer()).body == b"first"
+            assert (await client.answer()).body == b"first"
             held.let.set()
             await over(rig)
-            other = await rig.caller()
+            other = await rig.client()
             other.send(deadline="400m")
             await other.answer()  # whatever came of it, all that was on its way has arrived by now
             asked = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.asked]
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -16,11 +16,11 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import client_connection as net_callers
+from loadbalancer.network import client_connection as client_connection
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream_pool import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
-from tests.network.loopback import Asked, Rig, Upstream, entry, reset, response, run, silent, status
+from tests.network.loopback import ReceivedMessage, Rig, Upstream, entry, reset, response, run, silent, status
 from tests.network.test_abandoned_requests import LIMITS, ask, before, client_of, over, settle
 
 Leave = Callable[[socket.socket], None]
@@ -55,7 +55,7 @@
 def only_first(script: Any) -> Any:
     """What the client's own request gets; all others are served."""
 
-    async def by_id(asked: Asked, writer: Any) -> None:
+    async def by_id(asked: ReceivedMessage, writer: Any) -> None:
         if asked.headers["x-request-id"] != "1":
             writer.write(response())
         elif isinstance(script, bytes):
@@ -70,7 +70,7 @@
     """An idle connection at each upstream, which a further attempt uses as well."""
     while not all(upstream.asked for upstream in rig.upstreams):
         assert status(await rig.ask()) == 200
-    monkeypatch.setattr(rig.driver.upstreams, "close_idle_connections", lambda server: None)
+    monkeypatch.setattr(rig.proxy.upstreams, "close_idle_connections", lambda server: None)
     settle(rig)
 
 
@@ -93,7 +93,7 @@
             client.sendall(ask("/read", 1))
             leave(client)
             await rig.ask()  # its connection came later
-            while rig.driver.listener._connections:
+            while rig.proxy.listener._connections:
                 await asyncio.sleep(0.005)
             assert await sent_on(rig) == []
 
@@ -107,7 +107,7 @@
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             await warm(rig, monkeypatch)
-            client, left, handle = client_of(rig), asyncio.Event(), rig.driver.balancer.handle
+            client, left, handle = client_of(rig), asyncio.Event(), rig.proxy.balancer.handle
 
             def hold(event: Event, now: float) -> list[Action]:
                 if isinstance(event, RequestReceived):
@@ -119,11 +119,11 @@
                     left.set()
                 return []
 
-            rig.driver.balancer.handle = hold  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = hold  # type: ignore[method-assign]
             client.sendall(ask("/read", 1))
             await left.wait()
             await over(rig)
-            rig.driver.balancer.handle = handle  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = handle  # type: ignore[method-assign]
             assert await sent_on(rig) == []
 
     run(scenario())
@@ -186,14 +186,14 @@
 
 def hedges(rig: Rig) -> list[HedgeTimer]:
     """The timers for second copies, as the module sets them."""
-    handle, timers = rig.driver.balancer.handle, list[HedgeTimer]()
+    handle, timers = rig.proxy.balancer.handle, list[HedgeTimer]()
 
     def noting(event: Event, now: float) -> list[Action]:
         actions = handle(event, now)
         timers.extend(a.timer for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, HedgeTimer))
         return actions
 
-    rig.driver.balancer.handle = noting  # type: ignore[method-assign]
+    rig.proxy.balancer.handle = noting  # type: ignore[method-assign]
     return timers
 
 
@@ -211,7 +211,7 @@
                 await asyncio.sleep(0.001)
             if leave is not None:
                 leave(client)
-            rig.driver._dispatch(TimerFired(timers[0]))
+            rig.proxy._dispatch(TimerFired(timers[0]))
             assert await sent_on(rig) == ["1"] * (1 if leave else 2)
 
     run(scenario())
@@ -231,8 +231,8 @@
                 await asyncio.sleep(0.001)
             client.close()
             await left.wait()
-            rig.driver._dispatch(TimerFired(timers[0]))
-            assert rig.driver._requests, "the first copy is out still"
+            rig.proxy._dispatch(TimerFired(timers[0]))
+            assert rig.proxy._requests, "the first copy is out still"
             assert await sent_on(rig) == ["1"]
 
     run(scenario())
@@ -268,24 +268,24 @@
 @LEAVES
 def test_a_further_attempt_while_reading_is_paused(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     """The end is behind requests that are not read, and the sweep has not come to look at the connection."""
-    monkeypatch.setattr(net_callers, "SWEEP_S", 3_600.0)
+    monkeypatch.setattr(client_connection, "SWEEP_S", 3_600.0)
 
     async def scenario() -> None:
-        async def fail_later(asked: Asked, writer: Any) -> None:
+        async def fail_later(asked: ReceivedMessage, writer: Any) -> None:
             failing.append(writer)
 
         failing = list[Any]()
         async with Rig(Upstream(only_first(fail_later)), Upstream(only_first(fail_later)), tier=1) as rig:
             await warm(rig, monkeypatch)
             client = client_of(rig)
-            many = 2 * net_callers.PIPELINED_MAX + net_callers.SLICE // 50
+            many = 2 * client_connection.PIPELINED_MAX + client_connection.SLICE // 50
             client.sendall(b"".join(ask("/read", number) for number in range(1, many)))
-            while not (failing and any(c._blocked for c in rig.driver.listener._connections)):
+            while not (failing and any(c._blocked for c in rig.proxy.listener._connections)):
                 await asyncio.sleep(0.001)
             before(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else leave(client))
             failing[0].write(response(500))
             await over(rig)
-            while rig.driver.listener._connections:
+            while rig.proxy.listener._connections:
                 await asyncio.sleep(0.005)
             assert await sent_on(rig) == ["1"]
 
@@ -330,6 +330,6 @@
                 head, _, body = got.partition(b"\r\n\r\n")
                 assert head.startswith(b"POST /pay ")
                 assert len(body) < MAX_BODY_BYTES
-                assert not rig.driver._requests
+                assert not rig.proxy._requests
 
     run(scenario())
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -31,8 +31,8 @@
 from loadbalancer.network.upstream_pool import SPARE_SOCKETS
 from loadbalancer.policy import balancer as policy
 from tests.network.loopback import (
-    Caller,
-    ListServer,
+    Client,
+    DiscoveryServer,
     Rig,
     Upstream,
     config_text,
@@ -222,9 +222,9 @@
             f"127.0.0.1:{agent.port}", [entry("s0", "127.0.0.1:9")], discovery=how, contract=contract
         ).replace("8c1f30d27a5be964", f"{seed:x}")
         self._text = text
-        self.driver = Proxy(read_configuration(text, lambda note: None), loop)
-        self.driver.clock.now = lambda: 1e12 + loop.time() * 1000  # type: ignore[method-assign]
-        handle = self.driver.balancer.handle
+        self.proxy = Proxy(read_configuration(text, lambda note: None), loop)
+        self.proxy.clock.now = lambda: 1e12 + loop.time() * 1000  # type: ignore[method-assign]
+        handle = self.proxy.balancer.handle
         self.heard: asyncio.Future[float] = loop.create_future()
         self.kinds: list[EndpointListKind] = []
 
@@ -236,13 +236,13 @@
                     self.heard.set_result(loop.time())
             return handle(event, now)
 
-        self.driver.balancer.handle = spy  # type: ignore[method-assign]
-        self.driver.start()
+        self.proxy.balancer.handle = spy  # type: ignore[method-assign]
+        self.proxy.start()
 
     def move(self, agent: Agent) -> None:
         """SIGHUP with another address of discovery."""
         text = json.loads(self._text) | {"discovery": f"127.0.0.1:{agent.port}"}
-        self.driver.reconfigure(read_configuration(json.dumps(text), lambda note: None))
+        self.proxy.reconfigure(read_configuration(json.dumps(text), lambda note: None))
 
     async def hears(self) -> float:
         """When its module heard of the drain; it is let go then."""
@@ -251,8 +251,8 @@
         return heard
 
     def stop(self) -> None:
-        self.driver.listener._pause()
-        self.driver.listener._listener.close()
+        self.proxy.listener._pause()
+        self.proxy.listener._listener.close()
 
 
 def play(scenario: Callable[[_Loop], Coroutine[Any, Any, T]]) -> T:
@@ -478,7 +478,7 @@
             writer.close()
 
     async def scenario() -> None:
-        upstream, agent = Upstream(), ListServer()
+        upstream, agent = Upstream(), DiscoveryServer()
         with socket.socket() as probe, socket.socket() as down:
             probe.bind(("127.0.0.1", 0))
             down.bind(("127.0.0.1", 0))  # does not listen yet: who comes is refused
@@ -514,10 +514,10 @@
                 await agent.calls.get()
                 agent.tell(8, entry("s0", await upstream.start()), snapshot=True)
                 assert "after=8&" in await agent.calls.get()
-                caller = Caller()
-                caller.reader, caller.writer = await asyncio.open_connection("127.0.0.1", port)
-                caller.send()
-                assert status(await caller.answer()) == 200
+                client = Client()
+                client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
+                client.send()
+                assert status(await client.answer()) == 200
                 assert not any(task.done() for task in crowd), "the idle ones never went away"
                 server.close()
             finally:
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -19,8 +19,8 @@
 from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream_pool import UpstreamConnection, UpstreamPool
 from tests.network.loopback import (
-    Caller,
-    ListServer,
+    Client,
+    DiscoveryServer,
     Rig,
     Upstream,
     config_text,
@@ -36,7 +36,7 @@
 
 def test_sigterm_twice_and_beside_a_sighup_leaves_what_was_taken_unharmed(tmp_path: Path) -> None:
     async def scenario() -> None:
-        upstream, old, new = Upstream(silent), ListServer(), ListServer()
+        upstream, old, new = Upstream(silent), DiscoveryServer(), DiscoveryServer()
         entries = [entry("s0", await upstream.start())]
         port = free_port()
         path = tmp_path / "config.json"
@@ -50,8 +50,8 @@
         )
         assert node.stderr is not None
         try:
-            caller = await Caller.of_program(port)
-            caller.send("/pay/x", b"debit")
+            client = await Client.of_program(port)
+            client.send("/pay/x", b"debit")
             await upstream.seen.wait()
             path.write_text(config_text(await new.start(), entries))
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
@@ -63,8 +63,8 @@
                     late.close()
                     await asyncio.sleep(0.02)
             upstream.writers[0].write(response(200, b"unharmed"))
-            assert (await caller.answer()).body == b"unharmed"
-            caller.writer.close()
+            assert (await client.answer()).body == b"unharmed"
+            client.writer.close()
             assert await node.wait() == 0
         finally:
             if node.returncode is None:
@@ -81,7 +81,7 @@
             news = {"index": 2, "snapshot": True, "endpoints": [entry("s9", rig.entries[0]["address"])]}
             rig.discovery.answers.put_nowait(response(200, json.dumps(news, indent=4).encode()))
             assert "after=2&" in await rig.discovery.calls.get()
-            assert set(rig.driver.upstreams._pools) == {"s9"}
+            assert set(rig.proxy.upstreams._pools) == {"s9"}
 
     run(scenario())
 
@@ -94,19 +94,19 @@
             news = {"index": 8, "snapshot": True, "endpoints": [entry("old", "127.0.0.1:9")]}
             whole = response(200, json.dumps(news).encode())
             rig.discovery.answers.put_nowait(whole[:-5])
-            link = rig.driver._discovery._link
+            link = rig.proxy._discovery._link
             assert link is not None
             while link._reader._raw == 0:  # the first part has been read
                 await asyncio.sleep(0.001)
-            new = ListServer()
+            new = DiscoveryServer()
             text = config_text(await new.start(), [])
             link.data_received(whole[-5:])  # the rest comes in the turn of the signal
-            rig.driver.reconfigure(read_configuration(text, lambda note: None))
+            rig.proxy.reconfigure(read_configuration(text, lambda note: None))
             await new.calls.get()
             new.tell(3, entry("new", rig.entries[0]["address"]), snapshot=True)
             assert "after=3&" in await new.calls.get()
             await rig.discovery.ended.wait()
-            assert set(rig.driver.upstreams._pools) == {"new"}
+            assert set(rig.proxy.upstreams._pools) == {"new"}
 
     run(scenario())
 
@@ -137,7 +137,7 @@
         upstream = Upstream()
         async with Rig(upstream) as rig:
             assert status(await rig.ask()) == 200
-            (idle,) = rig.driver.upstreams._pools["s0"].idle
+            (idle,) = rig.proxy.upstreams._pools["s0"].idle
             idle.idle_since -= 1.0
             is_alive, looked = UpstreamConnection.is_alive, list[bool]()
 
@@ -150,14 +150,14 @@
 
             monkeypatch.setattr(UpstreamConnection, "is_alive", crossing)
             told = list[Outcome]()
-            handle = rig.driver.balancer.handle
+            handle = rig.proxy.balancer.handle
 
             def spy(event: Event, now: float) -> list[Action]:
                 if isinstance(event, AttemptFinished):
                     told.append(event.outcome)
                 return handle(event, now)
 
-            rig.driver.balancer.handle = spy  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = spy  # type: ignore[method-assign]
             assert status(await rig.ask("/pay/x", b"debit")) == 502
             assert looked == [True]
             assert told == [Outcome.RESET]
@@ -201,7 +201,7 @@
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.network.proxy.NET_MS", -1e6)  # the safety net comes too late
         async with Rig(Upstream()) as rig:
-            handle, told = rig.driver.balancer.handle, list[Event]()
+            handle, told = rig.proxy.balancer.handle, list[Event]()
 
             def faulty(event: Event, now: float) -> list[Action]:
                 told.append(event)
@@ -212,7 +212,7 @@
                     raise RuntimeError("a fault of the module")
                 return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
 
-            rig.driver.balancer.handle = faulty  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
             assert status(await rig.ask()) == 503
             assert [type(e).__name__ for e in told if getattr(e, "request_id", 0) == 1] == [
                 "RequestReceived",
@@ -221,7 +221,7 @@
                 "ClientDisconnected",
             ]
             assert status(await rig.ask()) == 200
-            assert not rig.driver._requests
+            assert not rig.proxy._requests
 
     run(scenario())
     assert "a fault of the module" in capsys.readouterr().err
@@ -260,8 +260,8 @@
         raw["limits"] = {"memory_mb": 32, "sockets": 50}
         rig = Rig()
         config = read_configuration(json.dumps(raw), lambda note: None)
-        rig.driver = Proxy(config, asyncio.get_running_loop())
-        rig.driver.start()
+        rig.proxy = Proxy(config, asyncio.get_running_loop())
+        rig.proxy.start()
         assert status(await rig.ask()) == 200
 
     run(scenario())
--- a/tests/network/test_invalid_clients.py
+++ b/tests/network/test_invalid_clients.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from loadbalancer.network import client_connection as net_callers
-from tests.network.loopback import Caller, Rig, Upstream, response, run, silent, status
+from loadbalancer.network import client_connection as client_connection
+from tests.network.loopback import Client, Rig, Upstream, response, run, silent, status
 
 GOOD = b"X-Class: read\r\nX-Request-Id: a1\r\nX-Deadline: 900m\r\n"
 
@@ -60,12 +60,12 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.writer.write(raw)
-            assert status(await caller.answer()) == wanted
-            assert await caller.reader.read() == b""
+            client = await rig.client()
+            client.writer.write(raw)
+            assert status(await client.answer()) == wanted
+            assert await client.reader.read() == b""
             assert upstream.connections == 0
-            assert not rig.driver._requests
+            assert not rig.proxy._requests
 
     run(scenario())
 
@@ -74,7 +74,7 @@
     async def scenario() -> None:
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
-            first, second = await rig.caller(), await rig.caller()
+            first, second = await rig.client(), await rig.client()
             first.send("/pay/x", b"debit", x_request_id="same")
             await upstream.seen.wait()
             second.send("/pay/x", b"debit", x_request_id="same")
@@ -118,15 +118,15 @@
     sent: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Silent and half-read connections stayed for good: an end is owed within 3 s."""
-    assert net_callers.SILENT_S + net_callers.SWEEP_S + net_callers.LINGER_S < 2.8
-    monkeypatch.setattr(net_callers, "SILENT_S", 0.1)
+    assert client_connection.SILENT_S + client_connection.SWEEP_S + client_connection.LINGER_S < 2.8
+    monkeypatch.setattr(client_connection, "SILENT_S", 0.1)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.writer.write(sent)
-            assert (await caller.reader.read())[:12] == answer
-            caller.writer.close()
+            client = await rig.client()
+            client.writer.write(sent)
+            assert (await client.reader.read())[:12] == answer
+            client.writer.close()
 
     run(scenario())
 
@@ -134,12 +134,12 @@
 def test_time_in_the_kernels_queue_counts() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            with socket.create_connection(rig.driver.listener.address[:2]) as early:
+            with socket.create_connection(rig.proxy.listener.address[:2]) as early:
                 early.sendall(b"x")
                 time.sleep(0.1)  # nobody accepts meanwhile
-                sock, _ = rig.driver.listener._listener.accept()
+                sock, _ = rig.proxy.listener._listener.accept()
                 with sock:
-                    stood_s, waited_s = net_callers.ages_s(sock)
+                    stood_s, waited_s = client_connection.ages_s(sock)
                     assert stood_s >= 0.05
                     assert waited_s >= 0.05
 
@@ -149,22 +149,22 @@
 def test_who_asks_once_and_stays_is_closed_in_time_but_never_with_a_request_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_callers, "STAY_S", 0.1)
-    monkeypatch.setattr(net_callers, "SILENT_S", 0.1)
+    monkeypatch.setattr(client_connection, "STAY_S", 0.1)
+    monkeypatch.setattr(client_connection, "SILENT_S", 0.1)
 
     async def scenario() -> None:
         upstream = Upstream(response(), silent)
         async with Rig(upstream) as rig:
-            stays = await rig.caller()
+            stays = await rig.client()
             stays.send()
             assert status(await stays.answer()) == 200
             upstream.seen.clear()
-            waits = await rig.caller()
+            waits = await rig.client()
             waits.send("/pay/x", b"debit")
             await upstream.seen.wait()
             assert await stays.reader.read() == b""
             for _ in range(3):
-                rig.driver.listener._sweep()
+                rig.proxy.listener._sweep()
                 await asyncio.sleep(0.1)
             for writer in upstream.writers:
                 writer.write(response(200, b"at last"))
@@ -176,13 +176,13 @@
 def test_a_crowd_that_says_nothing_makes_way_for_a_good_caller() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            rig.driver.listener._cap = 20
-            crowd = [await rig.caller() for _ in range(100)]
+            rig.proxy.listener._cap = 20
+            crowd = [await rig.client() for _ in range(100)]
             began = time.monotonic()
             assert status(await rig.ask()) == 200
             assert time.monotonic() - began < 3.0  # its time limit, not a speed
-            for caller in crowd:
-                assert await caller.reader.read() == b""
+            for client in crowd:
+                assert await client.reader.read() == b""
 
     run(scenario())
 
@@ -193,21 +193,21 @@
     async def scenario() -> None:
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
-            callers = rig.driver.listener
+            callers = rig.proxy.listener
             callers.held_max = 200_000
-            crowd: list[Caller] = []
+            crowd: list[Client] = []
             for _ in range(4):
-                crowd.append(await rig.caller())
+                crowd.append(await rig.client())
                 for _ in range(4):
                     crowd[-1].send("/pay/x", b"x" * 60_000)
-            good = await rig.caller()
+            good = await rig.client()
             while not any(c._discards_input for c in callers._connections):
                 await asyncio.sleep(0.01)
             good.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status(await good.answer()) == 200
-            assert callers.held <= callers.held_max + 5 * net_callers.FAIR_BYTES
-            for caller in crowd:
-                caller.writer.transport.abort()
+            assert callers.held <= callers.held_max + 5 * client_connection.FAIR_BYTES
+            for client in crowd:
+                client.writer.transport.abort()
             while callers.held:
                 await asyncio.sleep(0.01)
 
@@ -217,14 +217,14 @@
 def test_much_that_follows_a_refusal_is_neither_kept_nor_parsed() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
-            caller.writer.write(b"x" * 6_000_000)
-            assert status(await caller.answer()) == 413
-            assert rig.driver.listener.held == 0
+            client = await rig.client()
+            client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+            client.writer.write(b"x" * 6_000_000)
+            assert status(await client.answer()) == 413
+            assert rig.proxy.listener.held == 0
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 while True:
-                    await caller.reader.readexactly(1)
+                    await client.reader.readexactly(1)
 
     run(scenario())
 
@@ -248,7 +248,7 @@
             async def ask(times: int) -> None:
                 for _ in range(times):
                     assert status(await rig.ask()) == 200
-                while rig.driver.listener._connections:
+                while rig.proxy.listener._connections:
                     await asyncio.sleep(0.01)
 
             await ask(20)
@@ -263,8 +263,8 @@
             finally:
                 gc.enable()
             assert all(n < 20 for n in grown.values()), grown
-            assert len(rig.driver.balancer._requests) == 0
-            assert not rig.driver._requests
+            assert len(rig.proxy.balancer._requests) == 0
+            assert not rig.proxy._requests
 
     run(scenario())
 
@@ -274,14 +274,14 @@
 
     async def scenario() -> None:
         async with Rig() as rig:
-            caller = await rig.caller()
+            client = await rig.client()
             head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
-            head += b"x" * (net_callers.SLICE - len(head) - 4) + b"\r\n\r\n"
+            head += b"x" * (client_connection.SLICE - len(head) - 4) + b"\r\n\r\n"
             faults: list[object] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
-            caller.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
-            assert status(await caller.answer()) == 200
-            assert await caller.reader.read() == b""
+            client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
+            assert status(await client.answer()) == 200
+            assert await client.reader.read() == b""
             assert not faults
 
     run(scenario())
@@ -289,15 +289,17 @@
 
 def test_idle_callers_make_way_at_once_for_those_that_wait() -> None:
     """Each kept its place for 2 s after its answer: 168 places let in 84 calls a second; others waited."""
-    assert net_callers.IDLE_S <= 0.25  # the client asks again on a new connection if its request crosses
+    assert (
+        client_connection.IDLE_S <= 0.25
+    )  # the client asks again on a new connection if its request crosses
 
     async def scenario() -> None:
         async with Rig(Upstream(), tier=1) as rig:  # where twenty calls at once are not shed
-            rig.driver.listener._cap = 20
-            crowd = [await rig.caller() for _ in range(60)]
-            for caller in crowd:
-                caller.send(deadline="4000m")
-            for caller in crowd:
-                assert status(await caller.answer()) == 200
+            rig.proxy.listener._cap = 20
+            crowd = [await rig.client() for _ in range(60)]
+            for client in crowd:
+                client.send(deadline="4000m")
+            for client in crowd:
+                assert status(await client.answer()) == 200
 
     run(scenario())
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -20,8 +20,8 @@
 )
 from loadbalancer.network import endpoint_watch as discovery
 from tests.network.loopback import (
-    PATIENCE_S,
-    Asked,
+    TIMEOUT_S,
+    ReceivedMessage,
     Rig,
     Upstream,
     config_text,
@@ -38,13 +38,13 @@
 def listen_to(rig: Rig) -> list[Any]:
     """All events that the module is told from now on."""
     told: list[Any] = []
-    handle = rig.driver.balancer.handle
+    handle = rig.proxy.balancer.handle
 
     def spy(event: Event, now: float) -> list[Action]:
         told.append(event)
         return handle(event, now)
 
-    rig.driver.balancer.handle = spy  # type: ignore[method-assign]
+    rig.proxy.balancer.handle = spy  # type: ignore[method-assign]
     return told
 
 
@@ -109,7 +109,7 @@
     ],
 )
 def test_what_an_ending_means(script: Any, outcome: Outcome, final: int) -> None:
-    async def cut(asked: Asked, writer: asyncio.StreamWriter) -> None:
+    async def cut(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if isinstance(script, bytes):
             writer.write(script)
             if b"cut" in script:
@@ -164,14 +164,14 @@
         first, second = Upstream(silent), Upstream(silent)
         async with Rig(first, second) as rig:
             told = listen_to(rig)
-            caller = await rig.caller()
-            caller.send(deadline="1200m")
+            client = await rig.client()
+            client.send(deadline="1200m")
             await asyncio.gather(first.seen.wait(), second.seen.wait())
             second.writers[0].write(response(200, b"second"))
-            assert (await caller.answer()).body == b"second"
+            assert (await client.answer()).body == b"second"
             await first.ended.wait()
             assert sorted(o.value for o in outcomes(told)) == ["cancelled", "served"]
-            assert not rig.driver._requests
+            assert not rig.proxy._requests
 
     run(scenario())
 
@@ -181,14 +181,14 @@
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             told = listen_to(rig)
-            caller = await rig.caller()
-            caller.send()
+            client = await rig.client()
+            client.send()
             await upstream.seen.wait()
-            caller.writer.close()
+            client.writer.close()
             await upstream.ended.wait()
             assert any(isinstance(e, ClientDisconnected) for e in told)
             assert outcomes(told) == [Outcome.CANCELLED]
-            assert not rig.driver._requests
+            assert not rig.proxy._requests
 
     run(scenario())
 
@@ -197,14 +197,14 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            handle = rig.driver.balancer.handle
+            handle = rig.proxy.balancer.handle
 
             def faulty(event: Event, now: float) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.request_id == 1:
                     raise RuntimeError("a fault of the module")
                 return handle(event, now)
 
-            rig.driver.balancer.handle = faulty  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
             assert status(await rig.ask()) == 503
             assert status(await rig.ask()) == 200
 
@@ -215,7 +215,7 @@
 def test_a_module_that_says_nothing_is_answered_for_before_the_deadline() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            rig.driver.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             loop = asyncio.get_running_loop()
             began = loop.time()
             assert status(await rig.ask(deadline="200m")) == 503
@@ -245,9 +245,9 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.writer.write(raw)
-            assert status(await caller.answer()) == wanted
+            client = await rig.client()
+            client.writer.write(raw)
+            assert status(await client.answer()) == wanted
             assert not upstream.asked
             assert upstream.connections == 0
 
@@ -257,24 +257,24 @@
 def test_health_is_answered_at_once() -> None:
     async def scenario() -> None:
         async with Rig() as rig:
-            caller = await rig.caller()
-            caller.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-            assert status(await caller.answer()) == 200
+            client = await rig.client()
+            client.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
+            assert status(await client.answer()) == 200
 
     run(scenario())
 
 
 def test_requests_sent_together_are_answered_in_turn() -> None:
-    async def echo(asked: Asked, writer: asyncio.StreamWriter) -> None:
+    async def echo(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, asked.line.encode()))
 
     async def scenario() -> None:
         async with Rig(Upstream(echo)) as rig:
-            caller = await rig.caller()
+            client = await rig.client()
             for i in range(40):
-                caller.send(f"/read/{i}")
+                client.send(f"/read/{i}")
             for i in range(40):
-                assert (await caller.answer()).body == f"GET /read/{i} HTTP/1.1".encode()
+                assert (await client.answer()).body == f"GET /read/{i} HTTP/1.1".encode()
 
     run(scenario())
 
@@ -300,11 +300,11 @@
 def test_both_sides_send_small_messages_at_once() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            await caller.answer()
-            (taken,) = rig.driver.listener._connections
-            for transport in (rig.driver.upstreams._pools["s0"].idle[0]._transport, taken._transport):
+            client = await rig.client()
+            client.send()
+            await client.answer()
+            (taken,) = rig.proxy.listener._connections
+            for transport in (rig.proxy.upstreams._pools["s0"].idle[0]._transport, taken._transport):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -358,22 +358,22 @@
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 60.0)
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_LONGEST_S", 120.0)
         async with Rig(Upstream()) as rig:
-            callers = rig.driver.listener
+            callers = rig.proxy.listener
             callers._longest_s = 120.0
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
+            client = await rig.client()
+            client.send()
+            assert status(await client.answer()) == 200
             ending = asyncio.ensure_future(callers.shut_down())
             while callers._listener.fileno() >= 0:
                 await asyncio.sleep(0.01)
             for _ in range(2):
-                caller.send()
-                answer = await caller.answer()
+                client.send()
+                answer = await client.answer()
                 assert status(answer) == 200
                 assert "connection" not in answer.headers
             monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
-            assert await caller.reader.read() == b""  # a clean end, once the time is up
-            caller.writer.close()
+            assert await client.reader.read() == b""  # a clean end, once the time is up
+            client.writer.close()
             await ending
 
     run(scenario())
@@ -385,14 +385,14 @@
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 60.0)
         async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
-            rig.driver.listener._longest_s = 0.2
-            ending = asyncio.ensure_future(rig.driver.listener.shut_down())
-            assert await caller.reader.read() == b""  # a clean end
-            assert rig.driver.listener.closing, "not just as one that stood idle"
-            caller.writer.close()
+            client = await rig.client()
+            client.send()
+            assert status(await client.answer()) == 200
+            rig.proxy.listener._longest_s = 0.2
+            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            assert await client.reader.read() == b""  # a clean end
+            assert rig.proxy.listener.closing, "not just as one that stood idle"
+            client.writer.close()
             await ending
 
     run(scenario())
@@ -403,13 +403,13 @@
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
         upstream = Upstream(response(), silent, response())
         async with Rig(upstream) as rig:
-            idle, busy = await rig.caller(), await rig.caller()
+            idle, busy = await rig.client(), await rig.client()
             idle.send()
             assert status(await idle.answer()) == 200
             upstream.seen.clear()
             busy.send("/pay/x", b"debit")
             await upstream.seen.wait()
-            ending = asyncio.ensure_future(rig.driver.listener.shut_down())
+            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
             await asyncio.sleep(0)
             assert status(await rig.ask()) == 200
             assert await idle.reader.read() == b""  # a clean end, no reset
@@ -463,7 +463,7 @@
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
         async with Rig(Upstream()) as rig:
-            callers, clients = rig.driver.listener, list[socket.socket]()
+            callers, clients = rig.proxy.listener, list[socket.socket]()
             accept = callers._accept
 
             def at_the_last_moment() -> bool:
@@ -495,14 +495,14 @@
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
         upstream = Upstream(silent, response())
         async with Rig(upstream) as rig:
-            rig.driver.listener._cap = 1
-            busy = await rig.caller()
+            rig.proxy.listener._cap = 1
+            busy = await rig.client()
             busy.send("/pay/x", b"debit")
             await upstream.seen.wait()
-            waits = await rig.caller()  # in the kernel's queue
+            waits = await rig.client()  # in the kernel's queue
             waits.send()
-            ending = asyncio.ensure_future(rig.driver.listener.shut_down())
-            while not rig.driver.listener.ending:
+            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            while not rig.proxy.listener.ending:
                 await asyncio.sleep(0)
             for _ in range(3):
                 await asyncio.sleep(0)  # the queue has been looked at
@@ -522,10 +522,10 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            rig.driver.abort_open_requests()
-            caller.send()
-            assert status(await caller.answer()) == 503
+            client = await rig.client()
+            rig.proxy.abort_open_requests()
+            client.send()
+            assert status(await client.answer()) == 503
             assert not upstream.connections
 
     run(scenario())
@@ -587,12 +587,12 @@
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_LONGEST_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
-            caller = await rig.caller()
-            caller.send("/pay/x", b"debit")
+            client = await rig.client()
+            client.send("/pay/x", b"debit")
             await upstream.seen.wait()
             told = listen_to(rig)
-            ending = asyncio.ensure_future(rig.driver.listener.shut_down())
-            assert status(await caller.answer()) == 502
+            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            assert status(await client.answer()) == 502
             await ending
             assert outcomes(told) == [Outcome.CANCELLED]  # its own time-out had not come
 
@@ -604,11 +604,11 @@
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            rig.driver.listener._cap = 2
-            first, second = await rig.caller(), await rig.caller()
-            for caller in (first, second):
-                caller.send()
-                assert status(await caller.answer()) == 200
+            rig.proxy.listener._cap = 2
+            first, second = await rig.client(), await rig.client()
+            for client in (first, second):
+                client.send()
+                assert status(await client.answer()) == 200
             assert status(await rig.ask()) == 200  # once one has been idle for a second
             assert await first.reader.read() == b""
 
@@ -635,7 +635,7 @@
     )
 
     def health() -> int:
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
+        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
         try:
             connection.request("GET", "/healthz")
             return connection.getresponse().status
@@ -643,7 +643,7 @@
             connection.close()
 
     try:
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + TIMEOUT_S
         while True:
             try:
                 assert health() == 200
@@ -656,7 +656,7 @@
             client.close()
         assert health() == 200
         node.send_signal(signal.SIGTERM)
-        assert node.wait(PATIENCE_S) == 0
+        assert node.wait(TIMEOUT_S) == 0
     finally:
         node.kill()
 
@@ -670,24 +670,24 @@
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
         monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
         async with Rig(Upstream()) as rig:
-            caller = await rig.caller()
-            caller.send()
-            assert status(await caller.answer()) == 200
-            (connection,) = rig.driver.listener._connections
+            client = await rig.client()
+            client.send()
+            assert status(await client.answer()) == 200
+            (connection,) = rig.proxy.listener._connections
             is_idle, crossed = connection.is_idle, list[int]()
 
             def crossing() -> bool:
                 if not crossed:
                     crossed.append(1)
-                    caller.send()  # written at once, and not read before the question is answered
+                    client.send()  # written at once, and not read before the question is answered
                 return is_idle()
 
             monkeypatch.setattr(connection, "is_idle", crossing)
-            ending = asyncio.ensure_future(rig.driver.listener.shut_down())
-            answer = await caller.answer()
+            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            answer = await client.answer()
             assert status(answer) == 200
             assert answer.headers["connection"] == "close"
-            caller.writer.close()
+            client.writer.close()
             await ending
 
     run(scenario())
@@ -698,8 +698,8 @@
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            client = socket.create_connection(rig.driver.listener.address[:2])
-            while not (connections := rig.driver.listener._connections):
+            client = socket.create_connection(rig.proxy.listener.address[:2])
+            while not (connections := rig.proxy.listener._connections):
                 await asyncio.sleep(0.001)
             (connection,) = connections
             while not connection.may_close():
@@ -759,7 +759,7 @@
     """What the agent got in the pause counted as told: half a second of a grace of half a second was gone."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discovery, "PUSH_PAUSE_S", 2 * PATIENCE_S)
+        monkeypatch.setattr(discovery, "PUSH_PAUSE_S", 2 * TIMEOUT_S)
         async with Rig(Upstream(), discovery="push") as rig:
             for index in (8, 9):
                 await rig.discovery.calls.get()
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from tests.network.loopback import PATIENCE_S, Caller, config_text, entry, free_port, run, status
+from tests.network.loopback import TIMEOUT_S, Client, config_text, entry, free_port, run, status
 
 ROOT = Path(__file__).parents[2]
 ENTRIES = 7_000  # a full fleet's list
@@ -49,7 +49,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 0, done.stderr
     return json.loads(done.stdout)
@@ -84,10 +84,10 @@
                 sys.executable, "-m", "loadbalancer", cwd=ROOT, env=os.environ | {"LB_CONFIG": str(path)}
             )
             try:
-                caller = await Caller.of_program(port)
-                caller.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
-                assert status(await caller.answer()) == 200
-                caller.writer.close()
+                client = await Client.of_program(port)
+                client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
+                assert status(await client.answer()) == 200
+                client.writer.close()
             finally:
                 node.kill()
                 await node.wait()
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -14,9 +14,9 @@
 from loadbalancer.configuration import read_configuration
 from loadbalancer.events import EndpointListKind, EndpointListUpdate, Event
 from tests.network.loopback import (
-    PATIENCE_S,
-    Caller,
-    ListServer,
+    TIMEOUT_S,
+    Client,
+    DiscoveryServer,
     Rig,
     Upstream,
     config_text,
@@ -34,19 +34,19 @@
         first, second = Upstream(), Upstream(silent)
         async with Rig(first) as rig:
             told: list[Any] = []
-            handle = rig.driver.balancer.handle
+            handle = rig.proxy.balancer.handle
 
             def spy(event: Event, now: float) -> list[Action]:
                 told.append(event)
                 return handle(event, now)
 
-            rig.driver.balancer.handle = spy  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = spy  # type: ignore[method-assign]
             assert status(await rig.ask()) == 200
             await rig.discovery.calls.get()
             for index in (3, 1):  # twice in a row; its versions are smaller than those of the one before
-                new = ListServer()
+                new = DiscoveryServer()
                 text = config_text(await new.start(), [])
-                rig.driver.reconfigure(read_configuration(text, lambda note: None))
+                rig.proxy.reconfigure(read_configuration(text, lambda note: None))
                 assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
                 new.tell(index, entry("s1", await second.start()), snapshot=True)
                 assert f"?after={index}&" in await new.calls.get()
@@ -54,20 +54,20 @@
             rig.discovery.tell(8, entry("s9", "127.0.0.1:9"))  # too late: nobody listens to it
             kinds = [e.kind for e in told if isinstance(e, EndpointListUpdate)]
             assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-            assert set(rig.driver.upstreams._pools) == {"s1"}
+            assert set(rig.proxy.upstreams._pools) == {"s1"}
 
     run(scenario())
 
 
 def test_the_program_survives_sighup_and_open_requests_do_not_notice(tmp_path: Path) -> None:
     async def until(condition: Any) -> None:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while not condition():
             assert time.monotonic() < end
             await asyncio.sleep(0.01)
 
     async def scenario() -> None:
-        upstream, old, new = Upstream(silent), ListServer(), ListServer()
+        upstream, old, new = Upstream(silent), DiscoveryServer(), DiscoveryServer()
         entries = [entry("s0", await upstream.start())]
         port = free_port()
         path = tmp_path / "config.json"
@@ -82,8 +82,8 @@
         )
         assert node.stderr is not None
         try:
-            caller = await Caller.of_program(port)
-            caller.send("/pay/x", b"debit")
+            client = await Client.of_program(port)
+            client.send("/pay/x", b"debit")
             await upstream.seen.wait()
             path.write_text("{ not whole")
             node.send_signal(signal.SIGHUP)
@@ -92,9 +92,9 @@
             node.send_signal(signal.SIGHUP)
             assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
             upstream.writers[0].write(response(200, b"unharmed"))
-            assert (await caller.answer()).body == b"unharmed"
+            assert (await client.answer()).body == b"unharmed"
             node.send_signal(signal.SIGTERM)
-            caller.writer.close()
+            client.writer.close()
             assert await node.wait() == 0
         finally:
             if node.returncode is None:
--- a/tests/network/test_startup_and_shutdown_races.py
+++ b/tests/network/test_startup_and_shutdown_races.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from loadbalancer.network import client_connection as net_callers
+from loadbalancer.network import client_connection as client_connection
 from loadbalancer.network.client_connection import ClientConnection, Listener
-from tests.network.loopback import PATIENCE_S, ListServer, Rig, Upstream, config_text, entry, run, status
+from tests.network.loopback import TIMEOUT_S, DiscoveryServer, Rig, Upstream, config_text, entry, run, status
 from tests.network.test_abandoned_requests import ask, client_of
 
 ROOT = Path(__file__).parents[2]
@@ -58,7 +58,7 @@
 @MOMENTS
 def test_a_sighup_before_it_is_ready_neither_ends_it_nor_is_lost(moment: str, tmp_path: Path) -> None:
     async def scenario() -> None:
-        new, path = ListServer(), tmp_path / "config.json"
+        new, path = DiscoveryServer(), tmp_path / "config.json"
         path.write_text(config_text("127.0.0.1:9", []))
         path.with_suffix(".json.new").write_text(config_text(await new.start(), []))
         node = await asyncio.create_subprocess_exec(
@@ -90,7 +90,7 @@
         env=os.environ | {"LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == (0 if moment == "binds" else -signal.SIGTERM)
     assert "Traceback" not in done.stderr
@@ -122,7 +122,7 @@
         env=os.environ | {"LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 0, done.stderr
     assert done.stdout == "HTTP/1.1 503 Service Unavailable\n"  # refused: no upstream is there
@@ -144,25 +144,25 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A busy loop used the last pause up: the program ended with the request unread, which is a reset."""
-    monkeypatch.setattr(net_callers, "TERM_ACCEPT_S", 0.0)
-    monkeypatch.setattr(net_callers, "TERM_STAY_S", 0.0)
-    monkeypatch.setattr(net_callers, "TERM_LONGEST_S", 0.05)
+    monkeypatch.setattr(client_connection, "TERM_ACCEPT_S", 0.0)
+    monkeypatch.setattr(client_connection, "TERM_STAY_S", 0.0)
+    monkeypatch.setattr(client_connection, "TERM_LONGEST_S", 0.05)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            let, callers = hold_setting_up(monkeypatch), rig.driver.listener
+            let, callers = hold_setting_up(monkeypatch), rig.proxy.listener
             client, loop = client_of(rig), asyncio.get_running_loop()
             client.sendall(ask("/read", 1))
             while not callers._connections:
                 await asyncio.sleep(0.001)
-            close = rig.driver.abort_open_requests
+            close = rig.proxy.abort_open_requests
 
             def close_late() -> None:
                 close()
                 let.set()
-                loop.call_soon(time.sleep, 2 * net_callers.ACCEPT_PAUSE_S)  # as other work would
+                loop.call_soon(time.sleep, 2 * client_connection.ACCEPT_PAUSE_S)  # as other work would
 
-            monkeypatch.setattr(rig.driver, "abort_open_requests", close_late)
+            monkeypatch.setattr(rig.proxy, "abort_open_requests", close_late)
             await callers.shut_down()
             client.setblocking(False)  # the process is over: what is not there now never comes
             assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
@@ -175,8 +175,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """They connected while it was busy, longer than they are waited for: that time has passed for them."""
-    monkeypatch.setattr(net_callers, "SILENT_S", 0.2)
-    monkeypatch.setattr(net_callers, "SWEEP_S", 0.02)
+    monkeypatch.setattr(client_connection, "SILENT_S", 0.2)
+    monkeypatch.setattr(client_connection, "SWEEP_S", 0.02)
 
     async def scenario() -> None:
         sweeps, enough = set[float](), ClientConnection.expire_if_slow
@@ -216,8 +216,8 @@
 
 def test_who_sends_a_byte_at_a_time_to_a_busy_loop_gets_its_error(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each look found a byte that was not read yet, and put the end off."""
-    monkeypatch.setattr(net_callers, "SILENT_S", 0.05)
-    monkeypatch.setattr(net_callers, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_connection, "SILENT_S", 0.05)
+    monkeypatch.setattr(client_connection, "SWEEP_S", 0.01)
 
     async def scenario() -> None:
         enough, looks = ClientConnection.expire_if_slow, list[float]()
@@ -226,7 +226,7 @@
             peer.sendall(b"GET /read?")
 
             def byte_before(connection: ClientConnection, now: float, *spans: float) -> bool:
-                if now - connection.started >= net_callers.SILENT_S and not connection._discards_input:
+                if now - connection.started >= client_connection.SILENT_S and not connection._discards_input:
                     looks.append(now)
                     peer.send(b"x")
                 return enough(connection, now, *spans)
@@ -243,20 +243,20 @@
 def test_the_rest_of_a_request_that_is_there_at_the_last_look_is_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_callers, "SILENT_S", 0.05)
-    monkeypatch.setattr(net_callers, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_connection, "SILENT_S", 0.05)
+    monkeypatch.setattr(client_connection, "SWEEP_S", 0.01)
 
     async def scenario() -> None:
         enough, rest = ClientConnection.expire_if_slow, [ask("/read", 1)[-2:], ask("/read", 2)[-2:]]
         async with Rig(Upstream()) as rig:
-            peer = await rig.caller()
+            peer = await rig.client()
             peer.writer.write(ask("/read", 1)[:-2])
             client = peer.writer.transport.get_extra_info("socket")
 
             def rest_before(connection: ClientConnection, now: float, *spans: float) -> bool:
                 if (
                     connection.is_request_pending()
-                    and now - connection.started >= net_callers.SILENT_S
+                    and now - connection.started >= client_connection.SILENT_S
                     and rest
                 ):
                     with socket.socket(fileno=os.dup(client.fileno())) as own:
@@ -275,14 +275,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One is not set up yet, the request of another is not read yet; a third waits for room."""
-    monkeypatch.setattr(net_callers, "HASTE_S", 60.0)
-    monkeypatch.setattr(net_callers, "IDLE_S", 60.0)
+    monkeypatch.setattr(client_connection, "HASTE_S", 60.0)
+    monkeypatch.setattr(client_connection, "IDLE_S", 60.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            callers, loop = rig.driver.listener, asyncio.get_running_loop()
+            callers, loop = rig.proxy.listener, asyncio.get_running_loop()
             callers._cap = 2
-            idle = await rig.caller()
+            idle = await rig.client()
             idle.send()
             assert status(await idle.answer()) == 200
             let = hold_setting_up(monkeypatch)
@@ -294,8 +294,8 @@
             waiting.sendall(ask("/read", 2))
             with socket.socket(fileno=os.dup(idle.writer.get_extra_info("socket").fileno())) as own:
                 own.sendall(ask("/read", 3))  # at once, before the loop could read it
-            monkeypatch.setattr(net_callers, "HASTE_S", 0.0)
-            monkeypatch.setattr(net_callers, "IDLE_S", 0.0)
+            monkeypatch.setattr(client_connection, "HASTE_S", 0.0)
+            monkeypatch.setattr(client_connection, "IDLE_S", 0.0)
             callers._way_made = -1.0
             assert not callers._accept()  # it looks for room now
             let.set()
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -23,7 +23,7 @@
     UpstreamPools,
 )
 from tests.network.loopback import (
-    Asked,
+    ReceivedMessage,
     Rig,
     Script,
     Upstream,
@@ -208,7 +208,7 @@
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            driver, events = rig.driver, list[Event]()
+            proxy, events = rig.proxy, list[Event]()
 
             def answer_then_send(event: Event, now: float) -> list[Action]:
                 events.append(event)
@@ -219,12 +219,12 @@
                     ]
                 return []
 
-            driver.balancer.handle = answer_then_send  # type: ignore[method-assign]
+            proxy.balancer.handle = answer_then_send  # type: ignore[method-assign]
             answer = await rig.ask()
             assert (status(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
             assert not upstream.asked
-            assert not driver._requests
+            assert not proxy._requests
 
     run(scenario())
 
@@ -232,7 +232,7 @@
 def test_what_was_known_is_told_before_all_else() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            assert rig.driver.balancer._ready  # before a single turn of the loop
+            assert rig.proxy.balancer._ready  # before a single turn of the loop
             assert rig.discovery.calls.empty()
 
     run(scenario())
@@ -281,7 +281,7 @@
     async def scenario() -> None:
         upstreams = Upstream(silent), Upstream(silent)
         async with Rig(*upstreams) as rig:
-            handle, ended = rig.driver.balancer.handle, list[bool]()
+            handle, ended = rig.proxy.balancer.handle, list[bool]()
 
             def look(event: Event, now: float) -> list[Action]:
                 if isinstance(event, AttemptFinished):
@@ -289,7 +289,7 @@
                     ended.append(seen == b"")
                 return handle(event, now)
 
-            rig.driver.balancer.handle = look  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = look  # type: ignore[method-assign]
             assert status(await rig.ask("/pay/x", b"debit", deadline="200m")) == 502
             assert ended == [True]
 
@@ -339,13 +339,13 @@
 ]
 
 
-async def work(asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def work(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
     """Take a while, so that a loss weighs no more beside good answers than it does in service."""
     await asyncio.sleep(0.02)
     writer.write(response())
 
 
-async def turn_away(asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def turn_away(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, b"", "X-Not-Run: 1"))
 
 
@@ -353,7 +353,7 @@
 def test_a_server_that_loses_one_class_is_set_aside_for_it_and_keeps_the_others(loss: Script) -> None:
     """Its good answers to the other class hid it: reads went on being lost, and load was shed for it."""
 
-    async def by_class(asked: Asked, writer: asyncio.StreamWriter) -> None:
+    async def by_class(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (loss if asked.headers["x-class"] == "read" else work)(asked, writer)
 
     async def scenario() -> None:
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -27,7 +27,7 @@
 from testbed.meter import CoresWatch, LoopLag, processor_s, usage
 from testbed.runs import RUNS, control, list_size
 from testbed.settings import Entry, config, entry, fleet, site
-from tests.network.loopback import Asked, read_message, run
+from tests.network.loopback import ReceivedMessage, read_message, run
 
 Known = dict[str, Entry]
 # Of its own: a test of the command line leaves the shared one with an output that is closed.
@@ -54,7 +54,7 @@
         self.writer.write(request)
         return len(request)
 
-    async def ask(self, query: str = "", path: str = "/v1/servers") -> Asked:
+    async def ask(self, query: str = "", path: str = "/v1/servers") -> ReceivedMessage:
         self.send(query, path)
         return await read_message(self.reader)
 
@@ -62,7 +62,7 @@
         return told(await self.ask(query))
 
 
-def told(answer: Asked) -> tuple[int, bool, Known]:
+def told(answer: ReceivedMessage) -> tuple[int, bool, Known]:
     assert answer.line.split(" ")[1] == "200"
     said = json.loads(answer.body)
     return said["index"], said["snapshot"], {e["name"]: e for e in said["endpoints"]}
