--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -373,7 +373,7 @@
         last = agents[-1]
         before = len(last.tries)
         await asyncio.sleep(60.0)
-        least_s = policy.LIST_RETRY_MOST_MS / 1000 * 0.5
+        least_s = policy.MAX_POLL_BACKOFF_MS / 1000 * 0.5
         assert 60.0 / TOLD_S < len(last.tries) - before <= 60.0 / least_s
         assert sum(len(agent.tries) for agent in agents[1:-1]) == len(agents) - 2, "let go with the move"
         last.fault = ""
@@ -423,7 +423,7 @@
 
     for fault in FAULTS:
         tries = play(partial(scenario, fault=fault))
-        mean_s = policy.LIST_RETRY_MOST_MS / 1000
+        mean_s = policy.MAX_POLL_BACKOFF_MS / 1000
         assert len(tries) / (seeds * span_s) < 1.1 / mean_s, fault
         slots = [int(at * 10) for at in tries]
         assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second sees a third of them"
@@ -432,8 +432,8 @@
 
 
 def test_the_worst_chain_stays_a_second_under_what_counts_as_told() -> None:
-    rest_s = policy.LIST_REST_MS / 1000 * SPREAD_MOST
-    period_s = policy.LIST_RETRY_MOST_MS / 1000 * SPREAD_MOST
+    rest_s = policy.MIN_POLL_PAUSE_MS / 1000 * SPREAD_MOST
+    period_s = policy.MAX_POLL_BACKOFF_MS / 1000 * SPREAD_MOST
     again_s = discovery.AGAIN_WAIT_MS / 1000 + discovery.LATE_S
     worst_s = TOLD_S - MARGIN_S
     # Discovery is back, or the change there, just after a try began that is bound to fail.
@@ -458,7 +458,7 @@
     for _ in range(100):
         timer = of_kind(desk.tell(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
     assert isinstance(timer, SetTimer)
-    assert desk.now < timer.at_ms <= desk.now + policy.LIST_RETRY_MOST_MS * SPREAD_MOST
+    assert desk.now < timer.at_ms <= desk.now + policy.MAX_POLL_BACKOFF_MS * SPREAD_MOST
 
 
 # ---- descriptors kept free for discovery --------------------------------------------------------
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -151,7 +151,7 @@
     """One of two balancers sent nearly all to the one server of its zone; two zones stood idle."""
     desk = Desk(0, zone="a", balancers=2, may_hedge=False)
     desk.show(*(Endpoint(zone, zone=zone) for zone in "abcd"))
-    desk.balancer._done, desk.balancer._done_at = 16.0, desk.now  # not at its start
+    desk.balancer._completion_rate, desk.balancer._completion_rate_at_ms = 16.0, desk.now  # not at its start
     got = Counter(sent(desk.ask(PAY)[1])[0].endpoint for _ in range(16))
     assert got.keys() == {"a", "b", "c", "d"}
     assert max(got.values()) == got["a"] < 12
@@ -422,7 +422,7 @@
 def test_large_work_is_no_crowd_while_few_calls_are_out(takes: float) -> None:
     """Answers past half their aim shed half of the dear work, though the servers stood half idle."""
     desk = Desk(4, balancers=2)
-    desk.balancer._done, desk.balancer._done_at = 16.0, desk.now  # not at its start
+    desk.balancer._completion_rate, desk.balancer._completion_rate_at_ms = 16.0, desk.now  # not at its start
     out: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = desk.ask()
@@ -762,13 +762,13 @@
 def test_ties_go_to_the_larger_capacity_and_draws_follow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(desk.balancer, "_capacity", lambda s, _median, _now: capacity[s.member.name])
+    monkeypatch.setattr(desk.balancer, "_estimate_capacity", lambda s, _median, _now: capacity[s.entry.name])
     request, _ = desk.ask()
     known = desk.balancer._requests[request]
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
-    desk.balancer._servers["s0"].in_flight, desk.balancer._servers["s1"].in_flight = 3, 1
-    got = Counter(s.member.name for _ in range(2_000) if (s := desk.balancer._pick(known, desk.now)))
+    desk.balancer._endpoints["s0"].in_flight, desk.balancer._endpoints["s1"].in_flight = 3, 1
+    got = Counter(s.entry.name for _ in range(2_000) if (s := desk.balancer._select(known, desk.now)))
     assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert got["s1"] > 5
 
@@ -779,9 +779,9 @@
     _, actions = desk.ask(PAY)
     desk.now += 5
     desk.end(1, 0, "s0", Outcome.ERROR)
-    server = desk.balancer._servers["s0"]
+    server = desk.balancer._endpoints["s0"]
     assert server.in_flight == 0
-    assert server.busy == pytest.approx(sent(actions)[0].timeout_ms, rel=0.01)
+    assert server.busy_ms == pytest.approx(sent(actions)[0].timeout_ms, rel=0.01)
     assert server.served == 0
 
 
@@ -830,10 +830,10 @@
         request, actions = desk.ask(PAY, cost_hint_ms=hint)
         desk.now += hint * 2
         desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED)
-    server = desk.balancer._servers["s0"]
+    server = desk.balancer._endpoints["s0"]
     mean = (20 * 3 + 200) / 4
     server.catch_up(desk.now)
-    assert server.served / server.busy == pytest.approx(1 / (2 * mean), rel=0.25)
+    assert server.served / server.busy_ms == pytest.approx(1 / (2 * mean), rel=0.25)
 
 
 def test_a_heavy_call_may_take_long_before_a_copy_goes_out() -> None:
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -37,9 +37,9 @@
         assert row["served"] == 0
         assert row["calls"] > 150
         made = row["bottom_attempts_a_call"] * row["calls"]
-        saved_up = policy.RETRY_FIRST * SERVERS * row["depth"]
+        saved_up = policy.RETRY_INITIAL_TOKENS * SERVERS * row["depth"]
         if behaviour != "fails":
-            saved_up += policy.RESEND_FIRST * SERVERS  # only the callers of those that are gone
+            saved_up += policy.RESEND_INITIAL_TOKENS * SERVERS  # only the callers of those that are gone
         assert 0.5 * row["calls"] < made <= row["calls"] + saved_up
 
 
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -51,13 +51,13 @@
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_with_nothing_served_retries_end_with_what_was_saved_up(outcome: Outcome) -> None:
     """Earned by arrivals they went on for ever: each tier added a fifth to what the tier above had added."""
-    assert play(filled(), 300, repeat(outcome)) == (policy.RETRY_BURST, 0)
+    assert play(filled(), 300, repeat(outcome)) == (policy.RETRY_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 def test_with_a_whole_service_gone_resends_end_with_what_was_saved_up(outcome: Outcome) -> None:
     """They were free: each request made all the attempts that it may."""
-    assert play(filled(), 300, repeat(outcome)) == (policy.RESEND_BURST, 0)
+    assert play(filled(), 300, repeat(outcome)) == (policy.RESEND_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN[:2])
@@ -77,21 +77,22 @@
     desk = inner()
     further, answers = play(desk, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert answers > 200
-    paid = policy.RETRY_FIRST + answers * policy.RETRY_EARNED
+    paid = policy.RETRY_INITIAL_TOKENS + answers * policy.RETRY_TOKENS_PER_RESPONSE
     assert paid - 1 <= further <= paid
 
 
 def test_with_few_calls_time_alone_earns_nothing() -> None:
     desk = filled()
-    assert play(desk, 60, repeat(Outcome.ERROR), pause_ms=10_000.0) == (policy.RETRY_BURST, 0)
+    assert play(desk, 60, repeat(Outcome.ERROR), pause_ms=10_000.0) == (policy.RETRY_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize(
-    ("outcome", "most"), [(Outcome.ERROR, policy.RETRY_FIRST), (Outcome.CONNECT_FAILED, policy.RESEND_FIRST)]
+    ("outcome", "most"),
+    [(Outcome.ERROR, policy.RETRY_INITIAL_TOKENS), (Outcome.CONNECT_FAILED, policy.RESEND_INITIAL_TOKENS)],
 )
 def test_a_new_balancer_brings_few_into_an_outage(outcome: Outcome, most: float) -> None:
     """Started anew while it lasts, thirty bring thirty times that little, and not a full bucket each."""
-    assert policy.RETRY_FIRST < policy.RETRY_BURST / 2
+    assert policy.RETRY_INITIAL_TOKENS < policy.RETRY_MAX_TOKENS / 2
     assert sum(play(inner(seed=seed), 50, repeat(outcome))[0] for seed in range(30)) == 30 * most
 
 
@@ -103,21 +104,23 @@
     assert play(desk, 1, repeat(Outcome.SUCCEEDED)) == (0, 1)
     assert play(desk, 1, iter([Outcome.ERROR, Outcome.SUCCEEDED])) == (1, 1)
     play(desk, 50, repeat(Outcome.SUCCEEDED))
-    assert play(desk, 100, repeat(Outcome.ERROR)) == (policy.RETRY_BURST, 0)
+    assert play(desk, 100, repeat(Outcome.ERROR)) == (policy.RETRY_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize("cls", [READ, ANYWHERE], ids=lambda c: c.name)
 def test_a_class_that_may_be_repeated_spends_retries(cls: RequestClass) -> None:
-    assert play(filled(), 100, repeat(Outcome.ERROR), cls) == (policy.RETRY_BURST, 0)
-    assert play(filled(), 100, repeat(Outcome.REJECTED), cls) == (policy.RESEND_BURST, 0)
+    assert play(filled(), 100, repeat(Outcome.ERROR), cls) == (policy.RETRY_MAX_TOKENS, 0)
+    assert play(filled(), 100, repeat(Outcome.REJECTED), cls) == (policy.RESEND_MAX_TOKENS, 0)
 
 
 def test_a_class_unsafe_to_repeat_spends_resends_alone() -> None:
     assert PAY.idempotency is Idempotency.NOT_IDEMPOTENT
     desk = filled()
     assert play(desk, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
-    assert play(desk, 100, repeat(Outcome.REJECTED), PAY) == (policy.RESEND_BURST, 0)
-    assert play(desk, 100, repeat(Outcome.ERROR), READ) == (policy.RETRY_BURST, 0), "these were not touched"
+    assert play(desk, 100, repeat(Outcome.REJECTED), PAY) == (policy.RESEND_MAX_TOKENS, 0)
+    assert play(desk, 100, repeat(Outcome.ERROR), READ) == (policy.RETRY_MAX_TOKENS, 0), (
+        "these were not touched"
+    )
 
 
 def hedges(desk: Desk, requests: int) -> int:
@@ -139,8 +142,8 @@
 
 def test_second_copies_spend_retries_and_end_with_them(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = filled(may_hedge=True)
-    monkeypatch.setattr(desk.balancer, "_crowded", lambda part, now: False)  # it holds copies back, too
-    assert hedges(desk, 40) == policy.RETRY_BURST
+    monkeypatch.setattr(desk.balancer, "_is_overloaded", lambda part, now: False)  # it holds copies back, too
+    assert hedges(desk, 40) == policy.RETRY_MAX_TOKENS
 
 
 def test_an_answer_earns_once_whatever_copies_come_after_it() -> None:
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -19,7 +19,7 @@
 
 from loadbalancer.configuration import Address, read_configuration
 from loadbalancer.network import endpoint_watch as client
-from loadbalancer.policy.balancer import SUBSET_COVER
+from loadbalancer.policy.balancer import BALANCERS_PER_ENDPOINT
 from loadbalancer.settings import Idempotency
 from testbed.discovery import Counts, Discovery, Mode, State, play, restarts, single_changes, times
 from testbed.experiment import FOLDER, read_plan
@@ -368,7 +368,7 @@
         for hollow in hollows:
             assert len(hollow.balancer._ready) == 19
             assert len(hollow.upstreams._pools) == 20
-            assert draining["name"] not in {s.member.name for s in hollow.balancer._ready}
+            assert draining["name"] not in {s.entry.name for s in hollow.balancer._ready}
             with pytest.raises(ConnectionError):  # no callers
                 await asyncio.open_connection(*hollow.listener.address)
 
@@ -376,7 +376,7 @@
 
 
 def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.policy.balancer.LIST_RETRY_MS", 2.0)
+    monkeypatch.setattr("loadbalancer.policy.balancer.POLL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(client, "ANSWER_S", 0.05)
 
     async def scenario() -> None:
@@ -513,7 +513,7 @@
     ]
     assert [(row["calls"], row["shed"]) for row in decisions] == [(400, 0)] * 8
     kept = {row["keeps"]: row["servers_called"] for row in decisions if row["entries"] == 40}
-    assert kept["part"] <= SUBSET_COVER < kept["all"]
+    assert kept["part"] <= BALANCERS_PER_ENDPOINT < kept["all"]
     for row in lists:
         discovery = Discovery()
         discovery.set(fleet(row["entries"], seed=plan.seed))
