--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -24,7 +24,7 @@
     StartAttempt,
     WatchEndpoints,
 )
-from loadbalancer.endpoints import Endpoint, EndpointState
+from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import (
     NEVER_RAN,
     AttemptFinished,
@@ -37,19 +37,19 @@
     ResponseStarted,
     TimerFired,
 )
+from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, UPDATE_INTERVAL_MS, EndpointStats
+from loadbalancer.policy.outlier_detection import is_outlier, without_outliers
+from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
 MAX_SAMPLES = 4  # the most for d of the design, while each server drawn holds a call of ours
-# Evidence fades by 1/e over this; long enough for a few calls, short enough to recover
-EVIDENCE_MEMORY_MS = 6_000.0
 # Longer where fewer calls than this an endpoint came within it: one balancer of hundreds makes few.
 EVIDENCE_MEMORY_CALLS = 4.0
 MAX_EVIDENCE_MEMORY_MS = 20_000.0
 # Calls' worth of belief in the median, so that one slow answer does not ruin an estimate
 PRIOR_ATTEMPTS = 2.0
 LOST_SERVICE_TIMES = 2.0  # a call waited for over so many usual times counts as lost in full
-UPDATE_INTERVAL_MS = 20.0  # estimates are brought up to date in steps of this; it only saves work
 # The hedged attempt is sent after so many mean service times, or after this part of the request's timeout.
 HEDGE_SERVICE_TIMES = 4.0
 HEDGE_TIMEOUT_FRACTION = 0.5
@@ -99,11 +99,7 @@
 MIN_SUBSET_SIZE = 12
 # Balancers that keep to each server: their chance parts then even out to a fifth
 BALANCERS_PER_ENDPOINT = 30
-# An endpoint is ejected if it lost so many attempts of late, and this part of all.
-EJECTION_MIN_LOST = 2.0
-EJECTION_MIN_LOST_FRACTION = 1 / 3
 # More lost attempts than this are not remembered, so that an ejected endpoint is tried again within seconds.
-EJECTION_MAX_LOST = 4.0
 POLL_BACKOFF_MS = 500.0  # from one call for the list to the next, doubled at each failure
 # And at the most: what is new when discovery is back counts as told after 6 s
 MAX_POLL_BACKOFF_MS = 2_000.0
@@ -111,72 +107,6 @@
 MIN_POLL_PAUSE_MS = 250.0
 
 
-class EndpointStats:
-    """What is known of one server: its list entry, our calls there and the evidence on its capacity."""
-
-    __slots__ = tuple("busy_ms connect_failures entry in_flight is_ready last_used_at memory_ms".split())
-    __slots__ += tuple("outcomes rank recent_starts served slow_start_rank updated_at weight".split())
-
-    def __init__(self, entry: Endpoint, now: float, rank: float) -> None:
-        self.entry, self.rank = entry, rank
-        self.is_ready, self.weight, self.last_used_at = False, 1.0, math.inf
-        self.memory_ms = EVIDENCE_MEMORY_MS
-        self.in_flight = 0  # m of the design
-        self.recent_starts: deque[float] = deque()
-        # The balancers with the lowest call it in its slow start
-        self.slow_start_rank = rank * 1e6 % 1.0
-        self.reset(now)
-
-    def reset(self, now: float) -> None:
-        """Drop the evidence: the process behind the name is a new one."""
-        self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
-        self.outcomes: dict[str, tuple[float, float]] = {}  # calls served and lost, by class
-        self.connect_failures = 0.0  # connects failed since it last answered
-
-    def catch_up(self, now: float) -> None:
-        """Bring the evidence to `now`: calls in flight add time, and all of it fades."""
-        fade = math.exp((self.updated_at - now) / self.memory_ms)
-        self.served *= fade
-        self.busy_ms = self.busy_ms * fade + self.in_flight * (now - self.updated_at)
-        fade = math.exp((self.updated_at - now) / EVIDENCE_MEMORY_MS)
-        self.outcomes = {cls: (good * fade, bad * fade) for cls, (good, bad) in self.outcomes.items()}
-        self.connect_failures *= fade
-        self.updated_at = now
-
-    def record_outcome(self, cls: str, served: float, lost: float) -> None:
-        """Count a call by its class; so little is kept that a server is tried again within seconds."""
-        good, bad = self.outcomes.get(cls, (0.0, 0.0))
-        good, bad = good + served, bad + lost
-        scale = min(EJECTION_MAX_LOST / bad, 1.0) if bad else 1.0
-        self.outcomes[cls] = good * scale, bad * scale
-
-    def is_outlier(self) -> bool:
-        """Whether it is unreachable, or loses calls: several of late, and a good part of them."""
-        good, bad = (
-            (sum(part) for part in zip(*self.outcomes.values(), strict=True)) if self.outcomes else (0.0, 0.0)
-        )
-        return self.connect_failures > 1 or (
-            bad >= EJECTION_MIN_LOST and bad >= EJECTION_MIN_LOST_FRACTION * (good + bad)
-        )
-
-    def is_outlier_for(self, cls: str) -> bool:
-        """Whether it loses this class: several calls of late, and a good part of them."""
-        good, bad = self.outcomes.get(cls, (0.0, 0.0))
-        return bad >= EJECTION_MIN_LOST and bad >= EJECTION_MIN_LOST_FRACTION * (good + bad)
-
-
-class Attempt:
-    """One attempt of a request at an endpoint."""
-
-    __slots__ = tuple("ends_at endpoint idle_ms is_baseline is_open may_have_run sent_at".split())
-
-    def __init__(self, server: EndpointStats, idle: float, now: float, timeout: float) -> None:
-        self.endpoint, self.idle_ms, self.sent_at, self.ends_at = server, idle, now, now + timeout
-        # It may have run until its outcome proves otherwise
-        self.is_open, self.may_have_run = True, True
-        self.is_baseline = False  # whether the servers held hardly a call each as it went out
-
-
 class RetryBudget:
     """A token bucket of further attempts, filled by answers and by nothing else.
 
@@ -205,29 +135,6 @@
         self._tokens -= 1
 
 
-class Request:
-    """A request that a response is owed for, or that has attempts open."""
-
-    __slots__ = tuple("attempts id is_response_owed is_streaming request_class useful_until work".split())
-
-    def __init__(self, event: RequestReceived, cls: RequestClass, now: float) -> None:
-        self.id, self.request_class = event.request_id, cls
-        deadline = now + event.remaining_ms
-        self.useful_until = deadline if cls.late_value else min(deadline, now + cls.latency_objective_ms)
-        self.attempts: list[Attempt] = []
-        self.is_response_owed, self.is_streaming = True, False
-        self.work = 1.0  # its work over the usual, where a hint tells
-
-    @property
-    def expected_work(self) -> float:
-        """How many times longer than usual it may take."""
-        return max(self.work, 1.0)
-
-    def has_open_attempt(self) -> bool:
-        """Whether an attempt has not finished yet."""
-        return any(a.is_open for a in self.attempts)
-
-
 class LoadBalancer:
     """The decisions of one balancer instance: feed it events in order, carry out the actions it returns."""
 
@@ -345,7 +252,11 @@
             raise ValueError(f"request {event.request_id} has arrived before")
         if event.class_name not in self._classes:
             raise ValueError(f"request {event.request_id} is of unknown class {event.class_name!r}")
-        request = Request(event, self._classes[event.class_name], now)
+        request_class = self._classes[event.class_name]
+        useful_until = now + event.remaining_ms
+        if not request_class.late_value:
+            useful_until = min(useful_until, now + request_class.latency_objective_ms)
+        request = Request(event.request_id, request_class, useful_until)
         self._requests[request.id] = request
         if event.cost_hint_ms > 0:
             self._mean_cost_hint += (
@@ -443,7 +354,7 @@
             for server in self._ready:
                 server.catch_up(now)
             self._eligible = [s for s in self._ready if s.connect_failures <= 1] or self._ready
-            there = [s for s in self._eligible if not s.is_outlier()]
+            there = [s for s in self._eligible if not is_outlier(s)]
             self._available_capacity = sum(s.weight * self._warmup_fraction(s, now) for s in there) or 1.0
             self._update_peers(sum(s.weight for s in there), now)
             self._available_capacity_at = now
@@ -503,13 +414,12 @@
         server.catch_up(now)
         server.in_flight += 1
         self._open_attempts += 1
-        request.attempts.append(Attempt(server, idle, now, timeout))
         # Shedding, we know of a crowd: however little of it is ours, calls take longer than usual.
         light = (
             self._open_attempts <= max(self._available_capacity / self._peers, 1.0)
             and now > self._shedding_until
         )
-        request.attempts[-1].is_baseline = light
+        request.attempts.append(Attempt(server, idle, now, now + timeout, light))
         if now < self._slow_start_until and self._warmup_fraction(server, now) < 1:
             server.recent_starts.append(now)
         self._actions.append(StartAttempt(request.id, server.entry.name, timeout))
@@ -576,7 +486,7 @@
 
     def _try_retry(self, request: Request, now: float) -> bool:
         """Make a further attempt, if the budget for those of its kind has one left."""
-        budget = self._retries if any(a.may_have_run for a in request.attempts) else self._resends
+        budget = self._retries if request.may_have_run() else self._resends
         if not budget.allows() or request.is_streaming or not self._try_start_attempt(request, now):
             return False
         budget.spend()
@@ -654,7 +564,7 @@
             able = [s for s in able if all(a.endpoint is not s for a in request.attempts)] or able
         if not able:
             return None
-        able = self._without_outliers(able, request.request_class.name, now)
+        able = without_outliers(able, request.request_class.name, now)
         capacity = [self._estimate_capacity(s, median, now) for s in able]
         near, wide = list(accumulate(self._weigh_by_zone(able, capacity))), list(accumulate(capacity))
         best, chosen = (math.inf, 0.0, 0.0), able[-1]
@@ -670,22 +580,6 @@
                 break
         return chosen
 
-    def _without_outliers(self, able: list[EndpointStats], cls: str, now: float) -> list[EndpointStats]:
-        """Set aside the servers that lose the calls of this class, as long as most do not.
-
-        Guards against servers that hang or fail for one class and serve the others well, which their capacity
-        over all classes hides; dead and very slow ones go sooner by it too. Where most lose calls the cause
-        is a common one and nobody is set aside. It harms where the rest is then crowded; what is known fades
-        within seconds, and one more call lost sets the server aside again. Where connects fail one after
-        another the server is connect_failures, whatever it did before, and however many others are.
-        """
-        for server in able:
-            if (server.outcomes or server.connect_failures) and now - server.updated_at >= UPDATE_INTERVAL_MS:
-                server.catch_up(now)
-        able = [s for s in able if s.connect_failures <= 1] or able
-        sound = [s for s in able if not s.is_outlier_for(cls)]
-        return sound if 2 * len(sound) >= len(able) else able
-
     def _weigh_by_zone(self, able: list[EndpointStats], capacity: list[float]) -> list[float]:
         """Weigh the draw so that calls stay in our zone, and spill to the zones with more than their part."""
         zones: dict[str, float] = {}
@@ -735,7 +629,7 @@
         if outcome in (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET):
             self._record_idle_time(attempt, outcome is not Outcome.SUCCEEDED)
         if outcome is Outcome.CONNECT_FAILED:
-            server.connect_failures = min(server.connect_failures + 1, EJECTION_MAX_LOST)
+            server.record_connect_failure()
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMED_OUT):
             server.connect_failures = 0.0
         elapsed = now - attempt.sent_at
@@ -843,7 +737,7 @@
         )
         warm = cold = mean = 0.0
         for server in self._subset:
-            if not server.is_outlier():
+            if not is_outlier(server):
                 warmth = self._warmup_fraction(server, now)
                 if warmth < 1:
                     cold += server.weight * warmth
