--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -8,10 +8,10 @@
 from __future__ import annotations
 
 import math
-import random
 from bisect import bisect
 from collections import deque
 from itertools import accumulate
+from random import Random
 
 from loadbalancer.actions import (
     Action,
@@ -24,7 +24,6 @@
     StartAttempt,
     WatchEndpoints,
 )
-from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import (
     NEVER_RAN,
     AttemptFinished,
@@ -37,8 +36,10 @@
     ResponseStarted,
     TimerFired,
 )
+from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, UPDATE_INTERVAL_MS, EndpointStats
 from loadbalancer.policy.outlier_detection import is_outlier, without_outliers
+from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
@@ -95,16 +96,6 @@
 USUAL_REQUESTS = 1_000
 FULL_TIMEOUT_FRACTION = 0.9  # of the longest time that clients give a try; less tells a further one
 PEERS_MEMORY_MS = 20_000.0  # a lost server is missed for this
-# Servers that a balancer keeps to at the least: losing a few must leave a choice
-MIN_SUBSET_SIZE = 12
-# Balancers that keep to each server: their chance parts then even out to a fifth
-BALANCERS_PER_ENDPOINT = 30
-# More lost attempts than this are not remembered, so that an ejected endpoint is tried again within seconds.
-POLL_BACKOFF_MS = 500.0  # from one call for the list to the next, doubled at each failure
-# And at the most: what is new when discovery is back counts as told after 6 s
-MAX_POLL_BACKOFF_MS = 2_000.0
-# After a failure at the least: what a silent watch missed counts 2 s after its wait
-MIN_POLL_PAUSE_MS = 250.0
 
 
 class RetryBudget:
@@ -141,10 +132,10 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._classes = {c.name: c for c in settings.classes}
-        self._random = random.Random(seed)
-        self._endpoints: dict[str, EndpointStats] = {}
-        self._ready: list[EndpointStats] = []
-        self._subset: list[EndpointStats] = []
+        self._random = Random(seed)
+        self._poll_backoff = PollBackoff(settings, self._random)
+        self._endpoints = EndpointSet(settings, self._random)
+        self._warmup = self._endpoints.warmup
         self._requests: dict[int, Request] = {}
         # The time that a call of each class takes, as we see it.
         self._service_time = {
@@ -165,9 +156,8 @@
         self._memory_ms = EVIDENCE_MEMORY_MS  # evidence on capacity fades by 1/e over this
         # Calls out, were those served of late as quick as usual
         self._completion_rate, self._completion_rate_at_ms = 0.0, -math.inf
-        self._poll_failures, self._shedding_until = 0, -math.inf
-        self._next_poll_at = -math.inf  # when the list is, or was, asked for again after a failure
-        self._median, self._median_at, self._warm_rate, self._slow_start_until = 0.0, -math.inf, 0.0, 0.0
+        self._shedding_until = -math.inf
+        self._median, self._median_at, self._warm_rate = 0.0, -math.inf, 0.0
         self._started_at, self._slow_start_updated_at, self._subset_peers = math.inf, -math.inf, 1.0
         self._slow_start_rate, self._slow_start_fraction = 0.0, 1.0  # `_update_slow_start`
         # That a client gave a try of late
@@ -183,6 +173,16 @@
         self._resends = RetryBudget(RESEND_TOKENS_PER_RESPONSE, RESEND_INITIAL_TOKENS, RESEND_MAX_TOKENS)
         self._actions: list[Action] = []
 
+    @property
+    def open_requests(self) -> int:
+        """Requests to which a response is owed, or that have open attempts."""
+        return len(self._requests)
+
+    @property
+    def ready_endpoints(self) -> list[str]:
+        """The names of the endpoints that the list says take requests."""
+        return [endpoint.entry.name for endpoint in self._endpoints.ready]
+
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take one event at time `now` and return what to do, in order."""
         self._actions, self._initial_actions = self._initial_actions, []
@@ -205,45 +205,22 @@
 
     def _update_endpoints(self, event: EndpointListUpdate, now: float) -> None:
         if event.kind is EndpointListKind.FAILED:
-            # The list is out of reach: the old one stands; ask again, not all balancers in step. What grows
-            # is the time from call to call: one that was slow to fail has been pause enough.
-            most = min(MAX_POLL_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
-            pause = min(POLL_BACKOFF_MS * 2 ** min(self._poll_failures, 9), most)
-            spread = 0.5 + self._random.random()
-            self._poll_failures += 1
-            if self._poll_failures == 1:
-                self._actions.append(LogMessage("server list out of reach; keeping the last one"))
-            rested = now + min(MIN_POLL_PAUSE_MS, pause) * spread
-            self._next_poll_at = max(min(self._next_poll_at, now) + pause * spread, rested)
-            self._actions.append(SetTimer(self._next_poll_at, EndpointListTimer()))
+            self._poll_again(now)
             return
-        if self._poll_failures and event.kind is not EndpointListKind.CACHED:
-            self._poll_failures = 0
+        if self._poll_backoff.is_failing and event.kind is not EndpointListKind.CACHED:
+            self._poll_backoff.reset()
             self._actions.append(LogMessage("server list is back"))
         self._started_at = min(self._started_at, now)
-        if event.kind is not EndpointListKind.DELTA:
-            for known in self._endpoints.values():
-                known.is_ready = False  # missing from a whole list means gone
-        for member in event.endpoints:
-            if (server := self._endpoints.get(member.name)) is None:
-                server = self._endpoints[member.name] = EndpointStats(member, now, self._random.random())
-            if member.started_at_ms > server.entry.started_at_ms:
-                server.reset(now)  # the same name, a new process
-            server.entry, server.is_ready = member, member.state is EndpointState.READY
-            # A list may give odd ones
-            server.weight = member.weight if 0 < member.weight < math.inf else 1.0
-        self._endpoints = {name: s for name, s in self._endpoints.items() if s.is_ready or s.in_flight}
-        self._ready = [s for s in self._endpoints.values() if s.is_ready]
-        # A balancer of hundreds calls each of all too seldom to learn it, or to use a connection twice.
-        keep = max(
-            MIN_SUBSET_SIZE, math.ceil(len(self._ready) * BALANCERS_PER_ENDPOINT / self._settings.balancers)
-        )
-        self._subset = sorted(self._ready, key=lambda s: s.rank)[:keep]
-        # Count anew
+        self._endpoints.update(event, now)
+        # Count anew.
         self._available_capacity_at = min(self._available_capacity_at, now - AVAILABLE_CAPACITY_INTERVAL_MS)
-        newest = max((s.entry.started_at_ms for s in self._ready), default=0.0)
-        self._slow_start_until = newest + self._settings.slow_start_ms
-        self._slow_start_updated_at = -math.inf  # judge anew
+        self._slow_start_updated_at = -math.inf
+
+    def _poll_again(self, now: float) -> None:
+        """The endpoint list is out of reach: the last one stands."""
+        if not self._poll_backoff.is_failing:
+            self._actions.append(LogMessage("server list out of reach; keeping the last one"))
+        self._actions.append(SetTimer(self._poll_backoff.record_failure(now), EndpointListTimer()))
 
     # ---- a request's path -----------------------------------------------------------------------
 
@@ -351,11 +328,13 @@
     def _update_available_capacity(self, now: float) -> float:
         """The size of the servers that can take calls: cold ones by their warmth, lost ones not at all."""
         if now - self._available_capacity_at >= AVAILABLE_CAPACITY_INTERVAL_MS:
-            for server in self._ready:
+            for server in self._endpoints.ready:
                 server.catch_up(now)
-            self._eligible = [s for s in self._ready if s.connect_failures <= 1] or self._ready
+            self._eligible = [
+                s for s in self._endpoints.ready if s.connect_failures <= 1
+            ] or self._endpoints.ready
             there = [s for s in self._eligible if not is_outlier(s)]
-            self._available_capacity = sum(s.weight * self._warmup_fraction(s, now) for s in there) or 1.0
+            self._available_capacity = sum(s.weight * self._warmup.fraction(s, now) for s in there) or 1.0
             self._update_peers(sum(s.weight for s in there), now)
             self._available_capacity_at = now
         return self._available_capacity
@@ -420,7 +399,7 @@
             and now > self._shedding_until
         )
         request.attempts.append(Attempt(server, idle, now, now + timeout, light))
-        if now < self._slow_start_until and self._warmup_fraction(server, now) < 1:
+        if now < self._warmup.active_until and self._warmup.fraction(server, now) < 1:
             server.recent_starts.append(now)
         self._actions.append(StartAttempt(request.id, server.entry.name, timeout))
         return True
@@ -539,12 +518,12 @@
         cls = request.request_class
         ran = next((a for a in request.attempts if a.may_have_run), None)
         if ran is None or cls.idempotency is Idempotency.SAFE:
-            return self._subset
+            return self._endpoints.subset
         begins = now + self._settings.tick_ms + self._settings.connect_timeout_ms  # at the latest
         if cls.idempotency is Idempotency.NOT_IDEMPOTENT or begins >= ran.sent_at + cls.idempotency_window_ms:
             return []
         # A server that restarted since may have forgotten what it saw: not asked again.
-        able = [s for s in self._ready if s.entry.started_at_ms <= ran.sent_at]
+        able = [s for s in self._endpoints.ready if s.entry.started_at_ms <= ran.sent_at]
         if cls.idempotency_scope is IdempotencyScope.ALL:
             return able
         if cls.idempotency_scope is IdempotencyScope.ZONE:
@@ -557,7 +536,7 @@
         """Draw servers by capacity, up to the first that holds none of our calls; take the least loaded."""
         median = self._current_median(now)
         able = self._idempotent_endpoints(request, now)
-        if now < self._slow_start_until:
+        if now < self._warmup.active_until:
             self._update_slow_start(now)
             able = [s for s in able if self._has_slow_start_capacity(s, not request.attempts, now)]
         if request.attempts:
@@ -601,7 +580,7 @@
             server.catch_up(now)
         median *= server.weight  # a fleet of hundreds is called too seldom to learn its sizes
         estimate = (server.served + PRIOR_ATTEMPTS) / (server.busy_ms + PRIOR_ATTEMPTS / median)
-        warmth = self._warmup_fraction(server, now) if now < self._slow_start_until else 1.0
+        warmth = self._warmup.fraction(server, now) if now < self._warmup.active_until else 1.0
         return min(estimate, median * warmth) if warmth < 1 else estimate
 
     def _current_median(self, now: float) -> float:
@@ -609,15 +588,17 @@
         if now - self._median_at >= MEDIAN_INTERVAL_MS:
             self._median_at = now
             known = sorted(
-                s.served / (s.busy_ms * s.weight) for s in self._ready if s.served > 0.5 and s.busy_ms > 0
+                s.served / (s.busy_ms * s.weight)
+                for s in self._endpoints.ready
+                if s.served > 0.5 and s.busy_ms > 0
             )
             self._median = known[len(known) // 2] if known else self._median
-            if warm := [s.served for s in self._subset if self._warmup_fraction(s, now) >= 1]:
+            if warm := [s.served for s in self._endpoints.subset if self._warmup.fraction(s, now) >= 1]:
                 self._warm_rate = sum(warm) / len(warm) / self._memory_ms
             # Guards against evidence that fades between two calls: of hundreds, one balancer makes few.
-            wanted = EVIDENCE_MEMORY_CALLS * self._recent_pause * len(self._subset)
+            wanted = EVIDENCE_MEMORY_CALLS * self._recent_pause * len(self._endpoints.subset)
             self._memory_ms = min(max(EVIDENCE_MEMORY_MS, wanted), MAX_EVIDENCE_MEMORY_MS)
-            for server in self._ready:
+            for server in self._endpoints.ready:
                 server.memory_ms = self._memory_ms
         return self._median or 1.0
 
@@ -659,15 +640,6 @@
 
     # ---- the rules: cold servers ----------------------------------------------------------------
 
-    def _warmup_fraction(self, server: EndpointStats, now: float) -> float:
-        """The share of its capacity that a server has at the least, by its age."""
-        age = now - server.entry.started_at_ms
-        if server.entry.started_at_ms <= 0 or age >= self._settings.slow_start_ms:
-            return 1.0
-        return 1.0 - (1.0 - self._settings.slow_start_initial_fraction) * (
-            1.0 - max(age, 0.0) / self._settings.slow_start_ms
-        )
-
     def _has_slow_start_capacity(self, server: EndpointStats, first: bool, now: float) -> bool:
         """Whether a cold server can take one more call in this window (a burst would push it over).
 
@@ -676,7 +648,7 @@
         hundreds could send one each, only so many balancers call the server at all as keep the sum in its
         limit: the same ones in each window, since each new draw would be one more chance to exceed it.
         """
-        if (warmth := self._warmup_fraction(server, now)) >= 1:
+        if (warmth := self._warmup.fraction(server, now)) >= 1:
             return True
         # Further attempts come on top of the requests that `_update_slow_start` counts.
         part = self._slow_start_fraction if first or self._slow_start_fraction >= 1 else 0.0
@@ -725,20 +697,20 @@
         over our servers), and at the least one call at a time. Where the calls that cold ones are due exceed
         their part (warm ones went, a burst, a tight rule), the warm ones take the rest.
         """
-        if now - self._slow_start_updated_at < AVAILABLE_CAPACITY_INTERVAL_MS or not self._subset:
+        if now - self._slow_start_updated_at < AVAILABLE_CAPACITY_INTERVAL_MS or not self._endpoints.subset:
             return
         self._slow_start_updated_at = now
-        near = len(self._subset)
-        self._subset_peers = max(self._peers * near / len(self._ready), 1.0)
+        near = len(self._endpoints.subset)
+        self._subset_peers = max(self._peers * near / len(self._endpoints.ready), 1.0)
         unseen = math.exp((self._started_at - now) / self._memory_ms) if self._warm_rate else 1.0
         ours = self._warm_rate * near + unseen * self._arrival_rate(self._usual_pause, USUAL_REQUESTS, now)
         self._slow_start_rate = max(
-            ours / sum(s.weight for s in self._subset) * self._subset_peers, self._median
+            ours / sum(s.weight for s in self._endpoints.subset) * self._subset_peers, self._median
         )
         warm = cold = mean = 0.0
-        for server in self._subset:
+        for server in self._endpoints.subset:
             if not is_outlier(server):
-                warmth = self._warmup_fraction(server, now)
+                warmth = self._warmup.fraction(server, now)
                 if warmth < 1:
                     cold += server.weight * warmth
                     mean += self._slow_start_mean(server.weight * warmth)
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -29,7 +29,7 @@
 from loadbalancer.network import endpoint_watch as discovery
 from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream_pool import SPARE_SOCKETS
-from loadbalancer.policy import balancer as policy
+from loadbalancer.policy import poll_backoff as policy
 from tests.network.loopback import (
     Client,
     DiscoveryServer,
--- a/tests/network/test_invalid_clients.py
+++ b/tests/network/test_invalid_clients.py
@@ -263,7 +263,7 @@
             finally:
                 gc.enable()
             assert all(n < 20 for n in grown.values()), grown
-            assert len(rig.proxy.balancer._requests) == 0
+            assert rig.proxy.balancer.open_requests == 0
             assert not rig.proxy._requests
 
     run(scenario())
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -767,7 +767,7 @@
     known = desk.balancer._requests[request]
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
-    desk.balancer._endpoints["s0"].in_flight, desk.balancer._endpoints["s1"].in_flight = 3, 1
+    desk.balancer._endpoints.by_name["s0"].in_flight, desk.balancer._endpoints.by_name["s1"].in_flight = 3, 1
     got = Counter(s.entry.name for _ in range(2_000) if (s := desk.balancer._select(known, desk.now)))
     assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert got["s1"] > 5
@@ -779,7 +779,7 @@
     _, actions = desk.ask(PAY)
     desk.now += 5
     desk.end(1, 0, "s0", Outcome.ERROR)
-    server = desk.balancer._endpoints["s0"]
+    server = desk.balancer._endpoints.by_name["s0"]
     assert server.in_flight == 0
     assert server.busy_ms == pytest.approx(sent(actions)[0].timeout_ms, rel=0.01)
     assert server.served == 0
@@ -830,7 +830,7 @@
         request, actions = desk.ask(PAY, cost_hint_ms=hint)
         desk.now += hint * 2
         desk.end(request, 0, sent(actions)[0].endpoint, Outcome.SUCCEEDED)
-    server = desk.balancer._endpoints["s0"]
+    server = desk.balancer._endpoints.by_name["s0"]
     mean = (20 * 3 + 200) / 4
     server.catch_up(desk.now)
     assert server.served / server.busy_ms == pytest.approx(1 / (2 * mean), rel=0.25)
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -19,7 +19,7 @@
 
 from loadbalancer.configuration import Address, read_configuration
 from loadbalancer.network import endpoint_watch as client
-from loadbalancer.policy.balancer import BALANCERS_PER_ENDPOINT
+from loadbalancer.policy.endpoint_set import BALANCERS_PER_ENDPOINT
 from loadbalancer.settings import Idempotency
 from testbed.discovery import Counts, Discovery, Mode, State, play, restarts, single_changes, times
 from testbed.experiment import FOLDER, read_plan
@@ -366,9 +366,9 @@
         assert forced == [[0, first, second]] * 2
         assert discovery.counts().whole == 2
         for hollow in hollows:
-            assert len(hollow.balancer._ready) == 19
+            assert len(hollow.balancer.ready_endpoints) == 19
             assert len(hollow.upstreams._pools) == 20
-            assert draining["name"] not in {s.entry.name for s in hollow.balancer._ready}
+            assert draining["name"] not in set(hollow.balancer.ready_endpoints)
             with pytest.raises(ConnectionError):  # no callers
                 await asyncio.open_connection(*hollow.listener.address)
 
@@ -376,7 +376,7 @@
 
 
 def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.policy.balancer.POLL_BACKOFF_MS", 2.0)
+    monkeypatch.setattr("loadbalancer.policy.poll_backoff.POLL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(client, "ANSWER_S", 0.05)
 
     async def scenario() -> None:
