--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -36,9 +36,12 @@
     ResponseStarted,
     TimerFired,
 )
+from loadbalancer.policy.arrivals import USUAL_REQUESTS, ArrivalRate
+from loadbalancer.policy.available_capacity import AvailableCapacity
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, UPDATE_INTERVAL_MS, EndpointStats
 from loadbalancer.policy.outlier_detection import is_outlier, without_outliers
+from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
@@ -65,12 +68,12 @@
 RESEND_MAX_TOKENS = 20.0
 QUOTA_BURST_MS = 2_000.0  # a tenant may use this much of its share at once
 # The part of a cold server's budget that we use: other balancers and heavy calls count too
+SLOW_START_INTERVAL_MS = 100.0  # the figures of slow start are taken anew after this
 SLOW_START_SAFETY = 0.5
 # Times the root of a mean count that its limit leaves to chance; calls differ in work
 SLOW_START_DEVIATIONS = 5.0
 MEDIAN_INTERVAL_MS = 500.0  # the median is taken anew after this; it only saves work
 # The servers that can take calls are counted anew after this; it only saves work
-AVAILABLE_CAPACITY_INTERVAL_MS = 100.0
 SMOOTHING_ATTEMPTS = 50.0  # what is usual is smoothed over so many calls
 IDLE_SAMPLES = 40  # so many last calls on idle connections tell how long these live
 # Open attempts for each unit of available capacity at which the least and the most important work is shed.
@@ -92,10 +95,7 @@
 # Our calls are averaged over this: longer than a call, shorter than servers bear a crowd
 OVERLOAD_MEMORY_MS = 1_000.0
 # The pause between requests is averaged over so many: the recent one and the usual one.
-RECENT_REQUESTS = 30
-USUAL_REQUESTS = 1_000
 FULL_TIMEOUT_FRACTION = 0.9  # of the longest time that clients give a try; less tells a further one
-PEERS_MEMORY_MS = 20_000.0  # a lost server is missed for this
 
 
 class RetryBudget:
@@ -148,17 +148,16 @@
         }
         self._open_attempts = 0  # attempts of ours that are out
         self._max_priority_weight = max(c.priority_weight for c in settings.classes) or 1.0
-        self._eligible: list[EndpointStats] = []
-        self._available_capacity, self._available_capacity_at, self._usual_capacity = 1.0, -math.inf, 0.0
-        self._arrivals, self._last_arrival_at, self._recent_pause, self._usual_pause = 0, 0.0, 0.0, 0.0
-        self._peers = float(settings.balancers)  # balancers held to be at work, with us
+        self._arrivals = ArrivalRate(settings)
+        self._peers = PeerEstimator(settings, self._arrivals)
+        self._available = AvailableCapacity(self._endpoints, self._peers)
         self._mean_open_attempts, self._mean_open_attempts_at = 0.0, 0.0
         self._memory_ms = EVIDENCE_MEMORY_MS  # evidence on capacity fades by 1/e over this
         # Calls out, were those served of late as quick as usual
         self._completion_rate, self._completion_rate_at_ms = 0.0, -math.inf
         self._shedding_until = -math.inf
         self._median, self._median_at, self._warm_rate = 0.0, -math.inf, 0.0
-        self._started_at, self._slow_start_updated_at, self._subset_peers = math.inf, -math.inf, 1.0
+        self._slow_start_updated_at, self._subset_peers = -math.inf, 1.0
         self._slow_start_rate, self._slow_start_fraction = 0.0, 1.0  # `_update_slow_start`
         # That a client gave a try of late
         self._max_client_timeout_ms = {c.name: 0.0 for c in settings.classes}
@@ -210,10 +209,9 @@
         if self._poll_backoff.is_failing and event.kind is not EndpointListKind.CACHED:
             self._poll_backoff.reset()
             self._actions.append(LogMessage("server list is back"))
-        self._started_at = min(self._started_at, now)
+        self._arrivals.start(now)
         self._endpoints.update(event, now)
-        # Count anew.
-        self._available_capacity_at = min(self._available_capacity_at, now - AVAILABLE_CAPACITY_INTERVAL_MS)
+        self._available.invalidate(now)
         self._slow_start_updated_at = -math.inf
 
     def _poll_again(self, now: float) -> None:
@@ -242,7 +240,7 @@
                 else event.cost_hint_ms
             )
             request.work = event.cost_hint_ms / self._mean_cost_hint
-        self._record_arrival(now)
+        self._arrivals.record(now)
         if self._settings.tier == 0 and not self._admits(request, event.tenant, event.remaining_ms, now):
             self._shed(request, "too many calls are out: shedding the least worth first", now)
         elif not self._try_start_attempt(request, now):
@@ -285,21 +283,21 @@
         """
         most = (
             OVERLOAD_MIN_ATTEMPTS + (OVERLOAD_MAX_ATTEMPTS - OVERLOAD_MIN_ATTEMPTS) * part
-        ) * self._update_available_capacity(now)
+        ) * self._available.update(now)
         # Calls elsewhere crowd none of those that are left
-        out = sum(s.in_flight for s in self._eligible)
+        out = sum(s.in_flight for s in self._available.reachable)
         self._mean_open_attempts += (out - self._mean_open_attempts) * (
             1 - math.exp((self._mean_open_attempts_at - now) / OVERLOAD_MEMORY_MS)
         )
         self._mean_open_attempts_at = now
-        others = self._mean_open_attempts * (self._peers - 1)
-        own = most / self._peers
+        others = self._mean_open_attempts * (self._peers.count - 1)
+        own = most / self._peers.count
         if out + others >= most or out >= max(own + math.sqrt(own), OVERLOAD_MIN_OWN_ATTEMPTS):
             return True
         # A tier behind the servers shows neither in their number nor in their list, but in their answers.
         stretch = LATENCY_INFLATION_MIN + (LATENCY_INFLATION_MAX - LATENCY_INFLATION_MIN) * part
         able = stretch * (
-            self._completion_rate_at(now) + MIN_COMPLETIONS * self._available_capacity / self._peers
+            self._completion_rate_at(now) + MIN_COMPLETIONS * self._available.weight / self._peers.count
         )
         return min(out, self._mean_open_attempts) >= able or out >= max(
             able + math.sqrt(able), OVERLOAD_MIN_OWN_ATTEMPTS
@@ -312,7 +310,7 @@
         many times longer than usual they take. A balancer knows nothing at its start, and hundreds start at
         once: were all that the bound lets in taken as done, servers would tip before the first answers tell.
         """
-        most = OVERLOAD_MAX_ATTEMPTS * self._update_available_capacity(now) / self._peers
+        most = OVERLOAD_MAX_ATTEMPTS * self._available.update(now) / self._peers.count
         first = self._completion_rate_at_ms == -math.inf
         self._completion_rate = (
             INITIAL_COMPLETION_FRACTION * most
@@ -325,39 +323,6 @@
         self._completion_rate_at_ms = now
         return self._completion_rate
 
-    def _update_available_capacity(self, now: float) -> float:
-        """The size of the servers that can take calls: cold ones by their warmth, lost ones not at all."""
-        if now - self._available_capacity_at >= AVAILABLE_CAPACITY_INTERVAL_MS:
-            for server in self._endpoints.ready:
-                server.catch_up(now)
-            self._eligible = [
-                s for s in self._endpoints.ready if s.connect_failures <= 1
-            ] or self._endpoints.ready
-            there = [s for s in self._eligible if not is_outlier(s)]
-            self._available_capacity = sum(s.weight * self._warmup.fraction(s, now) for s in there) or 1.0
-            self._update_peers(sum(s.weight for s in there), now)
-            self._available_capacity_at = now
-        return self._available_capacity
-
-    def _update_peers(self, there: float, now: float) -> None:
-        """Judge how many balancers are left, which nobody tells: as many as servers, if requests say so too.
-
-        Guards against keeping to our part where a zone went with its balancers, whose requests come to us.
-        More requests alone may be a burst, and fewer servers alone take no balancer with them.
-        """
-        missed = self._usual_capacity * math.exp((self._available_capacity_at - now) / PEERS_MEMORY_MS)
-        self._usual_capacity = max(there, missed)
-        left = max(there / (self._usual_capacity or 1.0), self._recent_pause / (self._usual_pause or 1.0))
-        self._peers = max(self._settings.balancers * min(left, 1.0), 1.0)
-
-    def _record_arrival(self, now: float) -> None:
-        """Learn how often requests come."""
-        if self._arrivals:
-            pause = now - self._last_arrival_at
-            self._recent_pause += (pause - self._recent_pause) / min(self._arrivals, RECENT_REQUESTS)
-            self._usual_pause += (pause - self._usual_pause) / min(self._arrivals, USUAL_REQUESTS)
-        self._arrivals, self._last_arrival_at = self._arrivals + 1, now
-
     def _shed(self, request: Request, reason: str, now: float) -> None:
         """Give up a request that was never sent; one line in the log for a whole spell."""
         if now > self._shedding_until:
@@ -395,7 +360,7 @@
         self._open_attempts += 1
         # Shedding, we know of a crowd: however little of it is ours, calls take longer than usual.
         light = (
-            self._open_attempts <= max(self._available_capacity / self._peers, 1.0)
+            self._open_attempts <= max(self._available.weight / self._peers.count, 1.0)
             and now > self._shedding_until
         )
         request.attempts.append(Attempt(server, idle, now, now + timeout, light))
@@ -502,7 +467,7 @@
         rate = self._quota.get(tenant or "")
         if rate is None or tenant is None:
             return False
-        rate /= self._peers
+        rate /= self._peers.count
         level, seen = (
             self._tokens_left.get(tenant, QUOTA_BURST_MS * rate),
             self._quota_updated_at.get(tenant, now),
@@ -596,7 +561,7 @@
             if warm := [s.served for s in self._endpoints.subset if self._warmup.fraction(s, now) >= 1]:
                 self._warm_rate = sum(warm) / len(warm) / self._memory_ms
             # Guards against evidence that fades between two calls: of hundreds, one balancer makes few.
-            wanted = EVIDENCE_MEMORY_CALLS * self._recent_pause * len(self._endpoints.subset)
+            wanted = EVIDENCE_MEMORY_CALLS * self._arrivals.recent_pause_ms * len(self._endpoints.subset)
             self._memory_ms = min(max(EVIDENCE_MEMORY_MS, wanted), MAX_EVIDENCE_MEMORY_MS)
             for server in self._endpoints.ready:
                 server.memory_ms = self._memory_ms
@@ -683,12 +648,6 @@
             / self._subset_peers
         )
 
-    def _arrival_rate(self, pause: float, calls: int, now: float) -> float:
-        """Requests a millisecond, by the mean pause between so many of them, or by all since our start."""
-        if self._arrivals >= calls:
-            return 1.0 / (pause + self._settings.tick_ms / calls)
-        return self._arrivals / (now - self._started_at + self._settings.slow_start_window_ms)
-
     def _update_slow_start(self, now: float) -> None:
         """Judge what a warm server takes, and which part of the balancers may draw cold ones as they would.
 
@@ -697,13 +656,13 @@
         over our servers), and at the least one call at a time. Where the calls that cold ones are due exceed
         their part (warm ones went, a burst, a tight rule), the warm ones take the rest.
         """
-        if now - self._slow_start_updated_at < AVAILABLE_CAPACITY_INTERVAL_MS or not self._endpoints.subset:
+        if now - self._slow_start_updated_at < SLOW_START_INTERVAL_MS or not self._endpoints.subset:
             return
         self._slow_start_updated_at = now
         near = len(self._endpoints.subset)
-        self._subset_peers = max(self._peers * near / len(self._endpoints.ready), 1.0)
-        unseen = math.exp((self._started_at - now) / self._memory_ms) if self._warm_rate else 1.0
-        ours = self._warm_rate * near + unseen * self._arrival_rate(self._usual_pause, USUAL_REQUESTS, now)
+        self._subset_peers = max(self._peers.count * near / len(self._endpoints.ready), 1.0)
+        unseen = math.exp((self._arrivals.started_at - now) / self._memory_ms) if self._warm_rate else 1.0
+        ours = self._warm_rate * near + unseen * self._arrivals.usual_per_ms(now)
         self._slow_start_rate = max(
             ours / sum(s.weight for s in self._endpoints.subset) * self._subset_peers, self._median
         )
@@ -716,9 +675,7 @@
                     mean += self._slow_start_mean(server.weight * warmth)
                 else:
                     warm += server.weight
-        calls = (
-            self._arrival_rate(self._recent_pause, RECENT_REQUESTS, now) * self._settings.slow_start_window_ms
-        )
+        calls = self._arrivals.recent_per_ms(now) * self._settings.slow_start_window_ms
         # Size that could take all our calls at this mean
         wanted = calls * cold / mean if mean else math.inf
         if warm + cold >= wanted:
