--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -38,21 +38,19 @@
 )
 from loadbalancer.policy.arrivals import USUAL_REQUESTS, ArrivalRate
 from loadbalancer.policy.available_capacity import AvailableCapacity
+from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
-from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, UPDATE_INTERVAL_MS, EndpointStats
+from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, EndpointStats
 from loadbalancer.policy.outlier_detection import is_outlier, without_outliers
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Attempt, Request
+from loadbalancer.policy.service_times import CostHints, ServiceTimes
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
 MAX_SAMPLES = 4  # the most for d of the design, while each server drawn holds a call of ours
-# Longer where fewer calls than this an endpoint came within it: one balancer of hundreds makes few.
-EVIDENCE_MEMORY_CALLS = 4.0
-MAX_EVIDENCE_MEMORY_MS = 20_000.0
 # Calls' worth of belief in the median, so that one slow answer does not ruin an estimate
-PRIOR_ATTEMPTS = 2.0
 LOST_SERVICE_TIMES = 2.0  # a call waited for over so many usual times counts as lost in full
 # The hedged attempt is sent after so many mean service times, or after this part of the request's timeout.
 HEDGE_SERVICE_TIMES = 4.0
@@ -72,9 +70,7 @@
 SLOW_START_SAFETY = 0.5
 # Times the root of a mean count that its limit leaves to chance; calls differ in work
 SLOW_START_DEVIATIONS = 5.0
-MEDIAN_INTERVAL_MS = 500.0  # the median is taken anew after this; it only saves work
 # The servers that can take calls are counted anew after this; it only saves work
-SMOOTHING_ATTEMPTS = 50.0  # what is usual is smoothed over so many calls
 IDLE_SAMPLES = 40  # so many last calls on idle connections tell how long these live
 # Open attempts for each unit of available capacity at which the least and the most important work is shed.
 OVERLOAD_MIN_ATTEMPTS = 4.0
@@ -90,8 +86,6 @@
 MIN_COMPLETIONS = 0.5
 # Of the bound, two calls a server, are taken as served before the first is
 INITIAL_COMPLETION_FRACTION = 0.25
-# Of its aim, for a call at servers that are not crowded, until we know better
-INITIAL_SERVICE_TIME_FRACTION = 0.2
 # Our calls are averaged over this: longer than a call, shorter than servers bear a crowd
 OVERLOAD_MEMORY_MS = 1_000.0
 # The pause between requests is averaged over so many: the recent one and the usual one.
@@ -137,26 +131,18 @@
         self._endpoints = EndpointSet(settings, self._random)
         self._warmup = self._endpoints.warmup
         self._requests: dict[int, Request] = {}
-        # The time that a call of each class takes, as we see it.
-        self._service_time = {
-            c.name: c.latency_objective_ms * INITIAL_SERVICE_TIME_FRACTION for c in settings.classes
-        }
-        # The same at servers that have hardly a call each, and how many such calls tell it.
-        self._baseline = {
-            c.name: (c.latency_objective_ms * INITIAL_SERVICE_TIME_FRACTION, PRIOR_ATTEMPTS)
-            for c in settings.classes
-        }
+        self._cost_hints = CostHints()
+        self._service_times = ServiceTimes(settings)
         self._open_attempts = 0  # attempts of ours that are out
         self._max_priority_weight = max(c.priority_weight for c in settings.classes) or 1.0
         self._arrivals = ArrivalRate(settings)
         self._peers = PeerEstimator(settings, self._arrivals)
         self._available = AvailableCapacity(self._endpoints, self._peers)
         self._mean_open_attempts, self._mean_open_attempts_at = 0.0, 0.0
-        self._memory_ms = EVIDENCE_MEMORY_MS  # evidence on capacity fades by 1/e over this
+        self._capacity = CapacityEstimator(self._endpoints, self._arrivals)
         # Calls out, were those served of late as quick as usual
         self._completion_rate, self._completion_rate_at_ms = 0.0, -math.inf
         self._shedding_until = -math.inf
-        self._median, self._median_at, self._warm_rate = 0.0, -math.inf, 0.0
         self._slow_start_updated_at, self._subset_peers = -math.inf, 1.0
         self._slow_start_rate, self._slow_start_fraction = 0.0, 1.0  # `_update_slow_start`
         # That a client gave a try of late
@@ -167,7 +153,7 @@
         self._quota_updated_at: dict[str, float] = {}
         self._initial_actions: list[Action] = [WatchEndpoints()] if settings.polls_discovery else []
         self._idle_samples: deque[tuple[float, bool]] = deque(maxlen=IDLE_SAMPLES)
-        self._idle_limit_ms, self._mean_cost_hint = math.inf, 0.0
+        self._idle_limit_ms = math.inf
         self._retries = RetryBudget(RETRY_TOKENS_PER_RESPONSE, RETRY_INITIAL_TOKENS, RETRY_MAX_TOKENS)
         self._resends = RetryBudget(RESEND_TOKENS_PER_RESPONSE, RESEND_INITIAL_TOKENS, RESEND_MAX_TOKENS)
         self._actions: list[Action] = []
@@ -231,15 +217,9 @@
         useful_until = now + event.remaining_ms
         if not request_class.late_value:
             useful_until = min(useful_until, now + request_class.latency_objective_ms)
-        request = Request(event.request_id, request_class, useful_until)
+        work = self._cost_hints.relative_work(event.cost_hint_ms)
+        request = Request(event.request_id, request_class, useful_until, work)
         self._requests[request.id] = request
-        if event.cost_hint_ms > 0:
-            self._mean_cost_hint += (
-                (event.cost_hint_ms - self._mean_cost_hint) / SMOOTHING_ATTEMPTS
-                if self._mean_cost_hint
-                else event.cost_hint_ms
-            )
-            request.work = event.cost_hint_ms / self._mean_cost_hint
         self._arrivals.record(now)
         if self._settings.tier == 0 and not self._admits(request, event.tenant, event.remaining_ms, now):
             self._shed(request, "too many calls are out: shedding the least worth first", now)
@@ -351,7 +331,9 @@
             # Where no second copy may go out, none is made room for: to cut
             # the call short loses its work.
             patience = min(
-                HEDGE_SERVICE_TIMES * request.expected_work * self._service_time[request.request_class.name],
+                HEDGE_SERVICE_TIMES
+                * request.expected_work
+                * self._service_times.mean_ms(request.request_class.name),
                 HEDGE_TIMEOUT_FRACTION * timeout,
             )
             self._actions.append(SetTimer(now + patience, HedgeTimer(request.id)))
@@ -423,7 +405,11 @@
 
     def _record_loss(self, attempt: Attempt, request: Request, now: float) -> None:
         """A call was lost at its server, or waited for in vain; one with hardly any time tells little."""
-        usual = LOST_SERVICE_TIMES * request.expected_work * self._service_time[request.request_class.name]
+        usual = (
+            LOST_SERVICE_TIMES
+            * request.expected_work
+            * self._service_times.mean_ms(request.request_class.name)
+        )
         attempt.endpoint.record_outcome(
             request.request_class.name, 0.0, min((now - attempt.sent_at) / usual, 1.0)
         )
@@ -442,7 +428,9 @@
             a.may_have_run for a in request.attempts
         )
         # By the time that a usual call takes there is room again, of calls that are out now.
-        after = min(self._service_time[request.request_class.name], self._settings.max_retry_after_ms)
+        after = min(
+            self._service_times.mean_ms(request.request_class.name), self._settings.max_retry_after_ms
+        )
         self._actions.append(RejectRequest(request.id, after) if harmless else FailRequest(request.id))
         self._forget_if_finished(request)
 
@@ -499,7 +487,7 @@
 
     def _select(self, request: Request, now: float) -> EndpointStats | None:
         """Draw servers by capacity, up to the first that holds none of our calls; take the least loaded."""
-        median = self._current_median(now)
+        median = self._capacity.current_median(now)
         able = self._idempotent_endpoints(request, now)
         if now < self._warmup.active_until:
             self._update_slow_start(now)
@@ -509,7 +497,7 @@
         if not able:
             return None
         able = without_outliers(able, request.request_class.name, now)
-        capacity = [self._estimate_capacity(s, median, now) for s in able]
+        capacity = [self._capacity.estimate(s, median, now) for s in able]
         near, wide = list(accumulate(self._weigh_by_zone(able, capacity))), list(accumulate(capacity))
         best, chosen = (math.inf, 0.0, 0.0), able[-1]
         for draw in range(MAX_SAMPLES):
@@ -539,34 +527,6 @@
         weight = {z: (min(c, part) if z == own else spill * over[z]) / c for z, c in zones.items()}
         return [weight[s.entry.zone] * c for s, c in zip(able, capacity, strict=True)]
 
-    def _estimate_capacity(self, server: EndpointStats, median: float, now: float) -> float:
-        """C of the design: served calls over our time in flight there, leaning on the median."""
-        if now - server.updated_at >= UPDATE_INTERVAL_MS:
-            server.catch_up(now)
-        median *= server.weight  # a fleet of hundreds is called too seldom to learn its sizes
-        estimate = (server.served + PRIOR_ATTEMPTS) / (server.busy_ms + PRIOR_ATTEMPTS / median)
-        warmth = self._warmup.fraction(server, now) if now < self._warmup.active_until else 1.0
-        return min(estimate, median * warmth) if warmth < 1 else estimate
-
-    def _current_median(self, now: float) -> float:
-        """The median of the known estimates for each unit of registered size; taken now and then only."""
-        if now - self._median_at >= MEDIAN_INTERVAL_MS:
-            self._median_at = now
-            known = sorted(
-                s.served / (s.busy_ms * s.weight)
-                for s in self._endpoints.ready
-                if s.served > 0.5 and s.busy_ms > 0
-            )
-            self._median = known[len(known) // 2] if known else self._median
-            if warm := [s.served for s in self._endpoints.subset if self._warmup.fraction(s, now) >= 1]:
-                self._warm_rate = sum(warm) / len(warm) / self._memory_ms
-            # Guards against evidence that fades between two calls: of hundreds, one balancer makes few.
-            wanted = EVIDENCE_MEMORY_CALLS * self._arrivals.recent_pause_ms * len(self._endpoints.subset)
-            self._memory_ms = min(max(EVIDENCE_MEMORY_MS, wanted), MAX_EVIDENCE_MEMORY_MS)
-            for server in self._endpoints.ready:
-                server.memory_ms = self._memory_ms
-        return self._median or 1.0
-
     def _record_attempt(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
         """Count a served call; book a failure at its full time-out: it must not look quick."""
         server, cls = attempt.endpoint, request.request_class
@@ -580,18 +540,12 @@
             server.connect_failures = 0.0
         elapsed = now - attempt.sent_at
         if outcome is Outcome.SUCCEEDED:
-            usual, calls = self._baseline[cls.name]
+            service_times = self._service_times
             if attempt.is_baseline:
-                calls = min(calls + 1, SMOOTHING_ATTEMPTS)
-                usual += (elapsed / request.expected_work - usual) / calls
-                self._baseline[cls.name] = usual, calls
-            self._completion_rate = (
-                self._completion_rate_at(now)
-                + request.expected_work
-                * max(usual, cls.latency_objective_ms * INITIAL_SERVICE_TIME_FRACTION)
-                / OVERLOAD_MEMORY_MS
-            )
-            self._service_time[cls.name] += (elapsed - self._service_time[cls.name]) / SMOOTHING_ATTEMPTS
+                service_times.record_baseline(cls.name, elapsed / request.expected_work)
+            baseline_ms = request.expected_work * service_times.baseline_ms(cls.name)
+            self._completion_rate = self._completion_rate_at(now) + baseline_ms / OVERLOAD_MEMORY_MS
+            service_times.record(cls.name, elapsed)
             server.served += request.work
             server.record_outcome(cls.name, 1.0, 0.0)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
@@ -623,7 +577,11 @@
         while server.recent_starts and server.recent_starts[0] < now - window:
             server.recent_starts.popleft()
         budget = (
-            SLOW_START_SAFETY * self._settings.slow_start_overload_factor * warmth * self._warm_rate * window
+            SLOW_START_SAFETY
+            * self._settings.slow_start_overload_factor
+            * warmth
+            * self._capacity.served_per_ms
+            * window
         )
         return len(server.recent_starts) + 1 <= max(1.0, budget)
 
@@ -661,10 +619,14 @@
         self._slow_start_updated_at = now
         near = len(self._endpoints.subset)
         self._subset_peers = max(self._peers.count * near / len(self._endpoints.ready), 1.0)
-        unseen = math.exp((self._arrivals.started_at - now) / self._memory_ms) if self._warm_rate else 1.0
-        ours = self._warm_rate * near + unseen * self._arrivals.usual_per_ms(now)
+        unseen = (
+            math.exp((self._arrivals.started_at - now) / self._capacity.memory_ms)
+            if self._capacity.served_per_ms
+            else 1.0
+        )
+        ours = self._capacity.served_per_ms * near + unseen * self._arrivals.usual_per_ms(now)
         self._slow_start_rate = max(
-            ours / sum(s.weight for s in self._endpoints.subset) * self._subset_peers, self._median
+            ours / sum(s.weight for s in self._endpoints.subset) * self._subset_peers, self._capacity.median
         )
         warm = cold = mean = 0.0
         for server in self._endpoints.subset:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -29,6 +29,7 @@
     TimerFired,
 )
 from loadbalancer.policy.balancer import LoadBalancer
+from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.settings import RequestClass, Settings, Tenant
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 from tests.policy.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
@@ -762,7 +763,7 @@
 def test_ties_go_to_the_larger_capacity_and_draws_follow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(desk.balancer, "_estimate_capacity", lambda s, _median, _now: capacity[s.entry.name])
+    monkeypatch.setattr(CapacityEstimator, "estimate", lambda _self, s, _median, _now: capacity[s.entry.name])
     request, _ = desk.ask()
     known = desk.balancer._requests[request]
     known.attempts.clear()
