--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -36,17 +36,19 @@
     ResponseStarted,
     TimerFired,
 )
-from loadbalancer.policy.arrivals import USUAL_REQUESTS, ArrivalRate
+from loadbalancer.policy.admission import AdmissionControl, Quotas
+from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.available_capacity import AvailableCapacity
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, EndpointStats
 from loadbalancer.policy.outlier_detection import is_outlier, without_outliers
+from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.policy.service_times import CostHints, ServiceTimes
-from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
+from loadbalancer.settings import Idempotency, IdempotencyScope, Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
 MAX_SAMPLES = 4  # the most for d of the design, while each server drawn holds a call of ours
@@ -64,7 +66,6 @@
 RESEND_TOKENS_PER_RESPONSE = 2.0
 RESEND_INITIAL_TOKENS = 20.0
 RESEND_MAX_TOKENS = 20.0
-QUOTA_BURST_MS = 2_000.0  # a tenant may use this much of its share at once
 # The part of a cold server's budget that we use: other balancers and heavy calls count too
 SLOW_START_INTERVAL_MS = 100.0  # the figures of slow start are taken anew after this
 SLOW_START_SAFETY = 0.5
@@ -72,24 +73,6 @@
 SLOW_START_DEVIATIONS = 5.0
 # The servers that can take calls are counted anew after this; it only saves work
 IDLE_SAMPLES = 40  # so many last calls on idle connections tell how long these live
-# Open attempts for each unit of available capacity at which the least and the most important work is shed.
-OVERLOAD_MIN_ATTEMPTS = 4.0
-OVERLOAD_MAX_ATTEMPTS = 8.0
-# Of what a class is worth: each class counts by itself, too, and must not starve
-PRIORITY_EXPONENT = 1 / 3
-# So many calls of ours are no burst: one balancer of hundreds has them by chance
-OVERLOAD_MIN_OWN_ATTEMPTS = 8
-# How many baseline service times attempts may take before the least and the most important work is shed.
-LATENCY_INFLATION_MIN = 1.0
-LATENCY_INFLATION_MAX = 1.8
-# A server's usual calls that are taken as served without evidence, over all balancers
-MIN_COMPLETIONS = 0.5
-# Of the bound, two calls a server, are taken as served before the first is
-INITIAL_COMPLETION_FRACTION = 0.25
-# Our calls are averaged over this: longer than a call, shorter than servers bear a crowd
-OVERLOAD_MEMORY_MS = 1_000.0
-# The pause between requests is averaged over so many: the recent one and the usual one.
-FULL_TIMEOUT_FRACTION = 0.9  # of the longest time that clients give a try; less tells a further one
 
 
 class RetryBudget:
@@ -134,23 +117,15 @@
         self._cost_hints = CostHints()
         self._service_times = ServiceTimes(settings)
         self._open_attempts = 0  # attempts of ours that are out
-        self._max_priority_weight = max(c.priority_weight for c in settings.classes) or 1.0
         self._arrivals = ArrivalRate(settings)
         self._peers = PeerEstimator(settings, self._arrivals)
         self._available = AvailableCapacity(self._endpoints, self._peers)
-        self._mean_open_attempts, self._mean_open_attempts_at = 0.0, 0.0
+        self._overload = OverloadDetector(self._available)
+        self._admission = AdmissionControl(settings, self._overload, Quotas(settings, self._peers))
         self._capacity = CapacityEstimator(self._endpoints, self._arrivals)
-        # Calls out, were those served of late as quick as usual
-        self._completion_rate, self._completion_rate_at_ms = 0.0, -math.inf
         self._shedding_until = -math.inf
         self._slow_start_updated_at, self._subset_peers = -math.inf, 1.0
         self._slow_start_rate, self._slow_start_fraction = 0.0, 1.0  # `_update_slow_start`
-        # That a client gave a try of late
-        self._max_client_timeout_ms = {c.name: 0.0 for c in settings.classes}
-        self._quota = {t.name: t.quota_per_s / 1000 for t in settings.tenants}
-        # Requests that a tenant may still send inside its share
-        self._tokens_left: dict[str, float] = {}
-        self._quota_updated_at: dict[str, float] = {}
         self._initial_actions: list[Action] = [WatchEndpoints()] if settings.polls_discovery else []
         self._idle_samples: deque[tuple[float, bool]] = deque(maxlen=IDLE_SAMPLES)
         self._idle_limit_ms = math.inf
@@ -221,88 +196,11 @@
         request = Request(event.request_id, request_class, useful_until, work)
         self._requests[request.id] = request
         self._arrivals.record(now)
-        if self._settings.tier == 0 and not self._admits(request, event.tenant, event.remaining_ms, now):
+        if not self._admission.admits(request_class, event.tenant, event.remaining_ms, now):
             self._shed(request, "too many calls are out: shedding the least worth first", now)
         elif not self._try_start_attempt(request, now):
             self._shed(request, "no server may take a call: refusing", now)
 
-    def _admits(self, request: Request, tenant: str | None, remaining: float, now: float) -> bool:
-        """Shed load by worth: the dearer a request, the more calls may be out when it is let in."""
-        over = self._is_over_quota(tenant, now)
-        part = (request.request_class.priority_weight / self._max_priority_weight) ** PRIORITY_EXPONENT
-        part *= self._settings.over_quota_weight if over else 1.0
-        if self._is_late_retry(request.request_class, remaining):
-            part *= request.request_class.late_value
-        if self._is_overloaded(part, now):
-            return False
-        if tenant in self._tokens_left and not over:
-            self._tokens_left[tenant] -= 1  # what is shed uses up nothing: its client may ask again
-        return True
-
-    def _is_late_retry(self, cls: RequestClass, remaining: float) -> bool:
-        """Whether it is a client's further try, past its aim before it came.
-
-        Guards against clients that give each try a part of the deadline only: what is missing from it has
-        not passed. A further try gets less than a first one only where little is left of the deadline.
-        """
-        longest = max(remaining, self._max_client_timeout_ms[cls.name] * (1 - 1 / USUAL_REQUESTS))
-        self._max_client_timeout_ms[cls.name] = longest
-        return (
-            remaining < FULL_TIMEOUT_FRACTION * longest
-            and cls.deadline_ms - remaining > cls.latency_objective_ms
-        )
-
-    def _is_overloaded(self, part: float, now: float) -> bool:
-        """Whether too many calls are out for work of this part of the dearest's worth.
-
-        Guards against crowding whatever its cause (overload, lost servers, slow ones) before the servers slow
-        down: late answers come too late to tell, and work of widely varying size looks late without a crowd.
-        The calls of all balancers are judged by ours: each of the others is held to have our mean, since what
-        we have by chance at this moment they have not; a burst that all get passes no chance (a square root).
-        It harms where callers spread unevenly over the balancers.
-        """
-        most = (
-            OVERLOAD_MIN_ATTEMPTS + (OVERLOAD_MAX_ATTEMPTS - OVERLOAD_MIN_ATTEMPTS) * part
-        ) * self._available.update(now)
-        # Calls elsewhere crowd none of those that are left
-        out = sum(s.in_flight for s in self._available.reachable)
-        self._mean_open_attempts += (out - self._mean_open_attempts) * (
-            1 - math.exp((self._mean_open_attempts_at - now) / OVERLOAD_MEMORY_MS)
-        )
-        self._mean_open_attempts_at = now
-        others = self._mean_open_attempts * (self._peers.count - 1)
-        own = most / self._peers.count
-        if out + others >= most or out >= max(own + math.sqrt(own), OVERLOAD_MIN_OWN_ATTEMPTS):
-            return True
-        # A tier behind the servers shows neither in their number nor in their list, but in their answers.
-        stretch = LATENCY_INFLATION_MIN + (LATENCY_INFLATION_MAX - LATENCY_INFLATION_MIN) * part
-        able = stretch * (
-            self._completion_rate_at(now) + MIN_COMPLETIONS * self._available.weight / self._peers.count
-        )
-        return min(out, self._mean_open_attempts) >= able or out >= max(
-            able + math.sqrt(able), OVERLOAD_MIN_OWN_ATTEMPTS
-        )
-
-    def _completion_rate_at(self, now: float) -> float:
-        """The calls that would be out if those served of late had taken no longer than usual.
-
-        Guards against a crowd behind the servers, whatever they hold themselves: calls out over this tell how
-        many times longer than usual they take. A balancer knows nothing at its start, and hundreds start at
-        once: were all that the bound lets in taken as done, servers would tip before the first answers tell.
-        """
-        most = OVERLOAD_MAX_ATTEMPTS * self._available.update(now) / self._peers.count
-        first = self._completion_rate_at_ms == -math.inf
-        self._completion_rate = (
-            INITIAL_COMPLETION_FRACTION * most
-            if first
-            else min(
-                self._completion_rate * math.exp((self._completion_rate_at_ms - now) / OVERLOAD_MEMORY_MS),
-                most,
-            )
-        )
-        self._completion_rate_at_ms = now
-        return self._completion_rate
-
     def _shed(self, request: Request, reason: str, now: float) -> None:
         """Give up a request that was never sent; one line in the log for a whole spell."""
         if now > self._shedding_until:
@@ -360,7 +258,7 @@
             request
             and request.is_response_owed
             and len(request.attempts) == 1
-            and not self._is_overloaded(0.0, now)
+            and not self._overload.is_overloaded(0.0, now)
         ):
             self._try_retry(request, now)
 
@@ -450,20 +348,6 @@
         if not request.is_response_owed and not request.has_open_attempt():
             self._requests.pop(request.id, None)
 
-    def _is_over_quota(self, tenant: str | None, now: float) -> bool:
-        """Whether this tenant is past our part of its share; its excess is worth little."""
-        rate = self._quota.get(tenant or "")
-        if rate is None or tenant is None:
-            return False
-        rate /= self._peers.count
-        level, seen = (
-            self._tokens_left.get(tenant, QUOTA_BURST_MS * rate),
-            self._quota_updated_at.get(tenant, now),
-        )
-        self._tokens_left[tenant] = min(QUOTA_BURST_MS * rate, level + (now - seen) * rate)
-        self._quota_updated_at[tenant] = now
-        return self._tokens_left[tenant] < 1
-
     # ---- the rules: no doubled effect -----------------------------------------------------------
 
     def _idempotent_endpoints(self, request: Request, now: float) -> list[EndpointStats]:
@@ -544,7 +428,7 @@
             if attempt.is_baseline:
                 service_times.record_baseline(cls.name, elapsed / request.expected_work)
             baseline_ms = request.expected_work * service_times.baseline_ms(cls.name)
-            self._completion_rate = self._completion_rate_at(now) + baseline_ms / OVERLOAD_MEMORY_MS
+            self._overload.completions.record(baseline_ms, now)
             service_times.record(cls.name, elapsed)
             server.served += request.work
             server.record_outcome(cls.name, 1.0, 0.0)
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -108,10 +108,11 @@
         for name in (
             "__main__ actions configuration endpoints events network network.client_connection "
             "network.clock network.endpoint_watch network.headers network.log network.proxy "
-            "network.request_ids network.sockets network.upstream_pool policy policy.arrivals "
-            "policy.available_capacity policy.balancer policy.capacity policy.endpoint_set "
-            "policy.endpoint_stats policy.outlier_detection policy.peers policy.poll_backoff "
-            "policy.request policy.service_times policy.warmup settings settings_reader timers"
+            "network.request_ids network.sockets network.upstream_pool policy policy.admission "
+            "policy.arrivals policy.available_capacity policy.balancer policy.capacity "
+            "policy.endpoint_set policy.endpoint_stats policy.outlier_detection policy.overload "
+            "policy.peers policy.poll_backoff policy.request policy.service_times policy.warmup settings "
+            "settings_reader timers"
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -107,8 +107,9 @@
 
 
 def test_classes_without_worth_are_survived() -> None:
-    desk = Desk(2, classes=(RequestClass("free", 1_000, 3_000, READ.idempotency, priority_weight=0.0),))
-    assert {desk.serve(desk.balancer._classes["free"]) for _ in range(60)} == {"s0", "s1"}
+    free = RequestClass("free", 1_000, 3_000, READ.idempotency, priority_weight=0.0)
+    desk = Desk(2, classes=(free,))
+    assert {desk.serve(free) for _ in range(60)} == {"s0", "s1"}
 
 
 def zone_shares(sizes: dict[str, float]) -> Counter[str]:
@@ -152,7 +153,7 @@
     """One of two balancers sent nearly all to the one server of its zone; two zones stood idle."""
     desk = Desk(0, zone="a", balancers=2, may_hedge=False)
     desk.show(*(Endpoint(zone, zone=zone) for zone in "abcd"))
-    desk.balancer._completion_rate, desk.balancer._completion_rate_at_ms = 16.0, desk.now  # not at its start
+    desk.balancer._overload.completions.reset(16.0, desk.now)  # not at its start
     got = Counter(sent(desk.ask(PAY)[1])[0].endpoint for _ in range(16))
     assert got.keys() == {"a", "b", "c", "d"}
     assert max(got.values()) == got["a"] < 12
@@ -423,7 +424,7 @@
 def test_large_work_is_no_crowd_while_few_calls_are_out(takes: float) -> None:
     """Answers past half their aim shed half of the dear work, though the servers stood half idle."""
     desk = Desk(4, balancers=2)
-    desk.balancer._completion_rate, desk.balancer._completion_rate_at_ms = 16.0, desk.now  # not at its start
+    desk.balancer._overload.completions.reset(16.0, desk.now)  # not at its start
     out: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = desk.ask()
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -10,6 +10,7 @@
 from loadbalancer.actions import SetTimer
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Outcome, TimerFired
 from loadbalancer.policy import balancer as policy
+from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.settings import Idempotency, RequestClass
 from tests.policy.helpers import ANYWHERE, PAY, READ, Desk, of_kind, sent
 
@@ -142,7 +143,9 @@
 
 def test_second_copies_spend_retries_and_end_with_them(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = filled(may_hedge=True)
-    monkeypatch.setattr(desk.balancer, "_is_overloaded", lambda part, now: False)  # it holds copies back, too
+    monkeypatch.setattr(
+        OverloadDetector, "is_overloaded", lambda _, importance, now: False
+    )  # it holds copies back, too
     assert hedges(desk, 40) == policy.RETRY_MAX_TOKENS
 
 
