--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,16 +1,13 @@
 """Every decision of the balancer; what it takes is in loadbalancer/events.py.
 
-A request's way: `_receive` sheds it (`_admits`) or starts an attempt (`_try_start_attempt`) at the endpoint
-that `_select` chooses. `_finish_attempt` records each outcome and, if a response is still owed, retries
-(`_try_retry`) or gives up. `_idempotent_endpoints` tells where a retry is harmless.
+A request's way: it is shed or an attempt is started; each attempt that finishes brings the response, a retry
+or a final failure.
 """
 
 from __future__ import annotations
 
 import math
-from bisect import bisect
 from collections import deque
-from itertools import accumulate
 from random import Random
 
 from loadbalancer.actions import (
@@ -41,17 +38,18 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
-from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS, EndpointStats
-from loadbalancer.policy.outlier_detection import is_outlier, without_outliers
+from loadbalancer.policy.endpoint_stats import EVIDENCE_MEMORY_MS
+from loadbalancer.policy.idempotency import IdempotencyRules
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Attempt, Request
+from loadbalancer.policy.selection import EndpointSelector
 from loadbalancer.policy.service_times import CostHints, ServiceTimes
-from loadbalancer.settings import Idempotency, IdempotencyScope, Settings
+from loadbalancer.policy.slow_start import SlowStart
+from loadbalancer.settings import Idempotency, Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
-MAX_SAMPLES = 4  # the most for d of the design, while each server drawn holds a call of ours
 # Calls' worth of belief in the median, so that one slow answer does not ruin an estimate
 LOST_SERVICE_TIMES = 2.0  # a call waited for over so many usual times counts as lost in full
 # The hedged attempt is sent after so many mean service times, or after this part of the request's timeout.
@@ -66,11 +64,6 @@
 RESEND_TOKENS_PER_RESPONSE = 2.0
 RESEND_INITIAL_TOKENS = 20.0
 RESEND_MAX_TOKENS = 20.0
-# The part of a cold server's budget that we use: other balancers and heavy calls count too
-SLOW_START_INTERVAL_MS = 100.0  # the figures of slow start are taken anew after this
-SLOW_START_SAFETY = 0.5
-# Times the root of a mean count that its limit leaves to chance; calls differ in work
-SLOW_START_DEVIATIONS = 5.0
 # The servers that can take calls are counted anew after this; it only saves work
 IDLE_SAMPLES = 40  # so many last calls on idle connections tell how long these live
 
@@ -109,10 +102,9 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._classes = {c.name: c for c in settings.classes}
-        self._random = Random(seed)
-        self._poll_backoff = PollBackoff(settings, self._random)
-        self._endpoints = EndpointSet(settings, self._random)
-        self._warmup = self._endpoints.warmup
+        random = Random(seed)
+        self._poll_backoff = PollBackoff(settings, random)
+        self._endpoints = EndpointSet(settings, random)
         self._requests: dict[int, Request] = {}
         self._cost_hints = CostHints()
         self._service_times = ServiceTimes(settings)
@@ -124,8 +116,10 @@
         self._admission = AdmissionControl(settings, self._overload, Quotas(settings, self._peers))
         self._capacity = CapacityEstimator(self._endpoints, self._arrivals)
         self._shedding_until = -math.inf
-        self._slow_start_updated_at, self._subset_peers = -math.inf, 1.0
-        self._slow_start_rate, self._slow_start_fraction = 0.0, 1.0  # `_update_slow_start`
+        self._slow_start = SlowStart(settings, self._endpoints, self._arrivals, self._peers, self._capacity)
+        self._selector = EndpointSelector(
+            settings, IdempotencyRules(settings, self._endpoints), self._slow_start, self._capacity, random
+        )
         self._initial_actions: list[Action] = [WatchEndpoints()] if settings.polls_discovery else []
         self._idle_samples: deque[tuple[float, bool]] = deque(maxlen=IDLE_SAMPLES)
         self._idle_limit_ms = math.inf
@@ -173,7 +167,7 @@
         self._arrivals.start(now)
         self._endpoints.update(event, now)
         self._available.invalidate(now)
-        self._slow_start_updated_at = -math.inf
+        self._slow_start.invalidate()
 
     def _poll_again(self, now: float) -> None:
         """The endpoint list is out of reach: the last one stands."""
@@ -211,7 +205,7 @@
     def _try_start_attempt(self, request: Request, now: float) -> bool:
         timeout = request.useful_until - now
         over = timeout <= self._settings.tick_ms or len(request.attempts) >= self._settings.max_attempts
-        if over or (server := self._select(request, now)) is None:
+        if over or (server := self._selector.select(request, now)) is None:
             return False
         idle = 0.0 if server.in_flight else max(now - server.last_used_at, 0.0)
         if idle and (request.attempts or idle >= self._idle_limit_ms):
@@ -244,8 +238,7 @@
             and now > self._shedding_until
         )
         request.attempts.append(Attempt(server, idle, now, now + timeout, light))
-        if now < self._warmup.active_until and self._warmup.fraction(server, now) < 1:
-            server.recent_starts.append(now)
+        self._slow_start.record_start(server, now)
         self._actions.append(StartAttempt(request.id, server.entry.name, timeout))
         return True
 
@@ -350,67 +343,8 @@
 
     # ---- the rules: no doubled effect -----------------------------------------------------------
 
-    def _idempotent_endpoints(self, request: Request, now: float) -> list[EndpointStats]:
-        """The servers to which the next attempt can do no harm: those we keep to, if none may have run."""
-        cls = request.request_class
-        ran = next((a for a in request.attempts if a.may_have_run), None)
-        if ran is None or cls.idempotency is Idempotency.SAFE:
-            return self._endpoints.subset
-        begins = now + self._settings.tick_ms + self._settings.connect_timeout_ms  # at the latest
-        if cls.idempotency is Idempotency.NOT_IDEMPOTENT or begins >= ran.sent_at + cls.idempotency_window_ms:
-            return []
-        # A server that restarted since may have forgotten what it saw: not asked again.
-        able = [s for s in self._endpoints.ready if s.entry.started_at_ms <= ran.sent_at]
-        if cls.idempotency_scope is IdempotencyScope.ALL:
-            return able
-        if cls.idempotency_scope is IdempotencyScope.ZONE:
-            return [s for s in able if s.entry.zone == ran.endpoint.entry.zone]
-        return [s for s in able if s.entry.cell == ran.endpoint.entry.cell]
-
     # ---- the ordinary path ----------------------------------------------------------------------
 
-    def _select(self, request: Request, now: float) -> EndpointStats | None:
-        """Draw servers by capacity, up to the first that holds none of our calls; take the least loaded."""
-        median = self._capacity.current_median(now)
-        able = self._idempotent_endpoints(request, now)
-        if now < self._warmup.active_until:
-            self._update_slow_start(now)
-            able = [s for s in able if self._has_slow_start_capacity(s, not request.attempts, now)]
-        if request.attempts:
-            able = [s for s in able if all(a.endpoint is not s for a in request.attempts)] or able
-        if not able:
-            return None
-        able = without_outliers(able, request.request_class.name, now)
-        capacity = [self._capacity.estimate(s, median, now) for s in able]
-        near, wide = list(accumulate(self._weigh_by_zone(able, capacity))), list(accumulate(capacity))
-        best, chosen = (math.inf, 0.0, 0.0), able[-1]
-        for draw in range(MAX_SAMPLES):
-            # Against crowding our zone: others may have servers nobody calls
-            sums = wide if draw else near
-            i = min(bisect(sums, self._random.random() * sums[-1]), len(able) - 1)
-            load = ((able[i].in_flight + 1) / capacity[i], -capacity[i], self._random.random())
-            if load < best:
-                best, chosen = load, able[i]
-            if not able[i].in_flight:
-                # With none of our calls in view (1/c) would send all to the largest: the draw decides
-                break
-        return chosen
-
-    def _weigh_by_zone(self, able: list[EndpointStats], capacity: list[float]) -> list[float]:
-        """Weigh the draw so that calls stay in our zone, and spill to the zones with more than their part."""
-        zones: dict[str, float] = {}
-        for server, c in zip(able, capacity, strict=True):
-            zones[server.entry.zone] = zones.get(server.entry.zone, 0.0) + c
-        own = self._settings.zone
-        if not own or own not in zones or len(zones) < 2:
-            return capacity
-        part = sum(zones.values()) / len(zones)
-        over = {zone: max(c - part, 0.0) for zone, c in zones.items()}
-        room = sum(over.values())  # 0 where all are alike but for rounding
-        spill = max(part - zones[own], 0.0) / room if room else 0.0
-        weight = {z: (min(c, part) if z == own else spill * over[z]) / c for z, c in zones.items()}
-        return [weight[s.entry.zone] * c for s, c in zip(able, capacity, strict=True)]
-
     def _record_attempt(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
         """Count a served call; book a failure at its full time-out: it must not look quick."""
         server, cls = attempt.endpoint, request.request_class
@@ -442,91 +376,3 @@
         self._open_attempts -= 1
 
     # ---- the rules: cold servers ----------------------------------------------------------------
-
-    def _has_slow_start_capacity(self, server: EndpointStats, first: bool, now: float) -> bool:
-        """Whether a cold server can take one more call in this window (a burst would push it over).
-
-        Each balancer sends a part of multiple x warmth x its own rate to a warm server: they add up to a warm
-        load. The one call always allowed is drawn at most warmth times as often as a warm server is; where
-        hundreds could send one each, only so many balancers call the server at all as keep the sum in its
-        limit: the same ones in each window, since each new draw would be one more chance to exceed it.
-        """
-        if (warmth := self._warmup.fraction(server, now)) >= 1:
-            return True
-        # Further attempts come on top of the requests that `_update_slow_start` counts.
-        part = self._slow_start_fraction if first or self._slow_start_fraction >= 1 else 0.0
-        if server.slow_start_rank > max(part, self._slow_start_mean(server.weight * warmth)):
-            return False
-        window = self._settings.slow_start_window_ms
-        while server.recent_starts and server.recent_starts[0] < now - window:
-            server.recent_starts.popleft()
-        budget = (
-            SLOW_START_SAFETY
-            * self._settings.slow_start_overload_factor
-            * warmth
-            * self._capacity.served_per_ms
-            * window
-        )
-        return len(server.recent_starts) + 1 <= max(1.0, budget)
-
-    def _slow_start_mean(self, size: float) -> float:
-        """Our part of the calls that all may send in a window to a cold server of this size x warmth.
-
-        The rule allows N + 2 x root of N + 2; a count about the mean m spreads by its root, so m and
-        SLOW_START_DEVIATIONS times its root make up the limit. One call of each of two balancers never
-        exceeds it.
-        """
-        if self._subset_peers <= 2:
-            return 1.0
-        allowed = (
-            self._settings.slow_start_overload_factor
-            * size
-            * self._slow_start_rate
-            * self._settings.slow_start_window_ms
-        )
-        most = allowed + 2 * math.sqrt(allowed) + 2
-        return (
-            float((math.sqrt(SLOW_START_DEVIATIONS**2 / 4 + most) - SLOW_START_DEVIATIONS / 2) ** 2)
-            / self._subset_peers
-        )
-
-    def _update_slow_start(self, now: float) -> None:
-        """Judge what a warm server takes, and which part of the balancers may draw cold ones as they would.
-
-        Guards against balancers that each see few calls, and restarted ones that know nothing yet: a server
-        takes at the least what all send it if they do as we do (or, too new to tell, if requests come level
-        over our servers), and at the least one call at a time. Where the calls that cold ones are due exceed
-        their part (warm ones went, a burst, a tight rule), the warm ones take the rest.
-        """
-        if now - self._slow_start_updated_at < SLOW_START_INTERVAL_MS or not self._endpoints.subset:
-            return
-        self._slow_start_updated_at = now
-        near = len(self._endpoints.subset)
-        self._subset_peers = max(self._peers.count * near / len(self._endpoints.ready), 1.0)
-        unseen = (
-            math.exp((self._arrivals.started_at - now) / self._capacity.memory_ms)
-            if self._capacity.served_per_ms
-            else 1.0
-        )
-        ours = self._capacity.served_per_ms * near + unseen * self._arrivals.usual_per_ms(now)
-        self._slow_start_rate = max(
-            ours / sum(s.weight for s in self._endpoints.subset) * self._subset_peers, self._capacity.median
-        )
-        warm = cold = mean = 0.0
-        for server in self._endpoints.subset:
-            if not is_outlier(server):
-                warmth = self._warmup.fraction(server, now)
-                if warmth < 1:
-                    cold += server.weight * warmth
-                    mean += self._slow_start_mean(server.weight * warmth)
-                else:
-                    warm += server.weight
-        calls = self._arrivals.recent_per_ms(now) * self._settings.slow_start_window_ms
-        # Size that could take all our calls at this mean
-        wanted = calls * cold / mean if mean else math.inf
-        if warm + cold >= wanted:
-            self._slow_start_fraction = 1.0
-        elif warm:
-            self._slow_start_fraction = warm / (wanted - cold)
-        else:  # with no warm one, any that we may call takes all of ours
-            self._slow_start_fraction = 1.0 - (1.0 - cold / wanted) ** (1 / near)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -770,7 +770,9 @@
     known.attempts.clear()
     # (3 + 1) / 2 ties with (1 + 1) / 1
     desk.balancer._endpoints.by_name["s0"].in_flight, desk.balancer._endpoints.by_name["s1"].in_flight = 3, 1
-    got = Counter(s.entry.name for _ in range(2_000) if (s := desk.balancer._select(known, desk.now)))
+    got = Counter(
+        s.entry.name for _ in range(2_000) if (s := desk.balancer._selector.select(known, desk.now))
+    )
     assert got["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert got["s1"] > 5
 
