--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -109,10 +109,11 @@
             "__main__ actions configuration endpoints events network network.client_connection "
             "network.clock network.endpoint_watch network.headers network.log network.proxy "
             "network.request_ids network.sockets network.upstream_pool policy policy.admission "
-            "policy.arrivals policy.available_capacity policy.balancer policy.capacity "
-            "policy.endpoint_set policy.endpoint_stats policy.idempotency policy.outlier_detection "
-            "policy.overload policy.peers policy.poll_backoff policy.request policy.selection "
-            "policy.service_times policy.slow_start policy.warmup settings settings_reader timers"
+            "policy.arrivals policy.attempt_recorder policy.available_capacity policy.balancer "
+            "policy.capacity policy.endpoint_set policy.endpoint_stats policy.idempotency "
+            "policy.idle_connections policy.outlier_detection policy.overload policy.peers "
+            "policy.poll_backoff policy.request policy.retry policy.selection policy.service_times "
+            "policy.slow_start policy.warmup settings settings_reader timers"
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -8,7 +8,7 @@
 import structlog
 from structlog.testing import capture_logs
 
-from loadbalancer.policy import balancer as policy
+from loadbalancer.policy import retry as policy
 from testbed.runs import depth
 
 SERVERS = 6  # a tier; as many fronts, too
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.actions import SetTimer
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Outcome, TimerFired
-from loadbalancer.policy import balancer as policy
+from loadbalancer.policy import retry as policy
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.settings import Idempotency, RequestClass
 from tests.policy.helpers import ANYWHERE, PAY, READ, Desk, of_kind, sent
