--- a/loadbalancer/network/endpoint_watch.py
+++ b/loadbalancer/network/endpoint_watch.py
@@ -10,7 +10,8 @@
 from typing import cast
 
 from loadbalancer.configuration import Address, Configuration, EndpointList, read_endpoint_list
-from loadbalancer.network.upstream_pool import ProtocolError, Response, ResponseReader
+from loadbalancer.network.errors import ProtocolError
+from loadbalancer.network.response_reader import Response, ResponseReader
 
 # Guards against a watch that went silent with nothing to see of it, as one does that was open while discovery
 # was cut off: until its wait is over we hear of no server that comes or goes. Each call costs discovery work,
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -38,7 +38,8 @@
 from loadbalancer.network.headers import end_to_end_headers
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.request_ids import RequestIds
-from loadbalancer.network.upstream_pool import Response, UpstreamAttempt, UpstreamPools
+from loadbalancer.network.response_reader import Response
+from loadbalancer.network.upstream_pool import UpstreamAttempt, UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
--- /dev/null
+++ b/loadbalancer/network/response_reader.py
@@ -0,0 +1,132 @@
+"""Parses HTTP/1.1 responses incrementally and validates them on the way."""
+
+from __future__ import annotations
+
+import httptools
+
+from loadbalancer.network.errors import InvalidResponseError
+from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
+
+_MAX_LENGTH_DIGITS = 19
+"""Content-Length values with more digits are refused before they are converted to an integer."""
+
+_SWITCHING_PROTOCOLS = 101
+_FIRST_FINAL_STATUS = 200
+_STATUSES_WITHOUT_BODY = (204, 304)
+
+
+class Response:
+    """One complete response, ready to be passed on."""
+
+    __slots__ = ("body", "headers", "status")
+
+    def __init__(self, status: int, headers: Headers, body: bytes) -> None:
+        self.status = status
+        self.headers = headers
+        self.body = body
+
+
+class ResponseReader:
+    """Collects one response after another from the bytes of a connection.
+
+    Guards against headers and interim responses without end, invalid lengths and a body that exceeds the
+    limit: all are refused as soon as they are detected, so that time is left for another attempt. Bytes
+    that follow a complete response do not affect it, but the connection cannot be used again.
+    """
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self._max_body_bytes = max_body_bytes
+        self._parser = httptools.HttpResponseParser(self)
+        self._response: Response | None = None
+        self._bytes_since_response = 0
+        self._may_reuse = False
+        self.on_message_begin()
+
+    @property
+    def may_reuse(self) -> bool:
+        """Whether the connection may carry a further request."""
+        return self._may_reuse
+
+    @property
+    def bytes_since_response(self) -> int:
+        """How many bytes have been read since the last complete response, whatever they were."""
+        return self._bytes_since_response
+
+    def feed(self, data: bytes) -> Response | None:
+        """Parse further bytes of the connection.
+
+        Returns:
+            The response, once it is complete.
+
+        Raises:
+            InvalidResponseError: The bytes cannot become a response that may be passed on.
+        """
+        self._bytes_since_response += len(data)
+        self._parse(data)
+        if self._response is None and self._bytes_since_response - self._body_bytes > MAX_HEAD_BYTES:
+            raise InvalidResponseError("headers and interim responses without end")
+        response, self._response = self._response, None
+        if response is not None:
+            self._bytes_since_response = 0
+        return response
+
+    def _parse(self, data: bytes) -> None:
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            self._may_reuse = False
+            if self._response is None:
+                raise InvalidResponseError(str(error.__context__ or error)) from None
+
+    # ---- callbacks of the parser ----------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        """Discard the previous message, unless it is the final response: none may follow that."""
+        if self._response is not None:
+            raise InvalidResponseError("more than one response")
+        self._headers: Headers = []
+        self._body_parts: list[bytes] = []
+        self._body_bytes = 0
+        self._header_bytes = 0
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a header, up to the size limit."""
+        self._header_bytes += len(name) + len(value)
+        if self._header_bytes > MAX_HEAD_BYTES:
+            raise InvalidResponseError("headers too large")
+        self._headers.append((name.lower(), value))
+
+    def on_headers_complete(self) -> None:
+        """Refuse a response that cannot be passed on before its body is read."""
+        status = self._parser.get_status_code()
+        if status == _SWITCHING_PROTOCOLS:
+            raise InvalidResponseError("a switch to another protocol, which was not requested")
+        lengths = [value for name, value in self._headers if name == b"content-length"]
+        codings = [value.lower() for name, value in self._headers if name == b"transfer-encoding"]
+        if (lengths and codings) or len(lengths) > 1 or codings not in ([], [b"chunked"]):
+            raise InvalidResponseError("more than one length")
+        if lengths and not self._is_valid_length(lengths[0]):
+            raise InvalidResponseError("an invalid length")
+        has_body = status >= _FIRST_FINAL_STATUS and status not in _STATUSES_WITHOUT_BODY
+        if has_body and not lengths and not codings:
+            raise InvalidResponseError("no length, so that a truncated response could not be recognised")
+
+    def _is_valid_length(self, length: bytes) -> bool:
+        if not length.isdigit() or len(length) > _MAX_LENGTH_DIGITS:
+            return False
+        return int(length) <= self._max_body_bytes
+
+    def on_body(self, data: bytes) -> None:
+        """Keep a part of the body, up to the size limit."""
+        self._body_bytes += len(data)
+        if self._body_bytes > self._max_body_bytes:
+            raise InvalidResponseError("body too large")
+        self._body_parts.append(data)
+
+    def on_message_complete(self) -> None:
+        """Keep a final response; an interim one (status 1xx) is ignored."""
+        # Read here and not later: the parser resets its flags once the message is complete.
+        self._may_reuse = self._parser.should_keep_alive()
+        status = self._parser.get_status_code()
+        if status >= _FIRST_FINAL_STATUS:
+            self._response = Response(status, self._headers, b"".join(self._body_parts))
--- a/loadbalancer/network/upstream_pool.py
+++ b/loadbalancer/network/upstream_pool.py
@@ -12,12 +12,11 @@
 from collections.abc import Callable
 from typing import cast
 
-import httptools
-
 from loadbalancer.configuration import Address, Configuration, EndpointList
 from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import Outcome
-from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
+from loadbalancer.network.errors import InvalidResponseError
+from loadbalancer.network.response_reader import Response, ResponseReader
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
 
 IDLE_PART = 0.8  # of the upstream's idle limit: a request that crosses its closing would end as a reset
@@ -27,99 +26,7 @@
 OWN_WANT = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
 DRAIN_PART = 0.5  # of the grace: the news may have waited in our buffer before it was read
 
-Done = Callable[[Outcome, "Response | None"], None]
-
-
-class ProtocolError(Exception):
-    """A message that can't be read, or is larger than the protocol allows."""
-
-
-class Response:
-    """One whole response, ready to be passed on."""
-
-    __slots__ = ("body", "headers", "status")
-
-    def __init__(self, status: int, headers: Headers, body: bytes) -> None:
-        self.status, self.headers, self.body = status, headers, body
-
-
-class ResponseReader:
-    """Collects one response after another from the bytes of a connection.
-
-    Guards against heads and interim answers without end, lengths that can't be and a body that keeps
-    coming: all are refused as soon as they show, so that time is left for another attempt. What comes
-    behind a whole answer does not touch it, but the connection is of no further use.
-    """
-
-    def __init__(self, body_max: int = MAX_BODY_BYTES) -> None:
-        self._body_max = body_max
-        self._parser = httptools.HttpResponseParser(self)
-        self._answer: Response | None = None
-        self._raw = 0  # bytes since the last whole answer, whatever they are
-        self.may_reuse = False  # whether the connection may carry a further request
-        self.on_message_begin()
-
-    def feed(self, data: bytes) -> Response | None:
-        """Take bytes; the answer, once it is whole. Raises Malformed for what can't become one."""
-        self._raw += len(data)
-        try:
-            self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.may_reuse = False
-            if self._answer is None:
-                raise ProtocolError(str(error.__context__ or error)) from None
-        if self._answer is None and self._raw - self._size > MAX_HEAD_BYTES:
-            raise ProtocolError("a head without end")
-        answer, self._answer = self._answer, None
-        if answer is not None:
-            self._raw = 0
-        return answer
-
-    def on_message_begin(self) -> None:
-        """Forget the message before, unless it is the answer: nothing may follow that."""
-        if self._answer is not None:
-            raise ProtocolError("more than one answer")
-        self._headers: Headers = []
-        self._chunks: list[bytes] = []
-        self._size = self._head = 0
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
-        self._head += len(name) + len(value)
-        if self._head > MAX_HEAD_BYTES:
-            raise ProtocolError("headers too large")
-        self._headers.append((name.lower(), value))
-
-    def on_headers_complete(self) -> None:
-        """Refuse at the head what can't become an answer that may be passed on."""
-        status = self._parser.get_status_code()
-        if status == 101:
-            raise ProtocolError("nobody asked for another protocol")
-        lengths = [value for name, value in self._headers if name == b"content-length"]
-        codings = [value.lower() for name, value in self._headers if name == b"transfer-encoding"]
-        if (lengths and codings) or len(lengths) > 1 or codings not in ([], [b"chunked"]):
-            raise ProtocolError("more than one length")
-        if lengths and not (
-            lengths[0].isdigit() and len(lengths[0]) < 20 and int(lengths[0]) <= self._body_max
-        ):
-            raise ProtocolError("an impossible length")
-        if status >= 200 and status not in (204, 304) and not lengths and not codings:
-            raise ProtocolError("no length: nobody could tell whether it is whole")
-
-    def on_body(self, data: bytes) -> None:
-        """Keep a part of the body, up to the bound."""
-        self._size += len(data)
-        if self._size > self._body_max:
-            raise ProtocolError("body too large")
-        self._chunks.append(data)
-
-    def on_message_complete(self) -> None:
-        """The message is whole; an interim one (100 and the like) is passed over."""
-        # Asked here and not later: the parser forgets its flags once the message is over.
-        self.may_reuse = self._parser.should_keep_alive()
-        status = self._parser.get_status_code()
-        if status >= 200:
-            self._answer = Response(status, self._headers, b"".join(self._chunks))
+Done = Callable[[Outcome, Response | None], None]
 
 
 def _meaning(answer: Response) -> Outcome:
@@ -282,7 +189,7 @@
             return
         try:
             answer = self._reader.feed(data)
-        except ProtocolError:
+        except InvalidResponseError:
             attempt.broken()
             return
         if answer is not None:
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -96,7 +96,7 @@
             rig.discovery.answers.put_nowait(whole[:-5])
             link = rig.proxy._discovery._link
             assert link is not None
-            while link._reader._raw == 0:  # the first part has been read
+            while link._reader.bytes_since_response == 0:  # the first part has been read
                 await asyncio.sleep(0.001)
             new = DiscoveryServer()
             text = config_text(await new.start(), [])
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -14,10 +14,10 @@
 from loadbalancer.actions import Action, RejectRequest, StartAttempt
 from loadbalancer.configuration import read_configuration, read_endpoint_list
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
+from loadbalancer.network.response_reader import Response
 from loadbalancer.network.sockets import peek
 from loadbalancer.network.upstream_pool import (
     SETTLE_S,
-    Response,
     UpstreamAttempt,
     UpstreamPool,
     UpstreamPools,
