--- a/loadbalancer/network/client_connection.py
+++ b/loadbalancer/network/client_connection.py
@@ -20,7 +20,7 @@
 from loadbalancer.network.errors import ProtocolError
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers, end_to_end_headers
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
-from loadbalancer.network.upstream_pool import SPARE_SOCKETS
+from loadbalancer.network.upstream_pool import RESERVED_DESCRIPTORS
 from loadbalancer.settings import Idempotency, RequestClass
 
 BACKLOG = 2_048  # callers queue in the kernel while we are busy, instead of being turned away
@@ -532,7 +532,7 @@
         self.classes = {c.name: c for c in config.settings.classes}
         self.ending = self.closing = False
         self._longest_s = max(c.deadline_ms for c in config.settings.classes) / 1000
-        self._cap = max(config.descriptor_limit // 2 - SPARE_SOCKETS, 4)
+        self._cap = max(config.descriptor_limit // 2 - RESERVED_DESCRIPTORS, 4)
         self.held = 0  # bytes that callers have us hold
         self.held_max = int(config.memory_limit_mb * HELD_PART * (1 << 20))
         self._way_made = -math.inf
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -185,7 +185,7 @@
         """Take back what has not left yet, also where what is out must not be cancelled."""
         for attempt in request.attempts:
             if attempt is not None:
-                attempt.drop()
+                attempt.withdraw()
 
     def abort_open_requests(self) -> None:
         """The time after SIGTERM is up: answer what is still open, and what still comes."""
--- a/loadbalancer/network/upstream_pool.py
+++ b/loadbalancer/network/upstream_pool.py
@@ -19,17 +19,23 @@
 from loadbalancer.network.response_reader import Response, ResponseReader
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
 
-IDLE_PART = 0.8  # of the upstream's idle limit: a request that crosses its closing would end as a reset
-CALLERS_PART = 0.5  # of the sockets are kept for callers
-SPARE_SOCKETS = 24  # on each side, for the event loop, the log, discovery and what is just closing
-SETTLE_S = 0.02  # so long what does not belong to an answer may lag behind it: some milliseconds, they say
-OWN_WANT = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
-DRAIN_PART = 0.5  # of the grace: the news may have waited in our buffer before it was read
-
-Done = Callable[[Outcome, Response | None], None]
-
-
-def _meaning(answer: Response) -> Outcome:
+IDLE_TIMEOUT_FRACTION = (
+    0.8  # of the upstream's idle limit: a request that crosses its closing would end as a reset
+)
+UPSTREAM_DESCRIPTORS_FRACTION = 0.5  # of the sockets are kept for callers
+RESERVED_DESCRIPTORS = 24  # on each side, for the event loop, the log, discovery and what is just closing
+REUSE_DELAY_S = (
+    0.02  # so long what does not belong to an answer may lag behind it: some milliseconds, they say
+)
+LOCAL_RESOURCE_ERRORS = frozenset(
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
+)
+DRAIN_GRACE_FRACTION = 0.5  # of the grace: the news may have waited in our buffer before it was read
+
+OnAttemptEnd = Callable[[Outcome, Response | None], None]
+
+
+def _outcome_of_response(answer: Response) -> Outcome:
     if answer.status == 200:
         return Outcome.SUCCEEDED
     if answer.status in (503, 504) and (b"x-not-run", b"1") in answer.headers:
@@ -37,7 +43,7 @@
     return Outcome.ERROR
 
 
-def _is_over() -> bool:
+def _is_not_wanted() -> bool:
     return False
 
 
@@ -47,10 +53,14 @@
     __slots__ = ("_compose", "_connection", "_on_end", "_pool", "_task", "_timer", "_wanted")
 
     def __init__(
-        self, pool: UpstreamPool, compose: Callable[[], bytes], on_end: Done, wanted: Callable[[], bool]
+        self,
+        pool: UpstreamPool,
+        compose: Callable[[], bytes],
+        on_end: OnAttemptEnd,
+        wanted: Callable[[], bool],
     ) -> None:
         self._pool, self._compose, self._wanted = pool, compose, wanted
-        self._on_end: Done | None = on_end
+        self._on_end: OnAttemptEnd | None = on_end
         self._connection: UpstreamConnection | None = None
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -59,9 +69,9 @@
         """Begin on an idle connection, or open one; nothing is reported before this returns."""
         loop = self._pool.upstreams.loop
         self._timer = loop.call_later(timeout_s, self._timed_out)
-        connection = self._pool.take()
+        connection = self._pool.take_idle_connection()
         if connection is not None:
-            self._begin(connection)
+            self._send(connection)
         else:
             self._task = loop.create_task(self._connect())
 
@@ -69,16 +79,16 @@
         """Stop waiting: the connection is closed, which tells the upstream."""
         self._finish(Outcome.CANCELLED)
 
-    def drop(self) -> None:
+    def withdraw(self) -> None:
         """End it if its last byte has not left: unlike a cancel, that takes back nothing that may run."""
         if self._connection is None or not self._connection.is_written():
             self._finish(Outcome.NOT_SENT)
 
-    def answered(self, answer: Response) -> None:
+    def handle_response(self, answer: Response) -> None:
         """The response is whole."""
-        self._finish(_meaning(answer), answer)
+        self._finish(_outcome_of_response(answer), answer)
 
-    def broken(self) -> None:
+    def handle_reset(self) -> None:
         """The connection ended or carried what can't be passed on."""
         self._finish(Outcome.RESET)
 
@@ -95,13 +105,13 @@
         except (OSError, TimeoutError) as error:
             self._task = None
             # Guards against blaming the server for what we lack: that would teach the module wrong things.
-            ours = isinstance(error, OSError) and error.errno in OWN_WANT
+            ours = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS
             self._finish(Outcome.NOT_SENT if ours else Outcome.CONNECT_FAILED)
             return
         self._task = None
         if self._on_end is None:  # cancelled while the connection came up
             connection.close()
-        elif not self._pool.may_begin():
+        elif not self._pool.may_send():
             # Guards against a send that begins late: the server was told to drain while we connected.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
@@ -110,11 +120,11 @@
             self._pool.keep(connection)
             self._finish(Outcome.NOT_SENT)
         else:
-            self._begin(connection)
+            self._send(connection)
 
-    def _begin(self, connection: UpstreamConnection) -> None:
+    def _send(self, connection: UpstreamConnection) -> None:
         self._connection = connection
-        connection.carry(self, self._compose())
+        connection.send(self, self._compose())
 
     def _timed_out(self) -> None:
         # Nothing written means that it never ran, whatever kept it from being written.
@@ -124,7 +134,7 @@
         on_end, self._on_end = self._on_end, None
         if on_end is None:
             return
-        self._wanted = _is_over  # what it held of its request goes
+        self._wanted = _is_not_wanted  # what it held of its request goes
         if self._timer is not None:
             self._timer.cancel()
         if self._task is not None:
@@ -160,7 +170,7 @@
         """The last byte has left our buffer."""
         self._written = self._attempt is not None
 
-    def carry(self, attempt: UpstreamAttempt, request: bytes) -> None:
+    def send(self, attempt: UpstreamAttempt, request: bytes) -> None:
         """Send a request and wait for its response."""
         assert self._transport is not None
         self._attempt, self._written = attempt, False
@@ -185,26 +195,26 @@
             self.close()
             return
         if not self._written:
-            attempt.broken()  # no answer to a request that has not left: what it is, nobody knows
+            attempt.handle_reset()  # no answer to a request that has not left: what it is, nobody knows
             return
         try:
             answer = self._reader.feed(data)
         except InvalidResponseError:
-            attempt.broken()
+            attempt.handle_reset()
             return
         if answer is not None:
-            attempt.answered(answer)
+            attempt.handle_response(answer)
 
     def eof_received(self) -> None:
         """The upstream ends; the transport closes by itself."""
         if self._attempt is not None:
-            self._attempt.broken()
+            self._attempt.handle_reset()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Leave the books, and tell the attempt that was out."""
         self._leave()
         if self._attempt is not None:
-            self._attempt.broken()
+            self._attempt.handle_reset()
 
     def release(self, reuse: bool) -> None:
         """The attempt is over: keep the connection if its end was clean, else close it."""
@@ -233,29 +243,29 @@
 class UpstreamPool:
     """The connections to one server at one address since one start."""
 
-    def __init__(self, upstreams: UpstreamPools, address: Address, since_ms: float) -> None:
-        self.upstreams, self.address, self.since_ms = upstreams, address, since_ms
-        self.idle: list[UpstreamConnection] = []  # the newest last
-        self.drains_since: float | None = None
+    def __init__(self, upstreams: UpstreamPools, address: Address, started_at_ms: float) -> None:
+        self.upstreams, self.address, self.started_at_ms = upstreams, address, started_at_ms
+        self.idle_connections: list[UpstreamConnection] = []  # the newest last
+        self.draining_since: float | None = None
         self.current = True
 
-    def may_begin(self) -> bool:
+    def may_send(self) -> bool:
         """Whether the drain grace, if it runs, leaves room for a send that is only now ready."""
-        grace_s = DRAIN_PART * self.upstreams.config.drain_grace_ms / 1000
-        return self.drains_since is None or time.monotonic() < self.drains_since + grace_s
+        grace_s = DRAIN_GRACE_FRACTION * self.upstreams.config.drain_grace_ms / 1000
+        return self.draining_since is None or time.monotonic() < self.draining_since + grace_s
 
-    def take(self) -> UpstreamConnection | None:
+    def take_idle_connection(self) -> UpstreamConnection | None:
         """The newest idle connection that lives; the dead ones go.
 
         Guards against bytes right behind an answer that would be taken for the answer to the next request:
         a connection carries no other one before a moment has passed in which they could show.
         """
         now = time.monotonic()
-        for connection in reversed(self.idle[:]):
-            if now - connection.idle_since < SETTLE_S:
+        for connection in reversed(self.idle_connections[:]):
+            if now - connection.idle_since < REUSE_DELAY_S:
                 continue
             if now - connection.idle_since < self.upstreams.idle_s and connection.is_alive():
-                self.idle.remove(connection)
+                self.idle_connections.remove(connection)
                 return connection
             connection.close()
         return None
@@ -273,21 +283,21 @@
 
     def keep(self, connection: UpstreamConnection) -> None:
         """Back to the idle ones, unless the server has changed meanwhile."""
-        if not self.current or self.drains_since is not None:
+        if not self.current or self.draining_since is not None:
             connection.close()
             return
         connection.idle_since = time.monotonic()
-        self.idle.append(connection)
+        self.idle_connections.append(connection)
 
     def forget(self, connection: UpstreamConnection) -> None:
         """A connection has closed."""
         self.upstreams.open_connections -= 1
-        if connection in self.idle:
-            self.idle.remove(connection)
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close what nobody uses."""
-        for connection in self.idle[:]:
+        for connection in self.idle_connections[:]:
             connection.close()
 
 
@@ -296,46 +306,48 @@
 
     def __init__(self, config: Configuration, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.loop = config, loop
-        self.idle_s = IDLE_PART * config.idle_timeout_ms / 1000
+        self.idle_s = IDLE_TIMEOUT_FRACTION * config.idle_timeout_ms / 1000
         self.open_connections = 0
-        self.cap = max(int(config.descriptor_limit * CALLERS_PART) - SPARE_SOCKETS, 4)
+        self.connection_limit = max(
+            int(config.descriptor_limit * UPSTREAM_DESCRIPTORS_FRACTION) - RESERVED_DESCRIPTORS, 4
+        )
         self._pools: dict[str, UpstreamPool] = {}
 
     def update_endpoints(self, news: EndpointList) -> None:
         """Follow the list: a server that is gone, moved or restarted loses its connections."""
         if news.is_complete:
             for name in self._pools.keys() - {e.endpoint.name for e in news.endpoints}:
-                self._drop(name)
+                self._retire(name)
         for endpoint in news.endpoints:
             member = endpoint.endpoint
             if member.state is EndpointState.REMOVED:
-                self._drop(member.name)
+                self._retire(member.name)
                 continue
             pool = self._pools.get(member.name)
-            if pool and (pool.address, pool.since_ms) != (endpoint.address, member.started_at_ms):
-                self._drop(member.name)
+            if pool and (pool.address, pool.started_at_ms) != (endpoint.address, member.started_at_ms):
+                self._retire(member.name)
                 pool = None
             if pool is None:
                 pool = self._pools[member.name] = UpstreamPool(self, endpoint.address, member.started_at_ms)
             if member.state is EndpointState.READY:
-                pool.drains_since = None
-            elif pool.drains_since is None:
-                pool.drains_since = time.monotonic()
-                pool.close_idle()
+                pool.draining_since = None
+            elif pool.draining_since is None:
+                pool.draining_since = time.monotonic()
+                pool.close_idle_connections()
 
-    def _drop(self, name: str) -> None:
+    def _retire(self, name: str) -> None:
         pool = self._pools.pop(name, None)
         if pool is not None:
             pool.current = False
-            pool.drains_since = pool.drains_since or time.monotonic()
-            pool.close_idle()
+            pool.draining_since = pool.draining_since or time.monotonic()
+            pool.close_idle_connections()
 
     def start_attempt(
         self,
         server: str,
         timeout_s: float,
         compose: Callable[[], bytes],
-        on_end: Done,
+        on_end: OnAttemptEnd,
         wanted: Callable[[], bool] = lambda: True,
     ) -> UpstreamAttempt | None:
         """Start an attempt, or None for a server that no list names any more."""
@@ -349,13 +361,17 @@
     def close_idle_connections(self, server: str) -> None:
         """Close the idle connections to one server."""
         if pool := self._pools.get(server):
-            pool.close_idle()
+            pool.close_idle_connections()
 
     def has_capacity(self) -> bool:
         """Whether one more connection may be opened; the longest idle one makes way."""
-        if self.open_connections < self.cap:
+        if self.open_connections < self.connection_limit:
             return True
-        oldest = min((p.idle[0] for p in self._pools.values() if p.idle), key=_idle_since, default=None)
+        oldest = min(
+            (p.idle_connections[0] for p in self._pools.values() if p.idle_connections),
+            key=_idle_since,
+            default=None,
+        )
         if oldest is not None:
             oldest.close()
         return oldest is not None
@@ -364,8 +380,8 @@
         """Close what stands idle for too long, before the upstreams do."""
         limit = time.monotonic() - self.idle_s
         for pool in self._pools.values():
-            while pool.idle and pool.idle[0].idle_since < limit:
-                pool.idle[0].close()
+            while pool.idle_connections and pool.idle_connections[0].idle_since < limit:
+                pool.idle_connections[0].close()
 
 
 def _idle_since(connection: UpstreamConnection) -> float:
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -53,7 +53,7 @@
 def settle(rig: Rig) -> None:
     """Let idle connections to upstreams carry a further request at once."""
     for pool in rig.proxy.upstreams._pools.values():
-        for connection in pool.idle:
+        for connection in pool.idle_connections:
             connection.idle_since -= 1.0
 
 
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -28,7 +28,7 @@
 from loadbalancer.events import EndpointListKind, EndpointListUpdate, Event, Outcome
 from loadbalancer.network import endpoint_watch as discovery
 from loadbalancer.network.proxy import Proxy
-from loadbalancer.network.upstream_pool import SPARE_SOCKETS
+from loadbalancer.network.upstream_pool import RESERVED_DESCRIPTORS
 from loadbalancer.policy import balancer as policy
 from tests.network.loopback import (
     Client,
@@ -502,7 +502,7 @@
                 assert node.stderr is not None
                 assert b"list out of reach" in await node.stderr.readline()
                 crowd.extend(asyncio.ensure_future(idle(port)) for _ in range(clients))
-                cap, most = sockets // 2 - SPARE_SOCKETS, 0
+                cap, most = sockets // 2 - RESERVED_DESCRIPTORS, 0
                 while most < cap:
                     most = max(most, len(os.listdir(f"/proc/{node.pid}/fd")))
                     await asyncio.sleep(0.01)
@@ -569,7 +569,7 @@
     async def scenario() -> None:
         upstream = Upstream(silent)
         upstreams = make(await upstream.start())
-        upstreams.cap = 5
+        upstreams.connection_limit = 5
         tries = [Try(upstreams) for _ in range(12)]
         while upstream.connections < 5 or sum(bool(one.ends) for one in tries) < 7:
             assert upstreams.open_connections <= 5
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -137,7 +137,7 @@
         upstream = Upstream()
         async with Rig(upstream) as rig:
             assert status(await rig.ask()) == 200
-            (idle,) = rig.proxy.upstreams._pools["s0"].idle
+            (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
             idle.idle_since -= 1.0
             is_alive, looked = UpstreamConnection.is_alive, list[bool]()
 
@@ -183,8 +183,8 @@
                 "restarted": told_list(entry("s0", address, since_ms=5)),
             }[change]
             upstreams.update_endpoints(news)  # as the connection comes up
-            assert pool.drains_since is not None
-            pool.drains_since -= 0.5  # the grace has passed
+            assert pool.draining_since is not None
+            pool.draining_since -= 0.5  # the grace has passed
             return connection
 
         monkeypatch.setattr(UpstreamPool, "connect", at_last)
--- a/tests/network/test_invalid_clients.py
+++ b/tests/network/test_invalid_clients.py
@@ -235,7 +235,7 @@
     from collections import Counter
 
     # Else the pool keeps as many connections as calls fit into that time, which is the machine's speed.
-    monkeypatch.setattr("loadbalancer.network.upstream_pool.SETTLE_S", 0.0)
+    monkeypatch.setattr("loadbalancer.network.upstream_pool.REUSE_DELAY_S", 0.0)
 
     def count() -> Counter[str]:
         return Counter(
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -281,7 +281,7 @@
 
 def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.upstream_pool.SETTLE_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.upstream_pool.REUSE_DELAY_S", 0.0)
         upstream = Upstream()
         async with Rig(upstream) as rig:
             for _ in range(3):
@@ -304,7 +304,10 @@
             client.send()
             await client.answer()
             (taken,) = rig.proxy.listener._connections
-            for transport in (rig.proxy.upstreams._pools["s0"].idle[0]._transport, taken._transport):
+            for transport in (
+                rig.proxy.upstreams._pools["s0"].idle_connections[0]._transport,
+                taken._transport,
+            ):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -17,7 +17,7 @@
 from loadbalancer.network.response_reader import Response
 from loadbalancer.network.sockets import peek
 from loadbalancer.network.upstream_pool import (
-    SETTLE_S,
+    REUSE_DELAY_S,
     UpstreamAttempt,
     UpstreamPool,
     UpstreamPools,
@@ -146,8 +146,8 @@
         attempt = Try(upstreams)  # begins to connect
         pool = upstreams._pools["s0"]
         upstreams.update_endpoints(told_list(entry("s0", address, status="terminating")))
-        assert pool.drains_since is not None
-        pool.drains_since -= 0.5  # the grace has passed while it connected
+        assert pool.draining_since is not None
+        pool.draining_since -= 0.5  # the grace has passed while it connected
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
         assert not upstream.asked
 
@@ -168,10 +168,10 @@
         upstreams.close_idle_connections("s0")
         assert upstreams.open_connections == 0
         await serve()
-        upstreams._pools["s0"].idle[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
+        upstreams._pools["s0"].idle_connections[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
         await serve()
         assert upstream.connections == 3
-        upstreams._pools["s0"].idle[0].idle_since -= 0.9 * 60
+        upstreams._pools["s0"].idle_connections[0].idle_since -= 0.9 * 60
         upstreams.close_expired()
         assert upstreams.open_connections == 0
         await serve()
@@ -191,7 +191,7 @@
         upstream, other = Upstream(response(), silent), Upstream(silent)
         upstreams = make(await upstream.start())
         upstreams.update_endpoints(told_list(entry("s1", await other.start())))
-        upstreams.cap = 1
+        upstreams.connection_limit = 1
         assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
         attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, answer: None)
         assert attempt is not None
@@ -265,10 +265,10 @@
         upstream = Upstream()
         upstreams = make(await upstream.start())
         assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
-        assert upstreams._pools["s0"].take() is None  # not in the same moment
-        upstreams._pools["s0"].idle[0].idle_since -= 0.01  # nor some milliseconds later
-        assert upstreams._pools["s0"].take() is None
-        upstreams._pools["s0"].idle[0].idle_since -= SETTLE_S
+        assert upstreams._pools["s0"].take_idle_connection() is None  # not in the same moment
+        upstreams._pools["s0"].idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
+        assert upstreams._pools["s0"].take_idle_connection() is None
+        upstreams._pools["s0"].idle_connections[0].idle_since -= REUSE_DELAY_S
         assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
         assert upstream.connections == 1
 
