--- a/loadbalancer/network/client_connection.py
+++ b/loadbalancer/network/client_connection.py
@@ -19,8 +19,7 @@
 from loadbalancer.configuration import Configuration
 from loadbalancer.network.errors import ProtocolError
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers, end_to_end_headers
-from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
-from loadbalancer.network.upstream_pool import RESERVED_DESCRIPTORS
+from loadbalancer.network.sockets import RESERVED_DESCRIPTORS, peek, set_no_delay, shutdown_write
 from loadbalancer.settings import Idempotency, RequestClass
 
 BACKLOG = 2_048  # callers queue in the kernel while we are busy, instead of being turned away
--- a/loadbalancer/network/errors.py
+++ b/loadbalancer/network/errors.py
@@ -9,3 +9,7 @@
 
 class InvalidResponseError(ProtocolError):
     """An upstream or discovery sent a response that must not be used."""
+
+
+class ConnectionLimitError(Exception):
+    """No further connection to an upstream may be opened within the limit on descriptors."""
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -39,7 +39,8 @@
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.request_ids import RequestIds
 from loadbalancer.network.response_reader import Response
-from loadbalancer.network.upstream_pool import UpstreamAttempt, UpstreamPools
+from loadbalancer.network.upstream_attempt import UpstreamAttempt
+from loadbalancer.network.upstream_pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -5,6 +5,12 @@
 import asyncio
 import socket
 
+RESERVED_DESCRIPTORS = 24
+"""Descriptors left unused both by clients and by upstreams.
+
+They are for the event loop, the log, discovery and connections that are just closing.
+"""
+
 
 def set_no_delay(transport: asyncio.BaseTransport) -> None:
     """Send small messages at once."""
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -12,7 +12,8 @@
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import ClientDisconnected, Event, RequestReceived, TimerFired
 from loadbalancer.network import client_connection as client_connection
-from loadbalancer.network.upstream_pool import UpstreamConnection, UpstreamPool
+from loadbalancer.network.upstream_connection import UpstreamConnection
+from loadbalancer.network.upstream_pool import UpstreamPool
 from loadbalancer.timers import HedgeTimer
 from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, run, silent, status
 
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -18,7 +18,7 @@
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
 from loadbalancer.network import client_connection as client_connection
 from loadbalancer.network.headers import MAX_BODY_BYTES
-from loadbalancer.network.upstream_pool import UpstreamConnection
+from loadbalancer.network.upstream_connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
 from tests.network.loopback import ReceivedMessage, Rig, Upstream, entry, reset, response, run, silent, status
 from tests.network.test_abandoned_requests import LIMITS, ask, before, client_of, over, settle
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -28,7 +28,7 @@
 from loadbalancer.events import EndpointListKind, EndpointListUpdate, Event, Outcome
 from loadbalancer.network import endpoint_watch as discovery
 from loadbalancer.network.proxy import Proxy
-from loadbalancer.network.upstream_pool import RESERVED_DESCRIPTORS
+from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
 from loadbalancer.policy import balancer as policy
 from tests.network.loopback import (
     Client,
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -17,7 +17,8 @@
 from loadbalancer.configuration import read_configuration
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.proxy import Proxy
-from loadbalancer.network.upstream_pool import UpstreamConnection, UpstreamPool
+from loadbalancer.network.upstream_connection import UpstreamConnection
+from loadbalancer.network.upstream_pool import UpstreamPool
 from tests.network.loopback import (
     Client,
     DiscoveryServer,
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -110,7 +110,7 @@
             "network.clock network.endpoint_watch network.headers network.log network.proxy "
             "network.request_ids network.sockets network.upstream_pool policy policy.balancer "
             "settings settings_reader timers "
-            "network.errors network.response_reader"
+            "network.errors network.response_reader network.upstream_attempt network.upstream_connection"
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -16,9 +16,9 @@
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.response_reader import Response
 from loadbalancer.network.sockets import peek
+from loadbalancer.network.upstream_attempt import UpstreamAttempt
 from loadbalancer.network.upstream_pool import (
     REUSE_DELAY_S,
-    UpstreamAttempt,
     UpstreamPool,
     UpstreamPools,
 )
