--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""A client that closes, cancels or ends its sending has gone: no attempt begins from then on.
+"""A client that closes, resets or half-closes its connection has disconnected: no attempt begins after that.
 
-Where that matters the connections to the upstreams are warmed first: a request is written to an idle one in
-the turn in which it is sent, so that nothing but a look at the client's own socket keeps it back.
+Where it matters, idle connections to the upstreams are opened first: a request is written to an idle one in
+the same turn of the event loop, so that only a look at the client's socket can keep it back.
 """
 
 from __future__ import annotations
@@ -16,14 +16,21 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import client_connection as client_connection
+from loadbalancer.network import client_connection
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream_connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
+from tests.network.disconnecting_clients import (
+    HEDGING_LIMITS,
+    connect_client,
+    pass_reuse_delay,
+    request_bytes,
+    until_idle,
+)
 from tests.network.loopback import ReceivedMessage, Rig, Upstream, entry, reset, response, run, silent, status
-from tests.network.test_abandoned_requests import LIMITS, ask, before, client_of, over, settle
+from tests.network.policy_hooks import before_event, replace_policy
 
-Leave = Callable[[socket.socket], None]
+Disconnect = Callable[[socket.socket], None]
 NOT_RUN = response(503, b"", "X-Not-Run: 1")
 
 
@@ -41,19 +48,21 @@
 
 
 def close_behind_bytes(client: socket.socket) -> None:
-    client.send(b"GET /re")  # a look at the first byte alone does not tell that the end has come
+    client.send(b"GET /re")  # looking at the first byte alone does not show the end behind it
     client.close()
 
 
-LEAVES = pytest.mark.parametrize("leave", [close, half_close, reset_by_client, close_behind_bytes])
+WAYS_TO_DISCONNECT = pytest.mark.parametrize(
+    "disconnect", [close, half_close, reset_by_client, close_behind_bytes]
+)
 
 
-def keyed(number: int) -> bytes:
-    return ask("/put", number, b"keyed").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k1\r\n\r\n", 1)
+def idempotent_request(number: int) -> bytes:
+    return request_bytes("/put", number, b"keyed").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k1\r\n\r\n", 1)
 
 
-def only_first(script: Any) -> Any:
-    """What the client's own request gets; all others are served."""
+def for_first_request(script: Any) -> Any:
+    """Applies a script to the request with the id 1; all others succeed."""
 
     async def by_id(asked: ReceivedMessage, writer: Any) -> None:
         if asked.headers["x-request-id"] != "1":
@@ -66,115 +75,119 @@
     return by_id
 
 
-async def warm(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An idle connection at each upstream, which a further attempt uses as well."""
+async def open_idle_connections(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Have an idle connection to each upstream, which retries use as well."""
     while not all(upstream.asked for upstream in rig.upstreams):
         assert status(await rig.ask()) == 200
     monkeypatch.setattr(rig.proxy.upstreams, "close_idle_connections", lambda server: None)
-    settle(rig)
+    pass_reuse_delay(rig)
 
 
-async def sent_on(rig: Rig) -> list[str]:
-    """The ids that reached upstreams, the warming aside, once all that was on its way has arrived."""
-    settle(rig)
+async def ids_received(rig: Rig) -> list[str]:
+    """The ids of the test's own requests that reached upstreams, once all in flight have arrived."""
+    pass_reuse_delay(rig)
     assert status(await rig.ask()) == 200
     ids = [one.headers["x-request-id"] for upstream in rig.upstreams for one in upstream.asked]
     return sorted(name for name in ids if len(name) < 8)
 
 
-@LEAVES
-def test_before_the_loop_took_it_in(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop is busy: connection, request and end all wait in the kernel when it comes back."""
+@WAYS_TO_DISCONNECT
+def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
+    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            await warm(rig, monkeypatch)
-            client = client_of(rig)
-            client.sendall(ask("/read", 1))
-            leave(client)
+            await open_idle_connections(rig, monkeypatch)
+            client = connect_client(rig)
+            client.sendall(request_bytes("/read", 1))
+            disconnect(client)
             await rig.ask()  # its connection came later
             while rig.proxy.listener._connections:
                 await asyncio.sleep(0.005)
-            assert await sent_on(rig) == []
+            assert await ids_received(rig) == []
 
     run(scenario())
 
 
-@LEAVES
-def test_while_the_module_holds_it(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The end came while the loop was busy: it has not been read when the module's timer is due."""
+@WAYS_TO_DISCONNECT
+def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
+    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            await warm(rig, monkeypatch)
-            client, left, handle = client_of(rig), asyncio.Event(), rig.proxy.balancer.handle
+            await open_idle_connections(rig, monkeypatch)
+            client, left = connect_client(rig), asyncio.Event()
 
             def hold(event: Event, now: float) -> list[Action]:
                 if isinstance(event, RequestReceived):
                     return [SetTimer(now, HedgeTimer(event.request_id))]
                 if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
-                    leave(client)
+                    disconnect(client)
                     return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
                 if isinstance(event, ClientDisconnected):
                     left.set()
                 return []
 
-            rig.proxy.balancer.handle = hold  # type: ignore[method-assign]
-            client.sendall(ask("/read", 1))
+            handle = replace_policy(rig, hold)
+            client.sendall(request_bytes("/read", 1))
             await left.wait()
-            await over(rig)
-            rig.proxy.balancer.handle = handle  # type: ignore[method-assign]
-            assert await sent_on(rig) == []
+            await until_idle(rig)
+            replace_policy(rig, handle)
+            assert await ids_received(rig) == []
 
     run(scenario())
 
 
-@LEAVES
+@WAYS_TO_DISCONNECT
 @pytest.mark.parametrize(
     ("request_bytes", "script"),
     [
-        (ask("/pay", 1, b"debit"), NOT_RUN),
-        (ask("/read", 1), response(500)),
-        (ask("/read", 1), reset),
-        (keyed(1), response(500)),  # a keyed repeat
-        (keyed(1), reset),
+        (request_bytes("/pay", 1, b"debit"), NOT_RUN),
+        (request_bytes("/read", 1), response(500)),
+        (request_bytes("/read", 1), reset),
+        (idempotent_request(1), response(500)),  # a retry with an idempotency key
+        (idempotent_request(1), reset),
     ],
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
-def test_between_two_attempts(
-    request_bytes: bytes, script: Any, leave: Leave, monkeypatch: pytest.MonkeyPatch
+def test_not_retried_when_the_client_disconnects_as_its_attempt_fails(
+    request_bytes: bytes, script: Any, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client leaves as its first attempt has failed; the next would be written at once."""
+    """The client disconnects as its first attempt fails; a retry would be written at once."""
 
     async def scenario() -> None:
-        async with Rig(Upstream(only_first(script)), Upstream(only_first(script))) as rig:
-            await warm(rig, monkeypatch)
-            client, ends = client_of(rig), list[AttemptFinished]()
+        async with Rig(Upstream(for_first_request(script)), Upstream(for_first_request(script))) as rig:
+            await open_idle_connections(rig, monkeypatch)
+            client, ends = connect_client(rig), list[AttemptFinished]()
 
-            def leave_once(event: AttemptFinished) -> None:
+            def disconnect_once(event: AttemptFinished) -> None:
                 ends.append(event)
                 if len(ends) == 1:
-                    leave(client)
+                    disconnect(client)
 
-            before(rig, AttemptFinished, leave_once)
+            before_event(rig, AttemptFinished, disconnect_once)
             client.sendall(request_bytes)
             while not ends:
                 await asyncio.sleep(0.001)
-            await over(rig)
-            assert await sent_on(rig) == ["1"]
+            await until_idle(rig)
+            assert await ids_received(rig) == ["1"]
 
     run(scenario())
 
 
-def test_the_same_failures_without_a_leave_are_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the test above rests on: it is the client's leaving that keeps the further attempt back."""
+def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The test above rests on it: only the disconnect keeps the retry back."""
 
     async def scenario() -> None:
-        script = only_first(response(500))
+        script = for_first_request(response(500))
         async with Rig(Upstream(script), Upstream(script)) as rig:
-            await warm(rig, monkeypatch)
-            client = client_of(rig)
-            client.sendall(ask("/read", 1))
+            await open_idle_connections(rig, monkeypatch)
+            client = connect_client(rig)
+            client.sendall(request_bytes("/read", 1))
             while (
                 len([one for u in rig.upstreams for one in u.asked if one.headers["x-request-id"] == "1"]) < 2
             ):
@@ -184,90 +197,98 @@
     run(scenario())
 
 
-def hedges(rig: Rig) -> list[HedgeTimer]:
-    """The timers for second copies, as the module sets them."""
-    handle, timers = rig.proxy.balancer.handle, list[HedgeTimer]()
+def record_hedge_timers(rig: Rig) -> list[HedgeTimer]:
+    """A list to which every hedge timer that the policy sets is appended."""
+    timers = list[HedgeTimer]()
 
-    def noting(event: Event, now: float) -> list[Action]:
+    def record_and_handle(event: Event, now: float) -> list[Action]:
         actions = handle(event, now)
         timers.extend(a.timer for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, HedgeTimer))
         return actions
 
-    rig.proxy.balancer.handle = noting  # type: ignore[method-assign]
+    handle = replace_policy(rig, record_and_handle)
     return timers
 
 
-@pytest.mark.parametrize("leave", [None, close, half_close, reset_by_client, close_behind_bytes])
-def test_a_second_copy_that_is_due(leave: Leave | None, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its timer is due before the loop has read the client's end; with the client there, it goes out."""
+@pytest.mark.parametrize("disconnect", [None, close, half_close, reset_by_client, close_behind_bytes])
+def test_hedged_request_is_sent_only_while_the_client_is_connected(
+    disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Its timer fires before the event loop has read the client's end."""
 
     async def scenario() -> None:
-        script = only_first(silent)
-        async with Rig(Upstream(script), Upstream(script), limits=LIMITS) as rig:
-            await warm(rig, monkeypatch)
-            client, timers = client_of(rig), hedges(rig)
-            client.sendall(ask("/read", 1))
+        script = for_first_request(silent)
+        async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as rig:
+            await open_idle_connections(rig, monkeypatch)
+            client, timers = connect_client(rig), record_hedge_timers(rig)
+            client.sendall(request_bytes("/read", 1))
             while not timers:
                 await asyncio.sleep(0.001)
-            if leave is not None:
-                leave(client)
+            if disconnect is not None:
+                disconnect(client)
             rig.proxy._dispatch(TimerFired(timers[0]))
-            assert await sent_on(rig) == ["1"] * (1 if leave else 2)
+            assert await ids_received(rig) == ["1"] * (1 if disconnect else 2)
 
     run(scenario())
 
 
-def test_a_second_copy_where_the_first_stays_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No attempt may be cancelled: the request stands until its first copy ends, and its timer comes due."""
+def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
 
     async def scenario() -> None:
-        script = only_first(silent)
-        async with Rig(Upstream(script), Upstream(script), limits=LIMITS | {"mayCancel": False}) as rig:
-            await warm(rig, monkeypatch)
-            client, timers, left = client_of(rig), hedges(rig), asyncio.Event()
-            before(rig, ClientDisconnected, lambda event: left.set())
-            client.sendall(ask("/read", 1))
+        script = for_first_request(silent)
+        async with Rig(
+            Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
+        ) as rig:
+            await open_idle_connections(rig, monkeypatch)
+            client, timers, left = connect_client(rig), record_hedge_timers(rig), asyncio.Event()
+            before_event(rig, ClientDisconnected, lambda event: left.set())
+            client.sendall(request_bytes("/read", 1))
             while not timers:
                 await asyncio.sleep(0.001)
             client.close()
             await left.wait()
             rig.proxy._dispatch(TimerFired(timers[0]))
-            assert rig.proxy._requests, "the first copy is out still"
-            assert await sent_on(rig) == ["1"]
+            assert rig.proxy._requests, "the first attempt is still in progress"
+            assert await ids_received(rig) == ["1"]
 
     run(scenario())
 
 
-@LEAVES
+@WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_behind_one_that_is_out_on_its_connection(
-    may_cancel: bool, leave: Leave, monkeypatch: pytest.MonkeyPatch
+def test_pipelined_requests_are_not_sent_after_a_disconnect(
+    may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where the first stays out, its answer must not start the one behind it."""
+    """Where the first attempt goes on, its response must not start the next request."""
 
     async def scenario() -> None:
-        upstream = Upstream(only_first(silent))
-        async with Rig(upstream, limits=LIMITS | {"mayCancel": may_cancel}) as rig:
-            await warm(rig, monkeypatch)
+        upstream = Upstream(for_first_request(silent))
+        async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
+            await open_idle_connections(rig, monkeypatch)
             left = asyncio.Event()
-            before(rig, ClientDisconnected, lambda event: left.set())
-            client = client_of(rig)
-            client.sendall(ask("/read", 1) + ask("/read", 2) + ask("/read", 3))
+            before_event(rig, ClientDisconnected, lambda event: left.set())
+            client = connect_client(rig)
+            client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
             while upstream.asked[-1].headers["x-request-id"] != "1":
                 await asyncio.sleep(0.001)
-            leave(client)
+            disconnect(client)
             await left.wait()
             for writer in upstream.writers:
                 writer.write(response())
-            await over(rig)
-            assert await sent_on(rig) == ["1"]
+            await until_idle(rig)
+            assert await ids_received(rig) == ["1"]
 
     run(scenario())
 
 
-@LEAVES
-def test_a_further_attempt_while_reading_is_paused(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The end is behind requests that are not read, and the sweep has not come to look at the connection."""
+@WAYS_TO_DISCONNECT
+def test_not_retried_after_a_disconnect_while_reading_is_paused(
+    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The end is behind requests that are not read, and the sweep has not looked at the connection."""
     monkeypatch.setattr(client_connection, "SWEEP_S", 3_600.0)
 
     async def scenario() -> None:
@@ -275,34 +296,40 @@
             failing.append(writer)
 
         failing = list[Any]()
-        async with Rig(Upstream(only_first(fail_later)), Upstream(only_first(fail_later)), tier=1) as rig:
-            await warm(rig, monkeypatch)
-            client = client_of(rig)
+        async with Rig(
+            Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
+        ) as rig:
+            await open_idle_connections(rig, monkeypatch)
+            client = connect_client(rig)
             many = 2 * client_connection.PIPELINED_MAX + client_connection.SLICE // 50
-            client.sendall(b"".join(ask("/read", number) for number in range(1, many)))
+            client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
             while not (failing and any(c._blocked for c in rig.proxy.listener._connections)):
                 await asyncio.sleep(0.001)
-            before(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else leave(client))
+            before_event(
+                rig, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client)
+            )
             failing[0].write(response(500))
-            await over(rig)
+            await until_idle(rig)
             while rig.proxy.listener._connections:
                 await asyncio.sleep(0.005)
-            assert await sent_on(rig) == ["1"]
+            assert await ids_received(rig) == ["1"]
 
     run(scenario())
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_while_its_body_is_being_written(may_cancel: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What has not left is taken back: the upstream never gets the last byte, by which a request begins."""
+def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
+    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The upstream never gets the last byte, without which it does not begin to process a request."""
     made, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
 
-    def small(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+    def connect_with_small_buffer(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         made.append(connection)
         connection_made(connection, transport)
 
-    monkeypatch.setattr(UpstreamConnection, "connection_made", small)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", connect_with_small_buffer)
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -312,14 +339,14 @@
             listener.listen()
             listener.setblocking(False)
             address = f"127.0.0.1:{listener.getsockname()[1]}"
-            rig = Rig(limits=LIMITS | {"mayCancel": may_cancel})
+            rig = Rig(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
             rig.entries.append(entry("s0", address))
             async with rig:
-                client, left = client_of(rig), asyncio.Event()
-                before(rig, ClientDisconnected, lambda event: left.set())
+                client, left = connect_client(rig), asyncio.Event()
+                before_event(rig, ClientDisconnected, lambda event: left.set())
                 client.setblocking(False)
-                await loop.sock_sendall(client, ask("/pay", 1, b"x" * MAX_BODY_BYTES))
-                while not (made and made[0]._transport and made[0]._transport.get_write_buffer_size()):
+                await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
+                while not (made and made[0].unsent_bytes):
                     await asyncio.sleep(0.001)
                 client.close()
                 await left.wait()
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -1,109 +1,59 @@
-"""Attempts and pools on loopback sockets: what is told when things cross or break."""
+"""Attempts and pools on loopback sockets: the outcome of each way to end, also when events coincide."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import socket
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from typing import Any
 
 import pytest
 
 from loadbalancer.actions import Action, RejectRequest, StartAttempt
-from loadbalancer.configuration import read_configuration, read_endpoint_list
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
-from loadbalancer.network.response_reader import Response
 from loadbalancer.network.sockets import peek
-from loadbalancer.network.upstream_attempt import UpstreamAttempt
-from loadbalancer.network.upstream_pool import (
-    REUSE_DELAY_S,
-    UpstreamPool,
-    UpstreamPools,
-)
+from loadbalancer.network.upstream_pool import REUSE_DELAY_S, UpstreamPool
 from tests.network.loopback import (
     ReceivedMessage,
     Rig,
     Script,
     Upstream,
-    config_text,
     entry,
     response,
     run,
     silent,
     status,
 )
+from tests.network.policy_hooks import before_event, replace_policy
+from tests.network.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
-REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
-
-
-def told_list(*entries: dict[str, Any], whole: bool = False) -> Any:
-    return read_endpoint_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
-
-
-def make(address: str, **limits: Any) -> UpstreamPools:
-    base = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
-    text = config_text("127.0.0.1:9", [], limits=base | limits)
-    upstreams = UpstreamPools(read_configuration(text, lambda note: None), asyncio.get_running_loop())
-    upstreams.update_endpoints(told_list(entry("s0", address)))
-    return upstreams
-
-
-class Try:
-    """One attempt and all that was told of its end."""
-
-    def __init__(self, upstreams: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
-        self.ends: list[Outcome] = []
-        self.over = asyncio.Event()
-        attempt = upstreams.start_attempt("s0", timeout_s, lambda: request, self._end)
-        assert attempt is not None
-        self.attempt: UpstreamAttempt = attempt
-
-    def _end(self, outcome: Outcome, answer: Response | None) -> None:
-        self.ends.append(outcome)
-        self.over.set()
-
-    async def outcome(self) -> Outcome:
-        await self.over.wait()
-        (outcome,) = self.ends
-        return outcome
-
-
-@asynccontextmanager
-async def full_backlog() -> AsyncIterator[str]:
-    """An address where connections never come up."""
-    with socket.socket() as listener:
-        listener.bind(("127.0.0.1", 0))
-        listener.listen(0)
-        with socket.socket() as first, socket.socket() as second:
-            for filler in (first, second):
-                filler.setblocking(False)
-                filler.connect_ex(listener.getsockname())
-            yield f"127.0.0.1:{listener.getsockname()[1]}"
+# The other test modules still import these by their former names.
+__all__ = ["Try", "full_backlog", "make", "told_list"]
+Try = ObservedAttempt
+make = make_pools
+told_list = endpoint_list
 
 
-def test_a_connection_that_never_comes_up_is_a_failed_connect() -> None:
+def test_connection_that_is_never_established_is_a_failed_connect() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
-            upstreams = make(address)
-            assert await Try(upstreams).outcome() is Outcome.CONNECT_FAILED
+            upstreams = make_pools(address)
+            assert await ObservedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
             assert upstreams.open_connections == 0
 
     run(scenario())
 
 
-def test_a_time_out_before_anything_was_written_never_ran() -> None:
+def test_timeout_before_anything_was_written_is_a_failed_connect() -> None:
     async def scenario() -> None:
         async with full_backlog() as address:
-            upstreams = make(address, connectTimeout=60_000.0)
-            assert await Try(upstreams, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
+            upstreams = make_pools(address, connectTimeout=60_000.0)
+            assert await ObservedAttempt(upstreams, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
 
     run(scenario())
 
 
-def test_a_break_before_the_last_byte_left_never_ran() -> None:
-    """The upstream takes the head and resets while the rest is still in our buffer."""
+def test_reset_before_the_last_byte_was_written_is_a_failed_connect() -> None:
+    """The upstream reads the headers and resets while the rest is still in the balancer's buffer."""
 
     async def scenario() -> None:
         accepted = asyncio.Event()
@@ -115,18 +65,18 @@
 
         server = await asyncio.start_server(take, "127.0.0.1", 0, limit=1024)
         port = server.sockets[0].getsockname()[1]
-        attempt = Try(make(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
+        attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
         await accepted.wait()
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
     run(scenario())
 
 
-def test_an_attempt_ends_once_though_a_cancel_crosses_its_answer() -> None:
+def test_attempt_ends_once_when_it_is_cancelled_as_its_response_arrives() -> None:
     async def scenario() -> None:
         upstream = Upstream(silent)
-        upstreams = make(await upstream.start())
-        attempt = Try(upstreams)
+        upstreams = make_pools(await upstream.start())
+        attempt = ObservedAttempt(upstreams)
         await upstream.seen.wait()
         upstream.writers[0].write(response())  # in the kernel by now, and not yet read
         attempt.attempt.cancel()
@@ -138,79 +88,79 @@
     run(scenario())
 
 
-def test_a_send_still_connecting_does_not_begin_after_the_grace() -> None:
+def test_request_is_not_sent_on_a_connection_that_opens_after_the_drain_grace() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         address = await upstream.start()
-        upstreams = make(address)
-        attempt = Try(upstreams)  # begins to connect
-        pool = upstreams._pools["s0"]
-        upstreams.update_endpoints(told_list(entry("s0", address, status="terminating")))
+        upstreams = make_pools(address)
+        attempt = ObservedAttempt(upstreams)  # begins to connect
+        pool = upstreams.pool("s0")
+        upstreams.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
         assert pool.draining_since is not None
-        pool.draining_since -= 0.5  # the grace has passed while it connected
+        pool.draining_since -= 0.5  # the grace has passed during the connect
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
         assert not upstream.asked
 
     run(scenario())
 
 
-def test_idle_connections_go_when_asked_aged_moved_or_gone() -> None:
+def test_idle_connections_close_on_request_by_age_and_when_the_endpoint_moves_or_is_removed() -> None:
     async def scenario() -> None:
         upstream, moved = Upstream(), Upstream()
         address = await upstream.start()
-        upstreams = make(address)
+        upstreams = make_pools(address)
 
         async def serve() -> None:
-            assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
+            assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
             assert upstreams.open_connections == 1
 
         await serve()
         upstreams.close_idle_connections("s0")
         assert upstreams.open_connections == 0
         await serve()
-        upstreams._pools["s0"].idle_connections[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
+        upstreams.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
         await serve()
         assert upstream.connections == 3
-        upstreams._pools["s0"].idle_connections[0].idle_since -= 0.9 * 60
+        upstreams.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
         upstreams.close_expired()
         assert upstreams.open_connections == 0
         await serve()
-        upstreams.update_endpoints(told_list(entry("s0", await moved.start())))
+        upstreams.update_endpoints(endpoint_list(entry("s0", await moved.start())))
         assert upstreams.open_connections == 0
         await serve()
         assert len(moved.asked) == 1
-        upstreams.update_endpoints(told_list(whole=True))
+        upstreams.update_endpoints(endpoint_list(whole=True))
         assert upstreams.open_connections == 0
         assert upstreams.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, answer: None) is None
 
     run(scenario())
 
 
-def test_at_the_cap_the_longest_idle_makes_way_and_else_no_more_is_opened() -> None:
+def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened() -> None:
     async def scenario() -> None:
         upstream, other = Upstream(response(), silent), Upstream(silent)
-        upstreams = make(await upstream.start())
-        upstreams.update_endpoints(told_list(entry("s1", await other.start())))
+        upstreams = make_pools(await upstream.start())
+        upstreams.update_endpoints(endpoint_list(entry("s1", await other.start())))
         upstreams.connection_limit = 1
-        assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
+        assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
         attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, answer: None)
         assert attempt is not None
         await other.seen.wait()
         assert upstreams.open_connections == 1
-        # For want of a socket of ours: that tells nothing of the server, and must not count against it.
-        assert await Try(upstreams).outcome() is Outcome.NOT_SENT
+        # A descriptor is missing here: that says nothing about the upstream and must not count against it.
+        assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
         attempt.cancel()
 
     run(scenario())
 
 
-def test_the_known_list_comes_first_and_a_late_send_is_not_sent() -> None:
+def test_attempt_of_a_request_that_has_its_response_is_not_sent() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
             proxy, events = rig.proxy, list[Event]()
 
-            def answer_then_send(event: Event, now: float) -> list[Action]:
+            def respond_then_send(event: Event, now: float) -> list[Action]:
                 events.append(event)
                 if isinstance(event, RequestReceived):
                     return [
@@ -219,7 +169,7 @@
                     ]
                 return []
 
-            proxy.balancer.handle = answer_then_send  # type: ignore[method-assign]
+            replace_policy(rig, respond_then_send)
             answer = await rig.ask()
             assert (status(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
@@ -229,10 +179,10 @@
     run(scenario())
 
 
-def test_what_was_known_is_told_before_all_else() -> None:
+def test_cached_endpoint_list_is_applied_before_discovery_is_called() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            assert rig.proxy.balancer._ready  # before a single turn of the loop
+            assert rig.proxy.balancer._ready  # before a single turn of the event loop
             assert rig.discovery.calls.empty()
 
     run(scenario())
@@ -247,56 +197,54 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-def test_what_comes_behind_an_answer_neither_harms_nor_replaces_it(behind: bytes) -> None:
-    """It overwrote the answer or turned it into a reset, or was taken for the answer to the next request."""
+def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(behind: bytes) -> None:
+    """They replaced the response, made it a reset, or were taken for the response to the next request."""
 
     async def scenario() -> None:
         upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
         async with Rig(upstream) as rig:
             assert (await rig.ask()).body == b"the answer"
             assert (await rig.ask()).body == b"the next"
-            assert upstream.connections == 2  # it carries nothing more
+            assert upstream.connections == 2  # the first carries nothing more
 
     run(scenario())
 
 
-def test_what_lags_behind_an_answer_is_not_taken_for_the_next() -> None:
+def test_connection_rests_between_requests_so_that_stray_bytes_show() -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        upstreams = make(await upstream.start())
-        assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
-        assert upstreams._pools["s0"].take_idle_connection() is None  # not in the same moment
-        upstreams._pools["s0"].idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
-        assert upstreams._pools["s0"].take_idle_connection() is None
-        upstreams._pools["s0"].idle_connections[0].idle_since -= REUSE_DELAY_S
-        assert await Try(upstreams).outcome() is Outcome.SUCCEEDED
+        upstreams = make_pools(await upstream.start())
+        assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
+        assert upstreams.pool("s0").take_idle_connection() is None  # not at once
+        upstreams.pool("s0").idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
+        assert upstreams.pool("s0").take_idle_connection() is None
+        upstreams.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
+        assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
         assert upstream.connections == 1
 
     run(scenario())
 
 
-def test_an_attempt_given_up_is_over_for_its_server_before_the_next_begins() -> None:
-    """Its connection was closed in the loop's next turn: for that long, two attempts were out."""
+def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins() -> None:
+    """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
 
     async def scenario() -> None:
         upstreams = Upstream(silent), Upstream(silent)
         async with Rig(*upstreams) as rig:
-            handle, ended = rig.proxy.balancer.handle, list[bool]()
+            ended = list[bool]()
 
-            def look(event: Event, now: float) -> list[Action]:
-                if isinstance(event, AttemptFinished):
-                    seen = peek(next(u for u in upstreams if u.asked).writers[0].transport)
-                    ended.append(seen == b"")
-                return handle(event, now)
+            def look_at_the_upstream(event: AttemptFinished) -> None:
+                seen = peek(next(u for u in upstreams if u.asked).writers[0].transport)
+                ended.append(seen == b"")
 
-            rig.proxy.balancer.handle = look  # type: ignore[method-assign]
+            before_event(rig, AttemptFinished, look_at_the_upstream)
             assert status(await rig.ask("/pay/x", b"debit", deadline="200m")) == 502
             assert ended == [True]
 
     run(scenario())
 
 
-def test_interim_answers_are_passed_over() -> None:
+def test_interim_responses_are_ignored() -> None:
     async def scenario() -> None:
         upstream = Upstream(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * 3 + response(200, b"final"))
         async with Rig(upstream) as rig:
@@ -305,64 +253,64 @@
     run(scenario())
 
 
-def test_bytes_that_come_before_the_request_has_left_are_no_answer() -> None:
+def test_bytes_before_the_request_was_written_are_no_response() -> None:
     async def scenario() -> None:
-        async def hasty(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(10)
             writer.write(response(200, b"to what?"))
 
-        server = await asyncio.start_server(hasty, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
         port = server.sockets[0].getsockname()[1]
-        attempt = Try(make(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
+        attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
         assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
     run(scenario())
 
 
-def test_running_out_of_our_own_descriptors_is_not_the_servers_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lack_of_local_descriptors_is_not_the_upstreams_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         upstream = Upstream()
-        upstreams = make(await upstream.start())
+        upstreams = make_pools(await upstream.start())
 
-        async def none_left(*args: Any) -> None:
+        async def fail_to_connect(*args: Any) -> None:
             raise OSError(errno.EMFILE, "Too many open files")
 
-        monkeypatch.setattr(UpstreamPool, "connect", none_left)
-        assert await Try(upstreams).outcome() is Outcome.NOT_SENT
+        monkeypatch.setattr(UpstreamPool, "connect", fail_to_connect)
+        assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
 
     run(scenario())
 
 
-QUICK = [
+CLASSES_WITH_SHORT_OBJECTIVE = [
     {"name": "read", "target": 100.0, "deadline": 5000.0, "effect": "retryable", "worth": 2.0},
     {"name": "pay", "target": 2000.0, "deadline": 5000.0, "effect": "fragile", "worth": 1.0},
 ]
 
 
 async def work(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Take a while, so that a loss weighs no more beside good answers than it does in service."""
+    """Take a while, so that a lost request weighs no more beside good responses than in production."""
     await asyncio.sleep(0.02)
     writer.write(response())
 
 
-async def turn_away(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+async def reject(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
     writer.write(response(503, b"", "X-Not-Run: 1"))
 
 
-@pytest.mark.parametrize("loss", [silent, turn_away])
-def test_a_server_that_loses_one_class_is_set_aside_for_it_and_keeps_the_others(loss: Script) -> None:
-    """Its good answers to the other class hid it: reads went on being lost, and load was shed for it."""
+@pytest.mark.parametrize("loss", [silent, reject])
+def test_upstream_that_fails_one_class_is_ejected_for_it_and_keeps_the_others(loss: Script) -> None:
+    """Its good responses to the other class hid it: reads went on being lost, and load was shed."""
 
     async def by_class(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (loss if asked.headers["x-class"] == "read" else work)(asked, writer)
 
     async def scenario() -> None:
-        sick = Upstream(by_class)
+        failing = Upstream(by_class)
 
         def asked(cls: str) -> int:
-            return sum(one.headers["x-class"] == cls for one in sick.asked)
+            return sum(one.headers["x-class"] == cls for one in failing.asked)
 
-        async with Rig(sick, Upstream(work), Upstream(work), classes=QUICK) as rig:
+        async with Rig(failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE) as rig:
 
             async def rounds(count: int) -> None:
                 for _ in range(count):
@@ -372,7 +320,7 @@
             await rounds(20)
             lost, paid = asked("read"), asked("pay")
             await rounds(50)
-            assert asked("read") - lost <= 4, "a call now and then tells whether it serves again"
-            assert asked("pay") - paid >= 20, "what it does well still goes there"
+            assert asked("read") - lost <= 4, "a request now and then shows whether it has recovered"
+            assert asked("pay") - paid >= 20, "the class that it serves well still goes there"
 
     run(scenario())
--- /dev/null
+++ b/tests/network/upstream_attempts.py
@@ -0,0 +1,66 @@
+"""Attempts and pools without a proxy round them, for the tests of the upstream side."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any
+
+from loadbalancer.configuration import EndpointList, read_configuration, read_endpoint_list
+from loadbalancer.events import Outcome
+from loadbalancer.network.response_reader import Response
+from loadbalancer.network.upstream_attempt import UpstreamAttempt
+from loadbalancer.network.upstream_pool import UpstreamPools
+from tests.network.loopback import config_text, entry
+
+REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
+
+
+def endpoint_list(*entries: dict[str, Any], whole: bool = False) -> EndpointList:
+    """An endpoint list, as read from discovery: a change of the list, or the whole one."""
+    return read_endpoint_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
+
+
+def make_pools(address: str, **limits: Any) -> UpstreamPools:
+    """Pools with one endpoint, `s0`, at an address."""
+    default_limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
+    text = config_text("127.0.0.1:9", [], limits=default_limits | limits)
+    pools = UpstreamPools(read_configuration(text, lambda note: None), asyncio.get_running_loop())
+    pools.update_endpoints(endpoint_list(entry("s0", address)))
+    return pools
+
+
+class ObservedAttempt:
+    """An attempt at `s0` that has been started, and every outcome that was reported for it."""
+
+    def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
+        self.ends: list[Outcome] = []
+        self.over = asyncio.Event()
+        attempt = pools.start_attempt("s0", timeout_s, lambda: request, self._record)
+        assert attempt is not None
+        self.attempt: UpstreamAttempt = attempt
+
+    def _record(self, outcome: Outcome, response: Response | None) -> None:
+        self.ends.append(outcome)
+        self.over.set()
+
+    async def outcome(self) -> Outcome:
+        """Wait for the end; there must be exactly one outcome."""
+        await self.over.wait()
+        (outcome,) = self.ends
+        return outcome
+
+
+@asynccontextmanager
+async def full_backlog() -> AsyncIterator[str]:
+    """An address at which no connection is ever established."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        with socket.socket() as first, socket.socket() as second:
+            for filler in (first, second):
+                filler.setblocking(False)
+                filler.connect_ex(listener.getsockname())
+            yield f"127.0.0.1:{listener.getsockname()[1]}"
