--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -38,7 +38,9 @@
 from loadbalancer.network.headers import end_to_end_headers
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.request_ids import RequestIds
-from loadbalancer.network.upstream_pool import Response, UpstreamAttempt, UpstreamPools
+from loadbalancer.network.response_reader import Response
+from loadbalancer.network.upstream_attempt import UpstreamAttempt
+from loadbalancer.network.upstream_pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 
 ANSWER_MS = 10.0  # the module is told so much less than the caller waits: its answer must still travel
@@ -184,7 +186,7 @@
         """Take back what has not left yet, also where what is out must not be cancelled."""
         for attempt in request.attempts:
             if attempt is not None:
-                attempt.drop()
+                attempt.withdraw()
 
     def abort_open_requests(self) -> None:
         """The time after SIGTERM is up: answer what is still open, and what still comes."""
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -17,7 +17,8 @@
 from loadbalancer.configuration import read_configuration
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.proxy import Proxy
-from loadbalancer.network.upstream_pool import UpstreamConnection, UpstreamPool
+from loadbalancer.network.upstream_connection import UpstreamConnection
+from loadbalancer.network.upstream_pool import UpstreamPool
 from tests.network.loopback import (
     Client,
     DiscoveryServer,
@@ -96,7 +97,7 @@
             rig.discovery.answers.put_nowait(whole[:-5])
             link = rig.proxy._discovery._link
             assert link is not None
-            while link._reader._raw == 0:  # the first part has been read
+            while link._reader.bytes_since_response == 0:  # the first part has been read
                 await asyncio.sleep(0.001)
             new = DiscoveryServer()
             text = config_text(await new.start(), [])
@@ -137,7 +138,7 @@
         upstream = Upstream()
         async with Rig(upstream) as rig:
             assert status(await rig.ask()) == 200
-            (idle,) = rig.proxy.upstreams._pools["s0"].idle
+            (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
             idle.idle_since -= 1.0
             is_alive, looked = UpstreamConnection.is_alive, list[bool]()
 
@@ -183,8 +184,8 @@
                 "restarted": told_list(entry("s0", address, since_ms=5)),
             }[change]
             upstreams.update_endpoints(news)  # as the connection comes up
-            assert pool.drains_since is not None
-            pool.drains_since -= 0.5  # the grace has passed
+            assert pool.draining_since is not None
+            pool.draining_since -= 0.5  # the grace has passed
             return connection
 
         monkeypatch.setattr(UpstreamPool, "connect", at_last)
