--- /dev/null
+++ b/loadbalancer/network/connection_context.py
@@ -0,0 +1,54 @@
+"""What all client connections of a listener share."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from loadbalancer.network.incoming_request import RequestHandler
+from loadbalancer.settings import RequestClass
+
+
+class BufferAccount:
+    """Counts the bytes that are buffered for all clients together, against a limit.
+
+    Attributes:
+        used_bytes: The bytes that are buffered now.
+        limit_bytes: Above this, connections that buffer much are rejected.
+    """
+
+    def __init__(self, limit_bytes: int) -> None:
+        self.used_bytes = 0
+        self.limit_bytes = limit_bytes
+
+    def add(self, change_bytes: int) -> None:
+        """Record that so many more bytes are buffered; fewer if negative."""
+        self.used_bytes += change_bytes
+
+    def is_exceeded(self) -> bool:
+        """Return whether more is buffered than the limit allows."""
+        return self.used_bytes > self.limit_bytes
+
+
+@dataclass(slots=True, eq=False)
+class ConnectionContext:
+    """The listener's services and state, as its connections see them.
+
+    Attributes:
+        loop: The event loop.
+        handler: Receives the requests.
+        report: Logs a message together with the exception that is being handled.
+        classes: The request classes of the settings, by name.
+        buffers: The memory that requests occupy.
+        is_shutting_down: Whether health checks fail, so that no new clients are sent here.
+        closes_connections: Whether each response closes its connection.
+    """
+
+    loop: asyncio.AbstractEventLoop
+    handler: RequestHandler
+    report: Callable[[str], None]
+    classes: dict[str, RequestClass]
+    buffers: BufferAccount
+    is_shutting_down: bool = False
+    closes_connections: bool = False
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -32,10 +32,11 @@
     RequestReceived,
     TimerFired,
 )
-from loadbalancer.network.client_connection import IncomingRequest, Listener
 from loadbalancer.network.clock import Clock
 from loadbalancer.network.endpoint_watch import EndpointWatch
 from loadbalancer.network.headers import end_to_end_headers
+from loadbalancer.network.incoming_request import IncomingRequest
+from loadbalancer.network.listener import Listener
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.request_ids import RequestIds
 from loadbalancer.network.upstream_pool import Response, UpstreamAttempt, UpstreamPools
--- /dev/null
+++ b/loadbalancer/network/request_pipeline.py
@@ -0,0 +1,151 @@
+"""The requests of one connection: handled in turn, each after the response to the one before it."""
+
+from __future__ import annotations
+
+import time
+
+from loadbalancer.network.client_transport import ClientTransport
+from loadbalancer.network.connection_context import ConnectionContext
+from loadbalancer.network.headers import Headers
+from loadbalancer.network.incoming_request import IncomingRequest, Rejection
+from loadbalancer.network.request_reader import RequestReader
+from loadbalancer.network.response_writer import serialize_response
+
+# A connection that buffers no more than this is not rejected for want of memory.
+UNCONDITIONAL_BUFFER_BYTES = 16_384
+# Input is read and discarded for so long after our side is closed, so that no reset overtakes the response.
+LINGER_TIMEOUT_S = 0.5
+
+BUFFERS_FULL = Rejection(503, "too much is waiting here")
+
+
+class RequestPipeline:
+    """Reads pipelined requests, hands them to the handler one at a time, and writes the responses.
+
+    Attributes:
+        reader: The parser of the input, with the requests that are queued.
+        idle_since: When the last response was written, or the client connected if none was yet (seconds
+            of the monotonic clock).
+    """
+
+    def __init__(self, context: ConnectionContext, transport: ClientTransport, reader: RequestReader) -> None:
+        self._context = context
+        self._transport = transport
+        self._current_request: IncomingRequest | None = None
+        self._rejection: Rejection | None = None  # written once the requests before it are responded to
+        self._is_dispatching = False
+        self._accounted_bytes = 0  # this connection's part of the buffer account
+        self.reader = reader
+        self.idle_since = reader.request_started_at
+
+    def has_open_request(self) -> bool:
+        """Return whether a request is being handled or is queued."""
+        return self._current_request is not None or bool(self.reader.requests)
+
+    def has_waiting_request(self) -> bool:
+        """Return whether requests are queued and none is being handled."""
+        return self._current_request is None and bool(self.reader.requests)
+
+    def is_client_gone(self) -> bool:
+        """Return whether the client has closed the connection, or its sending side."""
+        return self._transport.is_client_gone()
+
+    def parse_input(self) -> None:
+        """Parse what has arrived, as far as requests may be read ahead."""
+        self._update_buffer_account()
+        # Guards against clients that together fill the memory: those that buffer much are rejected.
+        if self._context.buffers.is_exceeded() and self._accounted_bytes > UNCONDITIONAL_BUFFER_BYTES:
+            self.reject(BUFFERS_FULL)
+        while not self._transport.discards_input and self.reader.can_parse():
+            rejection = self.reader.parse_slice()
+            if rejection is not None:
+                self.reject(rejection)
+            self.advance()
+        if self._transport.discards_input:
+            # Guards against responses after the connection's end: what follows a request that asked to
+            # close the connection is not parsed.
+            self.reader.discard_unparsed()
+        self._update_buffer_account()
+        if self.reader.has_unparsed_input:
+            self._transport.pause_reading()
+
+    def advance(self) -> None:
+        """Handle the next requests, write a rejection that is due, or resume reading."""
+        if self._is_dispatching or not self._transport.is_open:
+            return
+        self._dispatch_requests()
+        rejection = self._rejection
+        if rejection is not None and not self.has_open_request():
+            self._rejection = None
+            self._write_response(rejection.status, [], rejection.reason.encode() + b"\n", is_final=True)
+        elif self._may_resume_reading():
+            self._transport.resume_reading()
+            self._context.loop.call_soon(self.parse_input)
+
+    def respond(self, request: IncomingRequest, status: int, headers: Headers, body: bytes) -> None:
+        """Write the final response to the current request; one to any other request is dropped."""
+        if self._transport.is_disconnected or request is not self._current_request:
+            return
+        self._current_request = None
+        is_last = not self.reader.requests and self._rejection is None
+        asks_to_close = self._context.closes_connections or not request.keep_alive
+        self._write_response(status, headers, body, is_final=is_last and asks_to_close)
+        self._update_buffer_account()
+        self.advance()
+
+    def reject(self, rejection: Rejection) -> None:
+        """Read no further; the rejection is written once all requests before it are responded to."""
+        self._transport.discards_input = True
+        self._rejection = rejection
+        self.reader.discard_input()
+        self.advance()
+
+    def abandon(self) -> None:
+        """Drop what is queued and tell the handler about the open request: the client has gone."""
+        request = self._current_request
+        self._current_request = None
+        self.reader.close()
+        self._update_buffer_account()
+        if request is not None:
+            request.awaits_response = False
+            self._context.handler.handle_disconnect(request)
+
+    def _may_resume_reading(self) -> bool:
+        is_paused = self._transport.is_reading_paused and self._transport.is_open
+        return is_paused and self.reader.has_room_to_resume()
+
+    def _dispatch_requests(self) -> None:
+        self._is_dispatching = True
+        try:
+            # Guards against a client that sends and never reads: one response at most is buffered for it.
+            while self.has_waiting_request() and not self._transport.has_unsent_bytes():
+                request = self.reader.requests.popleft()
+                request.responder = self
+                self._current_request = request
+                self._handle_request(request)
+        finally:
+            self._is_dispatching = False
+
+    def _handle_request(self, request: IncomingRequest) -> None:
+        if request.is_health_check():
+            # During the shutdown it fails, for those that decide by it where to send requests.
+            is_ending = self._context.is_shutting_down
+            request.respond(503 if is_ending else 200, body=b"ending\n" if is_ending else b"ok\n")
+            return
+        try:
+            self._context.handler.handle_request(request)
+        except Exception:  # whatever happens, the client must get a response
+            self._context.report("a request could not be taken up")
+            request.respond(500)
+
+    def _write_response(self, status: int, headers: Headers, body: bytes, *, is_final: bool) -> None:
+        self.idle_since = time.monotonic()
+        self._transport.write(serialize_response(status, headers, body, closes_connection=is_final))
+        if is_final:
+            self._transport.close_gracefully(LINGER_TIMEOUT_S)
+
+    def _update_buffer_account(self) -> None:
+        current_bytes = self._current_request.size_bytes if self._current_request is not None else 0
+        buffered_bytes = self.reader.buffered_bytes + current_bytes
+        self._context.buffers.add(buffered_bytes - self._accounted_bytes)
+        self._accounted_bytes = buffered_bytes
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -36,7 +36,7 @@
     def __init__(self, config: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce) -> None:
         super().__init__(config, loop)
         self._on_force = on_force
-        self.listener._listener.close()  # bound and not listening yet: nobody is to call
+        self.listener.close()  # bound and not listening yet: nobody is to call
 
     def start(self) -> None:
         """Tell what was known and begin the watch, as a real balancer does."""
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import client_connection as client_connection
+from loadbalancer.network import request_reader
 from loadbalancer.network.upstream_pool import UpstreamConnection, UpstreamPool
 from loadbalancer.timers import HedgeTimer
 from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, run, silent, status
@@ -160,10 +160,10 @@
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.connect(rig.proxy.listener.address[:2])
-    while not (connections := rig.proxy.listener._connections):
+    while not (connections := rig.proxy.listener.connections):
         await asyncio.sleep(0.001)
     (connection,) = connections
-    while (transport := connection._transport) is None:
+    while (transport := connection.transport) is None:
         await asyncio.sleep(0.001)
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     client.sendall(ask("/read", 1) + ask("/read", 2))
@@ -194,9 +194,9 @@
         upstream = Upstream(response(200, b"x" * 60_000))
         async with Rig(upstream) as rig:
             client = await unread_answer(rig)
-            (connection,) = rig.proxy.listener._connections
+            (connection,) = rig.proxy.listener.connections
             client.shutdown(socket.SHUT_WR)
-            while not (connection._transport and connection._transport.is_closing()):
+            while not (connection.transport and connection.transport.is_closing()):
                 await asyncio.sleep(0.001)
             while await asyncio.get_running_loop().sock_recv(client, 65_536):
                 pass
@@ -214,11 +214,11 @@
         upstream = Upstream(silent, response())
         async with Rig(upstream, tier=1) as rig:
             client = client_of(rig)
-            many = 2 * client_connection.PIPELINED_MAX + client_connection.SLICE // 50
+            many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
             client.sendall(b"".join(ask("/read", number) for number in range(many)))
             await upstream.seen.wait()
-            (connection,) = rig.proxy.listener._connections
-            while not connection._blocked:
+            (connection,) = rig.proxy.listener.connections
+            while not connection.is_reading_paused:
                 await asyncio.sleep(0.001)
             client.close()
             await over(rig)  # it is noticed, though its request has no answer yet
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import client_connection as client_connection
+from loadbalancer.network import client_connection, request_reader
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream_pool import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
@@ -93,7 +93,7 @@
             client.sendall(ask("/read", 1))
             leave(client)
             await rig.ask()  # its connection came later
-            while rig.proxy.listener._connections:
+            while rig.proxy.listener.connections:
                 await asyncio.sleep(0.005)
             assert await sent_on(rig) == []
 
@@ -268,7 +268,7 @@
 @LEAVES
 def test_a_further_attempt_while_reading_is_paused(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     """The end is behind requests that are not read, and the sweep has not come to look at the connection."""
-    monkeypatch.setattr(client_connection, "SWEEP_S", 3_600.0)
+    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def scenario() -> None:
         async def fail_later(asked: ReceivedMessage, writer: Any) -> None:
@@ -278,14 +278,14 @@
         async with Rig(Upstream(only_first(fail_later)), Upstream(only_first(fail_later)), tier=1) as rig:
             await warm(rig, monkeypatch)
             client = client_of(rig)
-            many = 2 * client_connection.PIPELINED_MAX + client_connection.SLICE // 50
+            many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
             client.sendall(b"".join(ask("/read", number) for number in range(1, many)))
-            while not (failing and any(c._blocked for c in rig.proxy.listener._connections)):
+            while not (failing and any(c.is_reading_paused for c in rig.proxy.listener.connections)):
                 await asyncio.sleep(0.001)
             before(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else leave(client))
             failing[0].write(response(500))
             await over(rig)
-            while rig.proxy.listener._connections:
+            while rig.proxy.listener.connections:
                 await asyncio.sleep(0.005)
             assert await sent_on(rig) == ["1"]
 
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -251,8 +251,7 @@
         return heard
 
     def stop(self) -> None:
-        self.proxy.listener._pause()
-        self.proxy.listener._listener.close()
+        self.proxy.listener.close()
 
 
 def play(scenario: Callable[[_Loop], Coroutine[Any, Any, T]]) -> T:
--- a/tests/network/test_invalid_clients.py
+++ b/tests/network/test_invalid_clients.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from loadbalancer.network import client_connection as client_connection
+from loadbalancer.network import client_connection, listener, request_pipeline, request_reader
 from tests.network.loopback import Client, Rig, Upstream, response, run, silent, status
 
 GOOD = b"X-Class: read\r\nX-Request-Id: a1\r\nX-Deadline: 900m\r\n"
@@ -118,8 +118,13 @@
     sent: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Silent and half-read connections stayed for good: an end is owed within 3 s."""
-    assert client_connection.SILENT_S + client_connection.SWEEP_S + client_connection.LINGER_S < 2.8
-    monkeypatch.setattr(client_connection, "SILENT_S", 0.1)
+    assert (
+        client_connection.REQUEST_TIMEOUT_S
+        + client_connection.SWEEP_INTERVAL_S
+        + request_pipeline.LINGER_TIMEOUT_S
+        < 2.8
+    )
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -137,9 +142,9 @@
             with socket.create_connection(rig.proxy.listener.address[:2]) as early:
                 early.sendall(b"x")
                 time.sleep(0.1)  # nobody accepts meanwhile
-                sock, _ = rig.proxy.listener._listener.accept()
+                sock, _ = rig.proxy.listener._socket.accept()
                 with sock:
-                    stood_s, waited_s = client_connection.ages_s(sock)
+                    stood_s, waited_s = listener.queue_ages(sock)
                     assert stood_s >= 0.05
                     assert waited_s >= 0.05
 
@@ -149,8 +154,8 @@
 def test_who_asks_once_and_stays_is_closed_in_time_but_never_with_a_request_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_connection, "STAY_S", 0.1)
-    monkeypatch.setattr(client_connection, "SILENT_S", 0.1)
+    monkeypatch.setattr(listener, "KEEP_ALIVE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
         upstream = Upstream(response(), silent)
@@ -164,7 +169,7 @@
             await upstream.seen.wait()
             assert await stays.reader.read() == b""
             for _ in range(3):
-                rig.proxy.listener._sweep()
+                rig.proxy.listener.sweep()
                 await asyncio.sleep(0.1)
             for writer in upstream.writers:
                 writer.write(response(200, b"at last"))
@@ -176,7 +181,7 @@
 def test_a_crowd_that_says_nothing_makes_way_for_a_good_caller() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            rig.proxy.listener._cap = 20
+            rig.proxy.listener.connection_limit = 20
             crowd = [await rig.client() for _ in range(100)]
             began = time.monotonic()
             assert status(await rig.ask()) == 200
@@ -194,21 +199,24 @@
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             callers = rig.proxy.listener
-            callers.held_max = 200_000
+            callers.context.buffers.limit_bytes = 200_000
             crowd: list[Client] = []
             for _ in range(4):
                 crowd.append(await rig.client())
                 for _ in range(4):
                     crowd[-1].send("/pay/x", b"x" * 60_000)
             good = await rig.client()
-            while not any(c._discards_input for c in callers._connections):
+            while not any(c.discards_input for c in callers.connections):
                 await asyncio.sleep(0.01)
             good.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status(await good.answer()) == 200
-            assert callers.held <= callers.held_max + 5 * client_connection.FAIR_BYTES
+            assert (
+                callers.context.buffers.used_bytes
+                <= callers.context.buffers.limit_bytes + 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
+            )
             for client in crowd:
                 client.writer.transport.abort()
-            while callers.held:
+            while callers.context.buffers.used_bytes:
                 await asyncio.sleep(0.01)
 
     run(scenario())
@@ -221,7 +229,7 @@
             client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
             client.writer.write(b"x" * 6_000_000)
             assert status(await client.answer()) == 413
-            assert rig.proxy.listener.held == 0
+            assert rig.proxy.listener.context.buffers.used_bytes == 0
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 while True:
                     await client.reader.readexactly(1)
@@ -248,7 +256,7 @@
             async def ask(times: int) -> None:
                 for _ in range(times):
                     assert status(await rig.ask()) == 200
-                while rig.proxy.listener._connections:
+                while rig.proxy.listener.connections:
                     await asyncio.sleep(0.01)
 
             await ask(20)
@@ -276,7 +284,7 @@
         async with Rig() as rig:
             client = await rig.client()
             head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
-            head += b"x" * (client_connection.SLICE - len(head) - 4) + b"\r\n\r\n"
+            head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
             faults: list[object] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
             client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -290,12 +298,12 @@
 def test_idle_callers_make_way_at_once_for_those_that_wait() -> None:
     """Each kept its place for 2 s after its answer: 168 places let in 84 calls a second; others waited."""
     assert (
-        client_connection.IDLE_S <= 0.25
+        listener.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
     )  # the client asks again on a new connection if its request crosses
 
     async def scenario() -> None:
         async with Rig(Upstream(), tier=1) as rig:  # where twenty calls at once are not shed
-            rig.proxy.listener._cap = 20
+            rig.proxy.listener.connection_limit = 20
             crowd = [await rig.client() for _ in range(60)]
             for client in crowd:
                 client.send(deadline="4000m")
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -303,8 +303,8 @@
             client = await rig.client()
             client.send()
             await client.answer()
-            (taken,) = rig.proxy.listener._connections
-            for transport in (rig.proxy.upstreams._pools["s0"].idle[0]._transport, taken._transport):
+            (taken,) = rig.proxy.listener.connections
+            for transport in (rig.proxy.upstreams._pools["s0"].idle[0]._transport, taken.transport):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -354,24 +354,24 @@
     """While one of two balancers restarted, the other was told to end: clients had nowhere to go."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 60.0)
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_LONGEST_S", 120.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 60.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_MAX_DEADLINE_S", 120.0)
         async with Rig(Upstream()) as rig:
             callers = rig.proxy.listener
-            callers._longest_s = 120.0
+            callers.longest_deadline_s = 120.0
             client = await rig.client()
             client.send()
             assert status(await client.answer()) == 200
             ending = asyncio.ensure_future(callers.shut_down())
-            while callers._listener.fileno() >= 0:
+            while not callers.is_closed:
                 await asyncio.sleep(0.01)
             for _ in range(2):
                 client.send()
                 answer = await client.answer()
                 assert status(answer) == 200
                 assert "connection" not in answer.headers
-            monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
+            monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
             assert await client.reader.read() == b""  # a clean end, once the time is up
             client.writer.close()
             await ending
@@ -383,15 +383,15 @@
     """The platform kills soon after the longest wait: what came on a connection kept for longer is lost."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 60.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 60.0)
         async with Rig(Upstream()) as rig:
             client = await rig.client()
             client.send()
             assert status(await client.answer()) == 200
-            rig.proxy.listener._longest_s = 0.2
+            rig.proxy.listener.longest_deadline_s = 0.2
             ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
             assert await client.reader.read() == b""  # a clean end
-            assert rig.proxy.listener.closing, "not just as one that stood idle"
+            assert rig.proxy.listener.context.closes_connections, "not just as one that stood idle"
             client.writer.close()
             await ending
 
@@ -400,7 +400,7 @@
 
 def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
         upstream = Upstream(response(), silent, response())
         async with Rig(upstream) as rig:
             idle, busy = await rig.client(), await rig.client()
@@ -460,11 +460,11 @@
     """It was taken with its last byte, though nobody had accepted its connection yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
         async with Rig(Upstream()) as rig:
             callers, clients = rig.proxy.listener, list[socket.socket]()
-            accept = callers._accept
+            accept = callers.accept_pending
 
             def at_the_last_moment() -> bool:
                 clients.append(socket.create_connection(callers.address))
@@ -473,7 +473,7 @@
                 )
                 return accept()
 
-            monkeypatch.setattr(callers, "_accept", at_the_last_moment)
+            monkeypatch.setattr(callers, "accept_pending", at_the_last_moment)
             ending = asyncio.ensure_future(callers.shut_down())
             while not clients:
                 await asyncio.sleep(0)
@@ -492,17 +492,17 @@
     """With no room for it, what waited in the queue was reset as the listener closed."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
         upstream = Upstream(silent, response())
         async with Rig(upstream) as rig:
-            rig.proxy.listener._cap = 1
+            rig.proxy.listener.connection_limit = 1
             busy = await rig.client()
             busy.send("/pay/x", b"debit")
             await upstream.seen.wait()
             waits = await rig.client()  # in the kernel's queue
             waits.send()
             ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
-            while not rig.proxy.listener.ending:
+            while not rig.proxy.listener.context.is_shutting_down:
                 await asyncio.sleep(0)
             for _ in range(3):
                 await asyncio.sleep(0)  # the queue has been looked at
@@ -582,9 +582,9 @@
     """What is still open when the time is up gets its answer, before the platform kills us."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_LONGEST_S", 0.2)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_MAX_DEADLINE_S", 0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             client = await rig.client()
@@ -604,7 +604,7 @@
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            rig.proxy.listener._cap = 2
+            rig.proxy.listener.connection_limit = 2
             first, second = await rig.client(), await rig.client()
             for client in (first, second):
                 client.send()
@@ -667,13 +667,13 @@
     """It lay in the kernel, unread, when the connection was ended as an idle one."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.client_connection.TERM_STAY_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
+        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
         async with Rig(Upstream()) as rig:
             client = await rig.client()
             client.send()
             assert status(await client.answer()) == 200
-            (connection,) = rig.proxy.listener._connections
+            (connection,) = rig.proxy.listener.connections
             is_idle, crossed = connection.is_idle, list[int]()
 
             def crossing() -> bool:
@@ -699,7 +699,7 @@
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             client = socket.create_connection(rig.proxy.listener.address[:2])
-            while not (connections := rig.proxy.listener._connections):
+            while not (connections := rig.proxy.listener.connections):
                 await asyncio.sleep(0.001)
             (connection,) = connections
             while not connection.may_close():
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -27,7 +27,7 @@
     import gc, json, os, signal, sys
     {before}
     from loadbalancer import __main__ as program
-    from loadbalancer.network.client_connection import Listener
+    from loadbalancer.network.listener import Listener
     start = Listener.start
     def start_and_end(callers):
         start(callers)
@@ -107,8 +107,11 @@
         f"loadbalancer.{name}"
         for name in (
             "__main__ actions configuration endpoints events network network.client_connection "
-            "network.clock network.endpoint_watch network.headers network.log network.proxy "
-            "network.request_ids network.sockets network.upstream_pool policy policy.balancer "
+            "network.client_transport network.clock network.connection_context network.endpoint_watch "
+            "network.graceful_shutdown network.headers network.incoming_request network.listener "
+            "network.log network.proxy network.request_ids network.request_pipeline "
+            "network.request_reader network.response_writer network.sockets network.upstream_pool "
+            "policy policy.balancer "
             "settings settings_reader timers"
         ).split()
     }
--- a/tests/network/test_startup_and_shutdown_races.py
+++ b/tests/network/test_startup_and_shutdown_races.py
@@ -13,8 +13,9 @@
 
 import pytest
 
-from loadbalancer.network import client_connection as client_connection
-from loadbalancer.network.client_connection import ClientConnection, Listener
+from loadbalancer.network import client_connection, graceful_shutdown, listener
+from loadbalancer.network.client_connection import ClientConnection
+from loadbalancer.network.listener import Listener
 from tests.network.loopback import TIMEOUT_S, DiscoveryServer, Rig, Upstream, config_text, entry, run, status
 from tests.network.test_abandoned_requests import ask, client_of
 
@@ -101,7 +102,7 @@
     program = """if True:
         import os, signal, socket
         from loadbalancer import __main__ as program
-        from loadbalancer.network.client_connection import Listener
+        from loadbalancer.network.listener import Listener
         start, clients = Listener.start, []
         def at_once(callers):
             os.kill(os.getpid(), signal.SIGTERM)
@@ -144,23 +145,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A busy loop used the last pause up: the program ended with the request unread, which is a reset."""
-    monkeypatch.setattr(client_connection, "TERM_ACCEPT_S", 0.0)
-    monkeypatch.setattr(client_connection, "TERM_STAY_S", 0.0)
-    monkeypatch.setattr(client_connection, "TERM_LONGEST_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_ACCEPT_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             let, callers = hold_setting_up(monkeypatch), rig.proxy.listener
             client, loop = client_of(rig), asyncio.get_running_loop()
             client.sendall(ask("/read", 1))
-            while not callers._connections:
+            while not callers.connections:
                 await asyncio.sleep(0.001)
             close = rig.proxy.abort_open_requests
 
             def close_late() -> None:
                 close()
                 let.set()
-                loop.call_soon(time.sleep, 2 * client_connection.ACCEPT_PAUSE_S)  # as other work would
+                loop.call_soon(time.sleep, 2 * listener.ACCEPT_PAUSE_S)  # as other work would
 
             monkeypatch.setattr(rig.proxy, "abort_open_requests", close_late)
             await callers.shut_down()
@@ -175,8 +176,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """They connected while it was busy, longer than they are waited for: that time has passed for them."""
-    monkeypatch.setattr(client_connection, "SILENT_S", 0.2)
-    monkeypatch.setattr(client_connection, "SWEEP_S", 0.02)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 0.02)
 
     async def scenario() -> None:
         sweeps, enough = set[float](), ClientConnection.expire_if_slow
@@ -216,8 +217,8 @@
 
 def test_who_sends_a_byte_at_a_time_to_a_busy_loop_gets_its_error(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each look found a byte that was not read yet, and put the end off."""
-    monkeypatch.setattr(client_connection, "SILENT_S", 0.05)
-    monkeypatch.setattr(client_connection, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         enough, looks = ClientConnection.expire_if_slow, list[float]()
@@ -226,7 +227,10 @@
             peer.sendall(b"GET /read?")
 
             def byte_before(connection: ClientConnection, now: float, *spans: float) -> bool:
-                if now - connection.started >= client_connection.SILENT_S and not connection._discards_input:
+                if (
+                    now - connection.request_started_at >= client_connection.REQUEST_TIMEOUT_S
+                    and not connection.discards_input
+                ):
                     looks.append(now)
                     peer.send(b"x")
                 return enough(connection, now, *spans)
@@ -243,8 +247,8 @@
 def test_the_rest_of_a_request_that_is_there_at_the_last_look_is_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_connection, "SILENT_S", 0.05)
-    monkeypatch.setattr(client_connection, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         enough, rest = ClientConnection.expire_if_slow, [ask("/read", 1)[-2:], ask("/read", 2)[-2:]]
@@ -256,7 +260,7 @@
             def rest_before(connection: ClientConnection, now: float, *spans: float) -> bool:
                 if (
                     connection.is_request_pending()
-                    and now - connection.started >= client_connection.SILENT_S
+                    and now - connection.request_started_at >= client_connection.REQUEST_TIMEOUT_S
                     and rest
                 ):
                     with socket.socket(fileno=os.dup(client.fileno())) as own:
@@ -275,29 +279,29 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One is not set up yet, the request of another is not read yet; a third waits for room."""
-    monkeypatch.setattr(client_connection, "HASTE_S", 60.0)
-    monkeypatch.setattr(client_connection, "IDLE_S", 60.0)
+    monkeypatch.setattr(listener, "REQUEST_TIMEOUT_UNDER_PRESSURE_S", 60.0)
+    monkeypatch.setattr(listener, "IDLE_TIMEOUT_UNDER_PRESSURE_S", 60.0)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             callers, loop = rig.proxy.listener, asyncio.get_running_loop()
-            callers._cap = 2
+            callers.connection_limit = 2
             idle = await rig.client()
             idle.send()
             assert status(await idle.answer()) == 200
             let = hold_setting_up(monkeypatch)
             fresh = client_of(rig)
             fresh.sendall(ask("/read", 1))
-            while len(callers._connections) < 2:
+            while len(callers.connections) < 2:
                 await asyncio.sleep(0)
             waiting = client_of(rig)
             waiting.sendall(ask("/read", 2))
             with socket.socket(fileno=os.dup(idle.writer.get_extra_info("socket").fileno())) as own:
                 own.sendall(ask("/read", 3))  # at once, before the loop could read it
-            monkeypatch.setattr(client_connection, "HASTE_S", 0.0)
-            monkeypatch.setattr(client_connection, "IDLE_S", 0.0)
-            callers._way_made = -1.0
-            assert not callers._accept()  # it looks for room now
+            monkeypatch.setattr(listener, "REQUEST_TIMEOUT_UNDER_PRESSURE_S", 0.0)
+            monkeypatch.setattr(listener, "IDLE_TIMEOUT_UNDER_PRESSURE_S", 0.0)
+            callers._made_room_at = -1.0
+            assert not callers.accept_pending()  # it looks for room now
             let.set()
             assert status(await idle.answer()) == 200
             for client in (fresh, waiting):
