--- a/loadbalancer/network/client_connection.py
+++ b/loadbalancer/network/client_connection.py
@@ -174,9 +174,9 @@
         if now - started_at < request_timeout_s:
             return False
         # Guards against clients that send a byte at a time: while the loop is busy, each look would find
-        # a byte that is not read yet. Input that was read well after the time was up ends the waiting.
-        last_look_at = started_at + REQUEST_TIMEOUT_S + SWEEP_INTERVAL_S
-        was_read_late = self._reader.last_received_at >= last_look_at
+        # a byte that is not read yet. Once input was read after the time was up, no more is waited for.
+        grace_ends_at = started_at + REQUEST_TIMEOUT_S + SWEEP_INTERVAL_S
+        was_read_late = self._reader.last_received_at >= grace_ends_at
         if not was_read_late and self._transport.has_unread_bytes():
             return False
         if self._reader.has_partial_request:
--- a/loadbalancer/network/graceful_shutdown.py
+++ b/loadbalancer/network/graceful_shutdown.py
@@ -20,15 +20,15 @@
 SHUTDOWN_NEW_CONNECTION_GRACE_S = 0.1
 # Between two looks at what is left.
 SHUTDOWN_POLL_INTERVAL_S = 0.01
-# Turns of the loop after the last responses, and the pause before each.
-SHUTDOWN_LAST_TURNS = 5
-SHUTDOWN_LAST_TURN_S = 0.01
+# Iterations of the event loop after the last responses, and the time that each may take to begin.
+SHUTDOWN_FINAL_ITERATIONS = 5
+SHUTDOWN_FINAL_ITERATION_S = 0.01
 
 
 class DrainableListener(Protocol):
     """What the shutdown needs of the listener."""
 
-    longest_deadline_s: float
+    max_deadline_s: float
 
     @property
     def connections(self) -> AbstractSet[ClientConnection]:
@@ -54,7 +54,7 @@
         self._context = context
         self._started_at = time.monotonic()
         # The platform waits as long as the longest deadline; half of it is left for the last responses.
-        self._longest_deadline_s = min(listener.longest_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
+        self._max_deadline_s = min(listener.max_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
 
     async def run(self) -> None:
         """Shut down; returns when all connections are closed or the time is up."""
@@ -70,18 +70,18 @@
     async def _accept_last_connections(self) -> None:
         await asyncio.sleep(SHUTDOWN_ACCEPT_S)
         # While the connections are at their limit the queue isn't empty: some have to close first.
-        latest_s = SHUTDOWN_ACCEPT_S + self._longest_deadline_s / 2
+        latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
         while not self._listener.accept_pending() and self._elapsed_s() < latest_s:
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
     async def _keep_connections_open(self) -> None:
         while self._listener.connections and self._elapsed_s() < min(
-            SHUTDOWN_KEEP_ALIVE_S, self._longest_deadline_s / 2
+            SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2
         ):
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
     async def _close_idle_connections(self) -> None:
-        latest_s = SHUTDOWN_ACCEPT_S + self._longest_deadline_s
+        latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s
         while self._listener.connections and self._elapsed_s() < latest_s:
             for connection in self._listener.connections:
                 is_new = connection.idle_since >= time.monotonic() - SHUTDOWN_NEW_CONNECTION_GRACE_S
@@ -93,8 +93,8 @@
         self._context.handler.abort_open_requests()
         # Guards against a busy loop, which uses up any pause: what was accepted just before is set up,
         # read and responded to within some turns.
-        for _ in range(SHUTDOWN_LAST_TURNS):
-            await asyncio.sleep(SHUTDOWN_LAST_TURN_S)
+        for _ in range(SHUTDOWN_FINAL_ITERATIONS):
+            await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
     def _elapsed_s(self) -> float:
         return time.monotonic() - self._started_at
--- a/loadbalancer/network/listener.py
+++ b/loadbalancer/network/listener.py
@@ -24,17 +24,17 @@
 ACCEPT_BACKLOG = 2_048
 # Of the memory limit, for what clients have sent.
 CLIENT_MEMORY_SHARE = 1 / 12
-# Before accepting is tried again after the sockets have run out.
-ACCEPT_PAUSE_S = 0.05
+# Accepting is tried again after this time once sockets or connections have run out.
+ACCEPT_RETRY_INTERVAL_S = 0.05
 # An idle connection is closed after this time; clients open new ones.
 KEEP_ALIVE_TIMEOUT_S = 2.5
-# The same while new connections wait for room: a longer time would limit the requests per second.
+# The same while new connections wait to be accepted: a longer time would limit the requests per second.
 IDLE_TIMEOUT_UNDER_PRESSURE_S = 0.2
-# For a whole request to arrive, while new connections wait for room.
+# For a whole request to arrive, while new connections wait to be accepted.
 REQUEST_TIMEOUT_UNDER_PRESSURE_S = 0.25
 MIN_CONNECTION_LIMIT = 4
-# Room is made for one connection in so many at a time; connections without a request always go.
-CONNECTIONS_PER_ROOM = 4
+# One idle connection in so many is evicted at a time; those without a request in time all are.
+EVICTION_DIVISOR = 4
 # The kernel's counters say nothing useful beyond this.
 MAX_QUEUE_AGE_S = 60.0
 
@@ -79,7 +79,7 @@
         context: What the connections share.
         address: The address that the socket is bound to.
         connection_limit: No more connections than this are accepted at a time.
-        longest_deadline_s: The longest time that a client waits for a response.
+        max_deadline_s: The longest time that a client waits for a response.
     """
 
     def __init__(
@@ -105,11 +105,11 @@
             classes={c.name: c for c in config.settings.classes},
             buffers=BufferAccount(int(config.memory_limit_mb * CLIENT_MEMORY_SHARE * BYTES_PER_MB)),
         )
-        self.longest_deadline_s = max(c.deadline_ms for c in config.settings.classes) / MS_PER_S
+        self.max_deadline_s = max(c.deadline_ms for c in config.settings.classes) / MS_PER_S
         self.connection_limit = max(config.descriptor_limit // 2 - SPARE_SOCKETS, MIN_CONNECTION_LIMIT)
         self._connections: set[ClientConnection] = set()
         self._setup_tasks: set[asyncio.Task[None]] = set()
-        self._made_room_at = -math.inf
+        self._evicted_at = -math.inf
         self._is_accepting = False
         family = socket.AF_INET6 if ":" in config.listen[0] else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -139,13 +139,13 @@
 
     def close(self) -> None:
         """Close the listening socket: connections that nobody accepted are reset by the kernel."""
-        self._pause_accepting()
+        self._stop_accepting()
         self._socket.close()
 
     # ---- accepting ------------------------------------------------------------------------------
 
     def accept_pending(self) -> bool:
-        """Accept the connections that wait in the kernel's queue, as far as there is room.
+        """Accept the connections that wait in the kernel's queue, up to the connection limit.
 
         Returns:
             Whether the queue is empty.
@@ -160,10 +160,10 @@
                     break
                 continue
             self._set_up(accepted)
-        # Guards against spinning, or failing, while there is no room: accepting is tried again in a moment.
-        self.make_room()
-        self._pause_accepting()
-        self.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
+        # Guards against spinning, or failing, at the limit: accepting is tried again in a moment.
+        self.evict_connections()
+        self._stop_accepting()
+        self.loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._resume_accepting)
         return False
 
     def _set_up(self, accepted: socket.socket) -> None:
@@ -196,7 +196,7 @@
             self._is_accepting = True
             self.loop.add_reader(self._socket, self.accept_pending)
 
-    def _pause_accepting(self) -> None:
+    def _stop_accepting(self) -> None:
         if self._is_accepting:
             self._is_accepting = False
             self.loop.remove_reader(self._socket)
@@ -213,21 +213,21 @@
         for connection in list(self._connections):
             connection.expire_if_slow(now, client_connection.REQUEST_TIMEOUT_S, KEEP_ALIVE_TIMEOUT_S)
 
-    def make_room(self) -> None:
-        """Close connections for those that wait: all without a request in time, then the longest idle.
+    def evict_connections(self) -> None:
+        """Close connections in favour of new ones: all without a request in time, then the longest idle.
 
         Guards against floods of connections that bring no request. A connection whose request is open is
         never closed.
         """
         now = time.monotonic()
-        if now - self._made_room_at < ACCEPT_PAUSE_S / 2:
+        if now - self._evicted_at < ACCEPT_RETRY_INTERVAL_S / 2:
             return
-        self._made_room_at = now
-        left_to_close = max(len(self._connections) // CONNECTIONS_PER_ROOM, 1)
+        self._evicted_at = now
+        remaining_evictions = max(len(self._connections) // EVICTION_DIVISOR, 1)
         for connection in sorted(self._connections, key=_closing_order):
-            if not connection.is_request_pending() and left_to_close <= 0:
+            if not connection.is_request_pending() and remaining_evictions <= 0:
                 break
-            left_to_close -= connection.expire_if_slow(
+            remaining_evictions -= connection.expire_if_slow(
                 now, REQUEST_TIMEOUT_UNDER_PRESSURE_S, IDLE_TIMEOUT_UNDER_PRESSURE_S
             )
 
--- a/loadbalancer/network/request_pipeline.py
+++ b/loadbalancer/network/request_pipeline.py
@@ -112,7 +112,7 @@
 
     def _may_resume_reading(self) -> bool:
         is_paused = self._transport.is_reading_paused and self._transport.is_open
-        return is_paused and self.reader.has_room_to_resume()
+        return is_paused and self.reader.may_resume()
 
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
--- a/loadbalancer/network/request_reader.py
+++ b/loadbalancer/network/request_reader.py
@@ -83,10 +83,10 @@
         return bool(self._partial_bytes or self._unparsed)
 
     def can_parse(self) -> bool:
-        """Return whether there is input to parse and room for the requests in it."""
+        """Return whether there is input to parse and few enough requests are queued."""
         return self.has_unparsed_input and len(self.requests) <= MAX_PIPELINED_REQUESTS
 
-    def has_room_to_resume(self) -> bool:
+    def may_resume(self) -> bool:
         """Return whether so many requests were taken that reading may go on after a pause."""
         return len(self.requests) <= MAX_PIPELINED_REQUESTS // 2
 
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -359,7 +359,7 @@
         monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_MAX_DEADLINE_S", 120.0)
         async with Rig(Upstream()) as rig:
             callers = rig.proxy.listener
-            callers.longest_deadline_s = 120.0
+            callers.max_deadline_s = 120.0
             client = await rig.client()
             client.send()
             assert status(await client.answer()) == 200
@@ -388,7 +388,7 @@
             client = await rig.client()
             client.send()
             assert status(await client.answer()) == 200
-            rig.proxy.listener.longest_deadline_s = 0.2
+            rig.proxy.listener.max_deadline_s = 0.2
             ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
             assert await client.reader.read() == b""  # a clean end
             assert rig.proxy.listener.context.closes_connections, "not just as one that stood idle"
--- a/tests/network/test_startup_and_shutdown_races.py
+++ b/tests/network/test_startup_and_shutdown_races.py
@@ -161,7 +161,7 @@
             def close_late() -> None:
                 close()
                 let.set()
-                loop.call_soon(time.sleep, 2 * listener.ACCEPT_PAUSE_S)  # as other work would
+                loop.call_soon(time.sleep, 2 * listener.ACCEPT_RETRY_INTERVAL_S)  # as other work would
 
             monkeypatch.setattr(rig.proxy, "abort_open_requests", close_late)
             await callers.shut_down()
@@ -300,7 +300,7 @@
                 own.sendall(ask("/read", 3))  # at once, before the loop could read it
             monkeypatch.setattr(listener, "REQUEST_TIMEOUT_UNDER_PRESSURE_S", 0.0)
             monkeypatch.setattr(listener, "IDLE_TIMEOUT_UNDER_PRESSURE_S", 0.0)
-            callers._made_room_at = -1.0
+            callers._evicted_at = -1.0
             assert not callers.accept_pending()  # it looks for room now
             let.set()
             assert status(await idle.answer()) == 200
