--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -7,22 +7,13 @@
 
 import pytest
 
-from loadbalancer.events import (
-    Outcome,
-)
+from loadbalancer.events import Outcome
 from loadbalancer.network import request_reader
-from tests.network.event_recorder import listen_to, outcomes
-from tests.network.loopback import (
-    ReceivedMessage,
-    Rig,
-    Upstream,
-    response,
-    run,
-    status,
-)
-
-
-def test_requests_sent_together_are_answered_in_turn() -> None:
+from tests.network.event_recorder import outcomes, record_events
+from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, run, status
+
+
+def test_pipelined_requests_get_their_responses_in_order() -> None:
     async def echo(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, asked.line.encode()))
 
@@ -37,25 +28,25 @@
     run(scenario())
 
 
-def test_what_follows_a_request_that_asked_for_the_end_is_not_looked_at() -> None:
-    """With the next request in another slice, its answer was written behind our end, and raised."""
+def test_input_after_a_request_with_connection_close_is_ignored() -> None:
+    """Parsed in a later slice, it would get a response after our side of the connection is closed."""
 
     async def scenario() -> None:
         async with Rig() as rig:
             client = await rig.client()
             head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
             head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
-            faults: list[object] = []
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
+            errors: list[object] = []
+            asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
             client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status(await client.answer()) == 200
             assert await client.reader.read() == b""
-            assert not faults
+            assert not errors
 
     run(scenario())
 
 
-def test_connections_are_used_again_but_never_a_dead_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_upstream_connections_are_reused_unless_they_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr("loadbalancer.network.upstream_pool.SETTLE_S", 0.0)
         upstream = Upstream()
@@ -65,22 +56,23 @@
             assert upstream.connections == 1
             upstream.writers[0].close()
             await upstream.writers[0].wait_closed()
-            told = listen_to(rig)
+            events = record_events(rig)
             assert status(await rig.ask("/pay/x", b"debit")) == 200
-            assert outcomes(told) == [Outcome.SUCCEEDED]
+            assert outcomes(events) == [Outcome.SUCCEEDED]
             assert upstream.connections == 2
 
     run(scenario())
 
 
-def test_both_sides_send_small_messages_at_once() -> None:
+def test_tcp_no_delay_is_set_on_both_sides() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             client = await rig.client()
             client.send()
             await client.answer()
-            (taken,) = rig.proxy.listener.connections
-            for transport in (rig.proxy.upstreams._pools["s0"].idle[0]._transport, taken.transport):
+            (client_connection,) = rig.proxy.listener.connections
+            upstream_connection = rig.proxy.upstreams._pools["s0"].idle[0]
+            for transport in (upstream_connection._transport, client_connection.transport):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -88,8 +80,8 @@
     run(scenario())
 
 
-def test_an_idle_connection_is_ended_in_the_moment_in_which_it_was_looked_at() -> None:
-    """Our end left with the loop's next turn: a request that came before it was read and dropped."""
+def test_a_graceful_close_reaches_an_idle_client_at_once() -> None:
+    """In a later turn of the loop, a request that arrives before it would be read and discarded."""
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
--- a/tests/network/test_endpoint_list_updates.py
+++ b/tests/network/test_endpoint_list_updates.py
@@ -6,47 +6,38 @@
 
 import pytest
 
-from loadbalancer.events import (
-    EndpointListKind,
-    EndpointListUpdate,
-)
-from loadbalancer.network import endpoint_watch as discovery
-from tests.network.event_recorder import listen_to
-from tests.network.loopback import (
-    TIMEOUT_S,
-    Rig,
-    Upstream,
-    entry,
-    reset,
-    response,
-    run,
-    status,
-)
-
-
-def test_the_list_is_watched_and_a_restart_drops_connections() -> None:
+from loadbalancer.events import EndpointListKind
+from loadbalancer.network import endpoint_watch
+from tests.network.event_recorder import list_kinds, record_events
+from tests.network.loopback import TIMEOUT_S, Rig, Upstream, entry, reset, response, run, status
+
+
+def test_updates_arrive_in_order_and_a_restarted_upstream_loses_its_connections() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
-            told = listen_to(rig)
+            events = record_events(rig)
             assert status(await rig.ask()) == 200
             line = await rig.discovery.calls.get()
             assert line.startswith("GET /v1/servers?after=7&wait_ms=")
             address = rig.entries[0]["address"]
             rig.discovery.tell(8, entry("s0", address, since_ms=5))
-            assert "after=8&" in await rig.discovery.calls.get()  # the watch goes on at once
+            assert "after=8&" in await rig.discovery.calls.get()  # the next poll follows at once
             await upstream.ended.wait()
             rig.discovery.tell(9, entry("s0", address, since_ms=5), snapshot=True)
             await rig.discovery.calls.get()
             rig.discovery.answers.put_nowait(response(503, b""))
-            await rig.discovery.calls.get()  # asked again when the module's timer says so
-            kinds = [e.kind for e in told if isinstance(e, EndpointListUpdate)]
-            assert kinds == [EndpointListKind.DELTA, EndpointListKind.SNAPSHOT, EndpointListKind.FAILED]
+            await rig.discovery.calls.get()  # polled again when the policy's timer fires
+            assert list_kinds(events) == [
+                EndpointListKind.DELTA,
+                EndpointListKind.SNAPSHOT,
+                EndpointListKind.FAILED,
+            ]
 
     run(scenario())
 
 
-def test_nothing_new_goes_to_a_server_that_drains() -> None:
+def test_a_draining_upstream_gets_no_new_requests() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
@@ -60,25 +51,24 @@
     run(scenario())
 
 
-def test_the_watch_survives_any_answer() -> None:
-    """An answer that broke the reader in an unforeseen way ended the watch, and nobody asked again."""
+def test_the_watch_goes_on_after_a_malformed_response() -> None:
+    """Whatever exception a response raises while it is read, discovery is polled again."""
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
-            told = listen_to(rig)
+            events = record_events(rig)
             assert status(await rig.ask()) == 200
             for body in (b"[" * 100_000, b"[]"):
                 await rig.discovery.calls.get()
                 rig.discovery.answers.put_nowait(response(200, body))
             await rig.discovery.calls.get()
-            kinds = [e.kind for e in told if isinstance(e, EndpointListUpdate)]
-            assert kinds == [EndpointListKind.FAILED] * 2
+            assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
     run(scenario())
 
 
-def test_a_watch_that_went_silent_is_given_up_soon_after_its_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All servers were renewed meanwhile, and calls went to those of the old list until none was left."""
+def test_a_silent_poll_times_out_soon_after_its_wait_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If all upstreams are replaced meanwhile, requests go to the old ones until none is left."""
 
     async def scenario() -> None:
         async with Rig(Upstream(reset)) as rig:
@@ -86,13 +76,12 @@
             line = await rig.discovery.calls.get()
             assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
             rig.discovery.answers.put_nowait(response(503, b""))
-            monkeypatch.setattr(discovery, "WAIT_MS", 100)
+            monkeypatch.setattr(endpoint_watch, "WAIT_MS", 100)
             await rig.discovery.calls.get()  # never answered
             started = asyncio.get_running_loop().time()
             await rig.discovery.calls.get()
-            assert asyncio.get_running_loop().time() - started < 3, (
-                "what it has to tell counts as told by then"
-            )
+            elapsed_s = asyncio.get_running_loop().time() - started
+            assert elapsed_s < 3, "an update counts as delivered by then"
             new = Upstream()
             rig.discovery.tell(8, entry("s9", await new.start()), snapshot=True)
             await rig.discovery.calls.get()
@@ -102,13 +91,13 @@
     run(scenario())
 
 
-def test_a_broken_watch_is_opened_again_at_once_where_lists_are_pushed(
+def test_a_failed_push_watch_is_reopened_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent got in the pause counted as told: half a second of a grace of half a second was gone."""
+    """An update during a pause would use up the whole grace period that a draining upstream has."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discovery, "PUSH_PAUSE_S", 2 * TIMEOUT_S)
+        monkeypatch.setattr(endpoint_watch, "PUSH_PAUSE_S", 2 * TIMEOUT_S)
         async with Rig(Upstream(), discovery="push") as rig:
             for index in (8, 9):
                 await rig.discovery.calls.get()
@@ -120,19 +109,19 @@
     run(scenario())
 
 
-def test_an_agent_that_fell_silent_is_noticed_well_before_its_news_count(
+def test_a_silent_push_agent_is_detected_before_its_updates_are_due(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was waited for as long as a discovery whose calls cost it work."""
+    """An agent is polled at no cost, so its timeout is shorter than that of a central discovery."""
 
     async def scenario() -> None:
         async with Rig(Upstream(), discovery="push") as rig:
             line = await rig.discovery.calls.get()
             wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
-            assert wait_ms / 1000 + discovery.LATE_S + discovery.CONNECT_S < 6
+            assert wait_ms / 1000 + endpoint_watch.LATE_S + endpoint_watch.CONNECT_S < 6
             rig.discovery.tell(8)
-            monkeypatch.setattr(discovery, "LATE_S", 0.1)
-            monkeypatch.setattr(discovery, "PUSH_WAIT_MS", 100)
+            monkeypatch.setattr(endpoint_watch, "LATE_S", 0.1)
+            monkeypatch.setattr(endpoint_watch, "PUSH_WAIT_MS", 100)
             await rig.discovery.calls.get()
             rig.discovery.tell(9)
             await rig.discovery.calls.get()  # never answered
@@ -142,14 +131,14 @@
     run(scenario())
 
 
-def test_a_list_that_stops_short_is_not_waited_for() -> None:
-    """Its rest was waited for as long as a watch may take; servers that drain got calls meanwhile."""
+def test_a_truncated_list_times_out() -> None:
+    """The rest is not waited for as long as a poll: draining upstreams would get requests meanwhile."""
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             await rig.ask()
             line = await rig.discovery.calls.get()
-            assert "wait_ms" in line, "a watch, that may take long to begin its answer"
+            assert "wait_ms" in line, "a poll, whose response may take long to begin"
             rig.discovery.answers.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
             await asyncio.wait_for(rig.discovery.calls.get(), 5)
 
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -7,82 +7,95 @@
 
 import pytest
 
-from loadbalancer.events import (
-    Outcome,
-)
-from tests.network.event_recorder import listen_to, outcomes
-from tests.network.loopback import (
-    Rig,
-    Upstream,
-    response,
-    run,
-    silent,
-    status,
-)
-
-
-def test_after_the_end_begins_callers_keep_the_connections_they_have_for_a_while(
+from loadbalancer.events import Outcome
+from loadbalancer.network import graceful_shutdown
+from tests.network.event_recorder import outcomes, record_events
+from tests.network.loopback import Client, Rig, Upstream, response, run, silent, status
+
+
+def set_shutdown_times(
     monkeypatch: pytest.MonkeyPatch,
+    *,
+    accept_s: float | None = None,
+    keep_alive_s: float | None = None,
+    max_deadline_s: float | None = None,
 ) -> None:
-    """While one of two balancers restarted, the other was told to end: clients had nowhere to go."""
+    """Replace those of the shutdown's times that are given."""
+    times = {
+        "SHUTDOWN_ACCEPT_S": accept_s,
+        "SHUTDOWN_KEEP_ALIVE_S": keep_alive_s,
+        "SHUTDOWN_MAX_DEADLINE_S": max_deadline_s,
+    }
+    for name, value in times.items():
+        if value is not None:
+            monkeypatch.setattr(graceful_shutdown, name, value)
+
+
+async def client_with_a_response(rig: Rig) -> Client:
+    """A client whose first request has got its response."""
+    client = await rig.client()
+    client.send()
+    assert status(await client.answer()) == 200
+    return client
+
+
+def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+    """While another balancer restarts, clients whose connections closed would have nowhere to go."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 60.0)
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_MAX_DEADLINE_S", 120.0)
+        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
         async with Rig(Upstream()) as rig:
-            callers = rig.proxy.listener
-            callers.max_deadline_s = 120.0
-            client = await rig.client()
-            client.send()
-            assert status(await client.answer()) == 200
-            ending = asyncio.ensure_future(callers.shut_down())
-            while not callers.is_closed:
+            listener = rig.proxy.listener
+            listener.max_deadline_s = 120.0
+            client = await client_with_a_response(rig)
+            shutdown = asyncio.ensure_future(listener.shut_down())
+            while not listener.is_closed:
                 await asyncio.sleep(0.01)
             for _ in range(2):
                 client.send()
                 answer = await client.answer()
                 assert status(answer) == 200
                 assert "connection" not in answer.headers
-            monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
+            set_shutdown_times(monkeypatch, keep_alive_s=0.0)
             assert await client.reader.read() == b""  # a clean end, once the time is up
             client.writer.close()
-            await ending
+            await shutdown
 
     run(scenario())
 
 
-def test_callers_stay_no_longer_than_half_the_longest_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The platform kills soon after the longest wait: what came on a connection kept for longer is lost."""
+def test_connections_stay_open_for_half_the_longest_deadline_at_most(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The platform kills the process soon after the longest deadline: what arrives later is lost."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 60.0)
+        set_shutdown_times(monkeypatch, keep_alive_s=60.0)
         async with Rig(Upstream()) as rig:
-            client = await rig.client()
-            client.send()
-            assert status(await client.answer()) == 200
+            client = await client_with_a_response(rig)
             rig.proxy.listener.max_deadline_s = 0.2
-            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
             assert await client.reader.read() == b""  # a clean end
-            assert rig.proxy.listener.context.closes_connections, "not just as one that stood idle"
+            assert rig.proxy.listener.context.closes_connections, "not closed as an idle one"
             client.writer.close()
-            await ending
+            await shutdown
 
     run(scenario())
 
 
-def test_the_end_answers_what_was_taken_and_takes_what_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_open_requests_and_new_connections_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
+        set_shutdown_times(monkeypatch, keep_alive_s=0.0)
         upstream = Upstream(response(), silent, response())
         async with Rig(upstream) as rig:
-            idle, busy = await rig.client(), await rig.client()
+            idle = await rig.client()
+            busy = await rig.client()
             idle.send()
             assert status(await idle.answer()) == 200
             upstream.seen.clear()
             busy.send("/pay/x", b"debit")
             await upstream.seen.wait()
-            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
             await asyncio.sleep(0)
             assert status(await rig.ask()) == 200
             assert await idle.reader.read() == b""  # a clean end, no reset
@@ -94,73 +107,74 @@
             assert answer.headers["connection"] == "close"
             busy.writer.close()
             idle.writer.close()
-            await ending
+            await shutdown
 
     run(scenario())
 
 
-def test_a_request_in_the_accept_queue_at_the_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was taken with its last byte, though nobody had accepted its connection yet."""
+def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client has sent all of it, though its connection was not accepted yet."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
+        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
         async with Rig(Upstream()) as rig:
-            callers, clients = rig.proxy.listener, list[socket.socket]()
-            accept = callers.accept_pending
+            listener = rig.proxy.listener
+            clients = list[socket.socket]()
+            accept_pending = listener.accept_pending
 
-            def at_the_last_moment() -> bool:
-                clients.append(socket.create_connection(callers.address))
+            def connect_then_accept() -> bool:
+                clients.append(socket.create_connection(listener.address))
                 clients[0].sendall(
                     b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
                 )
-                return accept()
+                return accept_pending()
 
-            monkeypatch.setattr(callers, "accept_pending", at_the_last_moment)
-            ending = asyncio.ensure_future(callers.shut_down())
+            monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
+            shutdown = asyncio.ensure_future(listener.shut_down())
             while not clients:
                 await asyncio.sleep(0)
             clients[0].setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(clients[0], 100)
             assert answer.startswith(b"HTTP/1.1 200")
             clients[0].close()
-            await ending
+            await shutdown
 
     run(scenario())
 
 
-def test_the_accept_queue_is_emptied_at_the_end_also_when_connections_are_at_their_cap(
+def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With no room for it, what waited in the queue was reset as the listener closed."""
+    """What is left in the queue is reset when the listening socket closes."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
+        set_shutdown_times(monkeypatch, accept_s=0.0)
         upstream = Upstream(silent, response())
         async with Rig(upstream) as rig:
-            rig.proxy.listener.connection_limit = 1
+            listener = rig.proxy.listener
+            listener.connection_limit = 1
             busy = await rig.client()
             busy.send("/pay/x", b"debit")
             await upstream.seen.wait()
-            waits = await rig.client()  # in the kernel's queue
-            waits.send()
-            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
-            while not rig.proxy.listener.context.is_shutting_down:
+            queued = await rig.client()  # in the kernel's queue
+            queued.send()
+            shutdown = asyncio.ensure_future(listener.shut_down())
+            while not listener.context.is_shutting_down:
                 await asyncio.sleep(0)
             for _ in range(3):
-                await asyncio.sleep(0)  # the queue has been looked at
+                await asyncio.sleep(0)  # the listener has tried to accept
             upstream.writers[0].write(response(200, b"at last"))
             assert (await busy.answer()).body == b"at last"
             busy.writer.close()
-            assert status(await waits.answer()) == 200
-            waits.writer.close()
-            await ending
+            assert status(await queued.answer()) == 200
+            queued.writer.close()
+            await shutdown
 
     run(scenario())
 
 
-def test_what_comes_after_the_last_answers_is_refused_at_once() -> None:
-    """It was taken up and sent on, and the process ended before its answer came."""
+def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
+    """The process ends before an upstream could respond to it."""
 
     async def scenario() -> None:
         upstream = Upstream()
@@ -174,54 +188,50 @@
     run(scenario())
 
 
-def test_the_end_does_not_wait_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is still open when the time is up gets its answer, before the platform kills us."""
-
+def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_MAX_DEADLINE_S", 0.2)
+        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
             client = await rig.client()
             client.send("/pay/x", b"debit")
             await upstream.seen.wait()
-            told = listen_to(rig)
-            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            events = record_events(rig)
+            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
             assert status(await client.answer()) == 502
-            await ending
-            assert outcomes(told) == [Outcome.CANCELLED]  # its own time-out had not come
+            await shutdown
+            assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
 
     run(scenario())
 
 
-def test_a_request_that_crosses_the_end_of_an_idle_connection_is_answered(
+def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lay in the kernel, unread, when the connection was ended as an idle one."""
+    """The kernel holds it, unread, while the connection is judged to be idle."""
 
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_ACCEPT_S", 0.0)
-        monkeypatch.setattr("loadbalancer.network.graceful_shutdown.SHUTDOWN_KEEP_ALIVE_S", 0.0)
+        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
         async with Rig(Upstream()) as rig:
-            client = await rig.client()
-            client.send()
-            assert status(await client.answer()) == 200
+            client = await client_with_a_response(rig)
             (connection,) = rig.proxy.listener.connections
-            is_idle, crossed = connection.is_idle, list[int]()
+            is_idle = connection.is_idle
+            has_crossed = asyncio.Event()
 
-            def crossing() -> bool:
-                if not crossed:
-                    crossed.append(1)
-                    client.send()  # written at once, and not read before the question is answered
+            def send_then_is_idle() -> bool:
+                if not has_crossed.is_set():
+                    has_crossed.set()
+                    client.send()  # written at once, and not read before the result is used
                 return is_idle()
 
-            monkeypatch.setattr(connection, "is_idle", crossing)
-            ending = asyncio.ensure_future(rig.proxy.listener.shut_down())
+            monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
+            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
             answer = await client.answer()
             assert status(answer) == 200
             assert answer.headers["connection"] == "close"
             client.writer.close()
-            await ending
+            await shutdown
 
     run(scenario())
--- a/tests/network/test_memory_limits.py
+++ b/tests/network/test_memory_limits.py
@@ -3,60 +3,51 @@
 from __future__ import annotations
 
 import asyncio
+import gc
+from collections import Counter
 from typing import Any
 
 import pytest
 
 from loadbalancer.network import request_pipeline
-from tests.network.loopback import (
-    Client,
-    Rig,
-    Upstream,
-    run,
-    silent,
-    status,
-)
+from tests.network.loopback import Client, Rig, Upstream, run, silent, status
 
 
-def test_what_callers_have_us_hold_is_bounded_and_given_back() -> None:
-    """Sixteen bodies read ahead on every connection would have filled a small memory."""
+def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
+    """Sixteen bodies read ahead on every connection would exceed a small memory limit."""
 
     async def scenario() -> None:
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
-            callers = rig.proxy.listener
-            callers.context.buffers.limit_bytes = 200_000
-            crowd: list[Client] = []
+            listener = rig.proxy.listener
+            buffers = listener.context.buffers
+            buffers.limit_bytes = 200_000
+            clients: list[Client] = []
             for _ in range(4):
-                crowd.append(await rig.client())
+                clients.append(await rig.client())
                 for _ in range(4):
-                    crowd[-1].send("/pay/x", b"x" * 60_000)
-            good = await rig.client()
-            while not any(c.discards_input for c in callers.connections):
+                    clients[-1].send("/pay/x", b"x" * 60_000)
+            health_client = await rig.client()
+            while not any(connection.discards_input for connection in listener.connections):
                 await asyncio.sleep(0.01)
-            good.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
-            assert status(await good.answer()) == 200
-            assert (
-                callers.context.buffers.used_bytes
-                <= callers.context.buffers.limit_bytes + 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
-            )
-            for client in crowd:
+            health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
+            assert status(await health_client.answer()) == 200
+            unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
+            assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
+            for client in clients:
                 client.writer.transport.abort()
-            while callers.context.buffers.used_bytes:
+            while buffers.used_bytes:
                 await asyncio.sleep(0.01)
 
     run(scenario())
 
 
-def test_nothing_of_a_request_or_connection_is_left_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Objects are counted after many ids and connections: what grows with them shows."""
-    import gc
-    from collections import Counter
-
-    # Else the pool keeps as many connections as calls fit into that time, which is the machine's speed.
+def test_finished_requests_and_connections_leave_no_objects(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Objects are counted after many requests and connections: a leak grows with their number."""
+    # Otherwise the pool's size depends on how many requests the machine can make in that time.
     monkeypatch.setattr("loadbalancer.network.upstream_pool.SETTLE_S", 0.0)
 
-    def count() -> Counter[str]:
+    def count_objects() -> Counter[str]:
         return Counter(
             type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("loadbalancer")
         )
@@ -64,24 +55,24 @@
     async def scenario() -> None:
         async with Rig(Upstream(), max_attempts=3) as rig:
 
-            async def ask(times: int) -> None:
+            async def send_requests(times: int) -> None:
                 for _ in range(times):
                     assert status(await rig.ask()) == 200
                 while rig.proxy.listener.connections:
                     await asyncio.sleep(0.01)
 
-            await ask(20)
+            await send_requests(20)
             gc.collect()
-            gc.disable()  # what only the collector would find counts as left behind
+            gc.disable()  # objects that only the collector would free count_objects as leaked
             try:
-                before = count()
-                await ask(100)
-                grown: dict[str, Any] = count() - before
+                before = count_objects()
+                await send_requests(100)
+                growth: dict[str, Any] = count_objects() - before
                 for timer in ("TimerFired", "HedgeTimer"):
-                    grown.pop(timer, None)  # the module's timers: they come due and go, ended or not
+                    growth.pop(timer, None)  # the policy's timers stay until they fire
             finally:
                 gc.enable()
-            assert all(n < 20 for n in grown.values()), grown
+            assert all(n < 20 for n in growth.values()), growth
             assert len(rig.proxy.balancer._requests) == 0
             assert not rig.proxy._requests
 
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
+import json
+import os
+import subprocess
+import sys
 import time
-from typing import Any
+from pathlib import Path
 
 import pytest
 
-from tests.network.loopback import (
-    config_text,
-)
+from loadbalancer.configuration import read_configuration
+from loadbalancer.network.clock import Clock
+from tests.network.loopback import config_text
 
 
-def test_config_errors_are_one_line_and_an_exit_code(tmp_path: Any) -> None:
-    import os
-    import subprocess
-    import sys
-
+def test_a_configuration_error_is_one_line_and_an_exit_code(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    environment = {n: v for n, v in os.environ.items() if not n.startswith("LB_")}
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
     for text in (None, "", "{}", "[]", config_text("nowhere", [])):
         if text is not None:
             path.write_text(text)
@@ -30,12 +30,8 @@
         assert len(done.stderr.splitlines()) == 1, done.stderr
 
 
-def test_signals_that_come_while_the_program_goes_down_change_nothing(tmp_path: Any) -> None:
-    """The event loop leaves them harmless as it closes; nothing of ours may make them deadly again."""
-    import os
-    import subprocess
-    import sys
-
+def test_signals_after_the_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
+    """The event loop ignores them as it closes; nothing may restore their default action."""
     program = """if True:
         import asyncio, os, signal
         from loadbalancer import __main__ as program
@@ -60,27 +56,18 @@
     assert (done.returncode, done.stdout) == (0, "alive\n"), done.stderr
 
 
-def test_what_is_null_counts_as_absent() -> None:
-    import json
-
-    from loadbalancer.configuration import read_configuration
-
+def test_null_in_the_configuration_counts_as_absent() -> None:
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
         text = json.dumps(raw | {"limits": limits, "name": None, "seed": None, "known": None})
         config = read_configuration(text, lambda note: None)
-        assert (config.descriptor_limit, config.memory_limit_mb, config.name, config.seed) == (
-            1024,
-            192,
-            "",
-            0,
-        )
-
-
-def test_the_clock_compares_with_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+        assert config.descriptor_limit == 1024
+        assert config.memory_limit_mb == 192
+        assert config.name == ""
+        assert config.seed == 0
 
-    from loadbalancer.network.clock import Clock
 
+def test_the_clock_starts_at_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     first = clock.now()
     assert abs(first - time.time() * 1000) < 1000
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -8,26 +8,12 @@
 import pytest
 
 from loadbalancer.actions import Action
-from loadbalancer.events import (
-    ClientDisconnected,
-    Event,
-    Outcome,
-    RequestReceived,
-)
-from tests.network.event_recorder import listen_to, outcomes
-from tests.network.loopback import (
-    ReceivedMessage,
-    Rig,
-    Upstream,
-    reset,
-    response,
-    run,
-    silent,
-    status,
-)
+from loadbalancer.events import ClientDisconnected, Event, Outcome, RequestReceived
+from tests.network.event_recorder import outcomes, record_events
+from tests.network.loopback import ReceivedMessage, Rig, Upstream, reset, response, run, silent, status
 
 
-def test_a_request_goes_on_unchanged_and_the_answer_comes_back_unchanged() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def scenario() -> None:
         upstream = Upstream(response(200, b"\x00tile", "Content-Type: image/x", "X-Load: inflight=7"))
         async with Rig(upstream) as rig:
@@ -45,14 +31,14 @@
             assert asked.headers["x-request-id"] == "9b1f03aa"
             assert asked.headers["idempotency-key"] == "5c0f"
             assert asked.headers["x-class"] == "put"
-            left = asked.headers["x-deadline"]
-            assert left.endswith("u")
-            assert 0 < int(left[:-1]) <= 2_000_000
+            remaining = asked.headers["x-deadline"]
+            assert remaining.endswith("u")
+            assert 0 < int(remaining[:-1]) <= 2_000_000
 
     run(scenario())
 
 
-def test_microseconds_are_read_as_such() -> None:
+def test_a_deadline_in_microseconds() -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
@@ -83,8 +69,8 @@
         (reset, Outcome.RESET, 502),
     ],
 )
-def test_what_an_ending_means(script: Any, outcome: Outcome, final: int) -> None:
-    async def cut(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+def test_outcome_of_an_attempt_by_how_the_upstream_ends_it(script: Any, outcome: Outcome, final: int) -> None:
+    async def run_script(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if isinstance(script, bytes):
             writer.write(script)
             if b"cut" in script:
@@ -93,113 +79,113 @@
             await script(asked, writer)
 
     async def scenario() -> None:
-        upstream = Upstream(cut)
+        upstream = Upstream(run_script)
         async with Rig(upstream) as rig:
-            told = listen_to(rig)
+            events = record_events(rig)
             assert status(await rig.ask("/pay/x", b"debit")) == final
-            # Turned away means never run, so the module may ask again; anything else must not.
-            assert set(outcomes(told)) == {outcome}
+            # A rejected attempt never ran, so the policy may retry it; any other outcome forbids that.
+            assert set(outcomes(events)) == {outcome}
             assert len(upstream.asked) == (3 if outcome is Outcome.REJECTED else 1)
 
     run(scenario())
 
 
-def test_a_refused_connection_is_a_failed_connect_and_another_server_is_asked() -> None:
+def test_a_refused_connection_is_retried_on_another_upstream() -> None:
     async def scenario() -> None:
-        gone, upstream = Upstream(), Upstream()
-        async with Rig(gone, upstream) as rig:
-            gone.server.close()
-            await gone.server.wait_closed()
-            told = listen_to(rig)
+        refusing, upstream = Upstream(), Upstream()
+        async with Rig(refusing, upstream) as rig:
+            refusing.server.close()
+            await refusing.server.wait_closed()
+            events = record_events(rig)
             answers = [await rig.ask("/pay/x", b"debit") for _ in range(8)]
-            assert {status(a) for a in answers} == {200}
-            assert Outcome.CONNECT_FAILED in outcomes(told)
-            assert outcomes(told).count(Outcome.SUCCEEDED) == len(upstream.asked) == 8
+            assert {status(answer) for answer in answers} == {200}
+            assert Outcome.CONNECT_FAILED in outcomes(events)
+            assert outcomes(events).count(Outcome.SUCCEEDED) == len(upstream.asked) == 8
 
     run(scenario())
 
 
-def test_silence_times_out_and_is_answered_before_the_deadline() -> None:
+def test_a_silent_upstream_times_out_and_the_client_gets_an_error_by_its_deadline() -> None:
     async def scenario() -> None:
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
-            told = listen_to(rig)
+            events = record_events(rig)
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             assert status(await rig.ask("/pay/x", b"debit", deadline="300m")) == 502
-            assert loop.time() - began < 0.3 + 0.05
-            assert outcomes(told) == [Outcome.TIMED_OUT]
-            await upstream.ended.wait()  # giving up closes the connection
+            assert loop.time() - started_at < 0.3 + 0.05
+            assert outcomes(events) == [Outcome.TIMED_OUT]
+            await upstream.ended.wait()  # a timeout closes the connection
 
     run(scenario())
 
 
-def test_a_served_answer_calls_off_the_copy_and_each_send_ends_once() -> None:
+def test_a_response_cancels_the_hedged_attempt_and_each_attempt_finishes_once() -> None:
     async def scenario() -> None:
         first, second = Upstream(silent), Upstream(silent)
         async with Rig(first, second) as rig:
-            told = listen_to(rig)
+            events = record_events(rig)
             client = await rig.client()
             client.send(deadline="1200m")
             await asyncio.gather(first.seen.wait(), second.seen.wait())
             second.writers[0].write(response(200, b"second"))
             assert (await client.answer()).body == b"second"
             await first.ended.wait()
-            assert sorted(o.value for o in outcomes(told)) == ["cancelled", "served"]
+            assert sorted(outcome.value for outcome in outcomes(events)) == ["cancelled", "served"]
             assert not rig.proxy._requests
 
     run(scenario())
 
 
-def test_a_client_that_goes_is_told_and_its_attempt_called_off() -> None:
+def test_a_disconnect_reaches_the_policy_and_cancels_the_attempt() -> None:
     async def scenario() -> None:
         upstream = Upstream(silent)
         async with Rig(upstream) as rig:
-            told = listen_to(rig)
+            events = record_events(rig)
             client = await rig.client()
             client.send()
             await upstream.seen.wait()
             client.writer.close()
             await upstream.ended.wait()
-            assert any(isinstance(e, ClientDisconnected) for e in told)
-            assert outcomes(told) == [Outcome.CANCELLED]
+            assert any(isinstance(event, ClientDisconnected) for event in events)
+            assert outcomes(events) == [Outcome.CANCELLED]
             assert not rig.proxy._requests
 
     run(scenario())
 
 
-def test_a_fault_in_the_module_fails_that_request_and_no_more(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_exception_in_the_policy_fails_only_its_request(capsys: pytest.CaptureFixture[str]) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
             handle = rig.proxy.balancer.handle
 
-            def faulty(event: Event, now: float) -> list[Action]:
+            def raise_for_first_request(event: Event, now: float) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.request_id == 1:
-                    raise RuntimeError("a fault of the module")
+                    raise RuntimeError("a fault of the policy")
                 return handle(event, now)
 
-            rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
+            rig.proxy.balancer.handle = raise_for_first_request  # type: ignore[method-assign]
             assert status(await rig.ask()) == 503
             assert status(await rig.ask()) == 200
 
     run(scenario())
-    assert "a fault of the module" in capsys.readouterr().err
+    assert "a fault of the policy" in capsys.readouterr().err
 
 
-def test_a_module_that_says_nothing_is_answered_for_before_the_deadline() -> None:
+def test_a_request_that_the_policy_ignores_is_failed_before_its_deadline() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             rig.proxy.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             assert status(await rig.ask(deadline="200m")) == 503
-            assert 0.1 < loop.time() - began < 0.25
+            assert 0.1 < loop.time() - started_at < 0.25
 
     run(scenario())
 
 
-def test_health_is_answered_at_once() -> None:
+def test_health_check_succeeds() -> None:
     async def scenario() -> None:
         async with Rig() as rig:
             client = await rig.client()
--- a/tests/network/test_request_validation.py
+++ b/tests/network/test_request_validation.py
@@ -6,20 +6,17 @@
 
 import pytest
 
-from tests.network.loopback import (
-    Rig,
-    Upstream,
-    run,
-    status,
-)
+from tests.network.loopback import Rig, Upstream, run, status
+
 
-GOOD = b"X-Class: read\r\nX-Request-Id: a1\r\nX-Deadline: 900m\r\n"
+def valid_headers(class_name: bytes = b"read", deadline: bytes = b"900m") -> bytes:
+    return b"X-Class: %b\r\nX-Request-Id: a1\r\nX-Deadline: %b\r\n" % (class_name, deadline)
 
 
 @pytest.mark.parametrize(
-    ("raw", "wanted"),
+    ("raw", "expected_status"),
     [
-        # What two readers could understand differently.
+        # Two readers could understand these differently.
         (b"POST /pay HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400),
         (b"POST /pay HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nxxxxx", 400),
@@ -27,43 +24,46 @@
         (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
         (b"POST /pay HTTP/1.1\r\nContent-Length: +4\r\n\r\nxxxx", 400),
         (b"POST /pay HTTP/1.1\r\nContent-Length: -4\r\n\r\nxxxx", 400),
-        (b"GET /read HTTP/1.1\n" + GOOD.replace(b"\r\n", b"\n") + b"\n", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD + b"X-Request-Id: a2\r\n\r\n", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD + b"X-Class: read\r\n\r\n", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD + b"X-Deadline: 9m\r\n\r\n", 400),
-        # Figures that are none, or too many.
-        (b"GET /read HTTP/1.1\r\n" + GOOD.replace(b"900m", b"1_0m") + b"\r\n", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD.replace(b"900m", b"1e3m") + b"\r\n", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD.replace(b"900m", b"0m") + b"\r\n", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD.replace(b"900m", b"9" * 400 + b"m") + b"\r\n", 400),
-        (b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", 413),  # with no body in sight
+        (b"GET /read HTTP/1.1\n" + valid_headers().replace(b"\r\n", b"\n") + b"\n", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers() + b"X-Request-Id: a2\r\n\r\n", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers() + b"X-Class: read\r\n\r\n", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers() + b"X-Deadline: 9m\r\n\r\n", 400),
+        # Malformed numbers, and numbers out of range.
+        (b"GET /read HTTP/1.1\r\n" + valid_headers(deadline=b"1_0m") + b"\r\n", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers(deadline=b"1e3m") + b"\r\n", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers(deadline=b"0m") + b"\r\n", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers(deadline=b"9" * 400 + b"m") + b"\r\n", 400),
+        # Rejected before any of the body arrives.
+        (b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", 413),
         (b"POST /pay HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 400),
-        # The method must fit what the class allows.
-        (b"POST /read HTTP/1.1\r\n" + GOOD + b"Content-Length: 1\r\n\r\nx", 400),
-        (b"GET /read HTTP/1.1\r\n" + GOOD + b"Content-Length: 1\r\n\r\nx", 400),
-        (b"GET /pay HTTP/1.1\r\n" + GOOD.replace(b"read", b"pay") + b"\r\n", 400),
-        (b"POST /pay HTTP/1.1\r\n" + GOOD.replace(b"read", b"pay") + b"Idempotency-Key: k\r\n\r\n", 400),
-        (b"POST /put HTTP/1.1\r\n" + GOOD.replace(b"read", b"put") + b"\r\n", 400),
-        # Without end.
+        # The method must be one that the class allows.
+        (b"POST /read HTTP/1.1\r\n" + valid_headers() + b"Content-Length: 1\r\n\r\nx", 400),
+        (b"GET /read HTTP/1.1\r\n" + valid_headers() + b"Content-Length: 1\r\n\r\nx", 400),
+        (b"GET /pay HTTP/1.1\r\n" + valid_headers(b"pay") + b"\r\n", 400),
+        (b"POST /pay HTTP/1.1\r\n" + valid_headers(b"pay") + b"Idempotency-Key: k\r\n\r\n", 400),
+        (b"POST /put HTTP/1.1\r\n" + valid_headers(b"put") + b"\r\n", 400),
+        # Never-ending input.
         (b"GET /" + b"x" * 70_000, 431),
         (b"GET /read HTTP/1.1\r\nX-Long: " + b"x" * 70_000, 431),
         (b"\r\n" * 40_000, 431),
         (
             b"POST /pay HTTP/1.1\r\n"
-            + GOOD.replace(b"read", b"pay")
+            + valid_headers(b"pay")
             + b"Transfer-Encoding: chunked\r\n\r\n1;"
             + b"x" * 70_000,
             431,
         ),
     ],
 )
-def test_it_is_turned_away_and_closed_and_reaches_no_upstream(raw: bytes, wanted: int) -> None:
+def test_a_rejected_request_closes_the_connection_and_reaches_no_upstream(
+    raw: bytes, expected_status: int
+) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
             client = await rig.client()
             client.writer.write(raw)
-            assert status(await client.answer()) == wanted
+            assert status(await client.answer()) == expected_status
             assert await client.reader.read() == b""
             assert upstream.connections == 0
             assert not rig.proxy._requests
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "wanted"),
+    ("raw", "expected_status"),
     [
         (b"GET /load HTTP/1.1\r\nHost: h\r\n\r\n", 404),
         (b"GET /other HTTP/1.1\r\nHost: h\r\nX-Class: other\r\n\r\n", 404),
@@ -88,20 +88,20 @@
         (b"GET /read HTTP/1.1\r\nX-Long: " + b"x" * 70_000 + b"\r\n\r\n", 431),
     ],
 )
-def test_bad_input_is_turned_away_and_reaches_no_upstream(raw: bytes, wanted: int) -> None:
+def test_a_rejected_request_reaches_no_upstream(raw: bytes, expected_status: int) -> None:
     async def scenario() -> None:
         upstream = Upstream()
         async with Rig(upstream) as rig:
             client = await rig.client()
             client.writer.write(raw)
-            assert status(await client.answer()) == wanted
+            assert status(await client.answer()) == expected_status
             assert not upstream.asked
             assert upstream.connections == 0
 
     run(scenario())
 
 
-def test_much_that_follows_a_refusal_is_neither_kept_nor_parsed() -> None:
+def test_input_after_a_rejection_is_neither_buffered_nor_parsed() -> None:
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
             client = await rig.client()
