--- /dev/null
+++ b/tests/network/test_startup_signals.py
@@ -0,0 +1,130 @@
+"""Signals that arrive while the program starts, each at a moment that is chosen for its effect."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from tests.network.loopback import TIMEOUT_S, DiscoveryServer, config_text, entry, run
+
+ROOT = Path(__file__).parents[2]
+
+# Runs the program as `python -m` does; at one audit event the configuration file is replaced and a signal
+# is sent. Arguments: the name of the event, its first argument (or ""), the number of the signal.
+SIGNALLED_PROGRAM = """if True:
+    import asyncio, os, runpy, sys
+    enter_runner = asyncio.Runner.__enter__
+    def audited_enter(runner):
+        sys.audit("runs")
+        return enter_runner(runner)
+    asyncio.Runner.__enter__ = audited_enter
+    event, first_argument, signal_number = sys.argv[1:]
+    def send_signal(name, args, seen=[]):
+        if not seen and name == event and (not first_argument or args[0] == first_argument):
+            seen.append(name)
+            os.replace(os.environ["LB_CONFIG"] + ".new", os.environ["LB_CONFIG"])
+            os.kill(os.getpid(), int(signal_number))
+    sys.addaudithook(send_signal)
+    runpy.run_module("loadbalancer", run_name="__main__")
+"""
+
+# Starts the program with a SIGTERM and a client's request at the moment at which it begins to listen.
+PROGRAM_WITH_EARLY_CLIENT = """if True:
+    import os, signal, socket
+    from loadbalancer import __main__ as program
+    from loadbalancer.network.listener import Listener
+    start, clients = Listener.start, []
+    def start_with_client(listener):
+        os.kill(os.getpid(), signal.SIGTERM)
+        start(listener)
+        clients.append(socket.create_connection(listener.address))
+        clients[0].sendall(b"GET /read HTTP/1.1\\r\\nX-Class: read\\r\\nX-Request-Id: 1\\r\\n"
+            b"X-Deadline: 900m\\r\\n\\r\\n")
+    Listener.start = start_with_client
+    assert program.main() == 0
+    clients[0].settimeout(5)
+    print(clients[0].makefile("rb").read().partition(b"\\r\\n")[0].decode())
+"""
+
+# The audit event and its first argument, by what the program does at that moment.
+MOMENTS = {
+    "imports the event loop": ("import", "uvloop"),
+    "opens its configuration": ("open", "config.json"),
+    "has read its configuration": ("runs", ""),
+    "binds": ("socket.bind", ""),
+}
+AT_EACH_MOMENT = pytest.mark.parametrize("moment", MOMENTS)
+
+
+def signalled_program(moment: str, path: Path, number: signal.Signals) -> list[str]:
+    """The command line of a program that gets a signal at a moment of its start."""
+    event, first_argument = MOMENTS[moment]
+    if event == "open":
+        first_argument = str(path)
+    return [sys.executable, "-c", SIGNALLED_PROGRAM, event, first_argument, str(int(number))]
+
+
+def run_program(command: list[str], path: Path) -> subprocess.CompletedProcess[str]:
+    return subprocess.run(
+        command,
+        cwd=ROOT,
+        env=os.environ | {"LB_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=TIMEOUT_S,
+    )
+
+
+@AT_EACH_MOMENT
+def test_a_sighup_during_the_start_reloads_the_configuration(moment: str, tmp_path: Path) -> None:
+    """It neither ends the program nor is it lost."""
+
+    async def scenario() -> None:
+        new_discovery = DiscoveryServer()
+        path = tmp_path / "config.json"
+        path.write_text(config_text("127.0.0.1:9", []))
+        path.with_suffix(".json.new").write_text(config_text(await new_discovery.start(), []))
+        process = await asyncio.create_subprocess_exec(
+            *signalled_program(moment, path, signal.SIGHUP),
+            cwd=ROOT,
+            env=os.environ | {"LB_CONFIG": str(path)},
+        )
+        try:
+            call = asyncio.ensure_future(new_discovery.calls.get())
+            exit_code = asyncio.ensure_future(process.wait())
+            await asyncio.wait((call, exit_code), return_when=asyncio.FIRST_COMPLETED)
+            assert not exit_code.done(), f"ended with {process.returncode}"
+            assert call.result() == "GET /v1/servers HTTP/1.1"
+            process.terminate()
+            assert await exit_code == 0
+        finally:
+            if process.returncode is None:
+                process.kill()
+
+    run(scenario())
+
+
+@AT_EACH_MOMENT
+def test_a_sigterm_during_the_start_ends_the_program_silently(moment: str, tmp_path: Path) -> None:
+    """No request was accepted: it ends by the signal itself, or by a shutdown once the loop runs."""
+    path = tmp_path / "config.json"
+    path.write_text(config_text("127.0.0.1:9", []))
+    path.with_suffix(".json.new").write_text(path.read_text())
+    done = run_program(signalled_program(moment, path, signal.SIGTERM), path)
+    assert done.returncode == (0 if moment == "binds" else -signal.SIGTERM)
+    assert "Traceback" not in done.stderr
+    assert done.stdout == ""
+
+
+def test_a_request_that_arrives_with_a_sigterm_gets_a_response(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
+    done = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
+    assert done.returncode == 0, done.stderr
+    assert done.stdout == "HTTP/1.1 503 Service Unavailable\n"  # rejected: there is no upstream
