--- /dev/null
+++ b/tests/network/test_program.py
@@ -0,0 +1,75 @@
+"""The program as a process: its configuration errors and its signals."""
+
+from __future__ import annotations
+
+import json
+import os
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+import pytest
+
+from loadbalancer.configuration import read_configuration
+from loadbalancer.network.clock import Clock
+from tests.network.loopback import config_text
+
+
+def test_a_configuration_error_is_one_line_and_an_exit_code(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+    for text in (None, "", "{}", "[]", config_text("nowhere", [])):
+        if text is not None:
+            path.write_text(text)
+            environment["LB_CONFIG"] = str(path)
+        done = subprocess.run(
+            [sys.executable, "-m", "loadbalancer"], env=environment, capture_output=True, text=True
+        )
+        assert done.returncode != 0
+        assert len(done.stderr.splitlines()) == 1, done.stderr
+
+
+def test_signals_after_the_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
+    """The event loop ignores them as it closes; nothing may restore their default action."""
+    program = """if True:
+        import asyncio, os, signal
+        from loadbalancer import __main__ as program
+        serve = program.serve
+        async def serve_briefly(*args):
+            asyncio.get_running_loop().call_soon(os.kill, os.getpid(), signal.SIGTERM)
+            await serve(*args)
+        program.serve = serve_briefly
+        assert program.main() == 0
+        for number in (signal.SIGHUP, signal.SIGTERM):
+            os.kill(os.getpid(), number)
+        print("alive")
+    """
+    path = tmp_path / "config.json"
+    path.write_text(config_text("127.0.0.1:9", []))
+    done = subprocess.run(
+        [sys.executable, "-c", program],
+        env=os.environ | {"LB_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+    )
+    assert (done.returncode, done.stdout) == (0, "alive\n"), done.stderr
+
+
+def test_null_in_the_configuration_counts_as_absent() -> None:
+    raw = json.loads(config_text("127.0.0.1:9", []))
+    for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
+        text = json.dumps(raw | {"limits": limits, "name": None, "seed": None, "known": None})
+        config = read_configuration(text, lambda note: None)
+        assert config.descriptor_limit == 1024
+        assert config.memory_limit_mb == 192
+        assert config.name == ""
+        assert config.seed == 0
+
+
+def test_the_clock_starts_at_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    clock = Clock()
+    first = clock.now()
+    assert abs(first - time.time() * 1000) < 1000
+    monkeypatch.setattr(time, "time", lambda: 0.0)  # the wall clock is set back
+    assert clock.now() >= first
--- /dev/null
+++ b/tests/network/test_request_ids.py
@@ -0,0 +1,40 @@
+"""Request ids: an id is accepted once, and forgotten after a time."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.network.request_ids import RequestIds
+from tests.network.loopback import Rig, Upstream, response, run, silent, status
+
+
+def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
+    async def scenario() -> None:
+        upstream = Upstream(silent)
+        async with Rig(upstream) as rig:
+            first = await rig.client()
+            second = await rig.client()
+            first.send("/pay/x", b"debit", x_request_id="same")
+            await upstream.seen.wait()
+            second.send("/pay/x", b"debit", x_request_id="same")
+            assert status(await second.answer()) == 409
+            upstream.writers[0].write(response(200, b"unaffected"))
+            assert (await first.answer()).body == b"unaffected"
+            second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
+            assert status(await second.answer()) == 409
+            assert len(upstream.asked) == 1
+
+    run(scenario())
+
+
+def test_finished_ids_are_forgotten_after_a_bounded_number(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("loadbalancer.network.request_ids.MAX_FINISHED_IDS", 10)
+    ids = RequestIds()
+    for i in range(100):
+        request_id = b"%d" % i
+        assert ids.add(request_id)
+        assert not ids.add(request_id)
+        ids.over(request_id)
+        assert not ids.add(request_id)
+    assert len(ids._recent) + len(ids._older) <= 21
+    assert not ids._open
