--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -27,17 +27,22 @@
         self.served_per_ms = 0.0  # what a warm endpoint of the subset serves of our requests
         self.memory_ms = EVIDENCE_MEMORY_MS  # evidence on capacity fades by 1/e over this
 
-    def estimate(self, endpoint: EndpointStats, median: float, now: float) -> float:
-        """Served work over our time in flight there, leaning on `median` times its weight.
+    def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
+        """For each endpoint served work over our time in flight there, leaning on `median` times its weight.
 
         A balancer of hundreds calls an endpoint too seldom to learn its weight by itself.
         """
-        if now - endpoint.updated_at >= UPDATE_INTERVAL_MS:
-            endpoint.catch_up(now)
-        median *= endpoint.weight
-        estimate = (endpoint.served + PRIOR_ATTEMPTS) / (endpoint.busy_ms + PRIOR_ATTEMPTS / median)
-        fraction = self._warmup.fraction(endpoint, now) if now < self._warmup.active_until else 1.0
-        return min(estimate, median * fraction) if fraction < 1 else estimate
+        estimates = []
+        is_any_warming_up = now < self._warmup.active_until
+        for endpoint in endpoints:
+            if now - endpoint.updated_at >= UPDATE_INTERVAL_MS:
+                endpoint.catch_up(now)
+            prior = median * endpoint.weight
+            estimate = (endpoint.served + PRIOR_ATTEMPTS) / (endpoint.busy_ms + PRIOR_ATTEMPTS / prior)
+            if is_any_warming_up and (fraction := self._warmup.fraction(endpoint, now)) < 1:
+                estimate = min(estimate, prior * fraction)
+            estimates.append(estimate)
+        return estimates
 
     def current_median(self, now: float) -> float:
         """The median, taken anew if the last one is old; 1 while none is known."""
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -14,11 +14,11 @@
 MAX_LOST_ATTEMPTS = 4.0
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class EndpointStats:
     """One endpoint: its list entry, our attempts there and the evidence on its capacity."""
 
-    entry: Endpoint
+    entry: Endpoint  # what the list says of it
     updated_at: float  # the moment that the evidence stands at
     rank: float  # drawn once; the endpoints with the lowest ranks make up the subset
     is_ready: bool = False
@@ -27,8 +27,7 @@
     served: float = 0.0  # work served of late, in mean attempts
     busy_ms: float = 0.0  # time that our attempts spent there of late, summed over the attempts
     memory_ms: float = EVIDENCE_MEMORY_MS  # `served` and `busy_ms` fade by 1/e over this
-    # Attempts served and lost of late, by class.
-    outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)
+    outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)  # served and lost, by class
     connect_failures: float = 0.0  # since it last responded; they fade, too
     last_used_at: float = math.inf  # when a connection to it was last given back in working order
     recent_starts: deque[float] = field(default_factory=deque)  # of attempts during its slow start
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -10,7 +10,7 @@
 MIN_SILENT_FRACTION = 0.6
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class IdleSample:
     """An attempt on a connection that had been idle, and whether nothing came back."""
 
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -14,8 +14,7 @@
 LATENCY_INFLATION_MAX = 1.8
 # Attempts for each unit of available capacity taken as completed without evidence, over all balancers.
 MIN_COMPLETIONS = 0.5
-# Completions, and the open attempts compared to them, are averaged over this: longer than a request takes,
-# shorter than endpoints bear an overload.
+# Attempts are averaged over this: longer than a request takes, shorter than endpoints bear an overload.
 OVERLOAD_MEMORY_MS = 1_000.0
 # Of the bound for the most important work (two attempts an endpoint) taken as completed before the first is.
 INITIAL_COMPLETION_FRACTION = 0.25
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -6,7 +6,7 @@
 from loadbalancer.settings import RequestClass
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Attempt:
     """One attempt of a request."""
 
@@ -19,7 +19,7 @@
     may_have_run: bool = True  # true until its outcome proves otherwise
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class Request:
     """A request to which a response is owed, or that has open attempts."""
 
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -8,8 +8,7 @@
 RETRY_TOKENS_PER_RESPONSE = 0.2
 RETRY_INITIAL_TOKENS = 2.0
 RETRY_MAX_TOKENS = 10.0
-# Tokens for retries where none ran. Half of the endpoints may go with a zone: one for each response, and
-# one for chance.
+# The same where none ran. Half of the endpoints may go with a zone: one a response, and one for chance.
 RESEND_TOKENS_PER_RESPONSE = 2.0
 RESEND_INITIAL_TOKENS = 20.0
 RESEND_MAX_TOKENS = 20.0
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -44,8 +44,7 @@
         if not eligible:
             return None
         eligible = without_outliers(eligible, request.request_class.name, now)
-        estimate = self._capacity.estimate
-        return self._draw(eligible, [estimate(e, median, now) for e in eligible])
+        return self._draw(eligible, self._capacity.estimates(eligible, median, now))
 
     def _draw(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
         """Draw by capacity, up to the first that holds no attempt of ours; take the least loaded."""
@@ -61,8 +60,8 @@
             load = ((endpoint.in_flight + 1) / capacity, -capacity, random())
             if load < best:
                 best, selected = load, endpoint
+            # Without attempts of ours in view (1/c) would send all to the largest: the draw decides.
             if not endpoint.in_flight:
-                # Without attempts of ours in view (1/c) would send all to the largest: the draw decides.
                 break
         return selected
 
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -10,8 +10,7 @@
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import Settings
 
-# The part of an endpoint's slow-start budget that we use: other balancers and heavy requests count too.
-SLOW_START_SAFETY = 0.5
+SLOW_START_SAFETY = 0.5  # of an endpoint's budget: other balancers and heavy requests count too
 # Standard deviations (the root of a mean count) that a limit leaves to chance; requests differ in work.
 SLOW_START_DEVIATIONS = 5.0
 UPDATE_INTERVAL_MS = 100.0  # the figures are taken anew after this; it only saves work
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -30,6 +30,7 @@
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.policy.capacity import CapacityEstimator
+from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.settings import RequestClass, Settings, Tenant
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 from tests.policy.helpers import ANYWHERE, ORDER, PAY, READ, Desk, members, of_kind, sent, settings
@@ -764,7 +765,11 @@
 def test_ties_go_to_the_larger_capacity_and_draws_follow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(CapacityEstimator, "estimate", lambda _self, s, _median, _now: capacity[s.entry.name])
+
+    def known_capacities(_: object, endpoints: list[EndpointStats], *_args: float) -> list[float]:
+        return [capacity[e.entry.name] for e in endpoints]
+
+    monkeypatch.setattr(CapacityEstimator, "estimates", known_capacities)
     request, _ = desk.ask()
     known = desk.balancer._requests[request]
     known.attempts.clear()
