--- /dev/null
+++ b/loadbalancer/network/attempt_runner.py
@@ -0,0 +1,93 @@
+"""Runs the attempts that the policy decides on, and reports how each of them ended."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from loadbalancer.actions import CancelAttempt, StartAttempt
+from loadbalancer.events import NEVER_RAN, AttemptFinished, Event, Outcome
+from loadbalancer.network.client_connection import IncomingRequest
+from loadbalancer.network.clock import Clock
+from loadbalancer.network.headers import end_to_end_headers
+from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
+from loadbalancer.network.upstream_pool import Response, UpstreamAttempt, UpstreamPools
+from loadbalancer.network.upstream_request import UpstreamRequest
+
+
+class AttemptRunner:
+    """Starts and cancels attempts; each that was asked for ends with one `AttemptFinished`."""
+
+    def __init__(
+        self,
+        requests: OpenRequests,
+        upstreams: UpstreamPools,
+        clock: Clock,
+        dispatch: Callable[[Event, ProxiedRequest], None],
+        on_disconnect: Callable[[IncomingRequest], None],
+    ) -> None:
+        """Connects the runner.
+
+        Args:
+            requests: The table in which the policy's request numbers are looked up.
+            upstreams: Where attempts are sent.
+            clock: The clock of the requests' `expires_at_ms`.
+            dispatch: Passes an event of a request to the policy.
+            on_disconnect: Called for a client that turns out to have disconnected.
+        """
+        self._requests = requests
+        self._upstreams = upstreams
+        self._clock = clock
+        self._dispatch = dispatch
+        self._on_disconnect = on_disconnect
+
+    def start(self, action: StartAttempt) -> None:
+        """Start the next attempt of a request."""
+        request = self._requests[action.request_id]
+        index = len(request.attempts)
+        request.running_attempts += 1
+        attempt: UpstreamAttempt | None = None
+        outcome = Outcome.NOT_SENT  # if nobody waits for the request any more
+        if self._is_wanted(request):
+            attempt = self._send(request, index, action)
+            outcome = Outcome.CONNECT_FAILED  # if no list names the endpoint any more
+        request.attempts.append(attempt)
+        if attempt is None:
+            self._on_finished(request, index, action.endpoint, outcome, None)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt, if it has not ended by itself."""
+        request = self._requests.get(action.request_id)
+        attempt = request.attempts[action.attempt_index] if request is not None else None
+        if attempt is not None:
+            attempt.cancel()
+
+    def _send(self, request: ProxiedRequest, index: int, action: StartAttempt) -> UpstreamAttempt | None:
+        remaining_ms = request.expires_at_ms - self._clock.now()
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
+        return self._upstreams.start_attempt(
+            action.endpoint,
+            max(timeout_ms, 0.0) / 1000,
+            UpstreamRequest(request.incoming, timeout_ms).compose,
+            partial(self._on_finished, request, index, action.endpoint),
+            partial(self._is_wanted, request),
+        )
+
+    def _is_wanted(self, request: ProxiedRequest) -> bool:
+        """Whether the client still waits, by a look at its socket: the loop may not have come to it yet."""
+        if request.is_open and request.incoming.is_client_gone():
+            self._on_disconnect(request.incoming)
+        return request.is_open
+
+    def _on_finished(
+        self, request: ProxiedRequest, index: int, endpoint: str, outcome: Outcome, response: Response | None
+    ) -> None:
+        """Note the end of an attempt; the first successful response is sent before anything else is done."""
+        request.running_attempts -= 1
+        request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
+        if request.is_open and outcome is Outcome.SUCCEEDED and response is not None:
+            request.respond(200, end_to_end_headers(response.headers), response.body)
+        event = AttemptFinished(request.number, index, endpoint, outcome, not request.is_open)
+        self._dispatch(event, request)
+        if not request.is_open:
+            request.drop_unsent_attempts()
--- /dev/null
+++ b/loadbalancer/network/health_checks.py
@@ -0,0 +1,34 @@
+"""Health checks: one GET /healthz to an upstream, reported to the policy as an event."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from loadbalancer.events import Event, HealthCheckFinished, Outcome
+from loadbalancer.network.upstream_pool import Response, UpstreamPools
+
+HEALTH_CHECK_TIMEOUT_MS = 250.0
+_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
+
+
+def _compose() -> bytes:
+    return _REQUEST
+
+
+class HealthChecks:
+    """Starts health checks; `dispatch` gets a `HealthCheckFinished` for each."""
+
+    def __init__(self, upstreams: UpstreamPools, dispatch: Callable[[Event], None]) -> None:
+        self._upstreams = upstreams
+        self._dispatch = dispatch
+
+    def start(self, endpoint: str) -> None:
+        """Check an endpoint; one that is in no list any more counts as not sent."""
+        on_end = partial(self._on_end, endpoint)
+        timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
+        if self._upstreams.start_attempt(endpoint, timeout_s, _compose, on_end) is None:
+            self._on_end(endpoint, Outcome.NOT_SENT, None)
+
+    def _on_end(self, endpoint: str, outcome: Outcome, _response: Response | None) -> None:
+        self._dispatch(HealthCheckFinished(endpoint, outcome))
--- /dev/null
+++ b/loadbalancer/network/open_requests.py
@@ -0,0 +1,117 @@
+"""The table of requests that the proxy has accepted and not finished with yet."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterator
+
+from loadbalancer.network.client_connection import IncomingRequest
+from loadbalancer.network.headers import Headers
+from loadbalancer.network.request_ids import RequestIds
+from loadbalancer.network.upstream_pool import UpstreamAttempt
+
+
+class ProxiedRequest:
+    """An accepted request with its attempts.
+
+    Attributes:
+        number: Its number in the policy's events and actions.
+        incoming: The client's request, which is owed one response.
+        expires_at_ms: The moment of the policy's clock by which it has to be decided.
+        attempts: Its attempts in order; None for one that never started.
+        is_open: Whether its client still waits for the response.
+        may_have_run: Whether an attempt that has ended may have had an effect.
+        running_attempts: How many attempts have not ended.
+        queued_events: How many of its events the policy has not handled yet.
+    """
+
+    __slots__ = (
+        "_fail_safe_timer",
+        "attempts",
+        "expires_at_ms",
+        "incoming",
+        "is_open",
+        "may_have_run",
+        "number",
+        "queued_events",
+        "running_attempts",
+    )
+
+    def __init__(self, number: int, incoming: IncomingRequest, expires_at_ms: float) -> None:
+        self.number = number
+        self.incoming = incoming
+        self.expires_at_ms = expires_at_ms
+        self.attempts: list[UpstreamAttempt | None] = []
+        self.is_open = True
+        self.may_have_run = False
+        self.running_attempts = 0
+        self.queued_events = 0
+        self._fail_safe_timer: asyncio.TimerHandle | None = None
+
+    def set_fail_safe_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Keep the timer of the fail-safe response, which is cancelled as the request closes."""
+        self._fail_safe_timer = timer
+
+    def close(self) -> None:
+        """Note that nobody waits for a response any more, or that it is about to be sent."""
+        self.is_open = False
+        if self._fail_safe_timer is not None:
+            self._fail_safe_timer.cancel()
+
+    def respond(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
+        """Close the request and send its response to the client."""
+        self.close()
+        self.incoming.respond(status, headers, body)
+
+    def drop_unsent_attempts(self) -> None:
+        """End the attempts that have not been sent whole, also where a sent one must not be cancelled."""
+        for attempt in self.attempts:
+            if attempt is not None:
+                attempt.drop()
+
+    def is_finished(self) -> bool:
+        """Whether nothing more can come of it: no response, no attempt's end and no event."""
+        return not (self.is_open or self.running_attempts or self.queued_events)
+
+
+class OpenRequests:
+    """The accepted requests by number, until they are finished."""
+
+    def __init__(self) -> None:
+        self._by_number: dict[int, ProxiedRequest] = {}
+        self._ids = RequestIds()
+        self._last_number = 0
+
+    def __len__(self) -> int:
+        return len(self._by_number)
+
+    def __iter__(self) -> Iterator[int]:
+        """The numbers of the requests, as they are at this moment: the table may change meanwhile."""
+        return iter(list(self._by_number))
+
+    def __getitem__(self, number: int) -> ProxiedRequest:
+        return self._by_number[number]
+
+    def get(self, number: int | None) -> ProxiedRequest | None:
+        """The request of a number, or None if it is finished or there was none."""
+        return self._by_number.get(number) if number is not None else None
+
+    def add(self, incoming: IncomingRequest, expires_at_ms: float) -> ProxiedRequest | None:
+        """Enter a request under a new number.
+
+        Returns:
+            The request, or None if its X-Request-Id is in use.
+        """
+        if not self._ids.add(incoming.request_id):
+            return None
+        self._last_number += 1
+        request = ProxiedRequest(self._last_number, incoming, expires_at_ms)
+        incoming.number = request.number
+        self._by_number[request.number] = request
+        return request
+
+    def remove_if_finished(self, request: ProxiedRequest) -> None:
+        """Forget a request of which nothing more can come."""
+        if request.is_finished():
+            self._by_number.pop(request.number, None)
+            self._ids.over(request.incoming.request_id)
--- a/testbed/chain.py
+++ b/testbed/chain.py
@@ -45,7 +45,7 @@
     RequestReceived,
     TimerFired,
 )
-from loadbalancer.network.proxy import ANSWER_MS, NET_MS
+from loadbalancer.network.proxy import FAIL_SAFE_MARGIN_MS, RESPONSE_MARGIN_MS
 from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.settings import RequestClass, Settings
 
@@ -299,10 +299,10 @@
         """A request with the time its caller still waits."""
         self._last += 1
         now = self._clock.now
-        request = Request(self._last, taken, call, now + left_ms - ANSWER_MS)
+        request = Request(self._last, taken, call, now + left_ms - RESPONSE_MARGIN_MS)
         self._requests[request.id] = request
-        self._clock.at(now + max(left_ms - NET_MS, 0.0), self._rescue, request)
-        self._tell(RequestReceived(request.id, self._class, max(left_ms - ANSWER_MS, 0.0)), request)
+        self._clock.at(now + max(left_ms - FAIL_SAFE_MARGIN_MS, 0.0), self._rescue, request)
+        self._tell(RequestReceived(request.id, self._class, max(left_ms - RESPONSE_MARGIN_MS, 0.0)), request)
         return request
 
     def left(self, request: Request) -> None:
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -20,7 +20,6 @@
 from numpy.typing import NDArray
 
 from loadbalancer.configuration import Configuration, EndpointList, read_configuration
-from loadbalancer.events import EndpointListKind
 from loadbalancer.network.proxy import Proxy
 from testbed.meter import LoopLag
 
@@ -40,13 +39,11 @@
 
     def start(self) -> None:
         """Tell what was known and begin the watch, as a real balancer does."""
-        self._update_endpoints(EndpointListKind.CACHED, self._known)
-        self._discovery.start()
-        self._sweep()
+        self.start_without_listener()
 
-    def _update_endpoints(self, kind: EndpointListKind, news: EndpointList) -> None:
-        super()._update_endpoints(kind, news)
-        self._on_force(news.index, time.monotonic())
+    def on_endpoints_updated(self, endpoint_list: EndpointList) -> None:
+        """Tell the version of the list and the time."""
+        self._on_force(endpoint_list.index, time.monotonic())
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -94,7 +94,7 @@
             news = {"index": 8, "snapshot": True, "endpoints": [entry("old", "127.0.0.1:9")]}
             whole = response(200, json.dumps(news).encode())
             rig.discovery.answers.put_nowait(whole[:-5])
-            link = rig.proxy._discovery._link
+            link = rig.proxy._endpoint_watch._link
             assert link is not None
             while link._reader._raw == 0:  # the first part has been read
                 await asyncio.sleep(0.001)
@@ -199,7 +199,9 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.proxy.NET_MS", -1e6)  # the safety net comes too late
+        monkeypatch.setattr(
+            "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
+        )  # the fail-safe response comes too late
         async with Rig(Upstream()) as rig:
             handle, told = rig.proxy.balancer.handle, list[Event]()
 
@@ -221,7 +223,7 @@
                 "ClientDisconnected",
             ]
             assert status(await rig.ask()) == 200
-            assert not rig.proxy._requests
+            assert not rig.proxy.open_requests
 
     run(scenario())
     assert "a fault of the module" in capsys.readouterr().err
