--- /dev/null
+++ b/loadbalancer/network/discovery_connection.py
@@ -0,0 +1,121 @@
+"""One HTTP connection to discovery, and the errors of a call on it."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import cast
+
+from loadbalancer.network.upstream_pool import ProtocolError, Response, ResponseReader
+
+# From a response's first byte to its last: one that stops short is not waited for until the call's timeout.
+BODY_TIMEOUT_S = 0.5
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+
+
+class DiscoveryError(Exception):
+    """A call to discovery has failed."""
+
+
+class DiscoveryProtocolError(DiscoveryError):
+    """What discovery sent is no HTTP response, or a larger one than is read."""
+
+
+class DiscoveryStatusError(DiscoveryError):
+    """Discovery responded with another status than 200.
+
+    Attributes:
+        status: The status of the response.
+    """
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"discovery responded with status {status}")
+        self.status = status
+
+
+class DiscoveryDisconnectedError(DiscoveryError):
+    """The connection is not up, or ended before the response did."""
+
+
+class DiscoveryConnection(asyncio.Protocol):
+    """One connection to discovery, with one call at a time.
+
+    Attributes:
+        is_closed: Whether the connection can't carry a further call.
+    """
+
+    def __init__(self) -> None:
+        self.is_closed = False
+        self._transport: asyncio.Transport | None = None
+        self._reader = ResponseReader(MAX_RESPONSE_BYTES)
+        self._response: asyncio.Future[Response] | None = None
+        self._timeout: asyncio.Timeout | None = None  # of a call whose response has not begun
+
+    @property
+    def is_receiving(self) -> bool:
+        """Whether a response has begun and is not whole yet."""
+        return self._response is not None and not self._response.done() and self._timeout is None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self._transport = cast(asyncio.Transport, transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Read on in the response."""
+        try:
+            response = self._reader.feed(data)
+        except ProtocolError as error:
+            self._fail(DiscoveryProtocolError(f"not a response: {error!r}"))
+            self.close()
+            return
+        if response is None:
+            self._limit_body()
+            return
+        self.is_closed = self.is_closed or not self._reader.may_reuse
+        if self._response is not None and not self._response.done():
+            self._response.set_result(response)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the call that is waiting, if there is one."""
+        self.is_closed = True
+        self._fail(exc or DiscoveryDisconnectedError("the connection ended"))
+
+    async def call(self, request: bytes, timeout_s: float) -> Response:
+        """Send a request and wait for its response.
+
+        Args:
+            request: The bytes of the request.
+            timeout_s: For the response's beginning; from there on `BODY_TIMEOUT_S` holds, if that is sooner.
+
+        Raises:
+            DiscoveryError: The connection ended, or carried something else than a response.
+            OSError: The connection broke.
+            TimeoutError: The response was not whole in time.
+        """
+        if self._transport is None:
+            raise DiscoveryDisconnectedError("the connection is not up")
+        self._response = asyncio.get_running_loop().create_future()
+        self._transport.write(request)
+        try:
+            async with asyncio.timeout(timeout_s) as self._timeout:
+                return await self._response
+        finally:
+            self._timeout = None
+
+    def close(self) -> None:
+        """Close at once."""
+        self.is_closed = True
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _limit_body(self) -> None:
+        """Shorten the call's timeout, once, as the first bytes of its response have come."""
+        if self._timeout is None:
+            return
+        timeout, self._timeout = self._timeout, None
+        call_ends_at = timeout.when()
+        body_ends_at = asyncio.get_running_loop().time() + BODY_TIMEOUT_S
+        timeout.reschedule(body_ends_at if call_ends_at is None else min(call_ends_at, body_ends_at))
+
+    def _fail(self, error: Exception) -> None:
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(error)
--- a/loadbalancer/network/endpoint_watch.py
+++ b/loadbalancer/network/endpoint_watch.py
@@ -1,4 +1,7 @@
-"""Discovery's list: the watch that keeps it fresh."""
+"""The watch on discovery's endpoint list, which keeps it current.
+
+A watch is a chain of calls: each waits at discovery until the list changes or its wait is over.
+"""
 
 from __future__ import annotations
 
@@ -7,172 +10,164 @@
 import math
 import random
 from collections.abc import Callable
-from typing import cast
 
 from loadbalancer.configuration import Address, Configuration, EndpointList, read_endpoint_list
-from loadbalancer.network.upstream_pool import ProtocolError, Response, ResponseReader
-
-# Guards against a watch that went silent with nothing to see of it, as one does that was open while discovery
-# was cut off: until its wait is over we hear of no server that comes or goes. Each call costs discovery work,
-# though, and much shorter waits of a whole fleet would crowd it.
-WAIT_MS = 10_000  # of one watch call; news ends it at once
-PUSH_WAIT_MS = 3_000  # the same where lists are pushed: what a silent agent has counts as told after 6 s
-AGAIN_WAIT_MS = 1_500  # of the first watch after a failed call: if nobody answers it, that has to show soon
-LATE_S = 1.0  # past its wait, a watch call has failed: what it has to tell counts as told a second later
-WHOLE_S = 0.5  # from an answer's first byte to its last: one that stops short is not to be waited for
-SPREAD = 0.2  # part by which waits differ, so that balancers that started together do not call together
-ANSWER_S = 2.5  # a call without a wait that is not answered has failed: news count 4 s after a move
-CONNECT_S = 1.0  # a machine that is away says nothing: a wait that has not begun must not be waited out
-PUSH_PAUSE_S = 0.1  # before the agent is called again that failed twice in a row, where lists are pushed
-MOVED_S = 4.0  # after SIGHUP, until what the new discovery has to tell counts as told
-MOVED_PAUSE_S = 0.5  # between calls that fail in that time; other pauses are the module's
-LIST_MAX = 4 * 1024 * 1024
-
-
-class _Link(asyncio.Protocol):
-    """One connection to discovery, with one call at a time."""
-
-    def __init__(self) -> None:
-        self._transport: asyncio.Transport | None = None
-        self._reader = ResponseReader(LIST_MAX)
-        self._answer: asyncio.Future[Response] | None = None
-        self._limit: asyncio.Timeout | None = None
-        self.closed = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self._transport = cast(asyncio.Transport, transport)
-
-    def data_received(self, data: bytes) -> None:
-        """Read on."""
-        try:
-            answer = self._reader.feed(data)
-        except ProtocolError as error:
-            self._fail(ValueError(f"not an answer: {error!r}"))
-            self.close()
-            return
-        if answer is not None:
-            self.closed = self.closed or not self._reader.may_reuse
-            if self._answer is not None and not self._answer.done():
-                self._answer.set_result(answer)
-        elif self._limit is not None:
-            limit, self._limit = self._limit, None
-            ends = limit.when()
-            whole_by = asyncio.get_running_loop().time() + WHOLE_S
-            limit.reschedule(whole_by if ends is None else min(ends, whole_by))
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """A call that is out has failed."""
-        self.closed = True
-        self._fail(exc or ConnectionResetError("the connection ended"))
-
-    def _fail(self, error: Exception) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(error)
-
-    async def call(self, request: bytes, timeout_s: float) -> Response:
-        """Send a call and wait for its answer."""
-        assert self._transport is not None
-        self._answer = asyncio.get_running_loop().create_future()
-        self._transport.write(request)
-        try:
-            async with asyncio.timeout(timeout_s) as self._limit:
-                return await self._answer
-        finally:
-            self._limit = None
-
-    def close(self) -> None:
-        """Close at once."""
-        self.closed = True
-        if self._transport is not None:
-            self._transport.abort()
+from loadbalancer.network.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+
+# The wait of one watch call; a change ends it at once.
+# Guards against a watch that went silent without a sign of it, as one does that was open while discovery was
+# cut off: until its wait is over, no endpoint's start or end is seen. Each call costs discovery work, though,
+# and much shorter waits of many balancers would overload it.
+WATCH_WAIT_MS = 10_000
+# The same where lists are pushed: what a silent agent has is due 6 s after it has it.
+PUSH_WATCH_WAIT_MS = 3_000
+# The wait of the first watch call after a failed call: if it gets no response, that has to show soon.
+RECOVERY_WAIT_MS = 1_500
+# A watch call has failed this long after its wait: what it would have brought is due a second later.
+WATCH_OVERDUE_S = 1.0
+# The part by which waits differ, so that balancers that started together do not call together.
+WAIT_JITTER = 0.2
+# A call without a wait has failed after this long: after a move to another discovery, its list is due in 4 s.
+RESPONSE_TIMEOUT_S = 2.5
+# A host that is down does not respond: a wait that has not begun must not be waited out.
+CONNECT_TIMEOUT_S = 1.0
+# Where lists are pushed: the pause before a call after two or more failed ones in a row.
+PUSH_RETRY_PAUSE_S = 0.1
+# After a move (SIGHUP), until the list of the new discovery is due.
+MOVE_PERIOD_S = 4.0
+# The mean pause between calls that fail in that time; the policy decides on all other pauses.
+MOVE_RETRY_PAUSE_S = 0.5
+
+_NO_INDEX = -1  # before the first list of a discovery
 
 
 class EndpointWatch:
-    """Watches the list from `subscribe` on until a call fails."""
+    """Watches the endpoint list from `start_watch` on, until a call fails.
+
+    The policy decides when to start again, except after a move, and where lists are pushed.
+    """
 
     def __init__(
-        self, config: Configuration, on_news: Callable[[EndpointList], None], on_failed: Callable[[], None]
+        self,
+        config: Configuration,
+        on_update: Callable[[EndpointList], None],
+        on_failed: Callable[[], None],
     ) -> None:
-        self._on_news, self._on_failed = on_news, on_failed
+        """Prepares the watch; no call is made before `start` or `start_watch`.
+
+        Args:
+            config: Names discovery's address, and the list that is known already.
+            on_update: Called for each list or change of it.
+            on_failed: Called as the watch ends by a failed call.
+        """
+        self._on_update = on_update
+        self._on_failed = on_failed
         self._address = config.discovery
-        self._asked = config.settings.polls_discovery
-        self._index = config.known_endpoints.index if config.known_endpoints.endpoints else -1
+        self._polls_discovery = config.settings.polls_discovery
+        self._index = config.known_endpoints.index if config.known_endpoints.endpoints else _NO_INDEX
         self._random = random.Random(config.seed)
         self._task: asyncio.Task[None] | None = None
-        self._link: _Link | None = None
-        self._failures = 0  # in a row
-        self._moved = -math.inf
+        self._connection: DiscoveryConnection | None = None
+        self._consecutive_failures = 0
+        self._moved_at_s = -math.inf
 
     def start(self) -> None:
-        """Where lists are pushed, listen from the start: nobody subscribes there."""
-        if not self._asked:
+        """Start the watch where lists are pushed: the policy does not ask for it there."""
+        if not self._polls_discovery:
             self.start_watch()
 
     def start_watch(self) -> None:
-        """Begin the watch; a second subscription while one stands changes nothing."""
+        """Start the watch, unless it is running already."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def move_to(self, address: Address) -> None:
-        """Turn to another discovery at once, and ask it for the whole list: our index means nothing there.
+        """Turn to another discovery at once, and get its whole list: the old index means nothing there.
 
-        Guards against news of the old one that arrive late, and against a pause that was meant for it.
+        Guards against a late list of the old discovery, and against a pause that was meant for it.
         """
         if self._task is not None:
             self._task.cancel()
-        if self._link is not None:
-            self._link.close()
-        self._link, self._task = None, None
-        self._address, self._index = address, -1
-        self._moved = asyncio.get_running_loop().time()
+        if self._connection is not None:
+            self._connection.close()
+        self._connection = None
+        self._task = None
+        self._address = address
+        self._index = _NO_INDEX
+        self._moved_at_s = asyncio.get_running_loop().time()
         self.start_watch()
 
     async def _watch(self) -> None:
         while True:
-            began = asyncio.get_running_loop().time()
+            started_at_s = asyncio.get_running_loop().time()
             try:
-                news = await self._call()
+                endpoint_list = await self._fetch()
             except Exception:
                 # Guards against a watch that ends unseen: whatever was wrong with a call, it has failed.
-                self._failures += 1
-                if self._link is not None:
-                    self._link.close()
-                if not self._asked:
-                    # What the agent has counts as told meanwhile: one that breaks is no reason to wait.
-                    pause_s = PUSH_PAUSE_S if self._failures > 1 else 0.0
-                elif began < self._moved + MOVED_S:
-                    # Guards against a pause by failures before the move, and against the module's timer of
-                    # that time beside a new one, each with its own calls: it is due by the end of this.
-                    pause_s = MOVED_PAUSE_S * (0.5 + self._random.random())
-                else:
+                pause_s = self._note_failure(started_at_s)
+                if pause_s is None:
                     self._task = None
-                    self._on_failed()  # when to ask again is the module's to say
+                    self._on_failed()
                     return
                 await asyncio.sleep(pause_s)
                 continue
-            self._failures = 0
-            self._index = news.index
-            self._on_news(news)
+            self._consecutive_failures = 0
+            self._index = endpoint_list.index
+            self._on_update(endpoint_list)
 
-    async def _call(self) -> EndpointList:
-        path, wait_s = "/v1/servers", 0.0
+    def _note_failure(self, started_at_s: float) -> float | None:
+        """Count a failed call and close its connection.
+
+        Args:
+            started_at_s: When the call started, on the loop's clock.
+
+        Returns:
+            The pause before the next call in seconds; None if the policy is to decide when to call again.
+        """
+        self._consecutive_failures += 1
+        if self._connection is not None:
+            self._connection.close()
+        if not self._polls_discovery:
+            # The agent's list goes on being due meanwhile: one that breaks is no reason to pause.
+            return PUSH_RETRY_PAUSE_S if self._consecutive_failures > 1 else 0.0
+        if started_at_s < self._moved_at_s + MOVE_PERIOD_S:
+            # Guards against a pause by failures before the move, and against the policy's timer from before
+            # it beside a new one, each with its own calls: that timer has fired by the end of this time.
+            return MOVE_RETRY_PAUSE_S * (0.5 + self._random.random())
+        return None
+
+    async def _fetch(self) -> EndpointList:
+        """Make one call: at once for the whole list, or waiting for what changes after the known index."""
+        path, timeout_s = "/v1/servers", RESPONSE_TIMEOUT_S
         if self._index >= 0:
-            wait_ms = WAIT_MS if self._asked else PUSH_WAIT_MS
-            if self._failures:
-                # Guards against a discovery that takes calls and answers none: a call that was sent just
-                # before it recovered must not be waited for while its news come to count as told.
-                wait_ms = min(wait_ms, AGAIN_WAIT_MS)
-            wait_s = wait_ms / 1000 * (1 - SPREAD * self._random.random())
+            wait_s = self._choose_wait_s()
             path += f"?after={self._index}&wait_ms={wait_s * 1000:.0f}"
+            timeout_s = wait_s + WATCH_OVERDUE_S
         host, port = self._address
-        if self._link is None or self._link.closed:
-            if self._link is not None:
-                self._link.close()  # Guards against one that says it ends and stays open, on each call
-            async with asyncio.timeout(CONNECT_S):
-                _, self._link = await asyncio.get_running_loop().create_connection(_Link, host, port)
+        connection = await self._connect()
         request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
-        answer = await self._link.call(request, wait_s + LATE_S if wait_s else ANSWER_S)
-        if answer.status != 200:
-            raise ValueError(f"discovery answered {answer.status}")
-        return read_endpoint_list(json.loads(answer.body))
+        response = await connection.call(request, timeout_s)
+        if response.status != 200:
+            raise DiscoveryStatusError(response.status)
+        return read_endpoint_list(json.loads(response.body))
+
+    def _choose_wait_s(self) -> float:
+        wait_ms = WATCH_WAIT_MS if self._polls_discovery else PUSH_WATCH_WAIT_MS
+        if self._consecutive_failures:
+            # Guards against a discovery that accepts calls and does not respond: a call that was sent just
+            # before it recovered must not be waited for until its list is overdue.
+            wait_ms = min(wait_ms, RECOVERY_WAIT_MS)
+        return wait_ms / 1000 * (1 - WAIT_JITTER * self._random.random())
+
+    async def _connect(self) -> DiscoveryConnection:
+        """The connection that is up, or a new one."""
+        if self._connection is not None and not self._connection.is_closed:
+            return self._connection
+        if self._connection is not None:
+            # Guards against a discovery that says it ends the connection and leaves it open, on each call.
+            self._connection.close()
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, self._connection = await asyncio.get_running_loop().create_connection(
+                DiscoveryConnection, *self._address
+            )
+        return self._connection
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -26,6 +26,7 @@
 from loadbalancer.configuration import read_configuration
 from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import EndpointListKind, EndpointListUpdate, Event, Outcome
+from loadbalancer.network import discovery_connection
 from loadbalancer.network import endpoint_watch as discovery
 from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream_pool import SPARE_SOCKETS
@@ -144,7 +145,7 @@
         if fault == "away":
             await self.loop.create_future()  # comes up never
         if fault == "late":
-            await asyncio.sleep(0.99 * discovery.CONNECT_S)  # and what is asked on it is not answered
+            await asyncio.sleep(0.99 * discovery.CONNECT_TIMEOUT_S)  # and what is asked on it is not answered
         protocol = factory()
         line = _Line(self, protocol)
         line.dead = fault == "late"
@@ -383,7 +384,10 @@
         await asyncio.sleep(30.0)  # a timer that is left over does no harm to the watch that stands
         assert loop.time() >= heard + 30.0
         assert [line.after for line in last.lines] == [last.index]
-        assert len(last.calls) - calls <= 30.0 / (discovery.WAIT_MS / 1000 * (1 - discovery.SPREAD)) + 1
+        assert (
+            len(last.calls) - calls
+            <= 30.0 / (discovery.WATCH_WAIT_MS / 1000 * (1 - discovery.WAIT_JITTER)) + 1
+        )
 
     play(scenario)
 
@@ -396,11 +400,11 @@
             async def wait_ms() -> float:
                 return float((await rig.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
 
-            assert await wait_ms() > discovery.AGAIN_WAIT_MS
+            assert await wait_ms() > discovery.RECOVERY_WAIT_MS
             rig.discovery.answers.put_nowait(response(500, b"sorry"))
-            assert 0 < await wait_ms() <= discovery.AGAIN_WAIT_MS
+            assert 0 < await wait_ms() <= discovery.RECOVERY_WAIT_MS
             rig.discovery.tell(8)
-            assert await wait_ms() > discovery.AGAIN_WAIT_MS
+            assert await wait_ms() > discovery.RECOVERY_WAIT_MS
 
     run(scenario())
 
@@ -434,23 +438,25 @@
 def test_the_worst_chain_stays_a_second_under_what_counts_as_told() -> None:
     rest_s = policy.LIST_REST_MS / 1000 * SPREAD_MOST
     period_s = policy.LIST_RETRY_MOST_MS / 1000 * SPREAD_MOST
-    again_s = discovery.AGAIN_WAIT_MS / 1000 + discovery.LATE_S
+    again_s = discovery.RECOVERY_WAIT_MS / 1000 + discovery.WATCH_OVERDUE_S
     worst_s = TOLD_S - MARGIN_S
     # Discovery is back, or the change there, just after a try began that is bound to fail.
     assert period_s + LIST_S < worst_s, "it failed at once: the next one is due by its beginning"
-    call_s = max(again_s, discovery.ANSWER_S)
-    assert discovery.CONNECT_S + call_s + rest_s + LIST_S < worst_s, "it hung in all that may hang"
-    assert discovery.CONNECT_S + call_s + discovery.PUSH_PAUSE_S + LIST_S < worst_s, "the same of an agent"
+    call_s = max(again_s, discovery.RESPONSE_TIMEOUT_S)
+    assert discovery.CONNECT_TIMEOUT_S + call_s + rest_s + LIST_S < worst_s, "it hung in all that may hang"
+    assert discovery.CONNECT_TIMEOUT_S + call_s + discovery.PUSH_RETRY_PAUSE_S + LIST_S < worst_s, (
+        "the same of an agent"
+    )
     # A watch that stood falls silent.
-    assert discovery.LATE_S + rest_s + LIST_S < SILENT_S
-    assert worst_s > discovery.PUSH_WAIT_MS / 1000 + discovery.LATE_S + LIST_S
+    assert discovery.WATCH_OVERDUE_S + rest_s + LIST_S < SILENT_S
+    assert worst_s > discovery.PUSH_WATCH_WAIT_MS / 1000 + discovery.WATCH_OVERDUE_S + LIST_S
     # SIGHUP, and the new one's first call fails.
-    pause_s = discovery.MOVED_PAUSE_S * SPREAD_MOST
-    assert discovery.MOVED_S <= MOVED_S
-    assert max(discovery.ANSWER_S, discovery.CONNECT_S) + pause_s + LIST_S < MOVED_S
-    assert discovery.CONNECT_S + discovery.ANSWER_S + pause_s + LIST_S < worst_s
-    assert period_s < discovery.MOVED_S, "a timer of before is due while the new one's calls are ours"
-    assert call_s >= discovery.WHOLE_S, "an answer that stops short ends no later"
+    pause_s = discovery.MOVE_RETRY_PAUSE_S * SPREAD_MOST
+    assert discovery.MOVE_PERIOD_S <= MOVED_S
+    assert max(discovery.RESPONSE_TIMEOUT_S, discovery.CONNECT_TIMEOUT_S) + pause_s + LIST_S < MOVED_S
+    assert discovery.CONNECT_TIMEOUT_S + discovery.RESPONSE_TIMEOUT_S + pause_s + LIST_S < worst_s
+    assert period_s < discovery.MOVE_PERIOD_S, "a timer of before is due while the new one's calls are ours"
+    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "an answer that stops short ends no later"
 
 
 def test_failures_that_nobody_asked_for_do_not_add_up_to_a_long_pause() -> None:
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -94,13 +94,13 @@
             news = {"index": 8, "snapshot": True, "endpoints": [entry("old", "127.0.0.1:9")]}
             whole = response(200, json.dumps(news).encode())
             rig.discovery.answers.put_nowait(whole[:-5])
-            link = rig.proxy._endpoint_watch._link
-            assert link is not None
-            while link._reader._raw == 0:  # the first part has been read
+            connection = rig.proxy._endpoint_watch._connection
+            assert connection is not None
+            while not connection.is_receiving:
                 await asyncio.sleep(0.001)
             new = DiscoveryServer()
             text = config_text(await new.start(), [])
-            link.data_received(whole[-5:])  # the rest comes in the turn of the signal
+            connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
             rig.proxy.reconfigure(read_configuration(text, lambda note: None))
             await new.calls.get()
             new.tell(3, entry("new", rig.entries[0]["address"]), snapshot=True)
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -737,7 +737,7 @@
             line = await rig.discovery.calls.get()
             assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
             rig.discovery.answers.put_nowait(response(503, b""))
-            monkeypatch.setattr(discovery, "WAIT_MS", 100)
+            monkeypatch.setattr(discovery, "WATCH_WAIT_MS", 100)
             await rig.discovery.calls.get()  # never answered
             started = asyncio.get_running_loop().time()
             await rig.discovery.calls.get()
@@ -759,7 +759,7 @@
     """What the agent got in the pause counted as told: half a second of a grace of half a second was gone."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discovery, "PUSH_PAUSE_S", 2 * TIMEOUT_S)
+        monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", 2 * TIMEOUT_S)
         async with Rig(Upstream(), discovery="push") as rig:
             for index in (8, 9):
                 await rig.discovery.calls.get()
@@ -780,10 +780,10 @@
         async with Rig(Upstream(), discovery="push") as rig:
             line = await rig.discovery.calls.get()
             wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
-            assert wait_ms / 1000 + discovery.LATE_S + discovery.CONNECT_S < 6
+            assert wait_ms / 1000 + discovery.WATCH_OVERDUE_S + discovery.CONNECT_TIMEOUT_S < 6
             rig.discovery.tell(8)
-            monkeypatch.setattr(discovery, "LATE_S", 0.1)
-            monkeypatch.setattr(discovery, "PUSH_WAIT_MS", 100)
+            monkeypatch.setattr(discovery, "WATCH_OVERDUE_S", 0.1)
+            monkeypatch.setattr(discovery, "PUSH_WATCH_WAIT_MS", 100)
             await rig.discovery.calls.get()
             rig.discovery.tell(9)
             await rig.discovery.calls.get()  # never answered
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -107,10 +107,10 @@
         f"loadbalancer.{name}"
         for name in (
             "__main__ actions configuration endpoints events network network.attempt_runner "
-            "network.client_connection network.clock network.endpoint_watch network.headers "
-            "network.health_checks network.log network.open_requests network.proxy network.request_ids "
-            "network.sockets network.upstream_pool network.upstream_request policy policy.balancer "
-            "settings settings_reader timers"
+            "network.client_connection network.clock network.discovery_connection network.endpoint_watch "
+            "network.headers network.health_checks network.log network.open_requests network.proxy "
+            "network.request_ids network.sockets network.upstream_pool network.upstream_request policy "
+            "policy.balancer settings settings_reader timers"
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -114,6 +114,6 @@
             config = read_configuration(config_text(address, [entry("s0", "127.0.0.1:9")]), lambda note: None)
             watch = discovery.EndpointWatch(config, lambda news: None, failed.set)
             watch.start_watch()
-            await asyncio.wait_for(failed.wait(), 5 * discovery.CONNECT_S)
+            await asyncio.wait_for(failed.wait(), 5 * discovery.CONNECT_TIMEOUT_S)
 
     run(scenario())
