--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,6 +1,6 @@
-"""What the platform tells a balancer at its start: the file that `LB_CONFIG` names, as typed values.
+"""The configuration that a balancer starts with: the file that `LB_CONFIG` names, as typed values.
 
-The settings bear the names of the simulator's wire, nested. They are flattened to the wire's own form and
+The settings have the names of the simulator's wire, nested. They are flattened to the wire's own form and
 read by `loadbalancer.settings_reader`, so that the simulator and the real balancer cannot come to differ.
 """
 
@@ -17,21 +17,33 @@
 from loadbalancer.settings import Settings
 
 Address = tuple[str, int]
+"""Host and port."""
 
-_READINESS = {
+DEFAULT_DESCRIPTOR_LIMIT = 1024
+DEFAULT_MEMORY_LIMIT_MB = 192
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+DEFAULT_DRAIN_GRACE_MS = 0.0
+MAX_PORT = 65_535
+
+_STATES = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
+_NO_ENDPOINTS = {"index": 0, "snapshot": True, "endpoints": []}
 
 
 class ConfigurationError(ValueError):
     """The configuration can't be used; the text is one plain line."""
 
 
+class EndpointListError(ValueError):
+    """What should be an endpoint list in discovery's form is none."""
+
+
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One entry of discovery's list: what the module sees of a server, and where to reach it."""
+    """One entry of an endpoint list: what the policy sees of the endpoint, and where to reach it."""
 
     endpoint: Endpoint
     address: Address
@@ -39,7 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One answer of discovery, in whole or only what changed."""
+    """One response of discovery.
+
+    Attributes:
+        index: The version of the list.
+        is_complete: Whether it is a snapshot of the whole list; else it holds what changed.
+        endpoints: Its entries.
+    """
 
     index: int
     is_complete: bool
@@ -48,7 +66,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that a balancer is told at its start."""
+    """All that a balancer is told at its start.
+
+    Attributes:
+        name: Its name in log lines; may be empty.
+        listen: Where to accept clients.
+        discovery: Where to ask for the endpoint list.
+        seed: Of all its random draws.
+        descriptor_limit: How many file descriptors it may have open.
+        memory_limit_mb: How much memory it may take.
+        known_endpoints: The endpoint list as it was known before the start.
+        settings: What the policy is configured with.
+        connect_timeout_ms: The longest wait for a connection to an upstream.
+        idle_timeout_ms: An upstream closes a connection that has been idle for so long.
+        drain_grace_ms: A draining upstream still accepts requests for so long.
+    """
 
     name: str
     listen: Address
@@ -63,80 +95,99 @@
     drain_grace_ms: float
 
 
+def read_configuration(text: str, note: Callable[[str], None]) -> Configuration:
+    """Read a configuration.
+
+    Args:
+        text: The JSON text.
+        note: Called with a line for each setting that is not understood and passed over.
+
+    Raises:
+        ConfigurationError: The text can't be used.
+    """
+    try:
+        return _read_document(json.loads(text), note)
+    except KeyError as error:
+        raise ConfigurationError(f"{error} is missing") from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise ConfigurationError(" ".join(str(error).split())) from None
+
+
+def read_endpoint_list(document: Mapping[str, Any]) -> EndpointList:
+    """Read an endpoint list in discovery's form.
+
+    Raises:
+        EndpointListError: It is no endpoint list.
+        ConfigurationError: It holds something that is no address.
+    """
+    try:
+        endpoints = tuple([_read_endpoint(entry) for entry in document["endpoints"]])
+        return EndpointList(int(document["index"]), bool(document["snapshot"]), endpoints)
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise EndpointListError(f"not a server list: {type(error).__name__}: {error}") from None
+
+
 def read_address(text: object) -> Address:
-    """`host:port` as a pair; the platform has no names to look up."""
+    """Read `host:port`; the host is not looked up.
+
+    Raises:
+        ConfigurationError: The text has another form.
+    """
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isdigit() or not 0 <= int(port) <= 65535:
+    if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ConfigurationError(f"{text!r} is no address of the form host:port")
     return host.strip("[]"), int(port)
 
 
+def _read_document(document: Mapping[str, Any], note: Callable[[str], None]) -> Configuration:
+    limits = {name: value for name, value in (document.get("limits") or {}).items() if value is not None}
+    fields: wire.Fields = {}
+    _flatten(document["settings"], "", fields)
+    return Configuration(
+        name=str(document.get("name") or ""),
+        listen=read_address(document["listen"]),
+        discovery=read_address(document["discovery"]),
+        seed=int(str(document.get("seed") or "0"), 16),
+        descriptor_limit=int(limits.get("sockets", DEFAULT_DESCRIPTOR_LIMIT)),
+        memory_limit_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_LIMIT_MB)),
+        known_endpoints=read_endpoint_list(document.get("known") or _NO_ENDPOINTS),
+        settings=wire.read_settings(fields, note),
+        connect_timeout_ms=wire.number(fields, "limits.connectTimeout", wire.CONNECT_MS),
+        idle_timeout_ms=wire.number(fields, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
+        drain_grace_ms=wire.number(fields, "contract.drainGrace", DEFAULT_DRAIN_GRACE_MS),
+    )
+
+
 def _read_endpoint(entry: Mapping[str, Any]) -> ListedEndpoint:
-    weight, since = float(entry.get("weight") or 1.0), float(entry.get("since_ms") or 0.0)
-    if not (math.isfinite(weight) and math.isfinite(since)):
-        raise ValueError(f"entry {entry['name']!r} holds figures that are none")
-    member = Endpoint(
+    weight = float(entry.get("weight") or 1.0)
+    started_at_ms = float(entry.get("since_ms") or 0.0)
+    if not (math.isfinite(weight) and math.isfinite(started_at_ms)):
+        raise EndpointListError(f"entry {entry['name']!r} holds figures that are none")
+    endpoint = Endpoint(
         name=str(entry["name"]),
-        state=_READINESS[entry["status"]],
+        state=_STATES[entry["status"]],
         zone=str(entry.get("zone", "")),
         cell=int(entry.get("group") or 0),
         weight=weight,
-        started_at_ms=since,
+        started_at_ms=started_at_ms,
     )
-    return ListedEndpoint(member, read_address(entry["address"]))
-
-
-def read_endpoint_list(answer: Mapping[str, Any]) -> EndpointList:
-    """A list in discovery's form; ValueError if it is anything else."""
-    try:
-        endpoints = tuple([_read_endpoint(entry) for entry in answer["endpoints"]])
-        return EndpointList(int(answer["index"]), bool(answer["snapshot"]), endpoints)
-    except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"not a server list: {type(error).__name__}: {error}") from None
+    return ListedEndpoint(endpoint, read_address(entry["address"]))
 
 
-def flatten(value: object, prefix: str, into: wire.Fields) -> None:
-    """Nested settings as the wire's path=value pairs."""
+def _flatten(value: object, path: str, fields: wire.Fields) -> None:
+    """Add nested settings to `fields` as the wire's path=value pairs, each path under the given one."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            flatten(inner, f"{prefix}.{name}" if prefix else str(name), into)
+            _flatten(inner, f"{path}.{name}" if path else str(name), fields)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
-        into[f"{prefix}.count"] = str(len(value))
+        fields[f"{path}.count"] = str(len(value))
         for i, item in enumerate(value):
-            flatten(item, f"{prefix}.{i}", into)
+            _flatten(item, f"{path}.{i}", fields)
     elif isinstance(value, list):
-        into[prefix] = ",".join(map(_plain, value))
+        fields[path] = ",".join(map(_wire_text, value))
     elif value is not None:
-        into[prefix] = _plain(value)
+        fields[path] = _wire_text(value)
 
 
-def _plain(value: object) -> str:
+def _wire_text(value: object) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
-
-
-def read_configuration(text: str, note: Callable[[str], None]) -> Configuration:
-    """The configuration from its JSON text; ConfigError says in one line what is wrong with it."""
-    try:
-        raw = json.loads(text)
-        limits = {name: value for name, value in (raw.get("limits") or {}).items() if value is not None}
-        facts: wire.Fields = {}
-        flatten(raw["settings"], "", facts)
-        return Configuration(
-            name=str(raw.get("name") or ""),
-            listen=read_address(raw["listen"]),
-            discovery=read_address(raw["discovery"]),
-            seed=int(str(raw.get("seed") or "0"), 16),
-            descriptor_limit=int(limits.get("sockets", 1024)),
-            memory_limit_mb=float(limits.get("memory_mb", 192)),
-            known_endpoints=read_endpoint_list(
-                raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
-            ),
-            settings=wire.read_settings(facts, note),
-            connect_timeout_ms=wire.number(facts, "limits.connectTimeout", wire.CONNECT_MS),
-            idle_timeout_ms=wire.number(facts, "limits.connIdle", 15_000.0),
-            drain_grace_ms=wire.number(facts, "contract.drainGrace", 0.0),
-        )
-    except KeyError as error:
-        raise ConfigurationError(f"{error} is missing") from None
-    except (ValueError, TypeError, AttributeError) as error:
-        raise ConfigurationError(" ".join(str(error).split())) from None
