--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -6,13 +6,14 @@
 
 
 class Clock:
-    """Unix milliseconds at the start plus what has passed since: it never goes back, and yet compares
-    with the `since_ms` of servers.
+    """Unix milliseconds at the start, plus what the monotonic clock has advanced since.
+
+    It never goes backwards, and its times compare with the start times of endpoints (`since_ms`).
     """
 
     def __init__(self) -> None:
-        self._offset = time.time() * 1000 - time.monotonic() * 1000
+        self._offset_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def now(self) -> float:
-        """This moment."""
-        return self._offset + time.monotonic() * 1000
+        """The current time in milliseconds."""
+        return self._offset_ms + time.monotonic() * 1000
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -7,26 +7,30 @@
 import time
 import traceback
 
-MAX_LINES, INTERVAL_S = 50, 10.0  # at most so many lines in each span: a log is no leak
+MAX_LINES = 50  # in each interval: what is written has to stay bounded, whatever goes wrong how often
+INTERVAL_S = 10.0
 
 
 class RateLimitedLog:
-    """Lines on standard error, bounded in each span of time."""
+    """Writes up to `MAX_LINES` lines to standard error in each interval, and drops the rest."""
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._span = self._lines = 0
+        self._interval = 0  # its number, counted on the monotonic clock
+        self._lines = 0
 
     def write(self, text: str) -> None:
-        """Write a text unless the span is full."""
-        span = int(time.monotonic() / INTERVAL_S)
-        if span != self._span:
-            self._span, self._lines = span, 0
+        """Write a line, unless the interval has had all its lines."""
+        interval = int(time.monotonic() / INTERVAL_S)
+        if interval != self._interval:
+            self._interval = interval
+            self._lines = 0
         self._lines += 1
         if self._lines <= MAX_LINES:
-            with contextlib.suppress(OSError):  # a log that nobody reads must not end the balancer
+            # Guards against a standard error that is closed: it must not end the balancer.
+            with contextlib.suppress(OSError):
                 print(f"{self._name}: {text}", file=sys.stderr, flush=True)
 
-    def exception(self, what: str) -> None:
-        """Write the exception being handled with its traceback."""
-        self.write(f"{what}\n{traceback.format_exc()}")
+    def exception(self, text: str) -> None:
+        """Write a line and the traceback of the exception that is being handled."""
+        self.write(f"{text}\n{traceback.format_exc()}")
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -114,4 +114,4 @@
         """Forget a request of which nothing more can come."""
         if request.is_finished():
             self._by_number.pop(request.number, None)
-            self._ids.over(request.incoming.request_id)
+            self._ids.finish(request.incoming.request_id)
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -4,34 +4,37 @@
 
 import time
 
-GENERATION_S, MAX_FINISHED_IDS = 5.0, 4_096  # ended requests whose ids are remembered, in each of two spans
+GENERATION_S = 5.0  # finished ids are remembered for one to two generations
+MAX_FINISHED_IDS = 4_096  # in each generation
 
 
 class RequestIds:
-    """The ids of requests: those that are open, and for a while those that were.
+    """The X-Request-Ids in use: of open requests, and of those that finished recently.
 
-    Guards against a request that bears another's id, from whomever: an effect could happen twice. The
-    memory of ended ones is bounded in time and number.
+    Guards against a request with the id of another one, from whichever client: an effect could happen twice.
+    Finished ids are kept in two generations, so that the memory for them is bounded in time and number.
     """
 
     def __init__(self) -> None:
         self._open: set[bytes] = set()
         self._recent: set[bytes] = set()
         self._older: set[bytes] = set()
-        self._turned = time.monotonic()
+        self._generation_started_at_s = time.monotonic()
 
-    def add(self, name: bytes) -> bool:
-        """Take in a new id; false if it is known."""
-        if name in self._open or name in self._recent or name in self._older:
+    def add(self, request_id: bytes) -> bool:
+        """Enter the id of a new request; false if it is in use."""
+        if request_id in self._open or request_id in self._recent or request_id in self._older:
             return False
-        self._open.add(name)
+        self._open.add(request_id)
         return True
 
-    def over(self, name: bytes) -> None:
-        """The last attempt of its request has ended."""
-        self._open.discard(name)
-        now = time.monotonic()
-        if len(self._recent) >= MAX_FINISHED_IDS or now - self._turned > GENERATION_S:
-            self._older = self._recent if now - self._turned <= 2 * GENERATION_S else set()
-            self._recent, self._turned = set(), now
-        self._recent.add(name)
+    def finish(self, request_id: bytes) -> None:
+        """Note that a request is finished: it has no attempt out any more."""
+        self._open.discard(request_id)
+        now_s = time.monotonic()
+        age_s = now_s - self._generation_started_at_s
+        if len(self._recent) >= MAX_FINISHED_IDS or age_s > GENERATION_S:
+            self._older = self._recent if age_s <= 2 * GENERATION_S else set()
+            self._recent = set()
+            self._generation_started_at_s = now_s
+        self._recent.add(request_id)
--- a/tests/network/test_invalid_clients.py
+++ b/tests/network/test_invalid_clients.py
@@ -97,7 +97,7 @@
         name = b"%d" % i
         assert ids.add(name)
         assert not ids.add(name)
-        ids.over(name)
+        ids.finish(name)
         assert not ids.add(name)
     assert len(ids._recent) + len(ids._older) <= 21
     assert not ids._open
