--- /dev/null
+++ b/tests/network/configurations.py
@@ -0,0 +1,63 @@
+"""Configurations as the socket tests start balancers with them."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from loadbalancer.configuration import Configuration, read_configuration
+
+LISTEN_ANYWHERE = "127.0.0.1:0"
+DEFAULT_SEED = "8c1f30d27a5be964"
+
+
+def entry(name: str, address: str, **more: Any) -> dict[str, Any]:
+    """An entry of discovery's endpoint list; `more` replaces what it holds by default."""
+    base = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 1.0}
+    return base | {"status": "in_service", "since_ms": 0} | more
+
+
+def config_text(discovery: str, entries: list[dict[str, Any]], /, **settings: Any) -> str:
+    """The text of a configuration.
+
+    Args:
+        discovery: Its address.
+        entries: The endpoints that are known at the start.
+        settings: Replace the settings of that name.
+    """
+    classes = [
+        {"name": "read", "target": 2000.0, "deadline": 5000.0, "effect": "retryable", "worth": 2.0},
+        {"name": "pay", "target": 2000.0, "deadline": 5000.0, "effect": "fragile", "worth": 1.0},
+        {"name": "put", "target": 2000.0, "deadline": 5000.0, "effect": "dedup", "repeatWindow": 5000.0},
+    ]
+    base: dict[str, Any] = {
+        "classes": classes,
+        "balancers": 2,
+        "discovery": "ask",
+        "zone": "a",
+        "tick": 2.0,
+        "limits": {
+            "attemptsCap": 3,
+            "connIdle": 60_000.0,
+            "connectTimeout": 500.0,
+            "mayCancel": True,
+            "mayDuplicate": True,
+        },
+        "contract": {"drainGrace": 500.0, "askWithin": 10_000.0},
+    }
+    return json.dumps(
+        {
+            "name": "n1",
+            "listen": LISTEN_ANYWHERE,
+            "discovery": discovery,
+            "seed": DEFAULT_SEED,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": {"index": 7, "snapshot": True, "endpoints": entries},
+            "settings": base | settings,
+        }
+    )
+
+
+def configuration(text: str) -> Configuration:
+    """A configuration of which no setting is expected to be unknown."""
+    return read_configuration(text, lambda note: None)
--- a/tests/network/loopback.py
+++ b/tests/network/loopback.py
@@ -1,4 +1,4 @@
-"""What the socket tests share: scripted upstreams, a scripted discovery and a caller, all on loopback."""
+"""What the socket tests share: scripted upstreams, a scripted discovery and a client, all on loopback."""
 
 from __future__ import annotations
 
@@ -11,17 +11,41 @@
 
 import uvloop
 
-from loadbalancer.configuration import read_configuration
+from loadbalancer.actions import Action
+from loadbalancer.events import Event
 from loadbalancer.network.proxy import Proxy
+from tests.network.configurations import config_text, configuration, entry
+
+__all__ = [
+    "TIMEOUT_S",
+    "Client",
+    "DiscoveryServer",
+    "ReceivedMessage",
+    "Rig",
+    "Script",
+    "Upstream",
+    "config_text",
+    "entry",
+    "free_port",
+    "list_response",
+    "read_message",
+    "record_events",
+    "reset",
+    "response",
+    "run",
+    "silent",
+    "status",
+]
 
 T = TypeVar("T")
 TIMEOUT_S = 10.0  # for what must happen; reached only when a test fails
-_NUMBERS = itertools.count(1)  # an id is new with every request
+_REQUEST_NUMBERS = itertools.count(1)  # an id is new with every request
 Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
+"""Responds to a request, or does not."""
 
 
 class ReceivedMessage:
-    """A request as an upstream saw it."""
+    """A request as an upstream received it, or a response as a client did."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         self.line, *rest = head.decode("latin-1").split("\r\n")
@@ -30,19 +54,29 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
+    """Read one whole message."""
     head = await reader.readuntil(b"\r\n\r\n")
-    asked = ReceivedMessage(head[:-4], b"")
-    asked.body = await reader.readexactly(int(asked.headers.get("content-length", "0")))
-    return asked
+    message = ReceivedMessage(head[:-4], b"")
+    message.body = await reader.readexactly(int(message.headers.get("content-length", "0")))
+    return message
 
 
 def response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
+    """The bytes of a response; headers are whole lines."""
     lines = [f"HTTP/1.1 {status} Any", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 class Upstream:
-    """Answers the nth request by the nth script, the last one again from then on."""
+    """A server that responds to its nth request by the nth script, and to all later ones by the last.
+
+    Attributes:
+        asked: The requests that it received.
+        connections: How many connections it accepted.
+        writers: The sending side of each of them.
+        seen: Set with the first request.
+        ended: Set when the balancer has ended a connection.
+    """
 
     def __init__(self, *scripts: Script | bytes) -> None:
         self._scripts = scripts or (response(),)
@@ -50,66 +84,74 @@
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.seen = asyncio.Event()
-        self.ended = asyncio.Event()  # a connection was ended by the balancer
+        self.ended = asyncio.Event()
 
     async def start(self) -> str:
+        """Listen; the result is the address."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        host, port = self.server.sockets[0].getsockname()[:2]
-        return f"{host}:{port}"
+        return _address(self.server)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.writers.append(writer)
         try:
             while True:
-                asked = await read_message(reader)
+                request = await read_message(reader)
                 script = self._scripts[min(len(self.asked), len(self._scripts) - 1)]
-                self.asked.append(asked)
+                self.asked.append(request)
                 self.seen.set()
                 if isinstance(script, bytes):
                     writer.write(script)
                 else:
-                    await script(asked, writer)
+                    await script(request, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.ended.set()
             writer.close()
 
 
-async def silent(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Never answer."""
+async def silent(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    """Never respond."""
 
 
-async def reset(asked: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Drop the connection instead of an answer."""
+async def reset(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection instead of a response."""
     writer.transport.abort()
 
 
 class DiscoveryServer:
-    """Discovery: each call takes the next answer put in; with none there it waits, as a watch does."""
+    """Discovery: each call gets the next response put in; with none there it waits, as a watch does.
+
+    Attributes:
+        answers: The responses to come, as bytes.
+        calls: The request lines of the calls that have come.
+        ended: Set when a connection has ended.
+    """
 
     def __init__(self) -> None:
         self.answers: asyncio.Queue[bytes] = asyncio.Queue()
         self.calls: asyncio.Queue[str] = asyncio.Queue()
-        self.ended = asyncio.Event()  # a connection was ended by the balancer
+        self.ended = asyncio.Event()
 
     async def start(self) -> str:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        host, port = self.server.sockets[0].getsockname()[:2]
-        return f"{host}:{port}"
+        """Listen; the result is the address."""
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        return _address(self.server)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
         try:
             while True:
-                asked = await read_message(reader)
-                self.calls.put_nowait(asked.line)
+                call = await read_message(reader)
+                self.calls.put_nowait(call.line)
                 answer = asyncio.ensure_future(self.answers.get())
-                more = asyncio.ensure_future(reader.read(1))  # a caller says no more before its answer
-                await asyncio.wait((answer, more), return_when=asyncio.FIRST_COMPLETED)
-                if more.done():
+                # The balancer sends nothing before it has the response: what can be read is the end.
+                end = asyncio.ensure_future(reader.read(1))
+                await asyncio.wait((answer, end), return_when=asyncio.FIRST_COMPLETED)
+                if end.done():
                     answer.cancel()
                     break
-                more.cancel()
-                await asyncio.wait((more,))
+                end.cancel()
+                await asyncio.wait((end,))
                 writer.write(answer.result())
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -117,51 +159,41 @@
         writer.close()
 
     def tell(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
-        body = json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode()
-        self.answers.put_nowait(response(200, body))
-
-
-def entry(name: str, address: str, **more: Any) -> dict[str, Any]:
-    base = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 1.0}
-    return base | {"status": "in_service", "since_ms": 0} | more
-
-
-def config_text(agent: str, entries: list[dict[str, Any]], /, **settings: Any) -> str:
-    classes = [
-        {"name": "read", "target": 2000.0, "deadline": 5000.0, "effect": "retryable", "worth": 2.0},
-        {"name": "pay", "target": 2000.0, "deadline": 5000.0, "effect": "fragile", "worth": 1.0},
-        {"name": "put", "target": 2000.0, "deadline": 5000.0, "effect": "dedup", "repeatWindow": 5000.0},
-    ]
-    base: dict[str, Any] = {
-        "classes": classes,
-        "balancers": 2,
-        "discovery": "ask",
-        "zone": "a",
-        "tick": 2.0,
-        "limits": {
-            "attemptsCap": 3,
-            "connIdle": 60_000.0,
-            "connectTimeout": 500.0,
-            "mayCancel": True,
-            "mayDuplicate": True,
-        },
-        "contract": {"drainGrace": 500.0, "askWithin": 10_000.0},
-    }
-    return json.dumps(
-        {
-            "name": "n1",
-            "listen": "127.0.0.1:0",
-            "discovery": agent,
-            "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 7, "snapshot": True, "endpoints": entries},
-            "settings": base | settings,
-        }
-    )
+        """Respond to the next call by an endpoint list, or a change of it."""
+        self.answers.put_nowait(list_response(index, *entries, snapshot=snapshot))
+
+
+def _address(server: asyncio.Server) -> str:
+    host, port = server.sockets[0].getsockname()[:2]
+    return f"{host}:{port}"
+
+
+def list_response(
+    index: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
+) -> bytes:
+    """A response of discovery with an endpoint list, or a change of it."""
+    document = {"index": index, "snapshot": snapshot, "endpoints": entries}
+    return response(200, json.dumps(document, indent=indent).encode())
+
+
+def record_events(proxy: Proxy) -> list[Event]:
+    """A list to which each event is added that the policy gets from now on."""
+    events: list[Event] = []
+    handle = proxy.balancer.handle
+
+    def record(event: Event, now: float) -> list[Action]:
+        events.append(event)
+        return handle(event, now)
+
+    proxy.balancer.handle = record  # type: ignore[method-assign]
+    return events
 
 
 class Rig:
-    """A balancer in this process, with its upstreams and discovery."""
+    """A proxy in this process, with its upstreams and discovery.
+
+    Settings replace the defaults of `config_text`.
+    """
 
     def __init__(self, *upstreams: Upstream, **settings: Any) -> None:
         self.upstreams, self._settings = upstreams, settings
@@ -173,7 +205,7 @@
         for i, upstream in enumerate(self.upstreams):
             self.entries.append(entry(f"s{i}", await upstream.start()))
         text = config_text(await self.discovery.start(), self.entries, **self._settings)
-        self.proxy = Proxy(read_configuration(text, lambda note: None), asyncio.get_running_loop())
+        self.proxy = Proxy(configuration(text), asyncio.get_running_loop())
         self.proxy.start()
         return self
 
@@ -181,11 +213,13 @@
         return
 
     async def client(self) -> Client:
+        """A client that has connected."""
         client = Client()
         client.reader, client.writer = await asyncio.open_connection(*self.proxy.listener.address[:2])
         return client
 
     async def ask(self, *args: Any, **more: Any) -> ReceivedMessage:
+        """The response to a request on a connection of its own; the arguments are those of `Client.send`."""
         client = await self.client()
         client.send(*args, **more)
         answer = await client.answer()
@@ -194,7 +228,7 @@
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that nobody has just now, for a program that is told its address."""
+    """A port of 127.0.0.1 that is free at this moment, for a program that is configured with its address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -208,15 +242,16 @@
 
     @classmethod
     async def of_program(cls, port: int) -> Client:
-        """A caller of a program that was started just now: it is tried until it listens."""
+        """A client of a program that was started just now: it connects as soon as the program listens."""
         client, end = cls(), asyncio.get_running_loop().time() + TIMEOUT_S
         while True:
             try:
                 client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
-                return client
             except ConnectionRefusedError:
                 assert asyncio.get_running_loop().time() < end
                 await asyncio.sleep(0.01)
+            else:
+                return client
 
     def send(
         self,
@@ -225,9 +260,17 @@
         deadline: str = "4000m",
         **headers: str,
     ) -> None:
+        """Send a request: POST if it has a body, else GET.
+
+        Args:
+            path: Its target; the first part is its class.
+            body: Its body.
+            deadline: Its X-Deadline.
+            headers: Further headers, or other values for the default ones; an empty one is left out.
+        """
         method = "POST" if body else "GET"
         named = {
-            "x-request-id": f"{next(_NUMBERS):08x}",
+            "x-request-id": f"{next(_REQUEST_NUMBERS):08x}",
             "x-class": path[1:].partition("/")[0],
             "x-deadline": deadline,
         }
@@ -237,11 +280,12 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def answer(self) -> ReceivedMessage:
+        """Read the next response."""
         return await read_message(self.reader)
 
 
 def run(scenario: Coroutine[Any, Any, T]) -> T:
-    """Run a scenario on the loop that the program uses."""
+    """Run a scenario on the event loop that the program uses, for `TIMEOUT_S` at most."""
 
     async def bounded() -> T:
         return await asyncio.wait_for(scenario, TIMEOUT_S)
@@ -251,4 +295,5 @@
 
 
 def status(answer: ReceivedMessage) -> int:
+    """The status of a response."""
     return int(answer.line.split(" ")[1])
--- /dev/null
+++ b/tests/network/simulated_discovery.py
@@ -0,0 +1,257 @@
+"""Discovery and the time as stand-ins: the loop's clock jumps to what is due next.
+
+Connections to discovery lead into a script, so that minutes of an outage pass in an instant, and the worst
+moment of its end can be chosen.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import selectors
+from collections.abc import Callable, Coroutine
+from typing import Any, TypeVar, cast
+
+from loadbalancer.actions import Action
+from loadbalancer.endpoints import EndpointState
+from loadbalancer.events import EndpointListUpdate, Event
+from loadbalancer.network import endpoint_watch
+from loadbalancer.network.proxy import Proxy
+from tests.network.configurations import DEFAULT_SEED, config_text, configuration
+from tests.network.loopback import entry, list_response, response
+
+FAULTS = ("refuses", "resets", "away", "late", "silent", "error", "half")
+CONNECT_FAULTS = ("refuses", "away", "late")  # the faults that show as soon as a connection is opened
+KNOWN_INDEX = 8  # the version of the list at the start
+T = TypeVar("T")
+
+
+class _JumpingSelector:
+    """Stands in for waiting: where nothing has come in, the time moves on to what is due."""
+
+    def __init__(self, inner: selectors.BaseSelector) -> None:
+        self._inner = inner
+        self.now_s = 1_000.0
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._inner, name)
+
+    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        ready = self._inner.select(0)
+        if not ready:
+            assert timeout is not None, "nothing is due any more"
+            self.now_s += max(timeout, 0.0)
+        return ready
+
+
+class SimulatedLoop(asyncio.SelectorEventLoop):
+    """A loop with a clock of its own, from which connections lead to stand-ins of discovery by port."""
+
+    def __init__(self) -> None:
+        self._selector_in_use = _JumpingSelector(selectors.DefaultSelector())
+        self.discoveries: dict[int, SimulatedDiscovery] = {}
+        super().__init__(cast(selectors.BaseSelector, self._selector_in_use))
+
+    def time(self) -> float:
+        return self._selector_in_use.now_s
+
+    async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
+        return await self.discoveries[port].connect(factory)
+
+
+class SimulatedConnection(asyncio.Transport):
+    """The balancer's side of one connection to the stand-in.
+
+    Attributes:
+        is_dead: Whether nothing comes on it any more, whatever is sent.
+        after: The index that the call knows which waits on it; None if none does.
+        calls: How many calls were made on it.
+    """
+
+    def __init__(self, discovery: SimulatedDiscovery, protocol: asyncio.Protocol) -> None:
+        super().__init__()
+        self._discovery = discovery
+        self._protocol = protocol
+        self._is_open = True
+        self.is_dead = False
+        self.after: int | None = None
+        self.calls = 0
+
+    def write(self, data: Any) -> None:
+        if self._is_open:
+            self._discovery.on_call(self, bytes(data).split(b"\r\n")[0].decode())
+
+    def abort(self) -> None:
+        if self._is_open:
+            self._is_open = False
+            self.after = None
+            self._discovery.connections.discard(self)
+            asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
+
+    def receive(self, data: bytes) -> None:
+        """Have the balancer read bytes of a response in the loop's next turn."""
+        self.after = None
+        asyncio.get_running_loop().call_soon(self._receive_now, data)
+
+    def _receive_now(self, data: bytes) -> None:
+        if self._is_open and not self.is_dead:
+            self._protocol.data_received(data)
+
+
+class SimulatedDiscovery:
+    """Discovery as scripted.
+
+    Attributes:
+        fault: What is wrong with it at the time, of `FAULTS`; empty if nothing is.
+        index: The version of its list.
+        tries: When connections were asked for, or calls came on those that were up.
+        calls: The request lines of the calls.
+        watches: When each watch began, and its wait; both in seconds.
+        on_try: Called when a try has been accepted or has failed.
+    """
+
+    def __init__(self, loop: SimulatedLoop, port: int) -> None:
+        self.loop = loop
+        self.port = port
+        loop.discoveries[port] = self
+        self.fault = ""
+        self.index = KNOWN_INDEX
+        self._entries: list[dict[str, Any]] = []
+        self.connections: set[SimulatedConnection] = set()
+        self.tries: list[float] = []
+        self.calls: list[str] = []
+        self.watches: asyncio.Queue[tuple[float, float]] = asyncio.Queue()
+        self.on_try: Callable[[], object] = lambda: None
+
+    async def connect(self, factory: Callable[[], asyncio.Protocol]) -> Any:
+        """Accept a connection, or fail to."""
+        fault = self.fault
+        if fault in CONNECT_FAULTS:
+            self.tries.append(self.loop.time())
+            self.on_try()
+        if fault == "refuses":
+            raise ConnectionRefusedError
+        if fault == "away":
+            await self.loop.create_future()  # never comes up
+        if fault == "late":
+            # And what is asked on it gets no response.
+            await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
+        protocol = factory()
+        connection = SimulatedConnection(self, protocol)
+        connection.is_dead = fault == "late"
+        self.connections.add(connection)
+        protocol.connection_made(connection)
+        return connection, protocol
+
+    def on_call(self, connection: SimulatedConnection, call: str) -> None:
+        """Take a call, given as its request line."""
+        if not connection.is_dead:
+            self.tries.append(self.loop.time())
+        self.calls.append(call)
+        connection.calls += 1
+        self._respond(connection, call)
+        self.on_try()
+
+    def _respond(self, connection: SimulatedConnection, call: str) -> None:
+        match self.fault:
+            case _ if connection.is_dead:
+                pass
+            case "silent" | "away" | "late":
+                connection.is_dead = True
+            case "resets" | "refuses":
+                connection.abort()
+            case "error":
+                connection.receive(response(500, b"sorry"))
+            case "half":
+                connection.receive(list_response(KNOWN_INDEX)[:-5])
+                self.loop.call_soon(setattr, connection, "is_dead", True)
+            case _:
+                self._respond_by_list(connection, call)
+
+    def _respond_by_list(self, connection: SimulatedConnection, call: str) -> None:
+        _, _, query = call.split(" ")[1].partition("?")
+        asked = dict(part.split("=") for part in query.split("&") if part)
+        if "after" not in asked or int(asked["after"]) < self.index:
+            connection.receive(self._list(snapshot="after" not in asked))
+            return
+        connection.after = int(asked["after"])
+        wait_s = float(asked["wait_ms"]) / 1000
+        self.loop.call_later(wait_s, self._on_wait_over, connection, connection.calls)
+        self.watches.put_nowait((self.loop.time(), wait_s))
+
+    def _on_wait_over(self, connection: SimulatedConnection, call_number: int) -> None:
+        if connection.after is not None and call_number == connection.calls:
+            connection.receive(self._list(snapshot=False))
+
+    def _list(self, snapshot: bool) -> bytes:
+        return list_response(self.index, *self._entries, snapshot=snapshot)
+
+    def fail(self, fault: str) -> None:
+        """Begin an outage; open connections show it, or stay silent."""
+        self.fault = fault
+        for connection in list(self.connections):
+            if fault in ("refuses", "resets"):
+                connection.abort()
+            elif fault in ("silent", "away", "late"):
+                connection.is_dead = True
+            elif connection.after is not None:
+                self._respond(connection, "GET /v1/servers HTTP/1.1")
+
+    def change(self) -> None:
+        """Have an upstream begin to drain, which each watch that waits hears of."""
+        self.index += 1
+        self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
+        for connection in list(self.connections):
+            if connection.after is not None:
+                connection.receive(self._list(snapshot=False))
+
+
+class WatchingProxy:
+    """A proxy on the simulated loop, and the time at which its policy learns of the drain.
+
+    Attributes:
+        drain_learned: Done at that time, in seconds of the loop's clock.
+    """
+
+    def __init__(self, discovery: SimulatedDiscovery, seed: int, poll_deadline_ms: float, how: str) -> None:
+        loop = discovery.loop
+        contract = {"drainGrace": 500.0, "askWithin": poll_deadline_ms}
+        self._text = config_text(
+            f"127.0.0.1:{discovery.port}", [entry("s0", "127.0.0.1:9")], discovery=how, contract=contract
+        ).replace(DEFAULT_SEED, f"{seed:x}")
+        self._loop = loop
+        self.proxy = Proxy(configuration(self._text), loop)
+        self.proxy.clock.now = lambda: 1e12 + loop.time() * 1000  # type: ignore[method-assign]
+        self.drain_learned: asyncio.Future[float] = loop.create_future()
+        self._handle = self.proxy.balancer.handle
+        self.proxy.balancer.handle = self._handle_and_note  # type: ignore[method-assign]
+        self.proxy.start()
+
+    def _handle_and_note(self, event: Event, now: float) -> list[Action]:
+        if isinstance(event, EndpointListUpdate):
+            drains = any(endpoint.state is EndpointState.DRAINING for endpoint in event.endpoints)
+            if drains and not self.drain_learned.done():
+                self.drain_learned.set_result(self._loop.time())
+        return self._handle(event, now)
+
+    def move(self, discovery: SimulatedDiscovery) -> None:
+        """Reconfigure the proxy, as by SIGHUP, with another address of discovery."""
+        document = json.loads(self._text) | {"discovery": f"127.0.0.1:{discovery.port}"}
+        self.proxy.reconfigure(configuration(json.dumps(document)))
+
+    async def learns_of_drain(self) -> float:
+        """When its policy learned of the drain; the proxy accepts no clients from then on."""
+        learned_at: float = await asyncio.wait_for(self.drain_learned, 120)
+        self.stop()
+        return learned_at
+
+    def stop(self) -> None:
+        """Accept no more clients."""
+        self.proxy.listener._pause()
+        self.proxy.listener._listener.close()
+
+
+def run_simulated(scenario: Callable[[SimulatedLoop], Coroutine[Any, Any, T]]) -> T:
+    """Run a scenario on a loop whose time jumps."""
+    with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
+        return runner.run(scenario(cast(SimulatedLoop, runner.get_loop())))
