--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -1,8 +1,7 @@
-"""Readiness: what a start does, and what it does not wait for. Nothing here goes by the machine's speed."""
+"""Readiness: what a start does, and what it does not wait for; no test depends on the machine's speed."""
 
 from __future__ import annotations
 
-import asyncio
 import importlib.util
 import json
 import os
@@ -17,47 +16,50 @@
 
 import pytest
 
+from tests.network.configurations import LISTEN_ANYWHERE
 from tests.network.loopback import TIMEOUT_S, Client, config_text, entry, free_port, run, status
+from tests.network.program import running_program
 
 ROOT = Path(__file__).parents[2]
-ENTRIES = 7_000  # a full fleet's list
+ENTRIES = 7_000  # the longest list that is expected
 
-# Does `before`, starts the program, ends it as it begins to listen and prints `looked`.
-BRIEFLY = """if True:
+# Runs `before`, starts the program, ends it as it begins to listen and prints `expression` as JSON.
+SCRIPT = """if True:
     import gc, json, os, signal, sys
     {before}
     from loadbalancer import __main__ as program
     from loadbalancer.network.client_connection import Listener
     start = Listener.start
-    def start_and_end(callers):
-        start(callers)
+    def start_and_end(listener):
+        start(listener)
         os.kill(os.getpid(), signal.SIGTERM)
     Listener.start = start_and_end
     assert program.main() == 0
-    print(json.dumps({looked}))
+    print(json.dumps({expression}))
 """
 
 
-def look_at_a_start(tmp_path: Path, looked: str, before: str = "pass", entries: int = 6) -> Any:
-    """What an expression says of a program that was started on so many known servers and then ended."""
+def evaluate_after_start(tmp_path: Path, expression: str, before: str = "pass", entries: int = 6) -> Any:
+    """The value of an expression in a program that was started with so many known endpoints and ended."""
     known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entries)]
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", known))
     done = subprocess.run(
-        [sys.executable, "-c", BRIEFLY.format(before=before.replace("\n", "\n    "), looked=looked)],
+        [sys.executable, "-c", SCRIPT.format(before=before.replace("\n", "\n    "), expression=expression)],
         env=os.environ | {"LB_CONFIG": str(path)},
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=TIMEOUT_S,
+        check=False,
     )
     assert done.returncode == 0, done.stderr
     return json.loads(done.stdout)
 
 
 @contextmanager
-def discovery(state: str) -> Iterator[str]:
-    """An address at which discovery answers no call."""
+def unresponsive_discovery(state: str) -> Iterator[str]:
+    """An address at which discovery responds to no call."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         if state == "silent":
@@ -76,28 +78,22 @@
 def test_it_is_ready_without_discovery(state: str, kind: str, entries: int, tmp_path: Path) -> None:
     async def scenario() -> None:
         port = free_port()
-        with discovery(state) as agent:
+        with unresponsive_discovery(state) as address:
             path = tmp_path / "config.json"
-            text = config_text(agent, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
-            path.write_text(text.replace("127.0.0.1:0", f"127.0.0.1:{port}"))
-            node = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "loadbalancer", cwd=ROOT, env=os.environ | {"LB_CONFIG": str(path)}
-            )
-            try:
+            text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
+            path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+            async with running_program(path):
                 client = await Client.of_program(port)
                 client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
                 assert status(await client.answer()) == 200
                 client.writer.close()
-            finally:
-                node.kill()
-                await node.wait()
 
     run(scenario())
 
 
 def test_a_start_imports_what_it_needs_and_nothing_else(tmp_path: Path) -> None:
-    """Of twenty starts at once on one core each pays for what all import."""
-    loaded = set(look_at_a_start(tmp_path, "sorted(sys.modules)"))
+    """Of twenty starts at once on one core, each is delayed by what all of them import."""
+    loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
     bare = subprocess.run(
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
     )
@@ -135,12 +131,12 @@
     assert [s for s in sources if not Path(importlib.util.cache_from_source(str(s))).exists()] == []
 
 
-def test_a_long_known_list_is_read_and_told_once(tmp_path: Path) -> None:
+def test_a_long_known_list_is_read_and_handled_once(tmp_path: Path) -> None:
     before = """if True:
         from loadbalancer import events
         from loadbalancer.policy import balancer
         from loadbalancer import configuration as config
-        counts = dict(files=0, entries=0, told=0)
+        counts = dict(files=0, entries=0, updates=0)
         def counting(name, function, applies=lambda *args: True):
             def counted(*args):
                 counts[name] += applies(*args)
@@ -150,15 +146,15 @@
             counts["files"] += name == "open" and args[0] == os.environ["LB_CONFIG"]
         sys.addaudithook(opened)
         config._read_endpoint = counting("entries", config._read_endpoint)
-        balancer.LoadBalancer.handle = counting("told", balancer.LoadBalancer.handle,
+        balancer.LoadBalancer.handle = counting("updates", balancer.LoadBalancer.handle,
             lambda _, event, now: isinstance(event, events.EndpointListUpdate)
                 and event.kind.name != "FAILED")
     """
-    counts = look_at_a_start(tmp_path, "counts", before, ENTRIES)
-    assert counts == {"files": 1, "entries": ENTRIES, "told": 1}
+    counts = evaluate_after_start(tmp_path, "counts", before, ENTRIES)
+    assert counts == {"files": 1, "entries": ENTRIES, "updates": 1}
 
 
-def test_a_start_is_not_searched_for_garbage(tmp_path: Path) -> None:
+def test_no_garbage_collection_runs_during_a_start(tmp_path: Path) -> None:
     """Thousands of entries bring objects that stay; the collector went through them again and again."""
     before = """if True:
         def collections():
@@ -175,6 +171,6 @@
             freeze()
         gc.freeze = last
     """
-    (ran, frozen), enabled = look_at_a_start(tmp_path, "(seen, gc.isenabled())", before, ENTRIES)
+    (ran, frozen), enabled = evaluate_after_start(tmp_path, "(seen, gc.isenabled())", before, ENTRIES)
     assert ran == frozen
     assert enabled
