--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -21,12 +21,12 @@
 
 EXIT_OK = 0
 EXIT_CANNOT_SERVE = 1
-EXIT_BAD_CONFIGURATION = 2
+EXIT_INVALID_CONFIGURATION = 2
 
 MAX_LOGGED_CONTEXT_CHARS = 2000  # of what the event loop says of an exception that nobody handled
 
 
-def load(path: str, note: Callable[[str], None]) -> Configuration:
+def load(path: str, warn: Callable[[str], None]) -> Configuration:
     """Read the configuration in a file.
 
     Raises:
@@ -36,7 +36,7 @@
     from loadbalancer.configuration import read_configuration
 
     with open(path, encoding="utf-8") as file:
-        return read_configuration(file.read(), note)
+        return read_configuration(file.read(), warn)
 
 
 async def serve(config: Configuration, path: str, early_reloads: list[int]) -> None:
@@ -82,12 +82,12 @@
     loop.set_exception_handler(log)
 
 
-def _load_from_environment(note: Callable[[str], None]) -> tuple[str, Configuration]:
+def _load_from_environment(warn: Callable[[str], None]) -> tuple[str, Configuration]:
     """The path that `LB_CONFIG` names, and the configuration there."""
     path = os.environ.get("LB_CONFIG")
     if not path:
         raise ValueError("LB_CONFIG is not set")
-    return path, load(path, note)
+    return path, load(path, warn)
 
 
 def _one_line(error: Exception) -> str:
@@ -104,14 +104,14 @@
 
     import uvloop
 
-    notes: list[str] = []
+    warnings: list[str] = []
     try:
-        path, config = _load_from_environment(notes.append)
+        path, config = _load_from_environment(warnings.append)
     except (OSError, ValueError) as error:
         print(f"loadbalancer: configuration: {_one_line(error)}", file=sys.stderr)
-        return EXIT_BAD_CONFIGURATION
-    for note in notes:
-        print(f"loadbalancer: {note}", file=sys.stderr)
+        return EXIT_INVALID_CONFIGURATION
+    for warning in warnings:
+        print(f"loadbalancer: {warning}", file=sys.stderr)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, path, early_reloads))
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -95,18 +95,18 @@
     drain_grace_ms: float
 
 
-def read_configuration(text: str, note: Callable[[str], None]) -> Configuration:
+def read_configuration(text: str, warn: Callable[[str], None]) -> Configuration:
     """Read a configuration.
 
     Args:
         text: The JSON text.
-        note: Called with a line for each setting that is not understood and passed over.
+        warn: Called with a line for each setting that is not understood and passed over.
 
     Raises:
         ConfigurationError: The text can't be used.
     """
     try:
-        return _read_document(json.loads(text), note)
+        return _read_document(json.loads(text), warn)
     except KeyError as error:
         raise ConfigurationError(f"{error} is missing") from None
     except (ValueError, TypeError, AttributeError) as error:
@@ -139,7 +139,7 @@
     return host.strip("[]"), int(port)
 
 
-def _read_document(document: Mapping[str, Any], note: Callable[[str], None]) -> Configuration:
+def _read_document(document: Mapping[str, Any], warn: Callable[[str], None]) -> Configuration:
     limits = {name: value for name, value in (document.get("limits") or {}).items() if value is not None}
     fields: wire.Fields = {}
     _flatten(document["settings"], "", fields)
@@ -151,7 +151,7 @@
         descriptor_limit=int(limits.get("sockets", DEFAULT_DESCRIPTOR_LIMIT)),
         memory_limit_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_LIMIT_MB)),
         known_endpoints=read_endpoint_list(document.get("known") or _NO_ENDPOINTS),
-        settings=wire.read_settings(fields, note),
+        settings=wire.read_settings(fields, warn),
         connect_timeout_ms=wire.number(fields, "limits.connectTimeout", wire.CONNECT_MS),
         idle_timeout_ms=wire.number(fields, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
         drain_grace_ms=wire.number(fields, "contract.drainGrace", DEFAULT_DRAIN_GRACE_MS),
--- a/loadbalancer/network/endpoint_watch.py
+++ b/loadbalancer/network/endpoint_watch.py
@@ -31,12 +31,12 @@
 RESPONSE_TIMEOUT_S = 2.5
 # A host that is down does not respond: a wait that has not begun must not be waited out.
 CONNECT_TIMEOUT_S = 1.0
-# Where lists are pushed: the pause before a call after two or more failed ones in a row.
-PUSH_RETRY_PAUSE_S = 0.1
+# Where lists are pushed: the delay before a call after two or more failed ones in a row.
+PUSH_RETRY_DELAY_S = 0.1
 # After a move (SIGHUP), until the list of the new discovery is due.
 MOVE_PERIOD_S = 4.0
-# The mean pause between calls that fail in that time; the policy decides on all other pauses.
-MOVE_RETRY_PAUSE_S = 0.5
+# The mean delay between calls that fail in that time; the policy decides on all other delays.
+MOVE_RETRY_DELAY_S = 0.5
 
 _NO_INDEX = -1  # before the first list of a discovery
 
@@ -84,7 +84,7 @@
     def move_to(self, address: Address) -> None:
         """Turn to another discovery at once, and get its whole list: the old index means nothing there.
 
-        Guards against a late list of the old discovery, and against a pause that was meant for it.
+        Guards against a late list of the old discovery, and against a retry delay that was meant for it.
         """
         if self._task is not None:
             self._task.cancel()
@@ -104,12 +104,12 @@
                 endpoint_list = await self._fetch()
             except Exception:
                 # Guards against a watch that ends unseen: whatever was wrong with a call, it has failed.
-                pause_s = self._note_failure(started_at_s)
-                if pause_s is None:
+                retry_delay_s = self._note_failure(started_at_s)
+                if retry_delay_s is None:
                     self._task = None
                     self._on_failed()
                     return
-                await asyncio.sleep(pause_s)
+                await asyncio.sleep(retry_delay_s)
                 continue
             self._consecutive_failures = 0
             self._index = endpoint_list.index
@@ -122,18 +122,18 @@
             started_at_s: When the call started, on the loop's clock.
 
         Returns:
-            The pause before the next call in seconds; None if the policy is to decide when to call again.
+            The delay before the next call in seconds; None if the policy is to decide when to call again.
         """
         self._consecutive_failures += 1
         if self._connection is not None:
             self._connection.close()
         if not self._polls_discovery:
-            # The agent's list goes on being due meanwhile: one that breaks is no reason to pause.
-            return PUSH_RETRY_PAUSE_S if self._consecutive_failures > 1 else 0.0
+            # The agent's list goes on being due meanwhile: one that breaks is no reason to wait.
+            return PUSH_RETRY_DELAY_S if self._consecutive_failures > 1 else 0.0
         if started_at_s < self._moved_at_s + MOVE_PERIOD_S:
-            # Guards against a pause by failures before the move, and against the policy's timer from before
+            # Guards against a delay by failures before the move, and against the policy's timer from before
             # it beside a new one, each with its own calls: that timer has fired by the end of this time.
-            return MOVE_RETRY_PAUSE_S * (0.5 + self._random.random())
+            return MOVE_RETRY_DELAY_S * (0.5 + self._random.random())
         return None
 
     async def _fetch(self) -> EndpointList:
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -38,8 +38,8 @@
 MARGIN_S = 1.0
 # To connect, and to get and read a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
-# The largest factor of a pause.
-MAX_PAUSE_JITTER = 1.5
+# The largest factor of a retry delay.
+MAX_DELAY_JITTER = 1.5
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_change_is_learned_in_time_after_an_outage_of_any_kind(fault: str, how: str) -> None:
-    """With `askWithin` at 120 s the pause grew to a minute, and a silent call was waited for for 11 s."""
+    """With `askWithin` at 120 s the retry delay grew to a minute, and a silent call was waited for for 11 s."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
     pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the length of a wait is random there
     for values in itertools.product(*(polled if how == "ask" else pushed), (0.0, 0.3, 2.0)):
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("how", ["ask", "push"])
 def test_a_change_missed_by_a_silent_watch_is_learned_in_time(how: str) -> None:
-    """A second to notice and three quarters of a pause left no time for the list itself."""
+    """A second to notice and three quarters of a retry delay left no time for the list itself."""
 
     async def scenario(loop: SimulatedLoop, seed: int, calls: int) -> None:
         discovery = SimulatedDiscovery(loop, 1)
@@ -117,8 +117,8 @@
 
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_after_a_move_earlier_failures_do_not_lengthen_the_pause(fault: str, how: str) -> None:
-    """The new discovery's first call failed, and it was asked again after the pause of a long outage."""
+def test_after_a_move_earlier_failures_do_not_lengthen_the_delay(fault: str, how: str) -> None:
+    """The new discovery's first call failed, and it was asked again after the delay of a long outage."""
 
     async def scenario(loop: SimulatedLoop, seed: int, phase: float) -> None:
         old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
@@ -167,8 +167,8 @@
         last = discoveries[-1]
         before = len(last.tries)
         await asyncio.sleep(60.0)
-        shortest_pause_s = policy.LIST_RETRY_MOST_MS / 1000 * 0.5
-        assert 60.0 / LIST_DUE_S < len(last.tries) - before <= 60.0 / shortest_pause_s
+        shortest_delay_s = policy.LIST_RETRY_MOST_MS / 1000 * 0.5
+        assert 60.0 / LIST_DUE_S < len(last.tries) - before <= 60.0 / shortest_delay_s
         earlier_tries = sum(len(discovery.tries) for discovery in discoveries[1:-1])
         assert earlier_tries == len(discoveries) - 2, "none is called after the next move"
         last.fault = ""
@@ -224,41 +224,41 @@
         slots = [int(at * 10) for at in tries]
         assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second gets a third of them"
     again = run_simulated(partial(scenario, fault=fault))
-    assert tries == pytest.approx(again), "the same seeds, the same pauses"
+    assert tries == pytest.approx(again), "the same seeds, the same delays"
 
 
 def test_the_longest_delays_leave_a_second_before_a_list_is_due() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     overdue_s = endpoint_watch.WATCH_OVERDUE_S
-    rest_s = policy.LIST_REST_MS / 1000 * MAX_PAUSE_JITTER
-    period_s = policy.LIST_RETRY_MOST_MS / 1000 * MAX_PAUSE_JITTER
+    rest_s = policy.LIST_REST_MS / 1000 * MAX_DELAY_JITTER
+    period_s = policy.LIST_RETRY_MOST_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = endpoint_watch.RECOVERY_WAIT_MS / 1000 + overdue_s
     limit_s = LIST_DUE_S - MARGIN_S
     # Discovery is back, or the change there, just after a try began that is bound to fail.
     assert period_s + LIST_TRANSFER_S < limit_s, "it failed at once: the next one is due by its beginning"
     call_s = max(recovery_s, response_s)
     assert connect_s + call_s + rest_s + LIST_TRANSFER_S < limit_s, "it waited for connection and response"
-    push_pause_s = endpoint_watch.PUSH_RETRY_PAUSE_S
-    assert connect_s + call_s + push_pause_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
+    push_delay_s = endpoint_watch.PUSH_RETRY_DELAY_S
+    assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
     # A watch that was open falls silent.
     assert overdue_s + rest_s + LIST_TRANSFER_S < SILENT_WATCH_DUE_S
     assert limit_s > endpoint_watch.PUSH_WATCH_WAIT_MS / 1000 + overdue_s + LIST_TRANSFER_S
     # SIGHUP, and the new one's first call fails.
-    pause_s = endpoint_watch.MOVE_RETRY_PAUSE_S * MAX_PAUSE_JITTER
+    retry_delay_s = endpoint_watch.MOVE_RETRY_DELAY_S * MAX_DELAY_JITTER
     assert endpoint_watch.MOVE_PERIOD_S <= MOVE_DUE_S
-    assert max(response_s, connect_s) + pause_s + LIST_TRANSFER_S < MOVE_DUE_S
-    assert connect_s + response_s + pause_s + LIST_TRANSFER_S < limit_s
+    assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MOVE_DUE_S
+    assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
     assert period_s < endpoint_watch.MOVE_PERIOD_S, "an earlier timer fires while the watch itself retries"
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
-def test_failures_without_a_poll_do_not_add_up_to_a_long_pause() -> None:
+def test_failures_without_a_poll_do_not_add_up_to_a_long_delay() -> None:
     desk = Desk(2, polls_discovery=True)
     for _ in range(100):
         timer = of_kind(desk.tell(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
     assert isinstance(timer, SetTimer)
-    assert desk.now < timer.at_ms <= desk.now + policy.LIST_RETRY_MOST_MS * MAX_PAUSE_JITTER
+    assert desk.now < timer.at_ms <= desk.now + policy.LIST_RETRY_MOST_MS * MAX_DELAY_JITTER
 
 
 def test_connections_that_discovery_says_it_closes_are_closed() -> None:
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -759,7 +759,7 @@
     """What the agent got in the pause counted as told: half a second of a grace of half a second was gone."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(discovery, "PUSH_RETRY_PAUSE_S", 2 * TIMEOUT_S)
+        monkeypatch.setattr(discovery, "PUSH_RETRY_DELAY_S", 2 * TIMEOUT_S)
         async with Rig(Upstream(), discovery="push") as rig:
             for index in (8, 9):
                 await rig.discovery.calls.get()
