--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_change_is_learned_in_time_after_an_outage_of_any_kind(fault: str, how: str) -> None:
-    """With `askWithin` at 120 s the retry delay grew to a minute, and a silent call was waited for for 11 s."""
+    """With `askWithin` at 120 s the delay grew to a minute, and a silent call was waited for for 11 s."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
     pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the length of a wait is random there
     for values in itertools.product(*(polled if how == "ask" else pushed), (0.0, 0.3, 2.0)):
