--- a/tests/network/disconnecting_clients.py
+++ b/tests/network/disconnecting_clients.py
@@ -37,7 +37,7 @@
 
 async def until_idle(rig: Rig) -> None:
     """Wait until no request is open and no attempt in progress."""
-    while rig.proxy._requests:
+    while rig.proxy.open_requests:
         await asyncio.sleep(0.005)
 
 
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -251,7 +251,7 @@
             client.close()
             await left.wait()
             rig.proxy._dispatch(TimerFired(timers[0]))
-            assert rig.proxy._requests, "the first attempt is still in progress"
+            assert rig.proxy.open_requests, "the first attempt is still in progress"
             assert await ids_received(rig) == ["1"]
 
     run(scenario())
@@ -357,6 +357,6 @@
                 head, _, body = got.partition(b"\r\n\r\n")
                 assert head.startswith(b"POST /pay ")
                 assert len(body) < MAX_BODY_BYTES
-                assert not rig.proxy._requests
+                assert not rig.proxy.open_requests
 
     run(scenario())
--- a/tests/network/test_endpoint_list_updates.py
+++ b/tests/network/test_endpoint_list_updates.py
@@ -76,7 +76,7 @@
             line = await rig.discovery.calls.get()
             assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
             rig.discovery.answers.put_nowait(response(503, b""))
-            monkeypatch.setattr(endpoint_watch, "WAIT_MS", 100)
+            monkeypatch.setattr(endpoint_watch, "WATCH_WAIT_MS", 100)
             await rig.discovery.calls.get()  # never answered
             started = asyncio.get_running_loop().time()
             await rig.discovery.calls.get()
@@ -97,7 +97,7 @@
     """An update during a pause would use up the whole grace period that a draining upstream has."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(endpoint_watch, "PUSH_PAUSE_S", 2 * TIMEOUT_S)
+        monkeypatch.setattr(endpoint_watch, "PUSH_RETRY_DELAY_S", 2 * TIMEOUT_S)
         async with Rig(Upstream(), discovery="push") as rig:
             for index in (8, 9):
                 await rig.discovery.calls.get()
@@ -118,10 +118,10 @@
         async with Rig(Upstream(), discovery="push") as rig:
             line = await rig.discovery.calls.get()
             wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
-            assert wait_ms / 1000 + endpoint_watch.LATE_S + endpoint_watch.CONNECT_S < 6
+            assert wait_ms / 1000 + endpoint_watch.WATCH_OVERDUE_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
             rig.discovery.tell(8)
-            monkeypatch.setattr(endpoint_watch, "LATE_S", 0.1)
-            monkeypatch.setattr(endpoint_watch, "PUSH_WAIT_MS", 100)
+            monkeypatch.setattr(endpoint_watch, "WATCH_OVERDUE_S", 0.1)
+            monkeypatch.setattr(endpoint_watch, "PUSH_WATCH_WAIT_MS", 100)
             await rig.discovery.calls.get()
             rig.discovery.tell(9)
             await rig.discovery.calls.get()  # never answered
--- a/tests/network/test_memory_limits.py
+++ b/tests/network/test_memory_limits.py
@@ -75,6 +75,6 @@
                 gc.enable()
             assert all(n < 20 for n in growth.values()), growth
             assert rig.proxy.balancer.open_requests == 0
-            assert not rig.proxy._requests
+            assert not rig.proxy.open_requests
 
     run(scenario())
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -132,7 +132,7 @@
             assert (await client.answer()).body == b"second"
             await first.ended.wait()
             assert sorted(outcome.value for outcome in outcomes(events)) == ["cancelled", "served"]
-            assert not rig.proxy._requests
+            assert not rig.proxy.open_requests
 
     run(scenario())
 
@@ -149,7 +149,7 @@
             await upstream.ended.wait()
             assert any(isinstance(event, ClientDisconnected) for event in events)
             assert outcomes(events) == [Outcome.CANCELLED]
-            assert not rig.proxy._requests
+            assert not rig.proxy.open_requests
 
     run(scenario())
 
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -34,7 +34,7 @@
         request_id = b"%d" % i
         assert ids.add(request_id)
         assert not ids.add(request_id)
-        ids.over(request_id)
+        ids.finish(request_id)
         assert not ids.add(request_id)
     assert len(ids._recent) + len(ids._older) <= 21
     assert not ids._open
--- a/tests/network/test_request_validation.py
+++ b/tests/network/test_request_validation.py
@@ -66,7 +66,7 @@
             assert status(await client.answer()) == expected_status
             assert await client.reader.read() == b""
             assert upstream.connections == 0
-            assert not rig.proxy._requests
+            assert not rig.proxy.open_requests
 
     run(scenario())
 
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -174,7 +174,7 @@
             assert (status(answer), answer.headers["retry-after"]) == (503, "0.250")
             assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
             assert not upstream.asked
-            assert not proxy._requests
+            assert not proxy.open_requests
 
     run(scenario())
 
