--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -42,7 +42,8 @@
     def _update_entry(self, entry: Endpoint, now: float) -> None:
         endpoint = self.by_name.get(entry.name)
         if endpoint is None:
-            endpoint = self.by_name[entry.name] = EndpointStats(entry, now, self._random.random())
+            rank = self._random.random()
+            endpoint = self.by_name[entry.name] = EndpointStats(entry, now, rank, rank * 1e6 % 1.0)
         if entry.started_at_ms > endpoint.entry.started_at_ms:
             endpoint.reset(now)  # the same name, a new process
         endpoint.entry = entry
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -21,6 +21,7 @@
     entry: Endpoint  # what the list says of it
     updated_at: float  # the moment that the evidence stands at
     rank: float  # drawn once; the endpoints with the lowest ranks make up the subset
+    slow_start_rank: float  # from 0 to 1; the balancers with the lowest call it in its slow start
     is_ready: bool = False
     weight: float = 1.0  # as registered
     in_flight: int = 0  # our open attempts there
@@ -32,11 +33,6 @@
     last_used_at: float = math.inf  # when a connection to it was last given back in working order
     recent_starts: deque[float] = field(default_factory=deque)  # of attempts during its slow start
 
-    @property
-    def slow_start_rank(self) -> float:
-        """From 0 to 1: the balancers with the lowest call the endpoint in its slow start."""
-        return self.rank * 1e6 % 1.0
-
     def reset(self, now: float) -> None:
         """Drop the evidence: the process behind the name is a new one."""
         self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
