--- a/loadbalancer/network/upstream_connection.py
+++ b/loadbalancer/network/upstream_connection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from collections.abc import Callable
 from typing import Protocol, cast
 
@@ -35,7 +36,7 @@
         on_closed: Callable[[UpstreamConnection], None],
     ) -> None:
         self.idle_since = 0.0
-        """When it last became idle, in seconds of `time.monotonic`; the pool sets it."""
+        """When it last became idle, in seconds of `time.monotonic`."""
         self._on_reusable = on_reusable
         self._on_closed = on_closed
         self._handler: ResponseHandler | None = None
@@ -119,6 +120,10 @@
             return False
         return peek(self._transport) is None  # neither the end, nor bytes that belong to no request
 
+    def mark_idle(self) -> None:
+        """Note that it carries no request from now on."""
+        self.idle_since = time.monotonic()
+
     def release(self, reuse: bool) -> None:
         """End the current request: keep the connection if it may be used again, else close it.
 
--- a/loadbalancer/network/upstream_pool.py
+++ b/loadbalancer/network/upstream_pool.py
@@ -136,7 +136,7 @@
         if self._is_retired or self.draining_since is not None:
             connection.close()
             return
-        connection.idle_since = time.monotonic()
+        connection.mark_idle()
         self._idle_connections.append(connection)
 
     def may_send(self) -> bool:
