--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that a balancer is told at its start.
+    """All that a balancer is configured with.
 
     Attributes:
         name: Its name in log lines; may be empty.
--- a/loadbalancer/network/attempt_runner.py
+++ b/loadbalancer/network/attempt_runner.py
@@ -16,7 +16,7 @@
 
 
 class AttemptRunner:
-    """Starts and cancels attempts; each that was asked for ends with one `AttemptFinished`."""
+    """Starts and cancels attempts; each `StartAttempt` leads to one `AttemptFinished`."""
 
     def __init__(
         self,
--- a/loadbalancer/network/endpoint_watch.py
+++ b/loadbalancer/network/endpoint_watch.py
@@ -104,7 +104,7 @@
                 endpoint_list = await self._fetch()
             except Exception:
                 # Guards against a watch that ends unseen: whatever was wrong with a call, it has failed.
-                retry_delay_s = self._note_failure(started_at_s)
+                retry_delay_s = self._record_failure(started_at_s)
                 if retry_delay_s is None:
                     self._task = None
                     self._on_failed()
@@ -115,7 +115,7 @@
             self._index = endpoint_list.index
             self._on_update(endpoint_list)
 
-    def _note_failure(self, started_at_s: float) -> float | None:
+    def _record_failure(self, started_at_s: float) -> float | None:
         """Count a failed call and close its connection.
 
         Args:
--- a/tests/network/configurations.py
+++ b/tests/network/configurations.py
@@ -60,4 +60,4 @@
 
 def configuration(text: str) -> Configuration:
     """A configuration of which no setting is expected to be unknown."""
-    return read_configuration(text, lambda note: None)
+    return read_configuration(text, lambda warning: None)
--- a/tests/network/simulated_discovery.py
+++ b/tests/network/simulated_discovery.py
@@ -134,7 +134,7 @@
         if fault == "away":
             await self.loop.create_future()  # never comes up
         if fault == "late":
-            # And what is asked on it gets no response.
+            # And calls on it get no response.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -169,13 +169,13 @@
                 self._respond_by_list(connection, call)
 
     def _respond_by_list(self, connection: SimulatedConnection, call: str) -> None:
-        _, _, query = call.split(" ")[1].partition("?")
-        asked = dict(part.split("=") for part in query.split("&") if part)
-        if "after" not in asked or int(asked["after"]) < self.index:
-            connection.receive(self._list(snapshot="after" not in asked))
+        _, _, query_text = call.split(" ")[1].partition("?")
+        query = dict(part.split("=") for part in query_text.split("&") if part)
+        if "after" not in query or int(query["after"]) < self.index:
+            connection.receive(self._list(snapshot="after" not in query))
             return
-        connection.after = int(asked["after"])
-        wait_s = float(asked["wait_ms"]) / 1000
+        connection.after = int(query["after"])
+        wait_s = float(query["wait_ms"]) / 1000
         self.loop.call_later(wait_s, self._on_wait_over, connection, connection.calls)
         self.watches.put_nowait((self.loop.time(), wait_s))
 
@@ -224,10 +224,10 @@
         self.proxy.clock.now = lambda: 1e12 + loop.time() * 1000  # type: ignore[method-assign]
         self.drain_learned: asyncio.Future[float] = loop.create_future()
         self._handle = self.proxy.balancer.handle
-        self.proxy.balancer.handle = self._handle_and_note  # type: ignore[method-assign]
+        self.proxy.balancer.handle = self._record_and_handle  # type: ignore[method-assign]
         self.proxy.start()
 
-    def _handle_and_note(self, event: Event, now: float) -> list[Action]:
+    def _record_and_handle(self, event: Event, now: float) -> list[Action]:
         if isinstance(event, EndpointListUpdate):
             drains = any(endpoint.state is EndpointState.DRAINING for endpoint in event.endpoints)
             if drains and not self.drain_learned.done():
