--- /dev/null
+++ b/tests/testbed/test_virtual_clock.py
@@ -0,0 +1,50 @@
+from __future__ import annotations
+
+from testbed.virtual_clock import VirtualClock
+
+
+def test_callbacks_run_in_the_order_of_their_moments_and_then_of_scheduling() -> None:
+    clock = VirtualClock()
+    ran: list[tuple[float, str]] = []
+
+    def record(name: str) -> None:
+        ran.append((clock.now, name))
+
+    clock.schedule(2.0, record, "last")
+    clock.schedule(1.0, record, "first")
+    clock.schedule(1.0, record, "second")
+    assert clock.run(max_events=3)
+    assert ran == [(1.0, "first"), (1.0, "second"), (2.0, "last")]
+
+
+def test_a_callback_for_a_moment_that_has_passed_runs_at_the_current_one() -> None:
+    clock = VirtualClock(now=5.0)
+    ran: list[float] = []
+    clock.schedule(1.0, lambda _: ran.append(clock.now), None)
+    assert clock.run(max_events=1)
+    assert ran == [5.0]
+
+
+def test_run_says_when_the_limit_of_events_cut_it_short() -> None:
+    clock = VirtualClock()
+    ran: list[int] = []
+    for number in range(3):
+        clock.schedule(float(number), ran.append, number)
+    assert not clock.run(max_events=2)
+    assert ran == [0, 1]
+    assert clock.events_run == 2
+    assert clock.run(max_events=3)
+
+
+def test_run_until_runs_what_is_due_by_then_and_sets_the_clock() -> None:
+    clock = VirtualClock()
+    ran: list[str] = []
+    clock.schedule(1.0, ran.append, "before")
+    clock.schedule(2.0, ran.append, "at the moment")
+    clock.schedule(2.5, ran.append, "after")
+    clock.run_until(2.0)
+    assert ran == ["before", "at the moment"]
+    assert clock.now == 2.0
+    clock.run_until(2.25)
+    assert clock.now == 2.25
+    assert ran == ["before", "at the moment"]
