--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -132,7 +132,7 @@
                 raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
             ),
             settings=wire.read_settings(facts, note),
-            connect_timeout_ms=wire.number(facts, "limits.connectTimeout", wire.CONNECT_MS),
+            connect_timeout_ms=wire.number(facts, "limits.connectTimeout", wire.DEFAULT_CONNECT_TIMEOUT_MS),
             idle_timeout_ms=wire.number(facts, "limits.connIdle", 15_000.0),
             drain_grace_ms=wire.number(facts, "contract.drainGrace", 0.0),
         )
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,4 +1,9 @@
-"""Reads settings from flat path=value fields, for the simulator's wire and for `LB_CONFIG` alike."""
+"""Reads settings from flat `path=value` fields, for the simulator's wire and for `LB_CONFIG` alike.
+
+The names of the fields, and the words that stand for an enum's values, are the wire's own and are quoted
+here alone. All fields hold text; the functions below turn one of them into a typed value, or raise
+`SettingsError` with the field's name.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +14,29 @@
 
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings, Tenant
 
-CONNECT_MS = 250.0  # the longest wait for a connection, where the settings give none
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+"""The longest wait for a connection, where the settings give none."""
+
 Fields = dict[str, str]
-T = TypeVar("T")
+"""The fields of one line or of one configuration: path to text."""
 
-_EFFECTS = {"retryable": Idempotency.SAFE, "dedup": Idempotency.KEYED, "fragile": Idempotency.NOT_IDEMPOTENT}
-_GROUPS = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
+Warn = Callable[[str], None]
+"""Takes a message about input that was ignored."""
+
+T = TypeVar("T")
 
-_KNOWN_FACTS = frozenset(
+_IDEMPOTENCY_BY_WORD = {
+    "retryable": Idempotency.SAFE,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NOT_IDEMPOTENT,
+}
+_SCOPE_BY_WORD = {
+    "all": IdempotencyScope.ALL,
+    "zone": IdempotencyScope.ZONE,
+    "cell": IdempotencyScope.CELL,
+}
+
+_KNOWN_FIELDS = frozenset(
     """
     azs balancers classes.count classes.aimStretch classes.target classes.deadline classes.effect
     classes.keyScope classes.lateShare classes.name classes.stream classes.repeatWindow
@@ -34,14 +54,19 @@
     """.split()
 )
 _INDEX = re.compile(r"\.\d+\.")
+"""The position of an entry in a list of settings, such as the `.0.` of `classes.0.name`."""
 
 
 class SettingsError(ValueError):
-    """A line that the wire does not allow, with a plain reason."""
+    """A field or a line that the settings' format does not allow; the text is a plain reason."""
 
 
-def need(fields: Fields, name: str) -> str:
-    """A field that must be there."""
+def required(fields: Fields, name: str) -> str:
+    """Return the text of a field.
+
+    Raises:
+        SettingsError: The field is missing.
+    """
     try:
         return fields[name]
     except KeyError:
@@ -49,8 +74,17 @@
 
 
 def number(fields: Fields, name: str, default: float | None = None) -> float:
-    """A field that holds a number."""
-    text = need(fields, name) if default is None else fields.get(name)
+    """Return the finite number that a field holds.
+
+    Args:
+        fields: The fields to look in.
+        name: The field's name.
+        default: What a missing field stands for; None makes the field a required one.
+
+    Raises:
+        SettingsError: The field is missing without a default, or holds no finite number.
+    """
+    text = required(fields, name) if default is None else fields.get(name)
     if text is None:
         assert default is not None
         return default
@@ -63,9 +97,13 @@
     return value
 
 
-def whole(fields: Fields, name: str) -> int:
-    """A field that holds a whole number."""
-    text = need(fields, name)
+def integer(fields: Fields, name: str) -> int:
+    """Return the integer that a required field holds.
+
+    Raises:
+        SettingsError: The field is missing or holds no integer.
+    """
+    text = required(fields, name)
     try:
         return int(text)
     except ValueError:
@@ -73,63 +111,112 @@
 
 
 def flag(fields: Fields, name: str) -> bool:
-    """Whether a field is set; a missing one is not."""
+    """Return whether a field is set to true; a missing one is false."""
     return fields.get(name) in ("1", "true")
 
 
-def word_of(table: dict[str, T], fields: Fields, name: str) -> T:
-    """The value that a field\'s word stands for."""
-    text = need(fields, name)
+def lookup(value_by_word: dict[str, T], fields: Fields, name: str) -> T:
+    """Return the value that the word in a required field stands for.
+
+    Raises:
+        SettingsError: The field is missing or holds a word that is not in the table.
+    """
+    text = required(fields, name)
     try:
-        return table[text]
+        return value_by_word[text]
     except KeyError:
         raise SettingsError(f"field {name!r} holds {text!r}, which has no meaning there") from None
 
 
-def _read_class(facts: Fields, prefix: str) -> RequestClass:
-    return RequestClass(
-        name=need(facts, prefix + "name"),
-        latency_objective_ms=number(facts, prefix + "target"),
-        deadline_ms=number(facts, prefix + "deadline"),
-        idempotency=word_of(_EFFECTS, facts, prefix + "effect"),
-        idempotency_scope=_GROUPS.get(facts.get(prefix + "keyScope", "all"), IdempotencyScope.CELL),
-        idempotency_window_ms=number(facts, prefix + "repeatWindow", 0.0),
-        priority_weight=number(facts, prefix + "worth", 1.0),
-        late_value=number(facts, prefix + "lateShare", 0.0),
-        is_streaming=flag(facts, prefix + "stream"),
-    )
+def read_settings(fields: Fields, warn: Warn) -> Settings:
+    """Read the settings of one balancer instance.
+
+    Args:
+        fields: The settings, by their path on the wire.
+        warn: Called once for each field whose name is unknown; such a field is ignored.
+
+    Raises:
+        SettingsError: A field is missing, of the wrong form, or out of range.
+    """
+    _warn_of_unknown_fields(fields, warn)
+    try:
+        return _read_known_settings(fields)
+    except SettingsError:
+        raise
+    except ValueError as error:  # the range checks of Settings, RequestClass and Tenant
+        raise SettingsError(str(error)) from None
+
+
+def _warn_of_unknown_fields(fields: Fields, warn: Warn) -> None:
+    for name in fields:
+        if _INDEX.sub(".", name) not in _KNOWN_FIELDS:
+            warn(f"setting {name!r} is unknown and ignored")
 
 
-def read_settings(facts: Fields, note: Callable[[str], None]) -> Settings:
-    """The settings that come with an instance's start."""
-    for name in facts:
-        if _INDEX.sub(".", name) not in _KNOWN_FACTS:
-            note(f"setting {name!r} is unknown and ignored")
-    classes = [_read_class(facts, f"classes.{i}.") for i in range(whole(facts, "classes.count"))]
-    tenants = [
-        Tenant(need(facts, f"orgs.{i}.name"), number(facts, f"orgs.{i}.quotaPerS"))
-        for i in range(int(number(facts, "orgs.count", 0.0)))
-    ]
-    retry_after = number(facts, "limits.maxRetryAfter", 0.0) if flag(facts, "limits.retryAfter") else 0.0
+def _read_known_settings(fields: Fields) -> Settings:
     return Settings(
-        classes=tuple(classes),
-        tenants=tuple(tenants),
-        balancers=int(number(facts, "balancers", 1.0)),
-        tier=int(number(facts, "tier", 0.0)),
-        zone=facts.get("zone", ""),
-        polls_discovery=facts.get("discovery") == "ask",
-        poll_deadline_ms=number(facts, "contract.askWithin", 10_000.0),
-        max_attempts=int(number(facts, "limits.attemptsCap", 1.0)),
-        connect_timeout_ms=number(facts, "limits.connectTimeout", CONNECT_MS),
-        may_cancel=flag(facts, "limits.mayCancel"),
-        may_hedge=flag(facts, "limits.mayDuplicate"),
-        may_health_check=flag(facts, "limits.probes"),
-        max_retry_after_ms=retry_after,
-        slow_start_ms=number(facts, "contract.cold", 0.0),
-        slow_start_initial_fraction=number(facts, "contract.coldFrom", 1.0),
-        slow_start_overload_factor=number(facts, "contract.overloadFactor", 1.0),
-        slow_start_window_ms=number(facts, "contract.tipAfter", 1_000.0),
-        over_quota_weight=number(facts, "overShareWorth", 1.0),
-        tick_ms=number(facts, "tick", 1.0),
-        load_report_fields=tuple(f for f in facts.get("telemetry.fields", "").split(",") if f),
+        classes=_read_classes(fields),
+        tenants=_read_tenants(fields),
+        balancers=int(number(fields, "balancers", 1.0)),
+        tier=int(number(fields, "tier", 0.0)),
+        zone=fields.get("zone", ""),
+        polls_discovery=fields.get("discovery") == "ask",
+        poll_deadline_ms=number(fields, "contract.askWithin", 10_000.0),
+        max_attempts=int(number(fields, "limits.attemptsCap", 1.0)),
+        connect_timeout_ms=number(fields, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT_MS),
+        may_cancel=flag(fields, "limits.mayCancel"),
+        may_hedge=flag(fields, "limits.mayDuplicate"),
+        may_health_check=flag(fields, "limits.probes"),
+        max_retry_after_ms=_read_max_retry_after_ms(fields),
+        slow_start_ms=number(fields, "contract.cold", 0.0),
+        slow_start_initial_fraction=number(fields, "contract.coldFrom", 1.0),
+        slow_start_overload_factor=number(fields, "contract.overloadFactor", 1.0),
+        slow_start_window_ms=number(fields, "contract.tipAfter", 1_000.0),
+        over_quota_weight=number(fields, "overShareWorth", 1.0),
+        tick_ms=number(fields, "tick", 1.0),
+        load_report_fields=_read_load_report_fields(fields),
+    )
+
+
+def _read_classes(fields: Fields) -> tuple[RequestClass, ...]:
+    count = integer(fields, "classes.count")
+    return tuple([_read_class(fields, f"classes.{index}.") for index in range(count)])
+
+
+def _read_class(fields: Fields, prefix: str) -> RequestClass:
+    return RequestClass(
+        name=required(fields, prefix + "name"),
+        latency_objective_ms=number(fields, prefix + "target"),
+        deadline_ms=number(fields, prefix + "deadline"),
+        idempotency=lookup(_IDEMPOTENCY_BY_WORD, fields, prefix + "effect"),
+        idempotency_scope=_read_idempotency_scope(fields, prefix + "keyScope"),
+        idempotency_window_ms=number(fields, prefix + "repeatWindow", 0.0),
+        priority_weight=number(fields, prefix + "worth", 1.0),
+        late_value=number(fields, prefix + "lateShare", 0.0),
+        is_streaming=flag(fields, prefix + "stream"),
     )
+
+
+def _read_idempotency_scope(fields: Fields, name: str) -> IdempotencyScope:
+    """A word that is unknown is read as the narrowest scope, which is safe whatever it means."""
+    return _SCOPE_BY_WORD.get(fields.get(name, "all"), IdempotencyScope.CELL)
+
+
+def _read_tenants(fields: Fields) -> tuple[Tenant, ...]:
+    count = int(number(fields, "orgs.count", 0.0))
+    return tuple([_read_tenant(fields, f"orgs.{index}.") for index in range(count)])
+
+
+def _read_tenant(fields: Fields, prefix: str) -> Tenant:
+    return Tenant(required(fields, prefix + "name"), number(fields, prefix + "quotaPerS"))
+
+
+def _read_max_retry_after_ms(fields: Fields) -> float:
+    if not flag(fields, "limits.retryAfter"):
+        return 0.0
+    return number(fields, "limits.maxRetryAfter", 0.0)
+
+
+def _read_load_report_fields(fields: Fields) -> tuple[str, ...]:
+    names = fields.get("telemetry.fields", "").split(",")
+    return tuple([name for name in names if name])
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -32,7 +32,15 @@
     TimerFired,
 )
 from loadbalancer.settings import Settings
-from loadbalancer.settings_reader import Fields, SettingsError, need, number, read_settings, whole, word_of
+from loadbalancer.settings_reader import (
+    Fields,
+    SettingsError,
+    integer,
+    lookup,
+    number,
+    read_settings,
+    required,
+)
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
 _OUTCOMES = {
@@ -99,7 +107,7 @@
 
 
 def _outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
-    code = need(fields, "verdict")
+    code = required(fields, "verdict")
     known = _OUTCOMES.get(code)
     if known is None:
         note(f"outcome code {code!r} is unknown; taken as one that may have run")
@@ -110,8 +118,8 @@
 def read_member(fields: Fields) -> Endpoint:
     """One entry of a ledger."""
     return Endpoint(
-        name=need(fields, "upstream"),
-        state=word_of(_READINESS, fields, "readiness"),
+        name=required(fields, "upstream"),
+        state=lookup(_READINESS, fields, "readiness"),
         zone=fields.get("rackZone", ""),
         cell=int(number(fields, "cell", 0.0)),
         weight=number(fields, "nominal", 1.0),
@@ -126,8 +134,8 @@
     match word:
         case "knock":
             return RequestReceived(
-                whole(fields, "corr"),
-                need(fields, "grade"),
+                integer(fields, "corr"),
+                required(fields, "grade"),
                 number(fields, "remaining"),
                 fields.get("customer"),
                 fields.get("repeat") == "1",
@@ -135,9 +143,9 @@
             )
         case "verdict":
             return AttemptFinished(
-                whole(fields, "corr"),
-                whole(fields, "shot"),
-                need(fields, "upstream"),
+                integer(fields, "corr"),
+                integer(fields, "shot"),
+                required(fields, "upstream"),
                 _outcome(fields, note),
                 fields.get("complete") == "1",
                 _report(fields),
@@ -146,19 +154,19 @@
             timer = _read_timer(fields, note)
             return None if timer is None else TimerFired(timer)
         case "client_gone":
-            return ClientDisconnected(whole(fields, "corr"))
+            return ClientDisconnected(integer(fields, "corr"))
         case "established":
-            return ResponseStarted(whole(fields, "corr"), whole(fields, "shot"))
+            return ResponseStarted(integer(fields, "corr"), integer(fields, "shot"))
         case "check_result":
-            return HealthCheckFinished(need(fields, "upstream"), _outcome(fields, note), _report(fields))
+            return HealthCheckFinished(required(fields, "upstream"), _outcome(fields, note), _report(fields))
         case "membership":
-            kind = word_of(_LIST_KINDS, fields, "mode")
+            kind = lookup(_LIST_KINDS, fields, "mode")
             return EndpointListReference(
-                kind, None if kind is EndpointListKind.FAILED else whole(fields, "list")
+                kind, None if kind is EndpointListKind.FAILED else integer(fields, "list")
             )
         case "up":
             facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-            return Start(whole(fields, "prng"), read_settings(facts, note))
+            return Start(integer(fields, "prng"), read_settings(facts, note))
         case "killed":
             return Stop()
         case "note_from":
@@ -204,7 +212,7 @@
 
 
 def _read_timer(fields: Fields, note: Callable[[str], None]) -> Timer | None:
-    kind, _, request_id = need(fields, "ctx").partition(":")
+    kind, _, request_id = required(fields, "ctx").partition(":")
     if kind == _LIST_TIMER:
         return EndpointListTimer()
     if kind == _HEDGE_TIMER and request_id.isdecimal():
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -61,7 +61,7 @@
         if word != "sync":
             raise settings_reader.SettingsError("a batch must begin with 'sync'")
         fields = wire.read_fields(parts)
-        self._batch = settings_reader.need(fields, "batch")
+        self._batch = settings_reader.required(fields, "batch")
         self._now = settings_reader.number(fields, "time")
         reply: list[str] = []
         while True:
@@ -77,12 +77,12 @@
 
     def _read_ledger(self, fields: settings_reader.Fields, lines: Iterator[str]) -> None:
         members = []
-        for _ in range(settings_reader.whole(fields, "membersList")):
+        for _ in range(settings_reader.integer(fields, "membersList")):
             word, *parts = self._next(lines)
             if word != "m":
                 raise settings_reader.SettingsError("the entries of a ledger are cut short")
             members.append(wire.read_member(wire.read_fields(parts)))
-        self._ledgers[settings_reader.whole(fields, "list")] = tuple(members)
+        self._ledgers[settings_reader.integer(fields, "list")] = tuple(members)
 
     def _take(self, word: str, fields: settings_reader.Fields, reply: list[str]) -> None:
         try:
@@ -93,7 +93,7 @@
             raise settings_reader.SettingsError(str(error)) from None
         if event is None:
             return
-        who = settings_reader.need(fields, "who")
+        who = settings_reader.required(fields, "who")
         if isinstance(event, wire.Start):
             self._balancers[who] = LoadBalancer(event.settings, event.seed)
             return
