--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -1,4 +1,8 @@
-"""The codec between the simulator's lines and the types of `loadbalancer.interface`; it decides nothing."""
+"""The lines of the simulator's wire: one line to one typed value, and one action to one line.
+
+A line is a kind, then `name=value` fields, all separated by one space. The kinds, the names and the codes in
+this module are the wire's own; nothing is decided here.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,6 @@
     AttemptFinished,
     ClientDisconnected,
     EndpointListKind,
-    EndpointListUpdate,
     Event,
     HealthCheckFinished,
     Outcome,
@@ -31,19 +34,11 @@
     ResponseStarted,
     TimerFired,
 )
-from loadbalancer.settings import Settings
-from loadbalancer.settings_reader import (
-    Fields,
-    SettingsError,
-    integer,
-    lookup,
-    number,
-    read_settings,
-    required,
-)
+from loadbalancer.settings_reader import Fields, Warn, integer, lookup, number, read_settings, required
+from loadbalancer.simulator.messages import InstanceStarted, WireError
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
-_OUTCOMES = {
+_OUTCOME_BY_CODE = {
     "0": Outcome.ERROR,
     "1": Outcome.SUCCEEDED,
     "2": Outcome.REJECTED,
@@ -53,73 +48,50 @@
     "6": Outcome.CANCELLED,
     "7": Outcome.NOT_SENT,
 }
-_LIST_TIMER, _HEDGE_TIMER = "list", "hedge"  # a timer's kind on the wire
-_READINESS = {"0": EndpointState.REMOVED, "1": EndpointState.READY, "2": EndpointState.DRAINING}
-_LIST_KINDS = {
+_STATE_BY_CODE = {"0": EndpointState.REMOVED, "1": EndpointState.READY, "2": EndpointState.DRAINING}
+_LIST_KIND_BY_CODE = {
     "0": EndpointListKind.CACHED,
     "2": EndpointListKind.SNAPSHOT,
     "3": EndpointListKind.DELTA,
     "4": EndpointListKind.FAILED,
 }
+_LIST_TIMER = "list"
+_HEDGE_TIMER = "hedge"
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
-    """An instance comes up."""
-
-    seed: int
-    settings: Settings
-
-
-@dataclass(frozen=True, slots=True)
-class Stop:
-    """An instance has been killed."""
+class EndpointListReference:
+    """An endpoint list event as it stands on the wire: it names a list that was sent earlier in full.
 
+    A list travels once for all instances; `BatchReader` puts its entries in the place of the reference.
 
-@dataclass(frozen=True, slots=True)
-class EndpointListReference:
-    """A list event that names its entries by the number of a ledger."""
+    Attributes:
+        kind: What the list is to the instance.
+        list_id: The number that the list was sent with; None for a kind that carries no entries.
+    """
 
     kind: EndpointListKind
-    ledger: int | None
+    list_id: int | None
 
 
 def read_fields(parts: list[str]) -> Fields:
-    """The name=value parts of a line as a dictionary."""
-    try:
-        return dict([part.split("=", 1) for part in parts])
-    except ValueError:
-        bad = next(part for part in parts if "=" not in part)
-        raise SettingsError(f"{bad!r} is not name=value") from None
-
+    """Read the `name=value` parts of a line.
 
-def _report(fields: Fields) -> tuple[float, ...]:
-    text = fields.get("gauge")
-    if not text:
-        return ()
+    Raises:
+        WireError: A part has no equals sign.
+    """
     try:
-        row = tuple([float(value) for value in text.split(",")])
+        return dict([part.split("=", 1) for part in parts])
     except ValueError:
-        row = (math.nan,)
-    if not all(map(math.isfinite, row)):
-        raise SettingsError(f"field 'gauge' holds {text!r}, which is no row of numbers")
-    return row
-
-
-def _outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
-    code = required(fields, "verdict")
-    known = _OUTCOMES.get(code)
-    if known is None:
-        note(f"outcome code {code!r} is unknown; taken as one that may have run")
-        return Outcome.UNKNOWN
-    return known
+        malformed = next(part for part in parts if "=" not in part)
+        raise WireError(f"{malformed!r} is not name=value") from None
 
 
-def read_member(fields: Fields) -> Endpoint:
-    """One entry of a ledger."""
+def read_endpoint(fields: Fields) -> Endpoint:
+    """Read one entry of an endpoint list."""
     return Endpoint(
         name=required(fields, "upstream"),
-        state=lookup(_READINESS, fields, "readiness"),
+        state=lookup(_STATE_BY_CODE, fields, "readiness"),
         zone=fields.get("rackZone", ""),
         cell=int(number(fields, "cell", 0.0)),
         weight=number(fields, "nominal", 1.0),
@@ -127,80 +99,133 @@
     )
 
 
-def read_event(
-    word: str, fields: Fields, note: Callable[[str], None]
-) -> Event | Start | Stop | EndpointListReference | None:
-    """The event of one line, or None for a kind that is unknown or of no use to a balancer."""
-    match word:
-        case "knock":
-            return RequestReceived(
-                integer(fields, "corr"),
-                required(fields, "grade"),
-                number(fields, "remaining"),
-                fields.get("customer"),
-                fields.get("repeat") == "1",
-                number(fields, "weightHint", 0.0),
-            )
-        case "verdict":
-            return AttemptFinished(
-                integer(fields, "corr"),
-                integer(fields, "shot"),
-                required(fields, "upstream"),
-                _outcome(fields, note),
-                fields.get("complete") == "1",
-                _report(fields),
-            )
-        case "reminder":
-            timer = _read_timer(fields, note)
-            return None if timer is None else TimerFired(timer)
-        case "client_gone":
-            return ClientDisconnected(integer(fields, "corr"))
-        case "established":
-            return ResponseStarted(integer(fields, "corr"), integer(fields, "shot"))
-        case "check_result":
-            return HealthCheckFinished(required(fields, "upstream"), _outcome(fields, note), _report(fields))
-        case "membership":
-            kind = lookup(_LIST_KINDS, fields, "mode")
-            return EndpointListReference(
-                kind, None if kind is EndpointListKind.FAILED else integer(fields, "list")
-            )
-        case "up":
-            facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-            return Start(integer(fields, "prng"), read_settings(facts, note))
-        case "killed":
-            return Stop()
-        case "note_from":
-            return None
-    note(f"event {word!r} is unknown and ignored")
-    return None
+def read_endpoint_list_reference(fields: Fields) -> EndpointListReference:
+    """Read the endpoint list event of one line."""
+    kind = lookup(_LIST_KIND_BY_CODE, fields, "mode")
+    list_id = None if kind is EndpointListKind.FAILED else integer(fields, "list")
+    return EndpointListReference(kind, list_id)
 
 
-def list_update(news: EndpointListReference, members: tuple[Endpoint, ...]) -> EndpointListUpdate:
-    """The list event with the entries of its ledger."""
-    return EndpointListUpdate(news.kind, members)
+def read_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
+    """Read the start of an instance: besides its identity and seed, all fields are settings."""
+    seed = integer(fields, "prng")
+    settings_fields = {name: value for name, value in fields.items() if name not in ("who", "prng")}
+    settings = read_settings(settings_fields, warn)
+    return InstanceStarted(required(fields, "who"), seed, settings)
 
 
-def write_action(who: str, action: Action) -> str:
-    """One action as a line of the reply."""
-    match action:
-        case StartAttempt(request, server, timeout):
-            return f"send who={who} corr={request} upstream={server} timeout={timeout:.3f}"
-        case SetTimer(at, timer):
-            return f"remind who={who} moment={at:.3f} ctx={_write_timer(timer)}"
-        case RejectRequest(request, after):
-            return f"reject who={who} corr={request} stayAway={after:.3f}"
-        case FailRequest(request):
-            return f"abort who={who} corr={request}"
-        case CancelAttempt(request, attempt):
-            return f"cancel who={who} corr={request} shot={attempt}"
-        case StartHealthCheck(server):
-            return f"sound_out who={who} upstream={server}"
-        case CloseIdleConnections(server):
-            return f"close_idle who={who} upstream={server}"
-        case WatchEndpoints():
-            return f"follow who={who} enable=1"
-        case LogMessage(text):
-            return f"say_log who={who} bodyText={_one_line(text)}"
+def read_event(kind: str, fields: Fields, warn: Warn) -> Event | None:
+    """Read the event of one line.
+
+    Args:
+        kind: The first word of the line.
+        fields: The rest of the line.
+        warn: Called with a message on each thing that is unknown.
+
+    Returns:
+        The event, or None for a kind that is unknown or of no use to a balancer.
+
+    Raises:
+        SettingsError: A field is missing or malformed.
+    """
+    reader = _EVENT_READERS.get(kind)
+    if reader is None:
+        warn(f"event {kind!r} is unknown and ignored")
+        return None
+    return reader(fields, warn)
+
+
+def _read_request_received(fields: Fields, _warn: Warn) -> RequestReceived:
+    return RequestReceived(
+        request_id=integer(fields, "corr"),
+        class_name=required(fields, "grade"),
+        remaining_ms=number(fields, "remaining"),
+        tenant=fields.get("customer"),
+        is_client_retry=fields.get("repeat") == "1",
+        cost_hint_ms=number(fields, "weightHint", 0.0),
+    )
+
+
+def _read_attempt_finished(fields: Fields, warn: Warn) -> AttemptFinished:
+    return AttemptFinished(
+        request_id=integer(fields, "corr"),
+        attempt_index=integer(fields, "shot"),
+        endpoint=required(fields, "upstream"),
+        outcome=_read_outcome(fields, warn),
+        is_answered=fields.get("complete") == "1",
+        load_report=_read_load_report(fields),
+    )
+
+
+def _read_timer_fired(fields: Fields, warn: Warn) -> TimerFired | None:
+    timer = _read_timer(required(fields, "ctx"))
+    if timer is None:
+        warn(f"timer {fields['ctx']!r} is unknown and ignored")
+        return None
+    return TimerFired(timer)
+
+
+def _read_client_disconnected(fields: Fields, _warn: Warn) -> ClientDisconnected:
+    return ClientDisconnected(integer(fields, "corr"))
+
+
+def _read_response_started(fields: Fields, _warn: Warn) -> ResponseStarted:
+    return ResponseStarted(integer(fields, "corr"), integer(fields, "shot"))
+
+
+def _read_health_check_finished(fields: Fields, warn: Warn) -> HealthCheckFinished:
+    return HealthCheckFinished(
+        endpoint=required(fields, "upstream"),
+        outcome=_read_outcome(fields, warn),
+        load_report=_read_load_report(fields),
+    )
+
+
+def _ignore(_fields: Fields, _warn: Warn) -> None:
+    """A known line that is of no use to a balancer."""
+
+
+_EVENT_READERS: dict[str, Callable[[Fields, Warn], Event | None]] = {
+    "knock": _read_request_received,
+    "verdict": _read_attempt_finished,
+    "reminder": _read_timer_fired,
+    "client_gone": _read_client_disconnected,
+    "established": _read_response_started,
+    "check_result": _read_health_check_finished,
+    "note_from": _ignore,
+}
+
+
+def _read_outcome(fields: Fields, warn: Warn) -> Outcome:
+    code = required(fields, "verdict")
+    outcome = _OUTCOME_BY_CODE.get(code)
+    if outcome is None:
+        warn(f"outcome code {code!r} is unknown; taken as one that may have run")
+        return Outcome.UNKNOWN
+    return outcome
+
+
+def _read_load_report(fields: Fields) -> tuple[float, ...]:
+    """Read the figures that an endpoint reports of itself; nothing is decided by them."""
+    text = fields.get("gauge")
+    if not text:
+        return ()
+    try:
+        figures = tuple([float(value) for value in text.split(",")])
+    except ValueError:
+        figures = (math.nan,)
+    if not all(map(math.isfinite, figures)):
+        raise WireError(f"field 'gauge' holds {text!r}, which is no row of numbers")
+    return figures
+
+
+def _read_timer(text: str) -> Timer | None:
+    kind, _, request_id = text.partition(":")
+    if kind == _LIST_TIMER:
+        return EndpointListTimer()
+    if kind == _HEDGE_TIMER and request_id.isdecimal():
+        return HedgeTimer(int(request_id))
+    return None
 
 
 def _write_timer(timer: Timer) -> str:
@@ -211,19 +236,38 @@
             return f"{_HEDGE_TIMER}:{request_id}"
 
 
-def _read_timer(fields: Fields, note: Callable[[str], None]) -> Timer | None:
-    kind, _, request_id = required(fields, "ctx").partition(":")
-    if kind == _LIST_TIMER:
-        return EndpointListTimer()
-    if kind == _HEDGE_TIMER and request_id.isdecimal():
-        return HedgeTimer(int(request_id))
-    note(f"timer {fields['ctx']!r} is unknown and ignored")
-    return None
+def write_action(instance: str, action: Action) -> str:
+    """Write one action as a line of the reply."""
+    match action:
+        case StartAttempt(request_id, endpoint, timeout_ms):
+            line = f"send who={instance} corr={request_id} upstream={endpoint} timeout={timeout_ms:.3f}"
+        case SetTimer(at_ms, timer):
+            line = f"remind who={instance} moment={at_ms:.3f} ctx={_write_timer(timer)}"
+        case RejectRequest(request_id, retry_after_ms):
+            line = f"reject who={instance} corr={request_id} stayAway={retry_after_ms:.3f}"
+        case FailRequest(request_id):
+            line = f"abort who={instance} corr={request_id}"
+        case CancelAttempt(request_id, attempt_index):
+            line = f"cancel who={instance} corr={request_id} shot={attempt_index}"
+        case StartHealthCheck(endpoint):
+            line = f"sound_out who={instance} upstream={endpoint}"
+        case CloseIdleConnections(endpoint):
+            line = f"close_idle who={instance} upstream={endpoint}"
+        case WatchEndpoints():
+            line = f"follow who={instance} enable=1"
+        case LogMessage(text):
+            line = f"say_log who={instance} bodyText={_one_line(text)}"
+    return line
+
+
+def write_failure(instance: str, error: BaseException) -> str:
+    """Write the line that says that an instance's policy has raised an error."""
+    return f"give_in who={instance} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
 
 
-def write_fault(who: str, error: BaseException) -> str:
-    """The line that says that an instance's decision code has failed."""
-    return f"give_in who={who} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
+def write_batch_end(batch_id: str) -> str:
+    """Write the last line of a reply."""
+    return f"yield batch={batch_id}"
 
 
 def _one_line(text: str) -> str:
