--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -1,7 +1,4 @@
-"""The entries of the endpoint list as the policy sees them.
-
-Times are Unix milliseconds.
-"""
+"""The entries of the endpoint list as the policy sees them."""
 
 from __future__ import annotations
 
@@ -10,16 +7,30 @@
 
 
 class EndpointState(enum.Enum):
-    """What the list says of a server's process."""
+    """What the endpoint list says of an endpoint's process."""
 
     READY = "ready"
+    """It takes new requests."""
     DRAINING = "draining"
+    """It finishes the requests that it has, and takes no new ones."""
     REMOVED = "gone"
+    """It no longer runs, or no longer belongs to the service."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as the list shows it; `started_at_ms` is 0 when it started long ago."""
+    """One process of the service that is called, as the endpoint list shows it.
+
+    Attributes:
+        name: Its identity in the list. A restarted process may keep the name of the one before.
+        state: Whether it takes new requests.
+        zone: The zone that it runs in; empty if zones are not told.
+        cell: The group of endpoints that share their idempotency keys; see `IdempotencyScope.CELL`.
+        weight: The capacity it is registered with, in proportion to that of others. The policy takes a value
+            that is not positive and finite as 1.
+        started_at_ms: When its process started, in milliseconds on the clock of the policy's events; 0 if
+            that was long ago. A later start under the same name is a new process.
+    """
 
     name: str
     state: EndpointState = EndpointState.READY
--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -1,6 +1,8 @@
 """What the policy takes: every event that `LoadBalancer.handle` understands.
 
-All times and spans are milliseconds on one clock that never goes backwards. Every type is a frozen value.
+Whoever runs a `LoadBalancer` (its host) passes it each event as it happens, in order, together with the
+current time, and carries out the actions that it returns (`loadbalancer.actions`). All times and spans are
+milliseconds on one clock that never goes backwards. Every type is a frozen value.
 """
 
 from __future__ import annotations
@@ -13,35 +15,53 @@
 
 
 class EndpointListKind(enum.Enum):
-    """What a list event carries."""
+    """What an endpoint list update carries."""
 
     DELTA = "delta"
+    """Only the entries that are new or have changed; the others stay as they were."""
     SNAPSHOT = "full"
+    """All entries; an endpoint that is missing has been removed."""
     CACHED = "cached"
+    """All entries as they were last known when the instance started; discovery has not been reached yet."""
     FAILED = "failed"
+    """No entries: discovery could not be reached, and the old list stands."""
 
 
 class Outcome(enum.Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     SUCCEEDED = "served"
+    """The endpoint responded with success."""
     ERROR = "error"
+    """The endpoint responded with an error; the request may have had an effect."""
     REJECTED = "rejected"
+    """The endpoint responded that it did not begin the request."""
     TIMED_OUT = "timed out"
+    """No response came within the attempt's timeout."""
     CONNECT_FAILED = "connect failed"
+    """No connection came up, so nothing was sent."""
     RESET = "reset"
+    """The connection broke after something was sent."""
     CANCELLED = "cancelled"
+    """The attempt was cancelled; the request may have had an effect."""
     NOT_SENT = "not sent"
+    """The attempt was over before anything was sent."""
     UNKNOWN = "unknown"
+    """The host can't tell; the request may have had an effect."""
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-"""The outcomes that prove that the attempt had no effect."""
+"""The outcomes that prove that an attempt had no effect: it may be repeated whatever its idempotency."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """News of the server list; FAILED carries no members and leaves the old list standing."""
+    """The endpoint list has changed, or could not be had.
+
+    Attributes:
+        kind: What `endpoints` is: the whole list, a change to it, or nothing.
+        endpoints: The entries that the update carries.
+    """
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -49,7 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request; exactly one final answer is owed within `remaining_ms`."""
+    """A client's request has arrived; it has to get exactly one final response.
+
+    Attributes:
+        request_id: The host's number for it, by which all later events and actions name it.
+        class_name: The name of its `RequestClass`.
+        remaining_ms: How long the client still waits, from now.
+        tenant: The tenant that it counts for, or None.
+        is_client_retry: Whether the client says that it repeats an earlier request. Nothing is decided by it:
+            the policy infers a late retry from `remaining_ms`.
+        cost_hint_ms: The work that it is expected to be, in milliseconds of a standard core; 0 if not known.
+    """
 
     request_id: int
     class_name: str
@@ -57,12 +87,16 @@
     tenant: str | None = None
     is_client_retry: bool = False
     cost_hint_ms: float = 0.0
-    """Its expected work in standard-core time; 0 where none is known."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer of a streamed request has begun; its deadline no longer runs."""
+    """A streaming response has begun: its deadline no longer runs, and no further attempt may be made.
+
+    Attributes:
+        request_id: The request that it responds to.
+        attempt_index: The attempt whose response it is.
+    """
 
     request_id: int
     attempt_index: int
@@ -70,7 +104,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt is over; `is_answered` says that the request has its final answer."""
+    """An attempt is over, whatever way it ended.
+
+    Attributes:
+        request_id: The request that the attempt was made for.
+        attempt_index: Which of the request's attempts, counted from 0 in the order of `StartAttempt`.
+        endpoint: The name of the endpoint it was sent to.
+        outcome: How it ended.
+        is_answered: Whether nothing is owed to the client any more: it has its final response, by this
+            attempt or otherwise, or it has gone.
+        load_report: The figures that the endpoint reports of its load, in the order of
+            `Settings.load_report_fields`. Nothing is decided by them.
+    """
 
     request_id: int
     attempt_index: int
@@ -82,14 +127,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing more is owed for the request."""
+    """The client has gone; nothing more is owed for the request.
+
+    Attributes:
+        request_id: The request that it had sent.
+    """
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """The result of one probe."""
+    """A health check is over. The policy starts none, and decides nothing by this event.
+
+    Attributes:
+        endpoint: The name of the endpoint that was checked.
+        outcome: How the check ended.
+        load_report: The figures that the endpoint reports of its load; see `AttemptFinished`.
+    """
 
     endpoint: str
     outcome: Outcome
@@ -98,7 +153,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` has come due."""
+    """A timer set by `SetTimer` has come due.
+
+    Attributes:
+        timer: The value that the timer was set with.
+    """
 
     timer: Timer
 
--- a/loadbalancer/simulator/__init__.py
+++ b/loadbalancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs balancers on the simulator's wire."""
+"""Runs balancer instances on the wire of a simulator, in place of the network."""
