--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,17 +1,18 @@
-"""Many balancers on one virtual clock, and a count of what all of them send to each cold server.
+"""Many balancers on one virtual clock, and a count of what all of them send to each warming endpoint.
 
-No sockets and no waiting: a seeded discrete-event world around the decision module alone. The count is the
-one of the fourth rule: arrivals, in requests of mean work, in the window that ends at each of them.
+A seeded discrete-event simulation around the policy alone: no sockets and no waiting. The rule it checks: in
+the window that ends at any attempt, the work that arrives at a warming endpoint must stay within
+`slow_start_overload_factor` times what its present capacity can do in such a window. Work is counted in
+requests of mean work.
 """
 
 from __future__ import annotations
 
-import heapq
 import math
 import random
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 from loadbalancer.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt
@@ -20,225 +21,256 @@
     AttemptFinished,
     EndpointListKind,
     EndpointListUpdate,
+    Event,
     Outcome,
     RequestReceived,
     TimerFired,
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.settings import Idempotency, RequestClass, Settings
-from loadbalancer.timers import Timer
+from testbed.virtual_clock import VirtualClock
 
 SMALL = RequestClass("small", 1_000, 3_000, Idempotency.SAFE)
 LARGE = RequestClass("large", 1_000, 3_000, Idempotency.SAFE)
-WORK = {"small": 0.75, "large": 2.0}  # in requests of mean work, of which one in five is large
-LARGE_PART = 0.2
+WORK = {"small": 0.75, "large": 2.0}  # in requests of mean work, with the fraction of large ones below
+LARGE_FRACTION = 0.2
 START_MS = 100_000.0
+FAILURE_MS = 2.0  # how long an endpoint that does not serve takes to say so
 
 
 @dataclass
-class Server:
-    """A server: when it started (0 is long ago), how it treats calls, and what came of late."""
+class SimulatedEndpoint:
+    """An endpoint, and the work that has arrived at it of late."""
 
-    since: float = 0.0
-    outcome: Outcome = Outcome.SUCCEEDED
-    there: bool = True
-    recent: deque[tuple[float, float]] = field(default_factory=deque)
-    load: float = 0.0  # work that came in the last window
-    free_at: float = 0.0  # when it will have done what it holds
-    fell: bool = False
+    started_at_ms: float = 0.0  # 0 is long ago
+    outcome: Outcome = Outcome.SUCCEEDED  # of every attempt, but for those that take too long
+    is_listed: bool = True
+    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # in the last window: time and work
+    work_in_window: float = 0.0
+    idle_at_ms: float = 0.0  # when it will have done all the work that it holds
 
 
 @dataclass
-class Call:
-    cls: RequestClass
+class SimulatedRequest:
+    """A request that has no final response yet."""
+
+    request_class: RequestClass
     attempts: int = 0
 
 
-class Fleet:
-    """`balancers` instances in front of `servers`, each server taking `rate` calls of mean work a second.
+class SimulatedBalancer:
+    """One instance of the policy, with its open requests."""
+
+    def __init__(self, simulation: SlowStartSimulation, requests_per_ms: float) -> None:
+        self.requests_per_ms = requests_per_ms
+        self._simulation = simulation
+        self._clock = simulation.clock
+        self.restart()
+
+    def restart(self) -> None:
+        """Forget everything, the open requests included; the endpoint list is given anew."""
+        self.policy = LoadBalancer(self._simulation.settings, self._simulation.random.getrandbits(40))
+        self._open: dict[int, SimulatedRequest] = {}
+        self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
+
+    def schedule_next_request(self) -> None:
+        wait_ms = self._simulation.random.expovariate(self.requests_per_ms)
+        self._clock.schedule(self._clock.now + wait_ms, self._receive_request, None)
+
+    def handle(self, event: Event) -> None:
+        for action in self.policy.handle(event, self._clock.now):
+            self._perform(action)
+
+    def _receive_request(self, _: None) -> None:
+        self.schedule_next_request()
+        request_class = LARGE if self._simulation.random.random() < LARGE_FRACTION else SMALL
+        self._simulation.requests += 1
+        request_id = self._simulation.requests
+        self._open[request_id] = SimulatedRequest(request_class)
+        self.handle(RequestReceived(request_id, request_class.name, request_class.deadline_ms))
 
-    `load` is the part of the warm fleet's capacity that is asked for. `worst` is the largest excess over N of
-    any window, in units of the slack 2 x root of N + 2: above 1 a cold server has fallen.
+    def _perform(self, action: Action) -> None:
+        match action:
+            case StartAttempt():
+                self._start_attempt(action)
+            case SetTimer(at_ms, timer):
+                self._schedule_event(at_ms, TimerFired(timer))
+            case RejectRequest(request_id) | FailRequest(request_id):
+                self._simulation.rejected += 1
+                del self._open[request_id]
+
+    def _schedule_event(self, moment: float, event: Event) -> None:
+        self._clock.schedule(moment, partial(self._handle_if_current, self.policy), event)
+
+    def _handle_if_current(self, policy: LoadBalancer, event: Event) -> None:
+        """Events of before a restart are lost with the process."""
+        if policy is not self.policy:
+            return
+        if isinstance(event, AttemptFinished):
+            event = self._finish_attempt(event)
+        self.handle(event)
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request = self._open[action.request_id]
+        attempt_index = request.attempts
+        request.attempts += 1
+        work = WORK[request.request_class.name]
+        duration_ms, outcome = self._simulation.attempt(action.endpoint, work, action.timeout_ms)
+        event = AttemptFinished(action.request_id, attempt_index, action.endpoint, outcome)
+        self._schedule_event(self._clock.now + duration_ms, event)
+
+    def _finish_attempt(self, event: AttemptFinished) -> AttemptFinished:
+        """Close the request of an attempt that succeeded, and say whether it is closed."""
+        request_id, outcome = event.request_id, event.outcome
+        if outcome is Outcome.SUCCEEDED and self._open.pop(request_id, None) is not None:
+            self._simulation.served += 1
+        is_answered = request_id not in self._open
+        return AttemptFinished(request_id, event.attempt_index, event.endpoint, outcome, is_answered)
+
+
+class SlowStartSimulation:
+    """Balancers in front of endpoints, some of which are warming up.
+
+    Args:
+        balancers: How many balancer instances.
+        endpoints: How many endpoints, all warm at the start.
+        rate_per_s: The requests of mean work a second that a warm endpoint can serve.
+        load: The request rate as a fraction of the capacity of all endpoints, if they are warm.
+        seed: For all that is random.
+        slow_start: The slow-start settings.
+        skewed: Whether some balancers get eight times as many requests as others; else all get as many.
+
+    Attributes:
+        tenth: A tenth of the endpoints.
+        requests: How many requests have been received, and of these served and rejected.
+        warming_attempts: How many attempts have gone to warming endpoints.
+        worst_excess: The largest excess of work in any window over its limit, in units of the slack that is
+            left to chance: above 1 an endpoint has been overloaded.
     """
 
     def __init__(
         self,
         balancers: int,
-        servers: int,
-        rate: float,
+        endpoints: int,
+        rate_per_s: float,
         load: float,
         seed: int,
-        cold: dict[str, Any],
+        slow_start: dict[str, Any],
         skewed: bool = False,
     ) -> None:
         self.random = random.Random(seed)
+        self.clock = VirtualClock(START_MS)
         self.settings = Settings(
-            classes=(SMALL, LARGE),
-            balancers=balancers,
-            max_attempts=4,
-            may_hedge=True,
-            **cold,
+            classes=(SMALL, LARGE), balancers=balancers, max_attempts=4, may_hedge=True, **slow_start
         )
-        self.now, self.rate = START_MS, rate
-        self.servers = {f"s{i}": Server() for i in range(servers)}
-        self.tenth = max(servers // 10, 1)
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-        self.asked, self.served, self.refused, self.cold_calls = 0, 0, 0, 0
-        self.worst = -math.inf
-        self.balancers = [self.new_balancer() for _ in range(balancers)]
-        parts = [self.random.choice((0.5, 0.5, 0.5, 4.0)) if skewed else 1.0 for _ in self.balancers]
-        # Calls a millisecond of each balancer.
-        self.pace = [part / sum(parts) * load * servers * rate / 1_000 for part in parts]
-        self.open: list[dict[int, Call]] = [{} for _ in self.balancers]
-        for i in range(balancers):
-            self.await_call(i)
-
-    # ---- the world ------------------------------------------------------------------------------
-
-    def at(self, after: float, do: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (self.now + after, self.count, do))
+        self.endpoints = {f"s{i}": SimulatedEndpoint() for i in range(endpoints)}
+        self.tenth = max(endpoints // 10, 1)
+        self.requests, self.served, self.rejected, self.warming_attempts = 0, 0, 0, 0
+        self.worst_excess = -math.inf
+        self._rate_per_s = rate_per_s
+        self._added = 0
+        self.balancers = [SimulatedBalancer(self, 0.0) for _ in range(balancers)]
+        self._share_out(load * endpoints * rate_per_s / 1_000, skewed)
+        for balancer in self.balancers:
+            balancer.schedule_next_request()
+
+    def _share_out(self, requests_per_ms: float, skewed: bool) -> None:
+        shares = [self.random.choice((0.5, 0.5, 0.5, 4.0)) if skewed else 1.0 for _ in self.balancers]
+        for balancer, share in zip(self.balancers, shares, strict=True):
+            balancer.requests_per_ms = share / sum(shares) * requests_per_ms
 
     def run(self, span_ms: float) -> None:
-        end = self.now + span_ms
-        while self.queue[0][0] <= end:
-            self.now, _, do = heapq.heappop(self.queue)
-            do()
-        self.now = end
-
-    def warmth(self, server: Server) -> float:
-        age = self.now - server.since
-        if not server.since or age >= self.settings.slow_start_ms:
-            return 1.0
-        return (
-            self.settings.slow_start_initial_fraction
-            + (1 - self.settings.slow_start_initial_fraction) * age / self.settings.slow_start_ms
-        )
-
-    def member(self, name: str) -> Endpoint:
-        server = self.servers[name]
-        state = EndpointState.READY if server.there else EndpointState.REMOVED
-        return Endpoint(name, state, started_at_ms=server.since)
-
-    def new_balancer(self) -> LoadBalancer:
-        balancer = LoadBalancer(self.settings, self.random.getrandbits(40))
-        balancer.handle(
-            EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(map(self.member, self.servers))), self.now
-        )
-        return balancer
+        self.clock.run_until(self.clock.now + span_ms)
 
-    def tell(self, names: list[str]) -> None:
-        """Tell all balancers how these servers are now."""
-        news = EndpointListUpdate(EndpointListKind.DELTA, tuple(map(self.member, names)))
-        for i in range(len(self.balancers)):
-            self.hand(i, news)
+    # ---- changes --------------------------------------------------------------------------------
 
-    def join(self, count: int) -> None:
-        names = [f"n{self.count}-{i}" for i in range(count)]
-        self.servers |= {name: Server(self.now) for name in names}
-        self.tell(names)
+    def add_endpoints(self, count: int) -> None:
+        names = [f"n{self._added + i}" for i in range(count)]
+        self._added += count
+        self._start_processes(names)
 
-    def leave(self, names: list[str]) -> None:
+    def remove_endpoints(self, names: list[str]) -> None:
         for name in names:
-            self.servers[name].there = False
-        self.tell(names)
+            self.endpoints[name].is_listed = False
+        self._announce(names)
 
-    def come_back(self, names: list[str]) -> None:
+    def restart_endpoints(self, names: list[str]) -> None:
         """The same names, as new processes."""
-        for name in names:
-            self.servers[name] = Server(self.now)
-        self.tell(names)
+        self._start_processes(names)
 
-    def replace(self, steps: int, pause_ms: float) -> None:
-        """In each step a tenth of the servers goes and as many new ones come; the oldest go first."""
-        old = list(self.servers)
+    def replace_endpoints(self, steps: int, interval_ms: float) -> None:
+        """In each step a tenth of the endpoints goes and as many new ones come; the oldest go first."""
+        old = list(self.endpoints)
         for step in range(steps):
-            self.leave(old[step * self.tenth : (step + 1) * self.tenth])
-            self.join(self.tenth)
-            self.run(pause_ms)
+            self.remove_endpoints(old[step * self.tenth : (step + 1) * self.tenth])
+            self.add_endpoints(self.tenth)
+            self.run(interval_ms)
 
-    def spoil(self, names: list[str], outcome: Outcome) -> None:
+    def set_outcome(self, names: list[str], outcome: Outcome) -> None:
         for name in names:
-            self.servers[name].outcome = outcome
+            self.endpoints[name].outcome = outcome
 
-    def quicken(self, factor: float) -> None:
-        self.pace = [factor * pace for pace in self.pace]
+    def scale_request_rate(self, factor: float) -> None:
+        for balancer in self.balancers:
+            balancer.requests_per_ms *= factor
 
     def restart_balancers(self) -> None:
-        """All that they knew is gone, and so are their calls."""
-        self.open = [{} for _ in self.balancers]
-        self.balancers = [self.new_balancer() for _ in self.balancers]
-
-    # ---- calls ----------------------------------------------------------------------------------
-
-    def await_call(self, i: int) -> None:
-        self.at(self.random.expovariate(self.pace[i]), lambda: self.call(i))
-
-    def call(self, i: int) -> None:
-        self.await_call(i)
-        cls = LARGE if self.random.random() < LARGE_PART else SMALL
-        self.asked += 1
-        number = self.asked
-        self.open[i][number] = Call(cls)
-        self.hand(i, RequestReceived(number, cls.name, cls.deadline_ms))
-
-    def hand(
-        self, i: int, event: EndpointListUpdate | RequestReceived | AttemptFinished | TimerFired
-    ) -> None:
-        for action in self.balancers[i].handle(event, self.now):
-            self.carry_out(i, action)
+        for balancer in self.balancers:
+            balancer.restart()
 
-    def carry_out(self, i: int, action: Action) -> None:
-        match action:
-            case StartAttempt(request, name, timeout):
-                self.arrive(i, request, name, timeout)
-            case SetTimer(moment, timer):
-                owner = self.balancers[i]
-                self.at(moment - self.now, lambda: self.due(i, owner, timer))
-            case RejectRequest(request) | FailRequest(request):
-                self.refused += 1
-                del self.open[i][request]
-
-    def due(self, i: int, owner: LoadBalancer, timer: Timer) -> None:
-        if self.balancers[i] is owner:
-            self.hand(i, TimerFired(timer))
-
-    def arrive(self, i: int, request: int, name: str, timeout: float) -> None:
-        server, call = self.servers[name], self.open[i][request]
-        assert server.there, "sent to a server that is gone"
-        work, warmth, attempt = WORK[call.cls.name], self.warmth(server), call.attempts
-        call.attempts += 1
-        if warmth < 1:
-            self.count_cold(server, work, warmth)
-        if (outcome := server.outcome) is Outcome.SUCCEEDED:
-            server.free_at = max(server.free_at, self.now) + 1_000 / self.rate * work / warmth
-            takes = server.free_at - self.now
-            if takes > timeout:
-                takes, outcome = timeout, Outcome.TIMED_OUT
-        else:
-            takes = 2.0
-        owner = self.balancers[i]
-        self.at(takes, lambda: self.ended(i, owner, request, attempt, name, outcome))
-
-    def count_cold(self, server: Server, work: float, warmth: float) -> None:
-        window = self.settings.slow_start_window_ms
-        self.cold_calls += 1
-        server.recent.append((self.now, work))
-        server.load += work
-        while server.recent[0][0] <= self.now - window:
-            server.load -= server.recent.popleft()[1]
-        most = self.settings.slow_start_overload_factor * warmth * self.rate * window / 1_000
-        excess = (server.load - most) / (2 * math.sqrt(most) + 2)
-        self.worst = max(self.worst, excess)
-        server.fell = server.fell or excess > 1
-
-    def ended(
-        self, i: int, owner: LoadBalancer, request: int, attempt: int, name: str, outcome: Outcome
-    ) -> None:
-        if self.balancers[i] is not owner:
-            return
-        if outcome is Outcome.SUCCEEDED and self.open[i].pop(request, None) is not None:
-            self.served += 1
-        answered = request not in self.open[i]
-        self.hand(i, AttemptFinished(request, attempt, name, outcome, answered))
+    def _start_processes(self, names: list[str]) -> None:
+        for name in names:
+            self.endpoints[name] = SimulatedEndpoint(self.clock.now)
+        self._announce(names)
+
+    def _announce(self, names: list[str]) -> None:
+        """Send all balancers the present entries of some endpoints."""
+        update = EndpointListUpdate(EndpointListKind.DELTA, tuple(map(self._entry, names)))
+        for balancer in self.balancers:
+            balancer.handle(update)
+
+    def endpoint_list(self) -> EndpointListUpdate:
+        return EndpointListUpdate(EndpointListKind.SNAPSHOT, tuple(map(self._entry, self.endpoints)))
+
+    def _entry(self, name: str) -> Endpoint:
+        endpoint = self.endpoints[name]
+        state = EndpointState.READY if endpoint.is_listed else EndpointState.REMOVED
+        return Endpoint(name, state, started_at_ms=endpoint.started_at_ms)
+
+    # ---- attempts -------------------------------------------------------------------------------
+
+    def attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
+        """An attempt arrives at an endpoint now: how long it will take, and how it will end."""
+        endpoint = self.endpoints[name]
+        assert endpoint.is_listed, "sent to an endpoint that has been removed"
+        capacity = self._warmup_fraction(endpoint)
+        if capacity < 1:
+            self._count_warming_attempt(endpoint, work, capacity)
+        if endpoint.outcome is not Outcome.SUCCEEDED:
+            return FAILURE_MS, endpoint.outcome
+        now = self.clock.now
+        endpoint.idle_at_ms = max(endpoint.idle_at_ms, now) + 1_000 / self._rate_per_s * work / capacity
+        duration_ms = endpoint.idle_at_ms - now
+        if duration_ms > timeout_ms:
+            return timeout_ms, Outcome.TIMED_OUT
+        return duration_ms, Outcome.SUCCEEDED
+
+    def _warmup_fraction(self, endpoint: SimulatedEndpoint) -> float:
+        """The fraction of its full capacity that an endpoint has now."""
+        age_ms = self.clock.now - endpoint.started_at_ms
+        if not endpoint.started_at_ms or age_ms >= self.settings.slow_start_ms:
+            return 1.0
+        initial = self.settings.slow_start_initial_fraction
+        return initial + (1 - initial) * age_ms / self.settings.slow_start_ms
+
+    def _count_warming_attempt(self, endpoint: SimulatedEndpoint, work: float, capacity: float) -> None:
+        window_ms = self.settings.slow_start_window_ms
+        self.warming_attempts += 1
+        endpoint.arrivals.append((self.clock.now, work))
+        endpoint.work_in_window += work
+        while endpoint.arrivals[0][0] <= self.clock.now - window_ms:
+            endpoint.work_in_window -= endpoint.arrivals.popleft()[1]
+        factor = self.settings.slow_start_overload_factor
+        limit = factor * capacity * self._rate_per_s * window_ms / 1_000
+        slack = 2 * math.sqrt(limit) + 2
+        self.worst_excess = max(self.worst_excess, (endpoint.work_in_window - limit) / slack)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,6 +1,7 @@
-"""Cold servers under the sum of all balancers, counted: many instances of the decision module on one clock.
+"""Warming endpoints under the load of all balancers together: many instances of the policy on one clock.
 
-`TIGHT` leaves a cold server hardly more than what chance brings: N is 3 calls at the start. `ROOMY`: 50.
+`TIGHT` leaves a warming endpoint hardly more than what chance brings: 3 requests a window at its start.
+`ROOMY` leaves it 50.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import pytest
 
 from loadbalancer.events import Outcome
-from tests.policy.slow_start_simulation import Fleet
+from tests.policy.slow_start_simulation import SlowStartSimulation
 
 ROOMY = {
     "slow_start_ms": 8_900.0,
@@ -24,169 +25,175 @@
     "slow_start_overload_factor": 1.5,
     "slow_start_window_ms": 500.0,
 }
-RATE = 40.0  # calls of mean work a second that a warm server takes
-LEARN_MS, WATCH_MS = 8_000.0, 5_000.0
+RATE_PER_S = 40.0  # requests of mean work that a warm endpoint can serve
+LEARNING_MS = 8_000.0
+OBSERVED_MS = 5_000.0
 
 
-def one_joins(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.join(1)
-    fleet.run(WATCH_MS)
+def one_is_added(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.add_endpoints(1)
+    simulation.run(OBSERVED_MS)
 
 
-def a_tenth_joins(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.join(fleet.tenth)
-    fleet.run(WATCH_MS)
+def a_tenth_is_added(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.add_endpoints(simulation.tenth)
+    simulation.run(OBSERVED_MS)
 
 
-def a_tenth_joins_under_a_burst(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.quicken(1.5)
-    fleet.join(fleet.tenth)
-    fleet.run(WATCH_MS)
+def a_tenth_is_added_during_a_burst(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.scale_request_rate(1.5)
+    simulation.add_endpoints(simulation.tenth)
+    simulation.run(OBSERVED_MS)
 
 
-def half_are_replaced_in_steps(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.replace(steps=5, pause_ms=2_000.0)
-    fleet.run(WATCH_MS)
+def half_are_replaced_in_steps(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.replace_endpoints(steps=5, interval_ms=2_000.0)
+    simulation.run(OBSERVED_MS)
 
 
-def six_in_ten_are_replaced_within_seconds(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.replace(steps=6, pause_ms=7_000.0 / 6)
-    fleet.run(WATCH_MS)
+def six_in_ten_are_replaced_within_seconds(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.replace_endpoints(steps=6, interval_ms=7_000.0 / 6)
+    simulation.run(OBSERVED_MS)
 
 
-def a_third_returns_cold(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    zone = list(fleet.servers)[: len(fleet.servers) // 3]
-    fleet.leave(zone)
-    fleet.run(5_000.0)
-    fleet.come_back(zone)
-    fleet.run(WATCH_MS)
+def a_third_restarts(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    third = list(simulation.endpoints)[: len(simulation.endpoints) // 3]
+    simulation.remove_endpoints(third)
+    simulation.run(5_000.0)
+    simulation.restart_endpoints(third)
+    simulation.run(OBSERVED_MS)
 
 
-def all_balancers_are_new_as_a_tenth_joins(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.restart_balancers()
-    fleet.join(fleet.tenth)
-    fleet.run(WATCH_MS)
+def all_balancers_restart_as_a_tenth_is_added(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.restart_balancers()
+    simulation.add_endpoints(simulation.tenth)
+    simulation.run(OBSERVED_MS)
 
 
-def all_servers_come_back_cold(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.come_back(list(fleet.servers))
-    fleet.run(WATCH_MS)
+def all_endpoints_restart(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.restart_endpoints(list(simulation.endpoints))
+    simulation.run(OBSERVED_MS)
 
 
-def all_is_new(fleet: Fleet) -> None:
-    fleet.come_back(list(fleet.servers))
-    fleet.restart_balancers()
-    fleet.run(WATCH_MS)
+def everything_restarts(simulation: SlowStartSimulation) -> None:
+    simulation.restart_endpoints(list(simulation.endpoints))
+    simulation.restart_balancers()
+    simulation.run(OBSERVED_MS)
 
 
-def half_of_the_warm_turn_calls_away(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.spoil(list(fleet.servers)[::2], Outcome.REJECTED)
-    fleet.join(fleet.tenth)
-    fleet.run(WATCH_MS)
+def half_of_the_warm_reject_requests(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.REJECTED)
+    simulation.add_endpoints(simulation.tenth)
+    simulation.run(OBSERVED_MS)
 
 
-def half_of_the_warm_are_away(fleet: Fleet) -> None:
-    fleet.run(LEARN_MS)
-    fleet.spoil(list(fleet.servers)[::2], Outcome.CONNECT_FAILED)
-    fleet.join(fleet.tenth)
-    fleet.run(WATCH_MS)
+def half_of_the_warm_are_unreachable(simulation: SlowStartSimulation) -> None:
+    simulation.run(LEARNING_MS)
+    simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.CONNECT_FAILED)
+    simulation.add_endpoints(simulation.tenth)
+    simulation.run(OBSERVED_MS)
 
 
-Story = Callable[[Fleet], None]
-STORIES: tuple[Story, ...] = (
-    one_joins,
-    a_tenth_joins,
-    a_tenth_joins_under_a_burst,
+Scenario = Callable[[SlowStartSimulation], None]
+SCENARIOS: tuple[Scenario, ...] = (
+    one_is_added,
+    a_tenth_is_added,
+    a_tenth_is_added_during_a_burst,
     half_are_replaced_in_steps,
     six_in_ten_are_replaced_within_seconds,
-    a_third_returns_cold,
-    all_balancers_are_new_as_a_tenth_joins,
-    all_servers_come_back_cold,
-    all_is_new,
-    half_of_the_warm_turn_calls_away,
-    half_of_the_warm_are_away,
+    a_third_restarts,
+    all_balancers_restart_as_a_tenth_is_added,
+    all_endpoints_restart,
+    everything_restarts,
+    half_of_the_warm_reject_requests,
+    half_of_the_warm_are_unreachable,
 )
 
-# Without warmth and room in the choice, six balancers are enough to push a server over here.
-FEW_SUFFICE: tuple[Story, ...] = (
+# Without a limit on warming endpoints, six balancers are enough to overload one here.
+OVERLOADED_BY_SIX_BALANCERS: tuple[Scenario, ...] = (
     half_are_replaced_in_steps,
     six_in_ten_are_replaced_within_seconds,
-    a_third_returns_cold,
-    half_of_the_warm_turn_calls_away,
-    half_of_the_warm_are_away,
+    a_third_restarts,
+    half_of_the_warm_reject_requests,
+    half_of_the_warm_are_unreachable,
 )
 
 
 @pytest.mark.parametrize(
-    ("balancers", "story"), [(6, story) for story in FEW_SUFFICE] + [(30, story) for story in STORIES]
+    ("balancers", "scenario"),
+    [(6, scenario) for scenario in OVERLOADED_BY_SIX_BALANCERS] + [(30, scenario) for scenario in SCENARIOS],
 )
-def test_no_cold_server_falls_under_the_sum(balancers: int, story: Story) -> None:
-    fleet = Fleet(balancers, 12, RATE, 0.9, 1, TIGHT, skewed=balancers == 30)
-    story(fleet)
-    assert fleet.cold_calls, "a day on which no cold server is called checks nothing"
-    assert fleet.worst <= 1
+def test_no_warming_endpoint_is_overloaded_by_all_balancers_together(
+    balancers: int, scenario: Scenario
+) -> None:
+    simulation = SlowStartSimulation(balancers, 12, RATE_PER_S, 0.9, 1, TIGHT, skewed=balancers == 30)
+    scenario(simulation)
+    assert simulation.warming_attempts, "a run in which no warming endpoint is used checks nothing"
+    assert simulation.worst_excess <= 1
 
 
 @pytest.mark.parametrize(
-    ("balancers", "story"),
+    ("balancers", "scenario"),
     [
-        (20, all_is_new),
-        (30, all_is_new),
-        (300, all_is_new),
-        (300, all_servers_come_back_cold),
-        (300, half_of_the_warm_are_away),
+        (20, everything_restarts),
+        (30, everything_restarts),
+        (300, everything_restarts),
+        (300, all_endpoints_restart),
+        (300, half_of_the_warm_are_unreachable),
     ],
 )
-def test_the_one_call_that_each_may_send_does_not_add_up(balancers: int, story: Story) -> None:
-    """Each sent a cold server one call a window: of hundreds that was twice what it can bear."""
-    fleet = Fleet(balancers, 20, RATE, 0.9, 2, TIGHT)
-    story(fleet)
-    assert fleet.cold_calls
-    assert fleet.worst <= 1
+def test_the_one_request_a_window_that_each_may_send_does_not_add_up(
+    balancers: int, scenario: Scenario
+) -> None:
+    """Each balancer sent a warming endpoint one request a window: hundreds sent twice what it can bear."""
+    simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT)
+    scenario(simulation)
+    assert simulation.warming_attempts
+    assert simulation.worst_excess <= 1
 
 
 @pytest.mark.parametrize(
-    ("balancers", "servers", "story", "least"),
+    ("balancers", "endpoints", "scenario", "min_attempts"),
     [
-        (6, 12, a_tenth_joins, 60),
-        (300, 20, a_tenth_joins, 120),
-        (300, 30, a_third_returns_cold, 600),
-        (30, 12, all_servers_come_back_cold, 800),
-        (30, 12, all_is_new, 800),
+        (6, 12, a_tenth_is_added, 60),
+        (300, 20, a_tenth_is_added, 120),
+        (300, 30, a_third_restarts, 600),
+        (30, 12, all_endpoints_restart, 800),
+        (30, 12, everything_restarts, 800),
     ],
 )
-def test_cold_servers_with_room_are_not_starved(
-    balancers: int, servers: int, story: Story, least: int
+def test_warming_endpoints_with_spare_capacity_are_used(
+    balancers: int, endpoints: int, scenario: Scenario, min_attempts: int
 ) -> None:
-    fleet = Fleet(balancers, servers, RATE, 0.9, 1, ROOMY)
-    story(fleet)
-    assert fleet.cold_calls >= least
-    assert fleet.worst <= 1
+    simulation = SlowStartSimulation(balancers, endpoints, RATE_PER_S, 0.9, 1, ROOMY)
+    scenario(simulation)
+    assert simulation.warming_attempts >= min_attempts
+    assert simulation.worst_excess <= 1
 
 
-@pytest.mark.parametrize("story", [one_joins, a_third_returns_cold, all_servers_come_back_cold])
+@pytest.mark.parametrize("scenario", [one_is_added, a_third_restarts, all_endpoints_restart])
 @pytest.mark.parametrize("balancers", [30, 300])
-def test_light_traffic_reaches_cold_servers(story: Story, balancers: int) -> None:
-    """Balancers that see a call in seconds: nothing of it is refused where the servers have room."""
-    fleet = Fleet(balancers, 20, RATE, 0.05, 1, ROOMY)
-    story(fleet)
-    assert fleet.cold_calls
-    assert fleet.refused <= 0.02 * fleet.asked
-    assert fleet.worst <= 1
-
-
-def test_further_attempts_do_not_come_on_top() -> None:
-    """Warm servers that turn calls away: calls were sent on, and twelve in a window met one cold server."""
-    fleet = Fleet(300, 20, RATE, 0.9, 22, TIGHT)
-    half_of_the_warm_turn_calls_away(fleet)
-    assert fleet.cold_calls
-    assert fleet.worst <= 1
+def test_light_traffic_reaches_warming_endpoints(scenario: Scenario, balancers: int) -> None:
+    """Balancers that get one request in seconds reject hardly any, where the endpoints have capacity."""
+    simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.05, 1, ROOMY)
+    scenario(simulation)
+    assert simulation.warming_attempts
+    assert simulation.rejected <= 0.02 * simulation.requests
+    assert simulation.worst_excess <= 1
+
+
+def test_retries_count_against_the_limit_of_warming_endpoints() -> None:
+    """Requests that warm endpoints rejected were retried: twelve in a window met one warming endpoint."""
+    simulation = SlowStartSimulation(300, 20, RATE_PER_S, 0.9, 22, TIGHT)
+    half_of_the_warm_reject_requests(simulation)
+    assert simulation.warming_attempts
+    assert simulation.worst_excess <= 1
