--- /dev/null
+++ b/tests/simulator/test_host.py
@@ -0,0 +1,157 @@
+"""The host on the simulator's wire: replies, warnings, invalid input, and instances kept apart."""
+
+from __future__ import annotations
+
+import io
+import os
+import subprocess
+import sys
+
+import pytest
+
+from loadbalancer.simulator.host import Host
+
+SETTINGS = (
+    "azs=a balancers=2 classes.count=1 classes.0.name=read classes.0.target=900.0 "
+    "classes.0.deadline=2000.0 classes.0.effect=retryable limits.attemptsCap=3 discovery=push tick=5.0"
+)
+SHARED_LIST = (
+    "ledger list=3 membersList=2\nm upstream=u1 readiness=1 cell=0 rackZone=a\n"
+    "m upstream=u2 readiness=1 cell=1 rackZone=a upSince=40.5\n"
+)
+
+
+def instance_started(who: int, seed: int = 11) -> str:
+    return f"up who={who} prng={seed} {SETTINGS}\n"
+
+
+def first_batch(who: int = 1) -> str:
+    """The start of one instance, and its endpoint list."""
+    endpoint_list = f"{SHARED_LIST}membership who={who} generation=1 mode=0 list=3\n"
+    return f"sync time=100.0 batch=1\n{instance_started(who)}{endpoint_list}eob\n"
+
+
+def run_host(text: str) -> tuple[int, str, str]:
+    """Exit status, replies and error messages for an input."""
+    out, err = io.StringIO(), io.StringIO()
+    status = Host(err).run(io.StringIO(text), out)
+    return status, out.getvalue(), err.getvalue()
+
+
+def test_a_request_is_sent_and_every_batch_gets_a_reply() -> None:
+    status, out, _ = run_host(
+        first_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
+    )
+    assert status == 0
+    lines = out.split("\n")
+    assert lines[0] == "yield batch=1"
+    assert any(line.startswith("send who=1 corr=9 upstream=u") for line in lines)
+    assert lines[-2] == "yield batch=2"
+
+
+def test_unknown_settings_and_events_are_warned_of_once_and_ignored() -> None:
+    text = first_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
+    text += "sync time=110.0 batch=2\nfrobnicate who=1\nfrobnicate who=1\neob\n"
+    status, out, err = run_host(text)
+    assert status == 0
+    assert out.endswith("yield batch=2\n")
+    assert err.count("frobnicate") == 1
+    assert err.count("moon.phase") == 1
+
+
+@pytest.mark.parametrize(
+    ("line", "reason"),
+    [
+        ("knock who=1 corr=9 grade=read", "'remaining' is missing"),
+        ("knock who=1 corr=x remaining=9 grade=read", "no whole number"),
+        ("knock who=1 corr=9 remaining=soon grade=read", "no number"),
+        ("knock who=1 corr=9 remaining=nan grade=read", "'nan', which is no number"),
+        ("verdict who=1 corr=9 shot=0 upstream=u1 verdict=1 gauge=1,inf", "'1,inf', which is no row"),
+        ("membership who=1 generation=2 mode=8 list=3", "'mode' holds '8'"),
+        ("knock who=5 corr=9 remaining=9.0 grade=read", "instance '5' is unknown"),
+        ("membership who=1 generation=2 mode=2 list=9", "ledger 9 was never sent"),
+        ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
+        ("knock who=1 corr", "not name=value"),
+        (
+            instance_started(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
+            "latency_objective_ms is -1.0",
+        ),
+    ],
+)
+def test_an_invalid_line_is_reported_in_one_message(line: str, reason: str) -> None:
+    status, _, err = run_host(first_batch() + f"sync time=110.0 batch=2\n{line}\neob\n")
+    assert status == 1
+    assert reason in err
+    assert "batch 2" in err
+    assert err.count("\n") == 1
+
+
+def test_input_may_end_between_batches_but_not_inside_one() -> None:
+    assert run_host(first_batch())[0] == 0
+    status, _, err = run_host(first_batch() + "sync time=110.0 batch=2\n")
+    assert status == 1
+    assert "inside a batch" in err
+
+
+def test_an_error_in_the_policy_is_reported_for_its_instance_only() -> None:
+    text = "sync time=90.0 batch=0\n" + instance_started(2) + "eob\n" + first_batch(1)
+    text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
+    text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
+    status, out, err = run_host(text)
+    assert status == 0
+    assert "give_in who=1 bodyText=ValueError" in out
+    assert "give_in who=2" not in out
+    assert "Traceback" in err
+
+
+def test_an_unknown_outcome_is_treated_as_one_that_may_have_run() -> None:
+    not_idempotent = first_batch().replace("retryable", "fragile")
+    text = not_idempotent + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
+    text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
+    status, out, err = run_host(text)
+    assert status == 0
+    assert "abort who=1 corr=9" in out
+    assert out.count("send ") == 1
+    assert "'42'" in err
+
+
+def test_no_setting_of_the_wire_is_reported_as_unknown() -> None:
+    settings = (
+        "classes.0.aimStretch=2 goal.logLossPart=0.4 goal.fullAtNines=3 goal.punctual=0.2 goal.tailMiss=0.02 "
+        "limits.connIdle=30000.0 limits.streamsPerConn=1 familyInfo.passesDeadline=true prices.waste=0.02 "
+        "worthBy=work weights=nominal myNumber=0 contract.drainGrace=2000.0 contract.graceToAnswer=8.0"
+    )
+    status, _, err = run_host(first_batch().replace("tick=5.0", f"tick=5.0 {settings}"))
+    assert status == 0
+    assert err == ""
+
+
+def run_process(instances: list[int], hash_seed: str) -> str:
+    """The replies of a process that hosts these instances."""
+    text = "".join(
+        ["sync time=100.0 batch=1\n", SHARED_LIST, *(instance_started(i, 11 + i) for i in instances)]
+    )
+    text += "".join(f"membership who={i} generation=1 mode=0 list=3\n" for i in instances) + "eob\n"
+    for n in range(40):
+        text += f"sync time={110.0 + 7 * n} batch={n + 2}\n"
+        text += "".join(f"knock who={i} corr={n} remaining=900.0 grade=read\n" for i in instances) + "eob\n"
+    env = os.environ | {"PYTHONHASHSEED": hash_seed}
+    completed = subprocess.run(
+        [sys.executable, "-m", "loadbalancer.simulator"],
+        input=text,
+        text=True,
+        capture_output=True,
+        env=env,
+        check=True,
+    )
+    return completed.stdout
+
+
+def test_actions_depend_neither_on_the_hash_seed_nor_on_other_instances() -> None:
+    together = run_process([1, 2], "1")
+    assert together == run_process([1, 2], "2")
+    for who in (1, 2):
+        own_lines = [line for line in together.split("\n") if f"who={who} " in line]
+        alone = [line for line in run_process([who], "3").split("\n") if f"who={who} " in line]
+        assert own_lines == alone
+        assert own_lines
