--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -16,7 +16,18 @@
     StartHealthCheck,
     WatchEndpoints,
 )
-from loadbalancer.simulator.codec import write_action
+from loadbalancer.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    Event,
+    HealthCheckFinished,
+    Outcome,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from loadbalancer.simulator.codec import read_event, read_fields, write_action
+from loadbalancer.simulator.messages import WireError
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 
 
@@ -37,3 +48,50 @@
 )
 def test_an_action_is_written_as_one_line(action: Action, line: str) -> None:
     assert write_action("4", action) == line
+
+
+@pytest.mark.parametrize(
+    ("line", "event"),
+    [
+        ("knock corr=7 grade=read remaining=900.5", RequestReceived(7, "read", 900.5)),
+        (
+            "knock corr=7 grade=read remaining=900 customer=a repeat=1 weightHint=12.5",
+            RequestReceived(7, "read", 900.0, "a", True, 12.5),
+        ),
+        (
+            "verdict corr=7 shot=1 upstream=u1 verdict=1 complete=1",
+            AttemptFinished(7, 1, "u1", Outcome.SUCCEEDED, True),
+        ),
+        (
+            "verdict corr=7 shot=0 upstream=u1 verdict=7 complete=0 gauge=1.5,2",
+            AttemptFinished(7, 0, "u1", Outcome.NOT_SENT, False, (1.5, 2.0)),
+        ),
+        ("reminder ctx=hedge:7", TimerFired(HedgeTimer(7))),
+        ("reminder ctx=list", TimerFired(EndpointListTimer())),
+        ("client_gone corr=7", ClientDisconnected(7)),
+        ("established corr=7 shot=1", ResponseStarted(7, 1)),
+        (
+            "check_result upstream=u1 verdict=4 gauge=0.5",
+            HealthCheckFinished("u1", Outcome.CONNECT_FAILED, (0.5,)),
+        ),
+        ("note_from text=hello", None),
+    ],
+)
+def test_a_line_is_read_as_one_event(line: str, event: Event | None) -> None:
+    warnings: list[str] = []
+    kind, *parts = line.split(" ")
+    assert read_event(kind, read_fields(parts), warnings.append) == event
+    assert warnings == []
+
+
+@pytest.mark.parametrize("line", ["reminder ctx=other", "reminder ctx=hedge:x", "frobnicate corr=7"])
+def test_a_line_of_unknown_meaning_is_ignored_with_a_warning(line: str) -> None:
+    warnings: list[str] = []
+    kind, *parts = line.split(" ")
+    assert read_event(kind, read_fields(parts), warnings.append) is None
+    assert len(warnings) == 1
+
+
+def test_a_part_without_an_equals_sign_is_an_error_of_the_wire() -> None:
+    with pytest.raises(WireError, match="'remaining' is not name=value"):
+        read_fields(["corr=7", "remaining"])
