--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -44,7 +44,7 @@
     status,
 )
 from tests.network.test_upstreams import Try, make
-from tests.policy.helpers import Desk, of_kind
+from tests.policy.helpers import PolicyHarness, of_type
 
 TOLD_S = 6.0  # after a failed call: from when discovery had a change, and could be reached
 SILENT_S = 2.0  # after the wait of a watch that fell silent, if that is later
@@ -454,11 +454,11 @@
 
 
 def test_failures_that_nobody_asked_for_do_not_add_up_to_a_long_pause() -> None:
-    desk = Desk(2, polls_discovery=True)
+    harness = PolicyHarness(2, polls_discovery=True)
     for _ in range(100):
-        timer = of_kind(desk.tell(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
+        timer = of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
     assert isinstance(timer, SetTimer)
-    assert desk.now < timer.at_ms <= desk.now + policy.MAX_POLL_BACKOFF_MS * SPREAD_MOST
+    assert harness.now < timer.at_ms <= harness.now + policy.MAX_POLL_BACKOFF_MS * SPREAD_MOST
 
 
 # ---- descriptors kept free for discovery --------------------------------------------------------
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings of their own, and a small host that carries out actions."""
+"""What the policy's tests share: request classes, settings, and a harness around one balancer."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
     AttemptFinished,
     EndpointListKind,
     EndpointListUpdate,
+    Event,
     Outcome,
     RequestReceived,
 )
@@ -20,7 +21,7 @@
 ORDER = RequestClass("order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
 ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
 ZONAL = RequestClass("zonal", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
-# A window says nothing for a class that must not run twice, but settings may give one.
+# A window means nothing for a class that must not run twice, but settings may give one.
 PAY = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, idempotency_window_ms=2_000)
 CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
 
@@ -38,49 +39,67 @@
     return Settings(**(base | changes))
 
 
-def members(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+def endpoint_list(count: int, **changes: Any) -> tuple[Endpoint, ...]:
+    """Endpoints s0, s1, ...: two zones in turn, two endpoints a cell."""
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
-class Desk:
-    """A balancer with a list, and the time and request numbers kept for it."""
+class PolicyHarness:
+    """A balancer with an endpoint list, a clock that the test moves, and request numbers.
 
-    def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
+    Attributes:
+        balancer: The balancer under test.
+        now: The time of the next event, in milliseconds.
+        actions: All actions so far.
+    """
+
+    def __init__(self, endpoints: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = LoadBalancer(settings(**changes), seed)
         self.now = 1_000.0
-        self.log: list[Action] = []
-        self.show(*members(count))
-        self._next = 0
+        self.actions: list[Action] = []
+        self._last_request_id = 0
+        self.update_endpoints(*endpoint_list(endpoints))
 
-    def tell(self, event: Any) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
-        self.log.extend(actions)
+        self.actions.extend(actions)
         return actions
 
-    def show(self, *entries: Endpoint, kind: EndpointListKind = EndpointListKind.SNAPSHOT) -> list[Action]:
-        return self.tell(EndpointListUpdate(kind, entries))
+    def update_endpoints(
+        self, *endpoints: Endpoint, kind: EndpointListKind = EndpointListKind.SNAPSHOT
+    ) -> list[Action]:
+        return self.handle(EndpointListUpdate(kind, endpoints))
 
-    def ask(
-        self, cls: RequestClass = READ, remaining: float = 3_000, **more: Any
+    def request(
+        self, request_class: RequestClass = READ, remaining_ms: float = 3_000, **more: Any
     ) -> tuple[int, list[Action]]:
-        self._next += 1
-        return self._next, self.tell(RequestReceived(self._next, cls.name, remaining, **more))
+        """A request arrives: its number, and the actions that follow."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        return request_id, self.handle(RequestReceived(request_id, request_class.name, remaining_ms, **more))
+
+    def finish(self, request_id: int, attempt_index: int, endpoint: str, outcome: Outcome) -> list[Action]:
+        """An attempt ends; a success is the final response."""
+        is_answered = outcome is Outcome.SUCCEEDED
+        return self.handle(AttemptFinished(request_id, attempt_index, endpoint, outcome, is_answered))
+
+    def serve(self, request_class: RequestClass = READ, duration_ms: float | dict[str, float] = 50.0) -> str:
+        """Serve one request; return its endpoint. The duration may differ by endpoint."""
+        request_id, actions = self.request(request_class)
+        endpoint = first_endpoint(actions)
+        self.now += duration_ms[endpoint] if isinstance(duration_ms, dict) else duration_ms
+        self.finish(request_id, 0, endpoint, Outcome.SUCCEEDED)
+        return endpoint
 
-    def end(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
-        return self.tell(AttemptFinished(request, attempt, server, outcome, outcome is Outcome.SUCCEEDED))
 
-    def serve(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
-        """One request, served by whichever server it is sent to; each may take its own time."""
-        request, actions = self.ask(cls)
-        server = sent(actions)[0].endpoint
-        self.now += takes[server] if isinstance(takes, dict) else takes
-        self.end(request, 0, server, Outcome.SUCCEEDED)
-        return server
+def started_attempts(actions: list[Action]) -> list[StartAttempt]:
+    return [action for action in actions if isinstance(action, StartAttempt)]
 
 
-def sent(actions: list[Action]) -> list[StartAttempt]:
-    return [a for a in actions if isinstance(a, StartAttempt)]
+def first_endpoint(actions: list[Action]) -> str:
+    """The endpoint of the first attempt that starts."""
+    return started_attempts(actions)[0].endpoint
 
 
-def of_kind(actions: list[Action], *kinds: type) -> list[Action]:
-    return [a for a in actions if isinstance(a, kinds)]
+def of_type(actions: list[Action], *types: type) -> list[Action]:
+    return [action for action in actions if isinstance(action, types)]
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -1,4 +1,4 @@
-"""Further attempts over a path of tiers, each server with a balancer of its own: they add up."""
+"""Retries over a path of tiers, each endpoint with a balancer of its own: they add up, not multiply."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from loadbalancer.policy import retry as policy
 from testbed.runs import depth
 
-SERVERS = 6  # a tier; as many fronts, too
+ENDPOINTS = 6  # a tier; as many balancers before the first one, too
 
 
 def rows(troubles: list[dict[str, Any]], **changes: Any) -> list[dict[str, Any]]:
@@ -31,26 +31,27 @@
 
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
-def test_a_lost_last_tier_is_called_once_a_call_and_by_what_the_buckets_hold(behaviour: str) -> None:
-    """Earned by arrivals, 28 tiers made 88 attempts of each call let in; of what never ran, 320."""
+def test_a_failed_last_tier_gets_one_attempt_a_request_and_what_the_buckets_hold(behaviour: str) -> None:
+    """Earned by arrivals, 28 tiers made 88 attempts for each admitted request; where none ran, 320."""
     for row in rows([{"name": "lost", "behaviour": behaviour}]):
         assert row["served"] == 0
         assert row["calls"] > 150
-        made = row["bottom_attempts_a_call"] * row["calls"]
-        saved_up = policy.RETRY_INITIAL_TOKENS * SERVERS * row["depth"]
+        attempts = row["bottom_attempts_a_call"] * row["calls"]
+        saved_tokens = policy.RETRY_INITIAL_TOKENS * ENDPOINTS * row["depth"]
         if behaviour != "fails":
-            saved_up += policy.RESEND_INITIAL_TOKENS * SERVERS  # only the callers of those that are gone
-        assert 0.5 * row["calls"] < made <= row["calls"] + saved_up
+            # Only the balancers right before the last tier resend.
+            saved_tokens += policy.RESEND_INITIAL_TOKENS * ENDPOINTS
+        assert 0.5 * row["calls"] < attempts <= row["calls"] + saved_tokens
 
 
-def test_one_call_in_ten_that_fails_at_the_end_of_28_tiers_is_made_good() -> None:
+def test_one_failure_in_ten_at_the_end_of_28_tiers_is_always_retried() -> None:
     trouble = {"name": "a tenth", "behaviour": "fails", "part": 0.1}
     for row in rows([trouble], warm_s=2):
         assert row["served"] >= 0.99
         assert 1.05 < row["bottom_attempts_a_call"] < 1.25
 
 
-def test_calls_are_served_again_as_soon_as_the_last_tier_is_back() -> None:
+def test_requests_are_served_again_as_soon_as_the_last_tier_is_back() -> None:
     troubles = [{"name": b, "behaviour": b} for b in ("fails", "refuses", "turns away")]
     for row in rows(troubles, warm_s=2, trouble_s=5, after_s=6, sizes=[28]):
         assert row["served_before"] == 1
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Further attempts are paid by answers: they add up over a path and do not multiply."""
+"""Retries are paid for by responses: over a path of tiers they add up and do not multiply."""
 
 from __future__ import annotations
 
@@ -12,157 +12,166 @@
 from loadbalancer.policy import retry as policy
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.settings import Idempotency, RequestClass
-from tests.policy.helpers import ANYWHERE, PAY, READ, Desk, of_kind, sent
+from tests.policy.helpers import ANYWHERE, PAY, READ, PolicyHarness, first_endpoint, of_type, started_attempts
 
 NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
 
 
-def inner(seed: int = 1, may_hedge: bool = False) -> Desk:
-    """A balancer behind the first tier, where nothing is shed, with eight warm servers."""
-    return Desk(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
+def inner_tier(seed: int = 1, may_hedge: bool = False) -> PolicyHarness:
+    """A balancer behind the first tier, where nothing is shed, with eight warm endpoints."""
+    return PolicyHarness(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
 
 
 def play(
-    desk: Desk, requests: int, outcomes: Iterator[Outcome], cls: RequestClass = READ, pause_ms: float = 0.0
+    harness: PolicyHarness,
+    requests: int,
+    outcomes: Iterator[Outcome],
+    request_class: RequestClass = READ,
+    interval_ms: float = 0.0,
 ) -> tuple[int, int]:
-    """Requests in turn, their attempts ending by the outcomes in turn: further attempts, and answers."""
-    further = answers = 0
+    """Play requests whose attempts end by the outcomes in turn; return how many retries and responses."""
+    retries = responses = 0
     for _ in range(requests):
-        desk.now += pause_ms
-        request, actions = desk.ask(cls)
+        harness.now += interval_ms
+        request, actions = harness.request(request_class)
         attempt = 0
-        while sends := sent(actions):
-            desk.now += 5
+        while sends := started_attempts(actions):
+            harness.now += 5
             outcome = next(outcomes)
-            actions = desk.end(request, attempt, sends[0].endpoint, outcome)
-            answers += outcome is Outcome.SUCCEEDED
+            actions = harness.finish(request, attempt, sends[0].endpoint, outcome)
+            responses += outcome is Outcome.SUCCEEDED
             attempt += 1
-        further += max(attempt - 1, 0)
-    return further, answers
+        retries += max(attempt - 1, 0)
+    return retries, responses
 
 
-def filled(may_hedge: bool = False) -> Desk:
-    """A balancer with both buckets full."""
-    desk = inner(may_hedge=may_hedge)
-    play(desk, 100, repeat(Outcome.SUCCEEDED))
-    return desk
+def with_full_buckets(may_hedge: bool = False) -> PolicyHarness:
+    """A balancer with both token buckets full."""
+    harness = inner_tier(may_hedge=may_hedge)
+    play(harness, 100, repeat(Outcome.SUCCEEDED))
+    return harness
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_with_nothing_served_retries_end_with_what_was_saved_up(outcome: Outcome) -> None:
-    """Earned by arrivals they went on for ever: each tier added a fifth to what the tier above had added."""
-    assert play(filled(), 300, repeat(outcome)) == (policy.RETRY_MAX_TOKENS, 0)
+def test_with_nothing_served_retries_end_with_the_saved_tokens(outcome: Outcome) -> None:
+    """Earned by arrivals they never ended: each tier added a fifth to what the tier above had added."""
+    assert play(with_full_buckets(), 300, repeat(outcome)) == (policy.RETRY_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_with_a_whole_service_gone_resends_end_with_what_was_saved_up(outcome: Outcome) -> None:
+def test_with_the_whole_service_unreachable_resends_end_with_the_saved_tokens(outcome: Outcome) -> None:
     """They were free: each request made all the attempts that it may."""
-    assert play(filled(), 300, repeat(outcome)) == (policy.RESEND_MAX_TOKENS, 0)
+    assert play(with_full_buckets(), 300, repeat(outcome)) == (policy.RESEND_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN[:2])
-def test_two_of_three_servers_gone_cost_nothing(outcome: Outcome) -> None:
-    """With half of all connections refused a ration by requests ran out before the try that would serve."""
-    desk = inner()
-    assert play(desk, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
+def test_two_unreachable_endpoints_of_three_cost_no_request(outcome: Outcome) -> None:
+    """With half of all connections refused, a budget by requests ran out before the successful attempt."""
+    harness = inner_tier()
+    assert play(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
 
-def test_one_call_in_ten_that_fails_is_made_good() -> None:
-    desk = inner()
-    assert play(desk, 900, cycle([Outcome.SUCCEEDED] * 9 + [Outcome.ERROR])) == (99, 900)
+def test_one_failed_attempt_in_ten_is_always_retried() -> None:
+    harness = inner_tier()
+    assert play(harness, 900, cycle([Outcome.SUCCEEDED] * 9 + [Outcome.ERROR])) == (99, 900)
 
 
-def test_retries_are_a_fifth_of_the_answers_where_more_fail() -> None:
-    """Nine in ten fail: one answer in ten calls or so pays for a fifth of a retry."""
-    desk = inner()
-    further, answers = play(desk, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
-    assert answers > 200
-    paid = policy.RETRY_INITIAL_TOKENS + answers * policy.RETRY_TOKENS_PER_RESPONSE
-    assert paid - 1 <= further <= paid
+def test_retries_are_a_fifth_of_the_responses_where_more_fail() -> None:
+    """Nine in ten fail: one response in ten attempts or so pays for a fifth of a retry."""
+    harness = inner_tier()
+    retries, responses = play(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
+    assert responses > 200
+    paid = policy.RETRY_INITIAL_TOKENS + responses * policy.RETRY_TOKENS_PER_RESPONSE
+    assert paid - 1 <= retries <= paid
 
 
-def test_with_few_calls_time_alone_earns_nothing() -> None:
-    desk = filled()
-    assert play(desk, 60, repeat(Outcome.ERROR), pause_ms=10_000.0) == (policy.RETRY_MAX_TOKENS, 0)
+def test_the_passing_of_time_earns_no_tokens() -> None:
+    harness = with_full_buckets()
+    assert play(harness, 60, repeat(Outcome.ERROR), interval_ms=10_000.0) == (policy.RETRY_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize(
-    ("outcome", "most"),
+    ("outcome", "limit"),
     [(Outcome.ERROR, policy.RETRY_INITIAL_TOKENS), (Outcome.CONNECT_FAILED, policy.RESEND_INITIAL_TOKENS)],
 )
-def test_a_new_balancer_brings_few_into_an_outage(outcome: Outcome, most: float) -> None:
-    """Started anew while it lasts, thirty bring thirty times that little, and not a full bucket each."""
+def test_a_new_balancer_has_few_tokens_in_an_outage(outcome: Outcome, limit: float) -> None:
+    """Thirty balancers that restart during it add thirty times a few tokens, not a full bucket each."""
     assert policy.RETRY_INITIAL_TOKENS < policy.RETRY_MAX_TOKENS / 2
-    assert sum(play(inner(seed=seed), 50, repeat(outcome))[0] for seed in range(30)) == 30 * most
+    assert sum(play(inner_tier(seed=seed), 50, repeat(outcome))[0] for seed in range(30)) == 30 * limit
 
 
-def test_after_an_outage_five_answers_earn_a_retry_and_fifty_fill_the_bucket() -> None:
-    desk = filled()
-    play(desk, 100, repeat(Outcome.ERROR))
-    assert play(desk, 4, repeat(Outcome.SUCCEEDED)) == (0, 4)
-    assert play(desk, 1, iter([Outcome.ERROR])) == (0, 0)
-    assert play(desk, 1, repeat(Outcome.SUCCEEDED)) == (0, 1)
-    assert play(desk, 1, iter([Outcome.ERROR, Outcome.SUCCEEDED])) == (1, 1)
-    play(desk, 50, repeat(Outcome.SUCCEEDED))
-    assert play(desk, 100, repeat(Outcome.ERROR)) == (policy.RETRY_MAX_TOKENS, 0)
+def test_after_an_outage_five_responses_earn_a_retry_and_fifty_fill_the_bucket() -> None:
+    harness = with_full_buckets()
+    play(harness, 100, repeat(Outcome.ERROR))
+    assert play(harness, 4, repeat(Outcome.SUCCEEDED)) == (0, 4)
+    assert play(harness, 1, iter([Outcome.ERROR])) == (0, 0)
+    assert play(harness, 1, repeat(Outcome.SUCCEEDED)) == (0, 1)
+    assert play(harness, 1, iter([Outcome.ERROR, Outcome.SUCCEEDED])) == (1, 1)
+    play(harness, 50, repeat(Outcome.SUCCEEDED))
+    assert play(harness, 100, repeat(Outcome.ERROR)) == (policy.RETRY_MAX_TOKENS, 0)
 
 
-@pytest.mark.parametrize("cls", [READ, ANYWHERE], ids=lambda c: c.name)
-def test_a_class_that_may_be_repeated_spends_retries(cls: RequestClass) -> None:
-    assert play(filled(), 100, repeat(Outcome.ERROR), cls) == (policy.RETRY_MAX_TOKENS, 0)
-    assert play(filled(), 100, repeat(Outcome.REJECTED), cls) == (policy.RESEND_MAX_TOKENS, 0)
+@pytest.mark.parametrize("request_class", [READ, ANYWHERE], ids=lambda c: c.name)
+def test_an_idempotent_class_spends_retry_tokens(request_class: RequestClass) -> None:
+    assert play(with_full_buckets(), 100, repeat(Outcome.ERROR), request_class) == (
+        policy.RETRY_MAX_TOKENS,
+        0,
+    )
+    assert play(with_full_buckets(), 100, repeat(Outcome.REJECTED), request_class) == (
+        policy.RESEND_MAX_TOKENS,
+        0,
+    )
 
 
-def test_a_class_unsafe_to_repeat_spends_resends_alone() -> None:
+def test_a_class_that_is_not_idempotent_spends_resend_tokens_only() -> None:
     assert PAY.idempotency is Idempotency.NOT_IDEMPOTENT
-    desk = filled()
-    assert play(desk, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
-    assert play(desk, 100, repeat(Outcome.REJECTED), PAY) == (policy.RESEND_MAX_TOKENS, 0)
-    assert play(desk, 100, repeat(Outcome.ERROR), READ) == (policy.RETRY_MAX_TOKENS, 0), (
-        "these were not touched"
+    harness = with_full_buckets()
+    assert play(harness, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
+    assert play(harness, 100, repeat(Outcome.REJECTED), PAY) == (policy.RESEND_MAX_TOKENS, 0)
+    assert play(harness, 100, repeat(Outcome.ERROR), READ) == (policy.RETRY_MAX_TOKENS, 0), (
+        "the retry tokens were not touched"
     )
 
 
-def hedges(desk: Desk, requests: int) -> int:
-    """Second copies made for requests whose first attempt says nothing."""
-    copies = 0
+def count_hedged_attempts(harness: PolicyHarness, requests: int) -> int:
+    """Count the hedged attempts for requests whose first attempt gets no response."""
+    count = 0
     for _ in range(requests):
-        request, actions = desk.ask()
-        first = sent(actions)[0].endpoint
-        (timer,) = of_kind(actions, SetTimer)
+        request, actions = harness.request()
+        first = first_endpoint(actions)
+        (timer,) = of_type(actions, SetTimer)
         assert isinstance(timer, SetTimer)
-        desk.now = timer.at_ms
-        copied = sent(desk.tell(TimerFired(timer.timer)))
-        copies += len(copied)
-        desk.tell(ClientDisconnected(request))  # with nobody waiting no third attempt follows
-        for attempt, server in enumerate([first, *(copy.endpoint for copy in copied)]):
-            desk.end(request, attempt, server, Outcome.CANCELLED)
-    return copies
-
-
-def test_second_copies_spend_retries_and_end_with_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    desk = filled(may_hedge=True)
-    monkeypatch.setattr(
-        OverloadDetector, "is_overloaded", lambda _, importance, now: False
-    )  # it holds copies back, too
-    assert hedges(desk, 40) == policy.RETRY_MAX_TOKENS
-
-
-def test_an_answer_earns_once_whatever_copies_come_after_it() -> None:
-    desk = inner(may_hedge=True)
-    play(desk, 100, repeat(Outcome.ERROR))
+        harness.now = timer.at_ms
+        hedged = started_attempts(harness.handle(TimerFired(timer.timer)))
+        count += len(hedged)
+        harness.handle(ClientDisconnected(request))  # with nobody waiting no third attempt follows
+        for index, endpoint in enumerate([first, *(attempt.endpoint for attempt in hedged)]):
+            harness.finish(request, index, endpoint, Outcome.CANCELLED)
+    return count
+
+
+def test_hedged_attempts_spend_retry_tokens_and_end_with_them(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = with_full_buckets(may_hedge=True)
+    # Overload holds hedged attempts back, too.
+    monkeypatch.setattr(OverloadDetector, "is_overloaded", lambda _, importance, now: False)
+    assert count_hedged_attempts(harness, 40) == policy.RETRY_MAX_TOKENS
+
+
+def test_a_late_response_of_another_attempt_earns_no_token() -> None:
+    harness = inner_tier(may_hedge=True)
+    play(harness, 100, repeat(Outcome.ERROR))
     for _ in range(4):
-        play(desk, 1, repeat(Outcome.SUCCEEDED))
-    request, actions = desk.ask()
-    first = sent(actions)[0].endpoint
-    desk.tell(ClientDisconnected(request))  # nobody waits: what comes now is no answer
-    desk.tell(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, True))
-    assert play(desk, 1, iter([Outcome.ERROR])) == (0, 0), "four answers pay for no retry"
-
-
-def test_the_final_answer_comes_at_once_where_no_token_is_left() -> None:
-    desk = filled()
-    play(desk, 100, repeat(Outcome.ERROR))
-    request, actions = desk.ask()
-    assert len(desk.end(request, 0, sent(actions)[0].endpoint, Outcome.ERROR)) == 1
+        play(harness, 1, repeat(Outcome.SUCCEEDED))
+    request, actions = harness.request()
+    first = first_endpoint(actions)
+    harness.handle(ClientDisconnected(request))  # nobody waits: what comes now is no final response
+    harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, True))
+    assert play(harness, 1, iter([Outcome.ERROR])) == (0, 0), "four responses pay for no retry"
+
+
+def test_the_final_response_comes_at_once_where_no_token_is_left() -> None:
+    harness = with_full_buckets()
+    play(harness, 100, repeat(Outcome.ERROR))
+    request, actions = harness.request()
+    assert len(harness.finish(request, 0, first_endpoint(actions), Outcome.ERROR)) == 1
