--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -30,6 +30,7 @@
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.policy.capacity import CapacityEstimator
+from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.settings import RequestClass, Settings, Tenant
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 from tests.policy.helpers import (
@@ -823,7 +824,11 @@
 def test_ties_go_to_the_larger_capacity_and_draws_follow_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = PolicyHarness(2)
     capacity = {"s0": 2.0, "s1": 1.0}
-    monkeypatch.setattr(CapacityEstimator, "estimate", lambda _self, s, _median, _now: capacity[s.entry.name])
+
+    def known_capacities(_: object, endpoints: list[EndpointStats], *_args: float) -> list[float]:
+        return [capacity[endpoint.entry.name] for endpoint in endpoints]
+
+    monkeypatch.setattr(CapacityEstimator, "estimates", known_capacities)
     request, _ = harness.request()
     known = harness.balancer._requests[request]
     known.attempts.clear()
@@ -921,9 +926,7 @@
 ) -> None:
     """The limit goes by the endpoints themselves; those behind them were overloaded before it was reached."""
     harness = PolicyHarness(60, balancers=6)
-    harness.now = (
-        1_700_000_000_000.0  # Unix time, as in service: the first estimates must not be lost to rounding
-    )
+    harness.now = 1_700_000_000_000.0  # Unix time, as in service: the first estimates must survive rounding
     apply_load(harness, 150.0, (READ, None), rounds=300)
     admitted = apply_load(harness, duration_ms, (READ, None), rounds=600)["read"]
     assert (admitted == 600) is all_admitted, "75 of 80 in flight, at seven times their baseline service time"
