--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loadbalancer import settings_reader as wire
+from loadbalancer import settings_reader
 from loadbalancer.endpoints import Endpoint, EndpointState
 from loadbalancer.settings import Settings
 
@@ -141,7 +141,7 @@
 
 def _read_document(document: Mapping[str, Any], warn: Callable[[str], None]) -> Configuration:
     limits = {name: value for name, value in (document.get("limits") or {}).items() if value is not None}
-    fields: wire.Fields = {}
+    fields: settings_reader.Fields = {}
     _flatten(document["settings"], "", fields)
     return Configuration(
         name=str(document.get("name") or ""),
@@ -151,10 +151,12 @@
         descriptor_limit=int(limits.get("sockets", DEFAULT_DESCRIPTOR_LIMIT)),
         memory_limit_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_LIMIT_MB)),
         known_endpoints=read_endpoint_list(document.get("known") or _NO_ENDPOINTS),
-        settings=wire.read_settings(fields, warn),
-        connect_timeout_ms=wire.number(fields, "limits.connectTimeout", wire.CONNECT_MS),
-        idle_timeout_ms=wire.number(fields, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
-        drain_grace_ms=wire.number(fields, "contract.drainGrace", DEFAULT_DRAIN_GRACE_MS),
+        settings=settings_reader.read_settings(fields, warn),
+        connect_timeout_ms=settings_reader.number(
+            fields, "limits.connectTimeout", settings_reader.DEFAULT_CONNECT_TIMEOUT_MS
+        ),
+        idle_timeout_ms=settings_reader.number(fields, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
+        drain_grace_ms=settings_reader.number(fields, "contract.drainGrace", DEFAULT_DRAIN_GRACE_MS),
     )
 
 
@@ -174,7 +176,7 @@
     return ListedEndpoint(endpoint, read_address(entry["address"]))
 
 
-def _flatten(value: object, path: str, fields: wire.Fields) -> None:
+def _flatten(value: object, path: str, fields: settings_reader.Fields) -> None:
     """Add nested settings to `fields` as the wire's path=value pairs, each path under the given one."""
     if isinstance(value, dict):
         for name, inner in value.items():
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -27,7 +27,7 @@
     WatchingProxy,
     run_simulated,
 )
-from tests.policy.helpers import Desk, of_kind
+from tests.policy.helpers import PolicyHarness, of_type
 
 # A list, or a change of it, is due this long after discovery had it and could be reached, and a call failed.
 LIST_DUE_S = 6.0
@@ -253,12 +253,12 @@
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
-def test_failures_without_a_poll_do_not_add_up_to_a_long_delay() -> None:
-    desk = Desk(2, polls_discovery=True)
+def test_failures_that_nobody_asked_for_do_not_add_up_to_a_long_pause() -> None:
+    harness = PolicyHarness(2, polls_discovery=True)
     for _ in range(100):
-        timer = of_kind(desk.tell(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
+        timer = of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
     assert isinstance(timer, SetTimer)
-    assert desk.now < timer.at_ms <= desk.now + poll_backoff.MAX_POLL_BACKOFF_MS * MAX_DELAY_JITTER
+    assert harness.now < timer.at_ms <= harness.now + poll_backoff.MAX_POLL_BACKOFF_MS * MAX_DELAY_JITTER
 
 
 def test_connections_that_discovery_says_it_closes_are_closed() -> None:
