--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -2,7 +2,6 @@
 
 import math
 from collections import deque
-from dataclasses import dataclass
 
 IDLE_SAMPLES = 40  # so many last attempts on idle connections tell how long these live
 # A connection counts as dead after an idle time from which on so many attempts, and this part, were silent.
@@ -10,14 +9,6 @@
 MIN_SILENT_FRACTION = 0.6
 
 
-@dataclass(slots=True, eq=False, repr=False)
-class IdleSample:
-    """An attempt on a connection that had been idle, and whether nothing came back."""
-
-    idle_ms: float
-    is_silent: bool
-
-
 class IdleConnectionLimit:
     """Learns from which idle time on connections are dead.
 
@@ -25,16 +16,17 @@
     """
 
     def __init__(self) -> None:
-        self._samples: deque[IdleSample] = deque(maxlen=IDLE_SAMPLES)
+        # Idle time of an attempt's connection, and whether nothing came back.
+        self._samples: deque[tuple[float, bool]] = deque(maxlen=IDLE_SAMPLES)
         self.limit_ms = math.inf  # the least idle time at which connections were dead
 
     def record(self, idle_ms: float, is_silent: bool) -> None:
         """Count an attempt on a connection that was idle for so long; 0 tells nothing."""
         if not idle_ms:
             return
-        self._samples.append(IdleSample(idle_ms, is_silent))
-        dead = sorted(s.idle_ms for s in self._samples if s.is_silent)
-        as_long = {idle: sum(s.idle_ms >= idle for s in self._samples) for idle in dead}
+        self._samples.append((idle_ms, is_silent))
+        dead = sorted(idle for idle, was_silent in self._samples if was_silent)
+        as_long = {idle: sum(other >= idle for other, _ in self._samples) for idle in dead}
         known = (
             idle
             for i, idle in enumerate(dead)
