--- a/loadbalancer/network/client_transport.py
+++ b/loadbalancer/network/client_transport.py
@@ -57,7 +57,7 @@
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether the client has not taken all that was written."""
+        """Return whether bytes that were written wait for the client to read."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def has_unread_bytes(self) -> bool:
--- a/loadbalancer/network/listener.py
+++ b/loadbalancer/network/listener.py
@@ -33,9 +33,9 @@
 # For a whole request to arrive, while new connections wait to be accepted.
 REQUEST_TIMEOUT_UNDER_PRESSURE_S = 0.25
 MIN_CONNECTION_LIMIT = 4
-# One idle connection in so many is evicted at a time; those without a request in time all are.
+# Evictions stop at one connection in so many, except that all without a request in time are evicted.
 EVICTION_DIVISOR = 4
-# The kernel's counters say nothing useful beyond this.
+# Longer ages are reported as this.
 MAX_QUEUE_AGE_S = 60.0
 
 BYTES_PER_MB = 1 << 20
--- a/loadbalancer/network/request_reader.py
+++ b/loadbalancer/network/request_reader.py
@@ -23,11 +23,11 @@
 class RequestReader:
     """Parses the bytes of one connection into requests, and bounds how much it reads ahead.
 
-    The owner passes bytes to `receive`, calls `parse_slice` while `can_parse` says so, and takes whole
+    The owner passes bytes to `receive`, calls `parse_slice` while `can_parse` says so, and removes whole
     requests from `requests`. After a rejection it calls `discard_input` and parses no further.
 
     Attributes:
-        requests: Whole requests that the owner has not taken yet, the oldest first.
+        requests: Whole requests that the owner has not removed yet, the oldest first.
         is_reading: Whether a request has begun to arrive and is not whole yet.
         request_started_at: When the current request began to arrive, or the connection was opened if none
             has arrived yet (seconds of the monotonic clock).
@@ -69,7 +69,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The bytes held: not parsed, of a request that is not whole, or of requests not taken yet."""
+        """The bytes held: not parsed, of a request that is not whole, or of requests in the queue."""
         return len(self._unparsed) + self._partial_bytes + sum(r.size_bytes for r in self.requests)
 
     @property
@@ -87,7 +87,7 @@
         return self.has_unparsed_input and len(self.requests) <= MAX_PIPELINED_REQUESTS
 
     def may_resume(self) -> bool:
-        """Return whether so many requests were taken that reading may go on after a pause."""
+        """Return whether the queue is short enough for reading to go on after a pause."""
         return len(self.requests) <= MAX_PIPELINED_REQUESTS // 2
 
     def receive(self, data: bytes) -> None:
