--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Annotated, Any
 
-from pydantic import BaseModel, ConfigDict, Field, ValidationError
+from pydantic import AliasChoices, BaseModel, ConfigDict, Field, ValidationError
 from structlog.typing import FilteringBoundLogger
 
 from testbed.results import Findings
@@ -20,6 +20,19 @@
     """An experiment's file can't be used; the text is one plain line."""
 
 
+def formerly(name: str, old_name: str) -> Any:
+    """The definition of a field that has been renamed, for use within `Annotated`.
+
+    Args:
+        name: The field's present name.
+        old_name: Its earlier name, which files of experiments may still use.
+
+    Returns:
+        A pydantic field that is read under either name and written under its present one.
+    """
+    return Field(validation_alias=AliasChoices(name, old_name))
+
+
 class Plan(BaseModel):
     """What every experiment says; each run adds fields of its own by a subclass."""
 
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth.py
@@ -16,7 +16,7 @@
 from typing import Annotated, Any, Literal
 
 import numpy as np
-from pydantic import AliasChoices, BaseModel, ConfigDict, Field
+from pydantic import BaseModel, ConfigDict, Field
 from structlog.typing import FilteringBoundLogger
 
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass
@@ -50,11 +50,6 @@
         return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
 
 
-def _formerly(name: str, old_name: str) -> Any:
-    """A field that experiment files may also give by an earlier name."""
-    return Field(validation_alias=AliasChoices(name, old_name))
-
-
 class Plan(experiment.Plan):
     """How the chains are built, what comes at them and what goes wrong."""
 
@@ -75,15 +70,15 @@
     """Only one call comes while the trouble lasts."""
     effect: Idempotency = Idempotency.SAFE
     """Keyed calls are kept apart by all servers together for `idempotency_window_ms`."""
-    idempotency_window_ms: Annotated[NotNegative, _formerly("idempotency_window_ms", "repeat_window_ms")] = (
-        2_000.0
-    )
-    latency_objective_ms: Annotated[Positive, _formerly("latency_objective_ms", "aim_ms")] = 1_000.0
+    idempotency_window_ms: Annotated[
+        NotNegative, experiment.formerly("idempotency_window_ms", "repeat_window_ms")
+    ] = 2_000.0
+    latency_objective_ms: Annotated[Positive, experiment.formerly("latency_objective_ms", "aim_ms")] = 1_000.0
     deadline_ms: Positive = 3_000.0
-    late_value: Annotated[float, Field(ge=0, le=1), _formerly("late_value", "late_share")] = 0.0
+    late_value: Annotated[float, Field(ge=0, le=1), experiment.formerly("late_value", "late_share")] = 0.0
     attempts_cap: Annotated[int, Field(ge=1)] = 4
     may_cancel: bool = True
-    may_hedge: Annotated[bool, _formerly("may_hedge", "may_duplicate")] = False
+    may_hedge: Annotated[bool, experiment.formerly("may_hedge", "may_duplicate")] = False
     hop_ms: NotNegative = 0.2
     """A message's way from machine to machine."""
     service_ms: NotNegative = 1.0
