--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -2,15 +2,17 @@
 
 import json
 from pathlib import Path
+from typing import Annotated
 
 import pytest
 from typer.testing import CliRunner
 
 from testbed.cli import app
-from testbed.experiment import FOLDER, ExperimentError, Plan, Run, read_plan
+from testbed.experiment import FOLDER, ExperimentError, Plan, Run, formerly, read_plan
 from testbed.results import Findings, fit_line, table, write
 from testbed.runs import RUNS
 
+RESULTS_FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
 GOOD = 'run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n'
 NONE = {"none": Run(Plan, lambda plan, log: Findings())}
 
@@ -71,6 +73,47 @@
     assert {plan.run for plan in plans} == RUNS.keys()
 
 
+@pytest.mark.parametrize("path", sorted(FOLDER.glob("*.toml")), ids=lambda path: path.stem)
+def test_an_experiment_that_comes_along_is_listed_with_its_question(path: Path) -> None:
+    plan = read_plan(path, RUNS)
+    listed = CliRunner().invoke(app, ["list"])
+    assert listed.exit_code == 0
+    assert f"{path.stem:24} {plan.about}" in listed.output.splitlines()
+
+
+@pytest.mark.parametrize("path", sorted(RESULTS_FOLDER.glob("*.json")), ids=lambda path: path.stem)
+def test_a_stored_result_is_shown_with_its_columns_rows_and_fits(path: Path) -> None:
+    stored = json.loads(path.read_text(encoding="utf-8"))
+    shown = CliRunner().invoke(app, ["show", str(path)])
+    assert shown.exit_code == 0
+    lines = shown.output.splitlines()
+    assert lines[0] == f"{stored['experiment']}: {stored['plan']['about']}"
+    doubt_count = len(stored["doubts"])
+    assert lines[1 : 1 + doubt_count] == [f"no figures: {doubt}" for doubt in stored["doubts"]]
+    header_count = 1 if stored["rows"] else 0
+    assert len(lines) == 2 + doubt_count + header_count + len(stored["rows"]) + len(stored["fits"])
+    if stored["rows"]:
+        columns = lines[1 + doubt_count].split()
+        assert set(columns) == {name for row in stored["rows"] for name in row}
+
+
+def test_there_are_stored_results() -> None:
+    assert list(RESULTS_FOLDER.glob("*.json"))
+
+
+def test_a_renamed_field_is_read_by_both_names_and_written_by_the_new_one(tmp_path: Path) -> None:
+    class RenamedPlan(Plan):
+        new_s: Annotated[float, formerly("new_s", "old_s")] = 0.0
+
+    runs = {"none": Run(RenamedPlan, lambda plan, log: Findings())}
+    path = tmp_path / "renamed.toml"
+    for name in ("new_s", "old_s"):
+        path.write_text(f"{GOOD}{name} = 2.5\n")
+        written = read_plan(path, runs).model_dump()
+        assert written["new_s"] == 2.5
+        assert "old_s" not in written
+
+
 def test_the_command_line_says_what_is_wrong_in_one_line(tmp_path: Path) -> None:
     missing = CliRunner().invoke(app, ["run", str(tmp_path / "no.toml")])
     assert missing.exit_code == 2
