--- /dev/null
+++ b/testbed/runs/control_group.py
@@ -0,0 +1,126 @@
+"""Balancers that follow one stand-in of discovery, for the runs on the control plane.
+
+A group has hollow balancers, spread over a few processes, and real ones, a process each.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Coroutine
+from contextlib import AsyncExitStack
+from dataclasses import dataclass
+from typing import Any
+
+import uvloop
+
+from testbed import settings
+from testbed.discovery import Counts, Discovery
+from testbed.hollow import HollowProcess
+from testbed.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.results import Findings
+
+LATE_S = 0.1
+"""An event loop whose 99th percentile of lateness reaches this measures itself."""
+START_S = 60.0
+"""The longest wait until all balancers of a group follow the list."""
+FOLLOW_S = 10.0
+"""The longest wait until all balancers have the last change."""
+POLL_S = 0.01
+"""The pause between two checks of a condition that is waited for."""
+_REAL_HOST = "127.30.0.{}"
+
+
+def run_scenario(scenario: Coroutine[Any, Any, Findings]) -> Findings:
+    """Run a scenario to its end on a uvloop event loop of its own."""
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        return runner.run(scenario)
+
+
+async def wait_until(condition: Callable[[], bool], timeout_s: float, description: str) -> None:
+    """Wait until a condition holds.
+
+    Raises:
+        RuntimeError: It did not within the timeout; the text has the description of the condition.
+    """
+    deadline = time.monotonic() + timeout_s
+    while not condition():
+        if time.monotonic() > deadline:
+            raise RuntimeError(f"not within {timeout_s:g} s: {description}")
+        await asyncio.sleep(POLL_S)
+
+
+def all_follow(discovery: Discovery) -> bool:
+    """Whether every balancer watches from the newest version on."""
+    return all(agent.taken_up == discovery.index for agent in discovery.agents.values())
+
+
+def sum_counts(discovery: Discovery, numbers: range) -> Counts:
+    """Add up what the agents of these numbers have counted."""
+    total = Counts()
+    for number in numbers:
+        total = total.plus(discovery.agents[number].counts)
+    return total
+
+
+@dataclass(slots=True)
+class BalancerGroup:
+    """Balancers under one stand-in of discovery.
+
+    Its first `hollow` agents are those of the hollow balancers, the next ones those of the real ones.
+    """
+
+    discovery: Discovery
+    processes: list[HollowProcess]
+    real: list[RealBalancer]
+    hollow: int
+
+    @property
+    def hollow_agents(self) -> range:
+        """The numbers of the hollow balancers' agents."""
+        return range(self.hollow)
+
+    @property
+    def real_agents(self) -> range:
+        """The numbers of the real balancers' agents."""
+        return range(self.hollow, self.hollow + len(self.real))
+
+
+async def start_group(
+    stack: AsyncExitStack,
+    discovery: Discovery,
+    *,
+    hollow: int,
+    processes: int,
+    real: int,
+    site: dict[str, Any],
+    seed: int,
+) -> BalancerGroup:
+    """Start balancers, spread evenly over processes, and wait until all of them follow the list."""
+    group = BalancerGroup(discovery, [], [], hollow)
+
+    def text(number: int, listen: str) -> str:
+        agent = discovery.agent(number)
+        return settings.config(f"n{number}", listen, agent, [], site, seed=seed + number)
+
+    for first in range(min(processes, hollow)):
+        texts = {number: text(number, "127.0.0.1:0") for number in range(first, hollow, processes)}
+        process = HollowProcess(texts)
+        stack.callback(process.stop)
+        group.processes.append(process)
+    for number in range(hollow, hollow + real):
+        listen = free_address(_REAL_HOST.format(number - hollow + 1))
+        balancer = await RealBalancer.start(text(number, listen), SAME_PYTHON)
+        stack.push_async_callback(balancer.stop)
+        group.real.append(balancer)
+    for balancer in group.real:
+        await balancer.ready()
+    await wait_until(lambda: all_follow(discovery), START_S, "every balancer follows the list")
+    return group
+
+
+def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
+    """Make a stand-in of discovery that ends with the stack; `args` are those of `Discovery`."""
+    discovery = Discovery(*args)
+    stack.push_async_callback(discovery.stop)
+    return discovery
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -25,7 +25,7 @@
 from testbed.experiment import FOLDER, read_plan
 from testbed.hollow import Hollow, HollowProcess
 from testbed.meter import CoresWatch, LoopLag, processor_s, usage
-from testbed.runs import RUNS, control, list_size
+from testbed.runs import RUNS, control_change, control_delays, control_rest, list_size
 from testbed.settings import Entry, config, entry, fleet, site
 from tests.network.loopback import ReceivedMessage, read_message, run
 
@@ -574,19 +574,23 @@
 def test_a_change_is_at_a_balancer_with_the_first_version_as_new() -> None:
     # Versions 5, 6 and 7; balancer 1 hears of 5 and 6 at once, balancer 2 never of 7.
     notes = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
-    delays = control._delays(notes, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
+    delays = control_delays.delays_ms(notes, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
     assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
-    assert control._spread("ms", delays[:1]) == pytest.approx(
+    assert control_delays.spread("ms", delays[:1]) == pytest.approx(
         {"ms_median": 1000.0, "ms_99": 1000.0, "ms_longest": 1000.0}
     )
-    assert control._spread("ms", np.empty((0, 3))) == {"ms_median": None, "ms_99": None, "ms_longest": None}
+    assert control_delays.spread("ms", np.empty((0, 3))) == {
+        "ms_median": None,
+        "ms_99": None,
+        "ms_longest": None,
+    }
 
 
 def test_the_run_under_change_sees_every_change_at_every_balancer() -> None:
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
-    findings = control.play_change(control.ChangePlan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
     assert [(row["balancers"], row["multiple"]) for row in findings.rows] == [
         (balancers, multiple) for balancers in (1, 3) for multiple in (200.0, 400.0)
     ]
@@ -606,7 +610,7 @@
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
-    findings = control.play_change(control.ChangePlan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
     assert [row["whole_lists"] for row in findings.rows] == [0] * 4
     assert {row["real_core_percent"] for row in findings.rows} == {None}
 
@@ -618,10 +622,10 @@
         modes.append((more["balancers"], more["pushed"]))
         return site(**more)
 
-    monkeypatch.setattr("testbed.runs.control.settings.site", noted)
+    monkeypatch.setattr("testbed.runs.control_rest.settings.site", noted)
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
-    findings = control.play_rest(control.RestPlan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    findings = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
     assert [(row["entries"], row["mode"]) for row in findings.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
     ]
