--- /dev/null
+++ b/testbed/runs/list_size_plan.py
@@ -0,0 +1,57 @@
+"""The plan of the run on list sizes, and the configurations of the balancers that it measures."""
+
+from __future__ import annotations
+
+import gc
+from typing import Annotated
+
+from pydantic import Field
+
+from loadbalancer.configuration import Configuration, read_configuration
+from testbed import experiment, settings
+
+
+class Plan(experiment.Plan):
+    """Sizes count the entries of the list."""
+
+    tiers: tuple[int, ...] = (0, 1)
+    """The tiers sent to; the first one sheds load."""
+    calls_per_s: Annotated[float, Field(gt=0)]
+    """Calls that a balancer gets, on its virtual clock."""
+    service_ms: Annotated[float, Field(gt=0)]
+    """Mean time of a call at its server (exponential)."""
+    warm_calls: Annotated[int, Field(ge=0)]
+    """Calls before those that are measured."""
+    calls: Annotated[int, Field(gt=0)]
+    """Calls in a round."""
+    deltas: Annotated[int, Field(gt=0)]
+    """Changes of one entry in a round."""
+    lists: Annotated[int, Field(gt=0)]
+    """Whole lists in a round."""
+    rounds: Annotated[int, Field(gt=0)]
+    """Rounds of each cell that have to be quick."""
+    rounds_most: Annotated[int, Field(gt=0)]
+    """Rounds of each cell that are played at the most to get them."""
+
+
+def configuration(plan: Plan, entries: int, keep: str, tier: int) -> Configuration:
+    """The configuration of a balancer in a cell of that size, as the program reads it."""
+    return read_configuration(configuration_text(plan, entries, keep, tier), ignore_message)
+
+
+def configuration_text(plan: Plan, entries: int, keep: str, tier: int) -> str:
+    """The text of the file that `LB_CONFIG` would name for a balancer in a cell of that size."""
+    fleet = settings.fleet(entries, seed=plan.seed)
+    site = settings.site(balancers=entries if keep == "part" else 1, tier=tier, zone=fleet[0]["zone"])
+    return settings.config("n0", "127.0.0.1:0", "127.0.0.1:1", fleet, site, seed=plan.seed, index=1)
+
+
+def ignore_message(text: str) -> None:
+    """Settings are made here: what the program says of them is of no use."""
+
+
+def freeze_collector() -> None:
+    """Exempt what is there from further collections, as the program does after its start."""
+    gc.unfreeze()
+    gc.collect()
+    gc.freeze()
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -25,7 +25,15 @@
 from testbed.experiment import FOLDER, read_plan
 from testbed.hollow import Hollow, HollowProcess
 from testbed.meter import CoresWatch, LoopLag, processor_s, usage
-from testbed.runs import RUNS, control_change, control_delays, control_rest, list_size
+from testbed.runs import (
+    RUNS,
+    control_change,
+    control_delays,
+    control_rest,
+    list_size,
+    list_size_growth,
+    list_size_rounds,
+)
 from testbed.settings import Entry, config, entry, fleet, site
 from tests.network.loopback import ReceivedMessage, read_message, run
 
@@ -494,7 +502,7 @@
 
 
 def test_the_run_on_list_sizes_measures_every_part_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(list_size, "_reference_us", lambda: 50.0)
+    monkeypatch.setattr(list_size, "reference_us", lambda: 50.0)
     plan = read_plan(FOLDER / "list_size.toml", RUNS)
     small = {
         "sizes": (6, 40),
@@ -536,7 +544,7 @@
     rows: list[dict[str, Any]] = [
         cell | {"entries": n, "list_module_ms": ms} for n, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))
     ]
-    list_size._add_growth(rows)
+    list_size_growth.add_growth(rows)
     assert "list_module_ms_growth" not in rows[0]
     assert [row["list_module_ms_growth"] for row in rows[1:]] == pytest.approx([0.0, 2.0])
 
@@ -547,16 +555,16 @@
             self.name: dict[str, Any] = {"entries": 6}
             self.rounds = 0
 
-        def play(self) -> list_size.Spans:
+        def play(self) -> list_size_rounds.Spans:
             self.rounds += 1
             return {"round": [float(self.rounds)]}
 
-        def row(self, spans: list_size.Spans) -> dict[str, Any]:
+        def row(self, spans: list_size_rounds.Spans) -> dict[str, Any]:
             return dict(spans)
 
     def played(enough: int, most: int, *readings: float) -> tuple[list[dict[str, Any]], list[str]]:
-        coming = iter([*[10.0] * list_size.REFERENCES, *readings])
-        rounds = list_size.Rounds(enough, most, lambda: next(coming))
+        coming = iter([*[10.0] * list_size_rounds.REFERENCES, *readings])
+        rounds = list_size_rounds.Rounds(enough, most, lambda: next(coming))
         rounds.play(Counted())
         assert next(coming, None) is None
         return rounds.rows()
