--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -53,7 +53,7 @@
     """A kind of experiment: the form of its file, and what plays it."""
 
     plan: type[Plan]
-    play: Callable[[Any, FilteringBoundLogger], Findings]
+    play: Callable[[Any, FilteringBoundLogger], Findings[Any]]
 
 
 def read_plan(path: Path, runs: dict[str, Run]) -> Plan:
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -1,4 +1,9 @@
-"""What a run found: rows, slopes fitted to them, and whether the machine kept up."""
+"""What a run measured: rows, lines fitted to them, and whether the machine kept up.
+
+A run gives typed rows. They become plain JSON objects here, when a result is written, and nowhere else. The
+names of a row's fields are the names of the stored columns: they stay as they are, so that results of any age
+can be compared.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +11,41 @@
 import math
 import platform
 import subprocess
-from dataclasses import asdict, dataclass, field
+from collections.abc import Sequence
+from dataclasses import asdict, dataclass, field, fields
 from importlib.metadata import version
 from pathlib import Path
-from typing import Any
+from typing import Any, Generic, TypeVar
 
 import numpy as np
 import psutil
 
 LIBRARIES = ("uvloop", "httptools", "typer", "structlog", "hdrhistogram", "psutil", "numpy", "pydantic")
+"""The libraries whose versions stand in each result."""
+OMITTED_IF_NONE = {"omitted_if_none": True}
+"""Metadata of a row's field that is left out of the stored row where it is None; others become null."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Row:
+    """One row of a run's table; each run adds its columns as fields.
+
+    A field that holds another row stands for the columns of that row, in its place.
+    """
+
+    def columns(self) -> dict[str, Any]:
+        """The row as a plain object by column name, in the order of the fields."""
+        columns: dict[str, Any] = {}
+        for column in fields(self):
+            value = getattr(self, column.name)
+            if isinstance(value, Row):
+                columns |= value.columns()
+            elif value is not None or column.metadata != OMITTED_IF_NONE:
+                columns[column.name] = value
+        return columns
+
+
+RowT = TypeVar("RowT", bound=Row)
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,10 +68,20 @@
         return self.slope * x + self.intercept
 
 
-def fit_line(rows: list[dict[str, Any]], y: str, x: str) -> Fit:
-    """The line through two columns of rows; ValueError with fewer than two different x."""
-    xs = np.array([float(row[x]) for row in rows])
-    ys = np.array([float(row[y]) for row in rows])
+def fit_line(x_values: Sequence[float], y_values: Sequence[float], *, x: str, y: str) -> Fit:
+    """Fit a line through points by least squares.
+
+    Args:
+        x_values: The points' x.
+        y_values: The points' y, as many.
+        x: The name of x.
+        y: The name of y.
+
+    Raises:
+        ValueError: There are fewer than two different x.
+    """
+    xs = np.array([float(value) for value in x_values])
+    ys = np.array([float(value) for value in y_values])
     spread = float(((xs - xs.mean()) ** 2).sum()) if len(xs) else 0.0
     if spread == 0:
         raise ValueError(f"{y} over {x}: a slope needs two sizes or more")
@@ -53,53 +94,81 @@
     return Fit(y, x, slope, slope_error, intercept, intercept_error, len(xs))
 
 
+def fit_columns(rows: Sequence[Row], y: str, x: str, *, label: str | None = None) -> Fit:
+    """Fit a line through two columns of rows.
+
+    Args:
+        rows: The rows.
+        y: The column that is fitted.
+        x: The column over which it is.
+        label: What the fit calls its y, where the column's name does not say which rows they are.
+
+    Raises:
+        ValueError: There are fewer than two different x.
+    """
+    table = [row.columns() for row in rows]
+    return fit_line([row[x] for row in table], [row[y] for row in table], x=x, y=label or y)
+
+
+@dataclass(frozen=True, slots=True)
+class Measured(Generic[RowT]):
+    """One row, and why its figures say nothing, if so."""
+
+    row: RowT
+    doubts: list[str]
+
+
 @dataclass(slots=True)
-class Findings:
+class Findings(Generic[RowT]):
     """What a run hands in; figures of a run with `doubts` are withheld when it is written."""
 
-    rows: list[dict[str, Any]] = field(default_factory=list)
+    rows: list[RowT] = field(default_factory=list)
     fits: list[Fit] = field(default_factory=list)
     doubts: list[str] = field(default_factory=list)
     """Why the figures say nothing: the load was late, the cores were full."""
 
+    def add(self, measured: Measured[RowT]) -> None:
+        """Take in a row and its doubts."""
+        self.rows.append(measured.row)
+        self.doubts += measured.doubts
+
 
 def machine() -> dict[str, Any]:
     """The machine that measured: processor, cores and memory in GiB."""
-    model = next(
-        (
-            line.partition(":")[2].strip()
-            for line in Path("/proc/cpuinfo").read_text().splitlines()
-            if line.startswith("model name")
-        ),
-        platform.machine(),
-    )
     return {
-        "processor": model,
+        "processor": _processor_model(),
         "cores": psutil.cpu_count(),
         "memory_gib": round(psutil.virtual_memory().total / 2**30, 1),
         "system": f"{platform.system()} {platform.release()}",
     }
 
 
+def _processor_model() -> str:
+    """The first processor's model name; the architecture where the system gives none."""
+    for line in Path("/proc/cpuinfo").read_text().splitlines():
+        if line.startswith("model name"):
+            return line.partition(":")[2].strip()
+    return platform.machine()
+
+
 def versions() -> dict[str, str]:
     """The program's commit and the versions of Python and the libraries."""
-    told = subprocess.run(
+    described = subprocess.run(
         ["git", "describe", "--always", "--dirty", "--abbrev=8"],
         cwd=Path(__file__).parent,
         capture_output=True,
         text=True,
         check=False,
     )
-    commit = told.stdout.strip() or "unknown"
     return {
-        "program": commit,
+        "program": described.stdout.strip() or "unknown",
         "python": platform.python_version(),
         **{name: version(name) for name in LIBRARIES},
     }
 
 
-def write(path: Path, name: str, plan: dict[str, Any], findings: Findings) -> None:
-    """One result as a JSON file: experiment, machine, versions and figures, or why there are none."""
+def write(path: Path, name: str, plan: dict[str, Any], findings: Findings[Any]) -> None:
+    """Write one result as a JSON file: experiment, machine, versions and figures, or why there are none."""
     valid = not findings.doubts
     result = {
         "experiment": name,
@@ -108,7 +177,7 @@
         "versions": versions(),
         "valid": valid,
         "doubts": findings.doubts,
-        "rows": findings.rows if valid else [],
+        "rows": [row.columns() for row in findings.rows] if valid else [],
         "fits": [asdict(fit) for fit in findings.fits] if valid else [],
     }
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -116,15 +185,10 @@
 
 
 def table(result: dict[str, Any]) -> str:
-    """A result's rows and fits as plain text."""
+    """A stored result's rows and fits as plain text."""
     lines = [f"{result['experiment']}: {result['plan']['about']}"]
     lines += [f"no figures: {doubt}" for doubt in result["doubts"]]
-    rows: list[dict[str, Any]] = result["rows"]
-    columns = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [columns, *([_plain(row.get(name, "")) for name in columns] for row in rows)]
-    widths = [max(len(row[i]) for row in cells) for i in range(len(columns))]
-    if rows:
-        lines += ["  ".join(c.rjust(w) for c, w in zip(row, widths, strict=True)) for row in cells]
+    lines += _aligned(result["rows"])
     for fit in result["fits"]:
         lines.append(
             f"{fit['y']} = {fit['slope']:.4g} (+- {fit['slope_error']:.2g}) x {fit['x']}"
@@ -133,5 +197,15 @@
     return "\n".join(lines)
 
 
-def _plain(value: object) -> str:
+def _aligned(rows: list[dict[str, Any]]) -> list[str]:
+    """The rows as lines below a line of all their columns' names; none where there are no rows."""
+    if not rows:
+        return []
+    columns = list(dict.fromkeys(name for row in rows for name in row))
+    cells = [columns, *([_cell_text(row.get(name, "")) for name in columns] for row in rows)]
+    widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
+    return ["  ".join(cell.rjust(width) for cell, width in zip(line, widths, strict=True)) for line in cells]
+
+
+def _cell_text(value: object) -> str:
     return f"{value:.4g}" if isinstance(value, float) else str(value)
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -8,21 +8,22 @@
 
 import asyncio
 import gc
-from typing import Any
+from dataclasses import dataclass
 
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
 from testbed import latency, load, settings
 from testbed.discovery import Discovery
-from testbed.meter import CoresWatch, usage
+from testbed.meter import CoresWatch, Usage, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
-from testbed.results import Findings, fit_line
+from testbed.results import Findings, Measured, Row, fit_columns
 from testbed.runs import loaded
-from testbed.upstream import UpstreamsApart
+from testbed.upstream import Counts, UpstreamsApart
 
 _AGENTS = "127.79.0.1"
 _BALANCER = "127.78.0.1"
+_MIB = 2**20
 _FITTED = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
 
 
@@ -34,31 +35,74 @@
     direct_servers: int
     """So many upstreams get the direct calls, the first of the list."""
     rest_s: float
-    """A stretch without load, for the processor time that calls don't cause."""
+    """A time without load, for the processor time that calls don't cause."""
     measure_s: float
-    """The measured stretch."""
+    """The measured time under load."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings:
-    """One row for each size, and lines over all of them."""
-    findings = Findings()
+@dataclass(frozen=True, slots=True, kw_only=True)
+class AddedTimeRow(Row):
+    """A balancer under load with a list of one length.
+
+    `direct` calls go to the upstreams themselves, calls `through` the balancer at the same time. The numbers
+    are percentiles (999: 99.9). What is `added` is the percentile through the balancer less the same one
+    direct; `over_median` is the percentile through the balancer less the median direct.
+    """
+
+    entries: int
+    """The length of the list."""
+    calls: int
+    """Calls through the balancer."""
+    served: int
+    """Those of them with response 200."""
+    direct_50_ms: float
+    direct_99_ms: float
+    through_50_ms: float
+    through_99_ms: float
+    added_50_ms: float
+    added_99_ms: float
+    over_median_90_ms: float
+    over_median_99_ms: float
+    over_median_999_ms: float
+    processor_us_a_call: float
+    """The balancer's processor time by call."""
+    rest_us_a_s: float
+    """The balancer's processor time in a second without load."""
+    net_us_a_call: float
+    """The balancer's processor time by call, less what it uses without load."""
+    resident_mib: float
+    """The balancer's resident memory at the end."""
+    attempts_a_call: float
+    opened_a_call: float
+    """Connections opened to upstreams by call."""
+    probes: int
+    """Health probes at all upstreams."""
+    late_99_ms: float
+    """The 99th percentile of how late calls through the balancer were sent."""
+    cores_busy: float
+    """The busy part of all cores' time, from 0 to 1."""
+
+
+def play(plan: Plan, log: FilteringBoundLogger) -> Findings[AddedTimeRow]:
+    """Measure each size, and fit lines over all of them."""
+    findings: Findings[AddedTimeRow] = Findings()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            row, doubts = runner.run(_measure(plan, size))
-        findings.rows.append(row)
-        findings.doubts += doubts
-        log.info("measured", **row, doubts=doubts)
+            measured = runner.run(_play_size(plan, size))
+        findings.add(measured)
+        log.info("measured", **measured.row.columns(), doubts=measured.doubts)
     if len(plan.sizes) > 1:
-        findings.fits = [fit_line(findings.rows, y, "entries") for y in _FITTED]
+        findings.fits = [fit_columns(findings.rows, y, "entries") for y in _FITTED]
     return findings
 
 
-async def _measure(plan: Plan, size: int) -> tuple[dict[str, Any], list[str]]:
-    apart = UpstreamsApart(size, plan.service_ms, plan.seed)
+async def _play_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
+    """Start upstreams, discovery and a balancer, and measure it."""
+    upstreams = UpstreamsApart(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
         await discovery.start(_AGENTS)
-        entries = settings.fleet(size, seed=plan.seed, addresses=apart.addresses)
+        entries = settings.fleet(size, seed=plan.seed, addresses=upstreams.addresses)
         discovery.set(entries)
         site = settings.site(balancers=size)
         text = settings.config(
@@ -73,51 +117,88 @@
         balancer = await RealBalancer.start(text, SAME_PYTHON)
         try:
             await balancer.ready()
-            return await _side_by_side(plan, size, apart, balancer)
+            return await _Measurement(plan, size, upstreams, balancer).play()
         finally:
             await balancer.stop()
     finally:
         await discovery.stop()
-        apart.stop()
-
-
-async def _side_by_side(
-    plan: Plan, size: int, apart: UpstreamsApart, balancer: RealBalancer
-) -> tuple[dict[str, Any], list[str]]:
-    near = [load.Client(address) for address in apart.addresses[: plan.direct_servers]]
-    front = load.Client(balancer.address)
-    streams = [
-        load.Stream("direct", near, plan.per_s, plan.class_name, plan.deadline_ms),
-        load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
-    ]
-    await load.play(streams, plan.warm_s, plan.seed + 1)
-    at_rest = usage([balancer.pid])
-    await asyncio.sleep(plan.rest_s)
-    rest_us_a_s = (usage([balancer.pid]).processor_s - at_rest.processor_s) / plan.rest_s * 1e6
-    gc.collect()
-    gc.freeze()  # what the load has built needs no look while it measures
-    cores, counted, before = CoresWatch(), apart.counts(), usage([balancer.pid])
-    reports = await load.play(streams, plan.measure_s, plan.seed)
-    after, recounted = usage([balancer.pid]), apart.counts()
-    gc.unfreeze()
-    busy, doubts = cores.busy(), cores.doubts(f"{size} entries")
-    direct, through = reports["direct"], reports["through"]
-    for name, report in reports.items():
-        doubts += report.doubts(f"{size} entries, {name}", plan.late_ms)
-    processor_us = (after.processor_s - before.processor_s) * 1e6
-    row = {
-        "entries": size,
-        "calls": through.sends,
-        "served": through.served.count,
-        **latency.added(direct.served, through.served),
-        "processor_us_a_call": processor_us / through.sends,
-        "rest_us_a_s": rest_us_a_s,
-        "net_us_a_call": (processor_us - rest_us_a_s * plan.measure_s) / through.sends,
-        "resident_mib": after.resident / 2**20,
-        "attempts_a_call": (recounted.asked - counted.asked - direct.sends) / through.sends,
-        "opened_a_call": (recounted.connections - counted.connections - direct.opened) / through.sends,
-        "probes": recounted.probes - counted.probes,
-        "late_99_ms": through.lateness.quantile_ms(0.99),
-        "cores_busy": busy,
-    }
-    return row, doubts
+        upstreams.stop()
+
+
+@dataclass(frozen=True, slots=True)
+class _Readings:
+    """What was read around the measured time."""
+
+    rest_us_a_s: float
+    usage_before: Usage
+    usage_after: Usage
+    counts_before: Counts
+    counts_after: Counts
+    cores_busy: float
+    reports: dict[str, load.Report]
+
+
+class _Measurement:
+    """Calls of both ways side by side, and what they cost a balancer."""
+
+    def __init__(self, plan: Plan, size: int, upstreams: UpstreamsApart, balancer: RealBalancer) -> None:
+        self._plan, self._size = plan, size
+        self._upstreams, self._balancer = upstreams, balancer
+        direct = [load.Client(address) for address in upstreams.addresses[: plan.direct_servers]]
+        front = load.Client(balancer.address)
+        self._streams = [
+            load.Stream("direct", direct, plan.per_s, plan.class_name, plan.deadline_ms),
+            load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
+        ]
+
+    async def play(self) -> Measured[AddedTimeRow]:
+        """Warm up, rest, and measure under load."""
+        plan = self._plan
+        await load.play(self._streams, plan.warm_s, plan.seed + 1)
+        rest_us_a_s = await self._rest()
+        gc.collect()
+        gc.freeze()  # the collector need not look at what the load has built while it measures
+        cores = CoresWatch()
+        counts_before = self._upstreams.counts()
+        usage_before = self._usage()
+        reports = await load.play(self._streams, plan.measure_s, plan.seed)
+        usage_after = self._usage()
+        counts_after = self._upstreams.counts()
+        gc.unfreeze()
+        busy, doubts = cores.busy(), cores.doubts(f"{self._size} entries")
+        for name, report in reports.items():
+            doubts += report.doubts(f"{self._size} entries, {name}", plan.late_ms)
+        readings = _Readings(
+            rest_us_a_s, usage_before, usage_after, counts_before, counts_after, busy, reports
+        )
+        return Measured(self._row(readings), doubts)
+
+    async def _rest(self) -> float:
+        """The balancer's processor time in a second without load, in microseconds."""
+        before = self._usage()
+        await asyncio.sleep(self._plan.rest_s)
+        return (self._usage().processor_s - before.processor_s) / self._plan.rest_s * 1e6
+
+    def _usage(self) -> Usage:
+        return usage([self._balancer.pid])
+
+    def _row(self, readings: _Readings) -> AddedTimeRow:
+        direct, through = readings.reports["direct"], readings.reports["through"]
+        before, after = readings.counts_before, readings.counts_after
+        processor_us = (readings.usage_after.processor_s - readings.usage_before.processor_s) * 1e6
+        rest_us = readings.rest_us_a_s * self._plan.measure_s
+        return AddedTimeRow(
+            entries=self._size,
+            calls=through.sends,
+            served=through.served.count,
+            **latency.added(direct.served, through.served),
+            processor_us_a_call=processor_us / through.sends,
+            rest_us_a_s=readings.rest_us_a_s,
+            net_us_a_call=(processor_us - rest_us) / through.sends,
+            resident_mib=readings.usage_after.resident / _MIB,
+            attempts_a_call=(after.asked - before.asked - direct.sends) / through.sends,
+            opened_a_call=(after.connections - before.connections - direct.opened) / through.sends,
+            probes=after.probes - before.probes,
+            late_99_ms=through.lateness.quantile_ms(0.99),
+            cores_busy=readings.cores_busy,
+        )
--- a/testbed/runs/control_delays.py
+++ b/testbed/runs/control_delays.py
@@ -2,36 +2,65 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
+
 import numpy as np
 from numpy.typing import NDArray
 
 Table = NDArray[np.float64]
 
 
-def delays_ms(notes: list[tuple[int, int, float]], balancers: range, first: int, changed_at: Table) -> Table:
-    """Milliseconds from each change (columns, from version `first` on) until a balancer (rows) had it.
+class VersionSeen(NamedTuple):
+    """A balancer had a version of the list at a moment."""
+
+    balancer: int
+    version: int
+    at_s: float
+    """In seconds of the system's monotonic clock."""
+
+
+@dataclass(frozen=True, slots=True)
+class Spread:
+    """How delays are spread, in milliseconds; None where nothing changed."""
+
+    median: float | None = None
+    p99: float | None = None
+    longest: float | None = None
+
+
+def delays_ms(
+    seen: Iterable[VersionSeen], balancers: range, first: int, changed_at: NDArray[np.float64]
+) -> Table:
+    """Compute how long after each change each balancer had it.
+
+    A balancer has a change with the first version seen there that is as new.
+
+    Args:
+        seen: The versions seen at balancers, by time; other balancers may be among them.
+        balancers: The numbers of the balancers.
+        first: The version of the first change.
+        changed_at: The moments of the changes, in seconds: one a version, from the first one on.
 
-    A balancer has a change with the first version noted that is as new; infinite where it noted none.
+    Returns:
+        Milliseconds by balancer (rows) and change (columns); infinite where no version as new was seen.
     """
     wanted = np.arange(first, first + len(changed_at))
     delays = np.full((len(balancers), len(changed_at)), np.inf)
     by_balancer: dict[int, list[tuple[int, float]]] = {number: [] for number in balancers}
-    for number, index, at in notes:
+    for number, version, at_s in seen:
         if number in by_balancer:
-            by_balancer[int(number)].append((int(index), at))
+            by_balancer[int(number)].append((int(version), at_s))
     for row, number in enumerate(balancers):
-        indexes = np.array([index for index, _ in by_balancer[number]])
-        moments = np.array([*(at for _, at in by_balancer[number]), np.inf])
-        delays[row] = (moments[np.searchsorted(indexes, wanted)] - changed_at) * 1000
+        versions = np.array([version for version, _ in by_balancer[number]])
+        moments = np.array([*(at_s for _, at_s in by_balancer[number]), np.inf])
+        delays[row] = (moments[np.searchsorted(versions, wanted)] - changed_at) * 1000
     return delays
 
 
-def spread(name: str, delays: Table) -> dict[str, float | None]:
-    """The median, the 99th part in a hundred and the longest; None where nothing changed."""
+def spread(delays: Table) -> Spread:
+    """Compute the median, the 99th percentile and the longest of a table of delays."""
     if not delays.size:
-        return {f"{name}_{part}": None for part in ("median", "99", "longest")}
-    return {
-        f"{name}_median": float(np.median(delays)),
-        f"{name}_99": float(np.percentile(delays, 99)),
-        f"{name}_longest": float(delays.max()),
-    }
+        return Spread()
+    return Spread(float(np.median(delays)), float(np.percentile(delays, 99)), float(delays.max()))
--- a/testbed/runs/control_rest.py
+++ b/testbed/runs/control_rest.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 from contextlib import AsyncExitStack
-from dataclasses import replace
-from typing import Annotated
+from dataclasses import dataclass
+from typing import Annotated, Literal
 
 from pydantic import Field
 from structlog.typing import FilteringBoundLogger
@@ -14,7 +14,7 @@
 from testbed import experiment, settings
 from testbed.discovery import Counts
 from testbed.meter import CoresWatch, LoopLag, usage
-from testbed.results import Findings, fit_line
+from testbed.results import Findings, Row, fit_columns
 from testbed.runs.control_group import (
     LATE_S,
     BalancerGroup,
@@ -38,75 +38,113 @@
     """Hollow balancers of each size, whose calls and bytes are counted."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings:
-    """A real balancer of each size at rest, all sizes side by side; first pushed, then asked for."""
-    return run_scenario(_rest(plan, log))
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RestRow(Row):
+    """A real balancer at rest under a list of one length, beside hollow balancers under the same list."""
 
+    entries: int
+    """The length of the list."""
+    mode: Literal["push", "ask"]
+    """Whether discovery pushes the list or the balancer polls it."""
+    core_percent: float
+    """Processor time of the real balancer, in hundredths of a core."""
+    resident_mib: float
+    """Resident memory of the real balancer, in MiB."""
+    descriptors: int
+    """Open descriptors of the real balancer."""
+    calls_per_s: float
+    """Calls of the real balancer at discovery."""
+    bytes_per_s: float
+    """Bytes of those calls, both ways."""
+    hollow_calls_per_s: float
+    """Calls of a hollow balancer at discovery, the mean of all."""
+    hollow_bytes_per_s: float
+    """Bytes of those calls, both ways."""
 
-async def _rest(plan: Plan, log: FilteringBoundLogger) -> Findings:
-    findings = Findings()
+
+@dataclass(frozen=True, slots=True)
+class _Reading:
+    """What the balancers of a group have used and exchanged with discovery up to a moment."""
+
+    processor_s: float
+    """Processor time of the real balancer."""
+    real: Counts
+    hollow: Counts
+
+
+def play(plan: Plan, log: FilteringBoundLogger) -> Findings[RestRow]:
+    """Measure a real balancer of each size at rest, all sizes side by side; first pushed, then polling."""
+    return run_scenario(_play(plan, log))
+
+
+async def _play(plan: Plan, log: FilteringBoundLogger) -> Findings[RestRow]:
+    findings: Findings[RestRow] = Findings()
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
-            fleets = []
-            for place, entries in enumerate(plan.sizes):
-                discovery = start_discovery(stack)
-                await discovery.start(f"127.32.{place}.1")
-                discovery.set(settings.fleet(entries, seed=plan.seed))
-                site = settings.site(balancers=entries, pushed=pushed)
-                fleets.append(
-                    await start_group(
-                        stack,
-                        discovery,
-                        hollow=plan.hollow,
-                        processes=1,
-                        real=1,
-                        site=site,
-                        seed=plan.seed,
-                    )
-                )
+            groups = [
+                await _start(stack, plan, place, entries, pushed) for place, entries in enumerate(plan.sizes)
+            ]
             await asyncio.sleep(plan.settle_s)
-            await _watch_rest(plan, pushed, fleets, findings)
+            await _measure(plan, pushed, groups, findings)
         for row in findings.rows[-len(plan.sizes) :]:
-            log.info("at rest", **row)
+            log.info("at rest", **row.columns())
     for mode in ("push", "ask"):
-        cell = [row for row in findings.rows if row["mode"] == mode]
+        rows = [row for row in findings.rows if row.mode == mode]
         for y in ("core_percent", "resident_mib", "bytes_per_s", "hollow_bytes_per_s"):
-            findings.fits.append(replace(fit_line(cell, y, "entries"), y=f"{y} ({mode})"))
+            findings.fits.append(fit_columns(rows, y, "entries", label=f"{y} ({mode})"))
     return findings
 
 
-async def _watch_rest(plan: Plan, pushed: bool, fleets: list[BalancerGroup], findings: Findings) -> None:
-    lag, cores, began = LoopLag(asyncio.get_running_loop()), CoresWatch(), time.monotonic()
-
-    def look(fleet: BalancerGroup) -> tuple[float, Counts, Counts]:
-        spent = usage([fleet.real[0].pid]).processor_s
-        parts = fleet.real_agents, fleet.hollow_agents
-        real, hollow = (sum_counts(fleet.discovery, part) for part in parts)
-        return spent, real, hollow
-
-    before = [look(fleet) for fleet in fleets]
+async def _start(stack: AsyncExitStack, plan: Plan, place: int, entries: int, pushed: bool) -> BalancerGroup:
+    """Start the balancers of one size under a discovery of their own; `place` numbers the sizes."""
+    discovery = start_discovery(stack)
+    await discovery.start(f"127.32.{place}.1")
+    discovery.set(settings.fleet(entries, seed=plan.seed))
+    site = settings.site(balancers=entries, pushed=pushed)
+    return await start_group(
+        stack, discovery, hollow=plan.hollow, processes=1, real=1, site=site, seed=plan.seed
+    )
+
+
+async def _measure(
+    plan: Plan, pushed: bool, groups: list[BalancerGroup], findings: Findings[RestRow]
+) -> None:
+    """Watch all sizes over the span and add a row for each."""
+    lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
+    began = time.monotonic()
+    before = [_read(group) for group in groups]
     await asyncio.sleep(plan.span_s)
     span_s = time.monotonic() - began
-    for entries, fleet, (spent, real, hollow) in zip(plan.sizes, fleets, before, strict=True):
-        now_spent, now_real, now_hollow = look(fleet)
-        told, hollow_told = now_real.plus(real, -1), now_hollow.plus(hollow, -1)
-        held = usage([fleet.real[0].pid])
-        findings.rows.append(
-            {
-                "entries": entries,
-                "mode": "push" if pushed else "ask",
-                "core_percent": (now_spent - spent) / span_s * 100,
-                "resident_mib": held.resident / _MIB,
-                "descriptors": held.descriptors,
-                "calls_per_s": told.calls / span_s,
-                "bytes_per_s": (told.bytes_in + told.bytes_out) / span_s,
-                "hollow_calls_per_s": hollow_told.calls / span_s / fleet.hollow,
-                "hollow_bytes_per_s": (hollow_told.bytes_in + hollow_told.bytes_out) / span_s / fleet.hollow,
-            }
-        )
+    for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
+        findings.rows.append(_row(entries, pushed, group, reading, span_s))
     late_s, _ = lag.take()
     lag.stop()
-    stretch = f"at rest, {'pushed' if pushed else 'asked for'}"
-    findings.doubts += cores.doubts(stretch)
+    phase = f"at rest, {'pushed' if pushed else 'asked for'}"
+    findings.doubts += cores.doubts(phase)
     if late_s >= LATE_S:
-        findings.doubts.append(f"{stretch}: the stand-in's loop was {late_s * 1000:.0f} ms late")
+        findings.doubts.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
+
+
+def _read(group: BalancerGroup) -> _Reading:
+    processor_s = usage([group.real[0].pid]).processor_s
+    real = sum_counts(group.discovery, group.real_agents)
+    hollow = sum_counts(group.discovery, group.hollow_agents)
+    return _Reading(processor_s, real, hollow)
+
+
+def _row(entries: int, pushed: bool, group: BalancerGroup, before: _Reading, span_s: float) -> RestRow:
+    now = _read(group)
+    real = now.real.plus(before.real, -1)
+    hollow = now.hollow.plus(before.hollow, -1)
+    used = usage([group.real[0].pid])
+    return RestRow(
+        entries=entries,
+        mode="push" if pushed else "ask",
+        core_percent=(now.processor_s - before.processor_s) / span_s * 100,
+        resident_mib=used.resident / _MIB,
+        descriptors=used.descriptors,
+        calls_per_s=real.calls / span_s,
+        bytes_per_s=(real.bytes_in + real.bytes_out) / span_s,
+        hollow_calls_per_s=hollow.calls / span_s / group.hollow,
+        hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / span_s / group.hollow,
+    )
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth.py
@@ -1,4 +1,4 @@
-"""What a failing server or tier costs in chains of different depths: modules alone, on a virtual clock.
+"""What a failing server or tier costs in chains of different depths: policies alone, on a virtual clock.
 
 Sizes are depths in tiers. Calls come from outside at random moments, whatever becomes of them, and nobody
 outside tries again. Each row is one depth under one trouble; its attempts are those of the calls that came
@@ -9,255 +9,52 @@
 from __future__ import annotations
 
 import math
-import random
-import statistics
-import time
-from dataclasses import replace
-from typing import Annotated, Any, Literal
+from collections.abc import Sequence
 
-import numpy as np
-from pydantic import BaseModel, ConfigDict, Field
 from structlog.typing import FilteringBoundLogger
 
-from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass
-from testbed import experiment
-from testbed.chain import Behaviour, Call, Chain, Shape
 from testbed.results import Findings, Fit, fit_line
+from testbed.runs.depth_plan import Plan, Trouble
+from testbed.runs.depth_simulation import DepthRow, Simulation
 
-BEFORE, WHILE, AFTER = range(3)
-WINDOW_MS = 500.0
-QUIET_MS = 1_000.0  # a single call comes so long after the last one of the warm-up
+__all__ = ["Plan", "Trouble", "play"]
 
-Positive = Annotated[float, Field(gt=0)]
-NotNegative = Annotated[float, Field(ge=0)]
+_FITTED = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
 
 
-class Trouble(BaseModel):
-    """One trouble: where, how many servers, and what they do meanwhile."""
-
-    model_config = ConfigDict(extra="forbid", frozen=True)
-
-    name: str
-    behaviour: Behaviour
-    part: Annotated[float, Field(gt=0, le=1)] = 1.0
-    """Of the calls, where servers fail some."""
-    tier: Literal["first", "middle", "bottom"] = "bottom"
-    servers: Annotated[int, Field(ge=0)] = 0
-    """How many of the tier's; 0 for all."""
-
-    def tier_of(self, depth: int) -> int:
-        """The tier it strikes, counted from 1."""
-        return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
-
-
-class Plan(experiment.Plan):
-    """How the chains are built, what comes at them and what goes wrong."""
-
-    troubles: Annotated[tuple[Trouble, ...], Field(min_length=1)]
-    """Each is played at each depth."""
-    servers_a_tier: Annotated[int, Field(ge=1)] = 6
-    """Each of them with a balancer of its own, but for the last tier's."""
-    fronts: Annotated[int, Field(ge=1)] = 6
-    """Balancers that calls from outside come to."""
-    calls_per_s: Positive = 100.0
-    """The mean rate at which calls come from outside; gaps are exponentially distributed."""
-    warm_s: NotNegative = 5.0
-    """Before the trouble begins; 0 for trouble from the very first call."""
-    trouble_s: Positive = 15.0
-    after_s: NotNegative = 0.0
-    """After the trouble has ended; with 0 it lasts until the last call is over."""
-    single_call: bool = False
-    """Only one call comes while the trouble lasts."""
-    effect: Idempotency = Idempotency.SAFE
-    """Keyed calls are kept apart by all servers together for `idempotency_window_ms`."""
-    idempotency_window_ms: Annotated[
-        NotNegative, experiment.formerly("idempotency_window_ms", "repeat_window_ms")
-    ] = 2_000.0
-    latency_objective_ms: Annotated[Positive, experiment.formerly("latency_objective_ms", "aim_ms")] = 1_000.0
-    deadline_ms: Positive = 3_000.0
-    late_value: Annotated[float, Field(ge=0, le=1), experiment.formerly("late_value", "late_share")] = 0.0
-    attempts_cap: Annotated[int, Field(ge=1)] = 4
-    may_cancel: bool = True
-    may_hedge: Annotated[bool, experiment.formerly("may_hedge", "may_duplicate")] = False
-    hop_ms: NotNegative = 0.2
-    """A message's way from machine to machine."""
-    service_ms: NotNegative = 1.0
-    """The mean of a server's own work on a call."""
-    steady_service: bool = False
-    """All calls take the mean; else exponentially distributed."""
-    workers: Annotated[int, Field(ge=0)] = 64
-    """Calls a server works on at once; 0 for any number."""
-    queue: Annotated[int, Field(ge=0)] = 64
-    """Calls that wait at a server; further ones are turned away."""
-    events_most: Annotated[int, Field(ge=1)] = 3_000_000
-    """For each depth and trouble: the run is cut short after so many."""
-
-    def shape(self, depth: int) -> Shape:
-        """The chain of so many tiers."""
-        window = self.idempotency_window_ms if self.effect is Idempotency.KEYED else 0.0
-        return Shape(
-            depth,
-            RequestClass(
-                "call",
-                self.latency_objective_ms,
-                self.deadline_ms,
-                self.effect,
-                IdempotencyScope.ALL,
-                window,
-                late_value=self.late_value,
-            ),
-            self.servers_a_tier,
-            self.fronts,
-            self.hop_ms,
-            self.service_ms,
-            self.steady_service,
-            self.workers,
-            self.queue,
-            self.attempts_cap,
-            self.may_cancel,
-            self.may_hedge,
-        )
-
-
-class _Play:
-    """One chain under one trouble: its schedule, and what comes of it."""
-
-    def __init__(self, plan: Plan, depth: int, trouble: Trouble) -> None:
-        self._plan, self._trouble = plan, trouble
-        self.chain = Chain(plan.shape(depth), plan.seed)
-        self._gaps = random.Random(f"{plan.seed}:arrivals")
-        quiet = QUIET_MS if plan.single_call and plan.warm_s else 0.0
-        self.warm_ends = plan.warm_s * 1000
-        self.begins = self.warm_ends + quiet
-        self.ends = self.begins + plan.trouble_s * 1000
-        clock = self.chain.clock
-        clock.at(self.begins, self._strike, trouble.behaviour)
-        if plan.after_s:
-            clock.at(self.ends, self._strike, Behaviour.SERVES)
-        if plan.single_call:
-            clock.at(self.begins, self.chain.call, WHILE)
-        self._await_call(0.0)
-
-    def _strike(self, behaviour: Behaviour) -> None:
-        trouble, shape = self._trouble, self.chain.shape
-        count = trouble.servers or shape.servers_a_tier
-        self.chain.behave(trouble.tier_of(shape.depth), count, behaviour, trouble.part)
-
-    def _await_call(self, now: float) -> None:
-        at = now + self._gaps.expovariate(self._plan.calls_per_s / 1000)
-        if self._plan.single_call and self.warm_ends <= at < self.ends:
-            at = self.ends + at - self.warm_ends
-        if at < self.ends + self._plan.after_s * 1000:
-            self.chain.clock.at(at, self._arrive, at)
-
-    def _arrive(self, at: float) -> None:
-        self.chain.call(BEFORE if at < self.begins else WHILE if at < self.ends else AFTER)
-        self._await_call(at)
-
-    def row(self) -> dict[str, Any]:
-        """Play it and tell what came of it."""
-        plan, chain = self._plan, self.chain
-        began = time.perf_counter()
-        whole = chain.clock.run(plan.events_most)
-        calls = chain.calls if whole else [c for c in chain.calls if c.status]
-        struck = [c for c in chain.calls if c.phase == WHILE]
-        admitted = sum(c.tried for c in struck)
-        counts = chain.attempts.get(WHILE, [0] * chain.shape.depth)
-        phases = [[c for c in calls if c.phase == phase] for phase in (BEFORE, WHILE, AFTER)]
-        windows = self._windows(phases[AFTER]) if plan.after_s else []
-        # Calls still under way as the trouble begins don't tell how it was before.
-        former = _share([c for c in phases[BEFORE] if c.arrived < self.warm_ends - WINDOW_MS])
-        plain_ms = 2 * plan.hop_ms + plan.service_ms
-        added = [(c.done - c.arrived) / chain.shape.depth - plain_ms for c in calls if c.status == 200]
-        parts = [c.deadline_part for c in chain.calls if c.bottom]
-        return {
-            "depth": chain.shape.depth,
-            "trouble": self._trouble.name,
-            "calls": len(chain.calls),
-            "served": _share(calls),
-            "served_before": former,
-            "served_while": _share(phases[WHILE]),
-            "served_after": _share(phases[AFTER]),
-            "back_after_s": _back_after(windows, former),
-            "shed_while": _part(phases[WHILE], [c.status == 503 and not c.tried for c in phases[WHILE]]),
-            "bottom_attempts_a_call": counts[-1] / len(struck) if struck else None,
-            "bottom_attempts_an_admitted": counts[-1] / admitted if admitted else None,
-            "bottom_attempts_most": max((c.bottom for c in struck), default=0),
-            "attempts_a_call_by_tier": [round(n / len(struck), 4) if struck else None for n in counts],
-            "turned_away_full": sum(s.rejected for tier in chain.tiers for s in tier),
-            "added_a_hop_p50_ms": float(np.percentile(added, 50)) if added else None,
-            "added_a_hop_p99_ms": float(np.percentile(added, 99)) if added else None,
-            "deadline_part_at_bottom": statistics.median(parts) if parts else None,
-            "served_after_by_window": windows,
-            "cut_short": not whole,
-            "virtual_s": chain.clock.now / 1000,
-            "events": chain.clock.events,
-            "decisions": chain.decisions,
-            "machine_us_a_decision": chain.decision_s / max(chain.decisions, 1) * 1e6,
-            "machine_s": time.perf_counter() - began,
-        }
-
-    def _windows(self, calls: list[Call]) -> list[float | None]:
-        """The share served of the calls that came in each window after the trouble's end."""
-        count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
-        windows: list[list[Call]] = [[] for _ in range(count)]
-        for call in calls:
-            windows[min(int((call.arrived - self.ends) / WINDOW_MS), count - 1)].append(call)
-        return [_share(window) for window in windows]
-
-
-def _part(of: list[Call], those: list[bool]) -> float | None:
-    return sum(those) / len(of) if of else None
-
-
-def _share(calls: list[Call]) -> float | None:
-    return _part(calls, [c.status == 200 for c in calls])
-
-
-def _back_after(windows: list[float | None], former: float | None) -> float | None:
-    """Seconds until the end of the first window that serves as before; None if none does."""
-    for i, share in enumerate(windows):
-        if share is not None and former is not None and share >= former:
-            return (i + 1) * WINDOW_MS / 1000
-    return None
-
-
-def _fits(rows: list[dict[str, Any]], trouble: str, column: str) -> list[Fit]:
-    """Growth over depth: as a line, an exponential (ln n over depth) and a power (ln n over ln depth)."""
-    points = [
-        {"n": row[column], "depth": row["depth"], "ln depth": math.log(row["depth"])}
-        for row in rows
-        if row["trouble"] == trouble and not row["cut_short"] and row[column]
-    ]
-    if len({point["depth"] for point in points}) < 2:
-        return []
-    for point in points:
-        point["ln n"] = math.log(point["n"])
-    name = f"{trouble}: {column}"
-    return [
-        replace(fit_line(points, "n", "depth"), y=name),
-        replace(fit_line(points, "ln n", "depth"), y=f"ln {name}"),
-        replace(fit_line(points, "ln n", "ln depth"), y=f"ln {name}"),
-    ]
-
-
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings:
-    """Each trouble at each depth."""
-    findings = Findings()
+def play(plan: Plan, log: FilteringBoundLogger) -> Findings[DepthRow]:
+    """Simulate each trouble at each depth."""
+    findings: Findings[DepthRow] = Findings()
     for trouble in plan.troubles:
         for depth in plan.sizes:
-            row = _Play(plan, depth, trouble).row()
+            row = Simulation(plan, depth, trouble).run()
             findings.rows.append(row)
             log.info(
                 "played",
                 depth=depth,
                 trouble=trouble.name,
-                served=row["served"],
-                bottom_attempts_a_call=row["bottom_attempts_a_call"],
-                events=row["events"],
-                cut_short=row["cut_short"],
-                machine_s=round(row["machine_s"], 2),
+                served=row.served.served,
+                bottom_attempts_a_call=row.attempts.bottom_attempts_a_call,
+                events=row.work.events,
+                cut_short=row.cut_short,
+                machine_s=round(row.work.machine_s, 2),
             )
-        for column in ("bottom_attempts_a_call", "bottom_attempts_an_admitted"):
+        for column in _FITTED:
             findings.fits += _fits(findings.rows, trouble.name, column)
     return findings
+
+
+def _fits(rows: Sequence[DepthRow], trouble: str, column: str) -> list[Fit]:
+    """Fit growth over depth: as a line, an exponential (ln n over depth) and a power (ln n over ln depth)."""
+    fitted = [row for row in rows if row.trouble == trouble and not row.cut_short and row.columns()[column]]
+    depths = [row.depth for row in fitted]
+    if len(set(depths)) < 2:
+        return []
+    values = [row.columns()[column] for row in fitted]
+    ln_depths, ln_values = [math.log(depth) for depth in depths], [math.log(value) for value in values]
+    name = f"{trouble}: {column}"
+    return [
+        fit_line(depths, values, x="depth", y=name),
+        fit_line(depths, ln_values, x="depth", y=f"ln {name}"),
+        fit_line(ln_depths, ln_values, x="ln depth", y=f"ln {name}"),
+    ]
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -1,56 +1,75 @@
 """What a list's length costs a balancer: decisions, changes, whole lists, memory and bytes.
 
-In-process, with the real module and the real pools' books on a virtual clock. Each size is played with as
-many balancers as servers (each then keeps to a part of them) and as the only balancer (it keeps to all).
+In-process, with the real policy and the real connection pools' part on a virtual clock. Each size is played
+with as many balancers as endpoints, each of which keeps to a part of them, and as the only balancer, which
+keeps to all.
 """
 
 from __future__ import annotations
 
-from dataclasses import replace
-from typing import Any
-
 from structlog.typing import FilteringBoundLogger
 
 from testbed.meter import CoresWatch
-from testbed.results import Findings, fit_line
+from testbed.results import Findings, Fit, fit_columns
 from testbed.runs.list_size_decisions import DecisionCell
-from testbed.runs.list_size_growth import add_growth
 from testbed.runs.list_size_lists import ListCell
 from testbed.runs.list_size_plan import Plan
 from testbed.runs.list_size_rounds import Rounds, reference_us
+from testbed.runs.list_size_rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
 __all__ = ["KEEPS", "Plan", "play"]
 
 KEEPS = {"part": "as many balancers as servers", "all": "one balancer"}
+"""What the values of the column `keeps` say of the balancers."""
+_DECISION_COSTS = ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean")
+_LIST_COSTS = (
+    "list_bytes",
+    "delta_bytes",
+    "list_parse_ms",
+    "delta_parse_us",
+    "list_read_ms",
+    "delta_read_us",
+    "list_pools_ms",
+    "delta_pools_us",
+    "list_module_ms",
+    "delta_module_us",
+    "list_whole_ms",
+    "delta_whole_us",
+    "delta_whole_us_99",
+    "memory_kib",
+)
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings:
+def play(plan: Plan, log: FilteringBoundLogger) -> Findings[ListSizeRow]:
     """Measure every size, kept in part and in all, at every tier."""
-    findings, watch = Findings(), CoresWatch()
-    rounds = Rounds(plan.rounds, plan.rounds_most, reference_us)
+    cores = CoresWatch()
+    rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_most, reference_us)
     for entries in plan.sizes:
         for keep in KEEPS:
             for tier in plan.tiers:
                 rounds.play(DecisionCell(plan, entries, keep, tier))
             rounds.play(ListCell(plan, entries, keep))
             log.info("measured", entries=entries, keeps=keep)
-    findings.rows, uneven = rounds.rows()
-    findings.doubts += watch.doubts("whole run") + uneven
-    if uneven:
+    findings = rounds.findings()
+    missing_rows = bool(findings.doubts)
+    findings.doubts = cores.doubts("whole run") + findings.doubts
+    if missing_rows:
         return findings
-    add_growth(findings.rows)
+    findings.rows = with_growth(findings.rows)
     for keep in KEEPS:
-        for tier in plan.tiers:
-            cell = _cell(findings, measured="decision", keeps=keep, tier=tier)
-            for y in ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean"):
-                findings.fits.append(replace(fit_line(cell, y, "entries"), y=f"{y} ({keep}, tier {tier})"))
-        cell = _cell(findings, measured="list", keeps=keep)
-        for y in cell[0]:
-            if y.startswith(("delta_", "list_", "memory_")) and not y.endswith("_growth"):
-                findings.fits.append(replace(fit_line(cell, y, "entries"), y=f"{y} ({keep})"))
+        findings.fits += _fits(plan, findings.rows, keep)
     return findings
 
 
-def _cell(findings: Findings, **where: Any) -> list[dict[str, Any]]:
-    """The rows that agree in these columns."""
-    return [row for row in findings.rows if where.items() <= row.items()]
+def _fits(plan: Plan, rows: list[ListSizeRow], keep: str) -> list[Fit]:
+    """Fit the costs of balancers that keep to so much of the list over its length."""
+    fits = []
+    kept = [row for row in rows if row.cell.keeps == keep]
+    for tier in plan.tiers:
+        decisions = [row for row in kept if isinstance(row, DecisionRow) and row.cell.tier == tier]
+        fits += [
+            fit_columns(decisions, y, "entries", label=f"{y} ({keep}, tier {tier})") for y in _DECISION_COSTS
+        ]
+    lists = [row for row in kept if isinstance(row, ListRow)]
+    fits += [fit_columns(lists, y, "entries", label=f"{y} ({keep})") for y in _LIST_COSTS]
+    return fits
--- a/testbed/runs/list_size_decisions.py
+++ b/testbed/runs/list_size_decisions.py
@@ -5,79 +5,124 @@
 import heapq
 import random
 import time
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import numpy as np
 
-from loadbalancer.actions import StartAttempt
+from loadbalancer.actions import Action, StartAttempt
 from loadbalancer.events import (
     AttemptFinished,
     EndpointListKind,
     EndpointListUpdate,
+    Event,
     Outcome,
     RequestReceived,
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed.runs.list_size_plan import Plan, configuration, freeze_collector
-from testbed.runs.list_size_rounds import Spans
+from testbed.runs.list_size_rounds import RoundColumns
+from testbed.runs.list_size_rows import CellName, DecisionRow
 
 _BEGIN_MS = 1_000_000.0
 _ATTEMPT = 0
-_US = 1e3  # nanoseconds
+_US_NS = 1e3
+
+
+@dataclass(frozen=True, slots=True)
+class DecisionRound:
+    """What one round measured."""
+
+    arrivals_ns: list[int] = field(default_factory=list)
+    """How long the policy took for each request's arrival."""
+    ends_ns: list[int] = field(default_factory=list)
+    """How long the policy took for each attempt's end."""
+    shed: list[bool] = field(default_factory=list)
+    """Whether no attempt was made, by request."""
+
+
+class _End(NamedTuple):
+    """An attempt that will end."""
+
+    at_ms: float
+    request: int
+    endpoint: str
 
 
 class DecisionCell:
-    """Arrivals and served attempts' ends on a warm module under a steady light load."""
+    """Arrivals and ends of attempts that succeed, at a warm policy under a steady light load."""
 
     def __init__(self, plan: Plan, entries: int, keep: str, tier: int) -> None:
         self._plan = plan
-        self.name = {"measured": "decision", "entries": entries, "keeps": keep, "tier": tier}
+        self.name = CellName(measured="decision", entries=entries, keeps=keep, tier=tier)
         config = configuration(plan, entries, keep, tier)
         self._classes = config.settings.classes
         self._balancer = LoadBalancer(config.settings, config.seed)
-        self._chance, self._now, self._last = random.Random(plan.seed), _BEGIN_MS, 0
-        self._ends: list[tuple[float, int, str]] = []
+        self._random = random.Random(plan.seed)
+        self._now_ms = _BEGIN_MS
+        self._last_request = 0
+        self._ends: list[_End] = []
         self._called: set[str] = set()
-        members = tuple([e.endpoint for e in config.known_endpoints.endpoints])
-        self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, members), self._now)
+        endpoints = tuple([e.endpoint for e in config.known_endpoints.endpoints])
+        self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints), self._now_ms)
         freeze_collector()
-        self._calls(plan.warm_calls)
+        self._play_calls(plan.warm_calls)
 
-    def play(self) -> Spans:
-        """So many calls; nanoseconds of each arrival and end, and whether it was shed."""
-        return self._calls(self._plan.calls)
+    def play(self) -> DecisionRound:
+        """Play the calls of one round."""
+        return self._play_calls(self._plan.calls)
 
-    def _calls(self, calls: int) -> Spans:
-        spans: Spans = {"arrival": [], "end": [], "shed": []}
+    def _play_calls(self, calls: int) -> DecisionRound:
+        measured = DecisionRound()
         for _ in range(calls):
-            self._now += self._chance.expovariate(self._plan.calls_per_s / 1000)
-            while self._ends and self._ends[0][0] <= self._now:
-                at, request, server = heapq.heappop(self._ends)
-                ended = AttemptFinished(request, _ATTEMPT, server, Outcome.SUCCEEDED, True)
-                began = time.perf_counter_ns()
-                self._balancer.handle(ended, at)
-                spans["end"].append(time.perf_counter_ns() - began)
-            self._last += 1
-            cls = self._classes[self._last % len(self._classes)]
-            arrived = RequestReceived(self._last, cls.name, cls.deadline_ms)
-            began = time.perf_counter_ns()
-            actions = self._balancer.handle(arrived, self._now)
-            spans["arrival"].append(time.perf_counter_ns() - began)
-            sends = [a for a in actions if isinstance(a, StartAttempt)]
-            spans["shed"].append(not sends)
-            for send in sends:
-                takes = self._chance.expovariate(1 / self._plan.service_ms)
-                self._called.add(send.endpoint)
-                ends = self._now + min(takes, send.timeout_ms / 2)
-                heapq.heappush(self._ends, (ends, self._last, send.endpoint))
-        return spans
-
-    def row(self, spans: Spans) -> dict[str, Any]:
-        """Medians, means and 99ths in microseconds; the servers called include those while it got warm."""
-        row: dict[str, Any] = dict(self.name)
-        for name in ("arrival", "end"):
-            row[f"{name}_us_median"] = float(np.median(spans[name])) / _US
-            row[f"{name}_us_mean"] = float(np.mean(spans[name])) / _US
-            row[f"{name}_us_99"] = float(np.percentile(spans[name], 99)) / _US
-        calls = {"calls": len(spans["arrival"]), "shed": int(sum(spans["shed"]))}
-        return row | calls | {"servers_called": len(self._called)}
+            self._now_ms += self._random.expovariate(self._plan.calls_per_s / 1000)
+            self._play_ends(measured)
+            self._play_arrival(measured)
+        return measured
+
+    def _play_ends(self, measured: DecisionRound) -> None:
+        """End the attempts whose time has come."""
+        while self._ends and self._ends[0].at_ms <= self._now_ms:
+            end = heapq.heappop(self._ends)
+            finished = AttemptFinished(end.request, _ATTEMPT, end.endpoint, Outcome.SUCCEEDED, True)
+            self._handle(finished, end.at_ms, measured.ends_ns)
+
+    def _play_arrival(self, measured: DecisionRound) -> None:
+        """Have the next request arrive, and note when the attempts made for it will end."""
+        self._last_request += 1
+        request_class = self._classes[self._last_request % len(self._classes)]
+        received = RequestReceived(self._last_request, request_class.name, request_class.deadline_ms)
+        actions = self._handle(received, self._now_ms, measured.arrivals_ns)
+        attempts = [action for action in actions if isinstance(action, StartAttempt)]
+        measured.shed.append(not attempts)
+        for attempt in attempts:
+            service_ms = self._random.expovariate(1 / self._plan.service_ms)
+            self._called.add(attempt.endpoint)
+            ends_ms = self._now_ms + min(service_ms, attempt.timeout_ms / 2)
+            heapq.heappush(self._ends, _End(ends_ms, self._last_request, attempt.endpoint))
+
+    def _handle(self, event: Event, now_ms: float, spans_ns: list[int]) -> Sequence[Action]:
+        """Have the policy handle an event, and note how long it took."""
+        began = time.perf_counter_ns()
+        actions = self._balancer.handle(event, now_ms)
+        spans_ns.append(time.perf_counter_ns() - began)
+        return actions
+
+    def row(self, quick_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
+        """Make the row of the quick rounds together."""
+        arrivals_ns = [span for measured in quick_rounds for span in measured.arrivals_ns]
+        ends_ns = [span for measured in quick_rounds for span in measured.ends_ns]
+        return DecisionRow(
+            cell=self.name,
+            arrival_us_median=float(np.median(arrivals_ns)) / _US_NS,
+            arrival_us_mean=float(np.mean(arrivals_ns)) / _US_NS,
+            arrival_us_99=float(np.percentile(arrivals_ns, 99)) / _US_NS,
+            end_us_median=float(np.median(ends_ns)) / _US_NS,
+            end_us_mean=float(np.mean(ends_ns)) / _US_NS,
+            end_us_99=float(np.percentile(ends_ns, 99)) / _US_NS,
+            calls=len(arrivals_ns),
+            shed=sum(sum(measured.shed) for measured in quick_rounds),
+            servers_called=len(self._called),
+            rounds=columns,
+        )
--- a/testbed/runs/list_size_lists.py
+++ b/testbed/runs/list_size_lists.py
@@ -7,8 +7,8 @@
 import json
 import time
 import tracemalloc
-from itertools import pairwise
-from typing import Any
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass, field
 
 import numpy as np
 
@@ -20,88 +20,136 @@
 from testbed.discovery import Discovery
 from testbed.hollow import Hollow
 from testbed.runs.list_size_plan import Plan, configuration_text, freeze_collector, ignore_message
-from testbed.runs.list_size_rounds import Spans
+from testbed.runs.list_size_rounds import RoundColumns
+from testbed.runs.list_size_rows import CellName, ListRow
 
 _BEGIN_MS = 1_000_000.0
-_US, _MS = 1e3, 1e6  # nanoseconds
-_PARTS = ("parse", "read", "pools", "module")
+_UPDATE_INTERVAL_MS = 1000.0
+_US_NS = 1e3
+_MS_NS = 1e6
+_KIB = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class UpdateSpans:
+    """How long each part of one take-up took, in nanoseconds."""
+
+    parse: int
+    read: int
+    pools: int
+    policy: int
+
+    @property
+    def whole(self) -> int:
+        """All parts together."""
+        return self.parse + self.read + self.pools + self.policy
+
+
+@dataclass(frozen=True, slots=True)
+class ListRound:
+    """What one round measured."""
+
+    lists: list[UpdateSpans] = field(default_factory=list)
+    """By whole list."""
+    deltas: list[UpdateSpans] = field(default_factory=list)
+    """By change of one entry."""
 
 
 class ListCell:
-    """Whole lists and changes of one entry: JSON, `read_endpoint_list`, the pools' books and the module."""
+    """Whole lists and changes of one entry: JSON, `read_endpoint_list`, the pools' part and the policy's."""
 
     def __init__(self, plan: Plan, entries: int, keep: str) -> None:
         self._plan = plan
-        self.name = {"measured": "list", "entries": entries, "keeps": keep, "tier": 0}
+        self.name = CellName(measured="list", entries=entries, keeps=keep, tier=0)
         self._text = configuration_text(plan, entries, keep, 0)
         config = read_configuration(self._text, ignore_message)
         loop = asyncio.new_event_loop()
-        self._balancer, self._upstreams = (
-            LoadBalancer(config.settings, config.seed),
-            UpstreamPools(config, loop),
-        )
-        loop.close()  # books need none
-        self._fleet = settings.fleet(entries, seed=plan.seed)
-        self._discovery, self._now, self._turn = Discovery(), _BEGIN_MS, 0
-        self._discovery.set(self._fleet)
-        self._take_up(self._discovery.body(-1)[0])  # the first list makes what later ones find
+        self._balancer = LoadBalancer(config.settings, config.seed)
+        self._upstreams = UpstreamPools(config, loop)
+        loop.close()  # taking up a list opens no connection
+        self._entries = settings.fleet(entries, seed=plan.seed)
+        self._discovery = Discovery()
+        self._now_ms = _BEGIN_MS
+        self._changes = 0
+        self._discovery.set(self._entries)
+        # The first list makes what later ones find.
+        self._take_up(self._discovery.body(-1)[0])
         self._list_bytes = self._delta_bytes = len(self._discovery.body(-1)[0])
         freeze_collector()
 
-    def _take_up(self, body: bytes) -> list[int]:
-        """The nanoseconds of each part."""
-        self._now += 1000.0
-        marks = [time.perf_counter_ns()]
+    def _take_up(self, body: bytes) -> UpdateSpans:
+        """Take up a response of discovery as the program does."""
+        self._now_ms += _UPDATE_INTERVAL_MS
+        began = time.perf_counter_ns()
         raw = json.loads(body)
-        marks.append(time.perf_counter_ns())
-        news = read_endpoint_list(raw)
-        marks.append(time.perf_counter_ns())
-        self._upstreams.update_endpoints(news)
-        marks.append(time.perf_counter_ns())
-        kind = EndpointListKind.SNAPSHOT if news.is_complete else EndpointListKind.DELTA
-        members = tuple([e.endpoint for e in news.endpoints])
-        self._balancer.handle(EndpointListUpdate(kind, members), self._now)
-        marks.append(time.perf_counter_ns())
-        return [after - before for before, after in pairwise(marks)]
-
-    def play(self) -> Spans:
-        """So many whole lists, then so many changes; nanoseconds by part and in all."""
-        spans: Spans = {f"{what}_{part}": [] for what in ("list", "delta") for part in (*_PARTS, "whole")}
+        parsed = time.perf_counter_ns()
+        update = read_endpoint_list(raw)
+        was_read = time.perf_counter_ns()
+        self._upstreams.update_endpoints(update)
+        in_pools = time.perf_counter_ns()
+        kind = EndpointListKind.SNAPSHOT if update.is_complete else EndpointListKind.DELTA
+        endpoints = tuple([e.endpoint for e in update.endpoints])
+        self._balancer.handle(EndpointListUpdate(kind, endpoints), self._now_ms)
+        in_policy = time.perf_counter_ns()
+        return UpdateSpans(parsed - began, was_read - parsed, in_pools - was_read, in_policy - in_pools)
+
+    def play(self) -> ListRound:
+        """Take up the whole lists of one round, then its changes."""
+        measured = ListRound()
         for _ in range(self._plan.lists):
-            self._note(spans, "list", self._discovery.body(-1)[0])
+            measured.lists.append(self._take_up(self._discovery.body(-1)[0]))
         for _ in range(self._plan.deltas):
-            index, self._turn = self._discovery.index, self._turn + 1
-            old = self._fleet[self._turn % len(self._fleet)]
-            self._discovery.change([old | {"weight": 1.0 + self._turn % 7}])
-            body = self._discovery.body(index)[0]
-            self._delta_bytes = len(body)
-            self._note(spans, "delta", body)
-        return spans
-
-    def _note(self, spans: Spans, what: str, body: bytes) -> None:
-        took = self._take_up(body)
-        for part, span in zip((*_PARTS, "whole"), (*took, sum(took)), strict=True):
-            spans[f"{what}_{part}"].append(span)
-
-    def row(self, spans: Spans) -> dict[str, Any]:
-        """Medians, in milliseconds of a whole list and in microseconds of a change; memory in KiB."""
-        row: dict[str, Any] = self.name | {"list_bytes": self._list_bytes, "delta_bytes": self._delta_bytes}
-        for part in (*_PARTS, "whole"):
-            row[f"list_{part}_ms"] = float(np.median(spans[f"list_{part}"])) / _MS
-            row[f"delta_{part}_us"] = float(np.median(spans[f"delta_{part}"])) / _US
-        row["delta_whole_us_99"] = float(np.percentile(spans["delta_whole"], 99)) / _US
-        return row | {"memory_kib": _memory(self._text) / 1024}
-
-
-def _memory(text: str) -> int:
-    """Bytes that a balancer holds once its list is in force (its watch has begun, no request has come)."""
+            measured.deltas.append(self._take_up(self._change()))
+        return measured
+
+    def _change(self) -> bytes:
+        """Change the weight of the next entry; discovery's response with the change."""
+        version = self._discovery.index
+        self._changes += 1
+        entry = self._entries[self._changes % len(self._entries)]
+        self._discovery.change([entry | {"weight": 1.0 + self._changes % 7}])
+        body = self._discovery.body(version)[0]
+        self._delta_bytes = len(body)
+        return body
+
+    def row(self, quick_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
+        """Make the row of the quick rounds together, and measure the memory."""
+        lists = [spans for measured in quick_rounds for spans in measured.lists]
+        deltas = [spans for measured in quick_rounds for spans in measured.deltas]
+        return ListRow(
+            cell=self.name,
+            list_bytes=self._list_bytes,
+            delta_bytes=self._delta_bytes,
+            list_parse_ms=_median(spans.parse for spans in lists) / _MS_NS,
+            delta_parse_us=_median(spans.parse for spans in deltas) / _US_NS,
+            list_read_ms=_median(spans.read for spans in lists) / _MS_NS,
+            delta_read_us=_median(spans.read for spans in deltas) / _US_NS,
+            list_pools_ms=_median(spans.pools for spans in lists) / _MS_NS,
+            delta_pools_us=_median(spans.pools for spans in deltas) / _US_NS,
+            list_module_ms=_median(spans.policy for spans in lists) / _MS_NS,
+            delta_module_us=_median(spans.policy for spans in deltas) / _US_NS,
+            list_whole_ms=_median(spans.whole for spans in lists) / _MS_NS,
+            delta_whole_us=_median(spans.whole for spans in deltas) / _US_NS,
+            delta_whole_us_99=float(np.percentile([spans.whole for spans in deltas], 99)) / _US_NS,
+            memory_kib=_memory_bytes(self._text) / _KIB,
+            rounds=columns,
+        )
+
+
+def _median(spans_ns: Iterable[int]) -> float:
+    return float(np.median(list(spans_ns)))
+
+
+def _memory_bytes(text: str) -> int:
+    """Measure what a balancer holds once its list is in force (its watch has begun, no request has come)."""
 
     async def start() -> int:
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
+        # The configuration gets no name: what of it the balancer does not keep must not count.
         hollow = Hollow(
-            read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda index, at: None
+            read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
         )
         hollow.start()
         gc.collect()
--- a/testbed/runs/list_size_rounds.py
+++ b/testbed/runs/list_size_rounds.py
@@ -8,78 +8,112 @@
 
 import math
 import time
-from collections.abc import Callable
-from typing import Any, Protocol
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Any, Generic, Protocol, TypeVar
 
 import numpy as np
 
+from testbed.results import Findings, Row
+
 REFERENCE_TIMES = 20
-REFERENCES = 100  # at the start, to know how quick a core is that is left alone
-QUICK = 1.25  # times the least reference: a busy sibling makes it nearly twice
-_US = 1e3  # nanoseconds
+"""Pieces of work in one reading of the reference, which is their median."""
+REFERENCES = 100
+"""Readings at the start, to know how quick a core is that is left alone."""
+QUICK = 1.25
+"""A reference up to so many times the least is quick; a busy sibling core makes it nearly twice the least."""
+_US_NS = 1e3
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RoundColumns(Row):
+    """The rounds behind a row."""
+
+    rounds: int
+    """Those beside a quick reference, which make the row."""
+    rounds_played: int
+    reference_us: float
+    """The longest reference beside one of the quick rounds, in microseconds."""
+
 
-Spans = dict[str, list[float]]
-"""Nanoseconds by what took them, and other figures of a round by name."""
+RoundT = TypeVar("RoundT")
+RowT_co = TypeVar("RowT_co", bound=Row, covariant=True)
+RowT = TypeVar("RowT", bound=Row)
 
 
-class Cell(Protocol):
-    """One size, kept in part or in all, of which rounds are played; `name` holds the columns that name it."""
+class Cell(Protocol[RoundT, RowT_co]):
+    """One size under one setting, of which rounds are played."""
 
-    name: dict[str, Any]
+    @property
+    def name(self) -> Row:
+        """The columns that tell it from the others."""
 
-    def play(self) -> Spans:
-        """One round."""
+    def play(self) -> RoundT:
+        """Play one round."""
 
-    def row(self, spans: Spans) -> dict[str, Any]:
-        """The row that the rounds together make."""
+    def row(self, quick_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
+        """Make the row of the quick rounds together; `columns` becomes a part of it."""
 
 
 def reference_us() -> float:
-    """The median time of a fixed piece of work, in microseconds."""
-    spans = []
+    """Measure the median time of a fixed piece of work, in microseconds."""
+    spans_ns = []
     for _ in range(REFERENCE_TIMES):
         began = time.perf_counter_ns()
         sum([math.exp(-i / 1000) for i in range(1000)])
-        spans.append(time.perf_counter_ns() - began)
-    return float(np.median(spans)) / _US
+        spans_ns.append(time.perf_counter_ns() - began)
+    return float(np.median(spans_ns)) / _US_NS
+
+
+@dataclass(frozen=True, slots=True)
+class _Played:
+    """A round, and the longer of the references before and after it."""
+
+    reference_us: float
+    measured: Any
+
 
+class Rounds(Generic[RowT]):
+    """Plays cells in rounds, and counts those beside a quick reference.
 
-class Rounds:
-    """Plays cells in rounds, and counts those beside a quick reference; `reference` gives microseconds."""
+    Args:
+        enough: So many quick rounds of a cell end its play.
+        most: So many rounds of a cell are played at the most.
+        reference: Takes a reading of the reference, in microseconds.
+    """
 
     def __init__(self, enough: int, most: int, reference: Callable[[], float]) -> None:
         self._enough, self._most, self._reference = enough, most, reference
-        self._played: list[tuple[Cell, list[tuple[float, Spans]]]] = []
-        self._least = min([reference() for _ in range(REFERENCES)])
+        self._played: list[tuple[Cell[Any, RowT], list[_Played]]] = []
+        self._least_us = min([reference() for _ in range(REFERENCES)])
 
-    def _is_quick(self, reference_us: float) -> bool:
-        return reference_us <= QUICK * self._least
+    def _is_quick(self, played: _Played) -> bool:
+        return played.reference_us <= QUICK * self._least_us
 
-    def play(self, cell: Cell) -> None:
+    def play(self, cell: Cell[Any, RowT]) -> None:
         """Play rounds until enough were quick, as far as is known by now, or the most were played."""
-        played: list[tuple[float, Spans]] = []
+        rounds: list[_Played] = []
         before = self._reference()
-        while len(played) < self._most and sum(self._is_quick(r) for r, _ in played) < self._enough:
-            spans = cell.play()
+        while len(rounds) < self._most and sum(map(self._is_quick, rounds)) < self._enough:
+            measured = cell.play()
             after = self._reference()
-            self._least = min(self._least, after)
-            played.append((max(before, after), spans))
+            self._least_us = min(self._least_us, after)
+            rounds.append(_Played(max(before, after), measured))
             before = after
-        self._played.append((cell, played))
+        self._played.append((cell, rounds))
 
-    def rows(self) -> tuple[list[dict[str, Any]], list[str]]:
+    def findings(self) -> Findings[RowT]:
         """The rows of the quick rounds, and a doubt for each cell that has none."""
-        rows, doubts = [], []
-        for cell, played in self._played:
-            quick = [(reference, spans) for reference, spans in played if self._is_quick(reference)]
+        findings: Findings[RowT] = Findings()
+        for cell, rounds in self._played:
+            quick = list(filter(self._is_quick, rounds))
             if not quick:
-                doubts.append(f"{cell.name}: none of {len(played)} rounds was quick")
+                findings.doubts.append(f"{cell.name.columns()}: none of {len(rounds)} rounds was quick")
                 continue
-            together: Spans = {name: [] for name in quick[0][1]}
-            for _, spans in quick:
-                for name, values in spans.items():
-                    together[name] += values
-            row = cell.row(together)
-            longest = max(reference for reference, _ in quick)
-            rows.append(row | {"rounds": len(quick), "rounds_played": len(played), "reference_us": longest})
-        return rows, doubts
+            columns = RoundColumns(
+                rounds=len(quick),
+                rounds_played=len(rounds),
+                reference_us=max(played.reference_us for played in quick),
+            )
+            findings.rows.append(cell.row([played.measured for played in quick], columns))
+        return findings
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth.py
@@ -1,33 +1,30 @@
-"""Real balancers in a deep chain: what all of them add, what reaches the bottom, and what faults there cause.
+"""Real balancers in a deep chain: what they add, which deadline reaches the end, what faults there cause.
 
-Each tier has two hollow upstreams, each with a real balancer of its own that sends to the next tier; two
-more balancers are the clients' front. Beside it stands the same chain without balancers, one upstream a tier:
-its calls are the direct ones, and the difference is what the balancers add.
+Beside the chain stands the same one without balancers, one upstream a tier: its calls are the direct ones,
+and the difference is what the balancers add.
 """
 
 from __future__ import annotations
 
 import asyncio
-import itertools
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
-from testbed import load, settings
-from testbed.discovery import Discovery
+from testbed import load
 from testbed.latency import Latencies
-from testbed.meter import CoresWatch, usage
-from testbed.real import SAME_PYTHON, RealBalancer, free_address
-from testbed.results import Findings, fit_line
+from testbed.meter import CoresWatch, Usage, usage
+from testbed.results import OMITTED_IF_NONE, Findings, Measured, Row, fit_columns
 from testbed.runs import loaded
-from testbed.upstream import Asked, Behaviour, Upstream, UpstreamPools, Way, next_tier
+from testbed.runs.real_depth_chain import Chain
+from testbed.upstream import Behaviour, Way
 
-_WIDTH = 2
-_AT_ONCE = 8  # balancers that start at the same time
 _CALM = Behaviour()
+_CALM_PHASE = "calm"
 _PHASES = (
-    ("calm", _CALM),
+    (_CALM_PHASE, _CALM),
     ("fails 0.1", Behaviour(Way.FAIL, 0.1)),
     ("fails 0.5", Behaviour(Way.FAIL, 0.5)),
     ("fails all", Behaviour(Way.FAIL)),
@@ -37,6 +34,12 @@
 )
 
 
+_FITTED = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
+_OK = 200
+_REJECTED = (503, 429)
+_MIB = 2**20
+
+
 class Plan(loaded.Plan):
     """`sizes` count the tiers, which are also the balancers on a call's way."""
 
@@ -46,158 +49,171 @@
     """The length of each phase."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings:
-    """One row for each size and phase, and a line over the calm ones."""
-    findings = Findings()
+@dataclass(frozen=True, slots=True, kw_only=True)
+class TimeColumns(Row):
+    """Quantiles of both ways in milliseconds, over calls with response 200; `added` is the difference."""
+
+    direct_50_ms: float
+    through_50_ms: float
+    through_90_ms: float
+    added_50_ms: float
+    added_90_ms: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class DeadlineColumns(Row):
+    """The deadlines of the requests that reached the last tier, in milliseconds."""
+
+    bottom_deadline_50_ms: float
+    bottom_deadline_least_ms: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RealDepthRow(Row):
+    """A chain of one depth in one phase."""
+
+    depth: int
+    """The tiers, which are also the balancers on a call's way."""
+    phase: str
+    calls: int
+    """Calls through the balancers."""
+    served: int
+    """Those with response 200."""
+    refused: int
+    """Those with response 503 or 429."""
+    failed: int
+    """All others."""
+    last_unserved_s: float
+    """When the last call was due that was not served, from the start of the phase; 0 if all were."""
+    times: TimeColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
+    """Left out where no call was served one way or the other."""
+    deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
+    """Left out where nothing reached the last tier."""
+    attempts_top: float
+    """Attempts at the first tier by call."""
+    attempts_bottom: float
+    """Attempts at the last tier by call."""
+    attempts_by_tier: list[int]
+    processor_us_a_call: float
+    """Processor time of all balancers by call."""
+    resident_mib: float
+    """Resident memory of all balancers at the end."""
+    cores_busy: float
+    """The busy part of all cores' time, from 0 to 1."""
+
+
+def play(plan: Plan, log: FilteringBoundLogger) -> Findings[RealDepthRow]:
+    """Measure each size and phase, and fit lines over the calm phases."""
+    findings: Findings[RealDepthRow] = Findings()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_measure(plan, depth, findings, log))
-    calm = [row for row in findings.rows if row["phase"] == "calm"]
+            runner.run(_play_depth(plan, depth, findings, log))
+    calm = [row for row in findings.rows if row.phase == _CALM_PHASE]
     if len(calm) > 1:
-        columns = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
-        findings.fits = [fit_line(calm, y, "depth") for y in columns]
+        findings.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
     return findings
 
 
-class _Chain:
-    """Tiers of upstreams, joined by real balancers or directly."""
-
-    def __init__(self, plan: Plan, depth: int) -> None:
-        self._plan, self._depth = plan, depth
-        self._upstreams = UpstreamPools(plan.seed)
-        self._lists: list[Discovery] = []
-        self.tiers: list[list[Upstream]] = []
-        self.balancers: list[RealBalancer] = []
-        self.fronts: list[load.Client] = []
-        self.direct: load.Client
-        self.deadlines_ms: list[float] = []
-        """What the requests that reached the bottom said."""
-
-    async def start(self) -> None:
-        """Start all of it, the bottom first: a balancer is put to use once it is ready."""
-        seeds = itertools.count(self._plan.seed * 1_000)
-        bare = await self._upstreams.start(self._depth)
-        for upper, lower in itertools.pairwise(bare):
-            upper.calls = next_tier(load.Client(lower.address), load.request_ids(next(seeds)))
-        self.direct = load.Client(bare[0].address)
-        for tier in range(self._depth):
-            self.tiers.append(await self._upstreams.start(_WIDTH))
-            self._lists.append(Discovery())
-            await self._lists[tier].start(f"127.79.{tier}.1")
-            entries = [
-                settings.entry(f"s-{tier:04x}{i:04x}", u.address) for i, u in enumerate(self.tiers[tier])
-            ]
-            self._lists[tier].set(entries)
-        texts = [
-            settings.config(
-                f"n{tier}-{i}",
-                free_address(f"127.78.{tier}.{i + 1}"),
-                self._lists[tier].agent(i),
-                self._lists[tier].entries,
-                settings.site(balancers=_WIDTH, tier=tier, familyInfo={"passesDeadline": True}),
-                seed=next(seeds),
-                index=self._lists[tier].index,
-            )
-            for tier in range(self._depth)
-            for i in range(_WIDTH)
-        ]
-        for first in range(0, len(texts), _AT_ONCE):
-            for text in texts[first : first + _AT_ONCE]:
-                self.balancers.append(await RealBalancer.start(text, SAME_PYTHON))
-            await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
-        callers = [load.Client(balancer.address) for balancer in self.balancers]
-        self.fronts = callers[:_WIDTH]
-        above = [upstream for tier in self.tiers[:-1] for upstream in tier]
-        for upstream, caller in zip(above, callers[_WIDTH:], strict=True):
-            upstream.calls = next_tier(caller, load.request_ids(next(seeds)))
-        for upstream in self.tiers[-1]:
-            upstream.seen = self._saw
-
-    def _saw(self, asked: Asked) -> None:
-        self.deadlines_ms.append(asked.deadline_ms)
-
-    def asked(self) -> list[int]:
-        """By tier: the attempts that came so far."""
-        return [sum(upstream.counts.asked for upstream in tier) for tier in self.tiers]
-
-    async def stop(self) -> None:
-        """End all of it."""
-        await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
-        for each in self._lists:
-            await each.stop()
-        self._upstreams.close()
-
-
-async def _measure(plan: Plan, depth: int, findings: Findings, log: FilteringBoundLogger) -> None:
-    chain = _Chain(plan, depth)
+async def _play_depth(
+    plan: Plan, depth: int, findings: Findings[RealDepthRow], log: FilteringBoundLogger
+) -> None:
+    """Start a chain and play its phases."""
+    chain = Chain(plan.seed, depth)
     try:
         await chain.start()
         await load.play(_streams(plan, chain), plan.warm_s, plan.seed)
         for number, (phase, behaviour) in enumerate(_PHASES if depth in plan.faults_at else _PHASES[:1]):
             for upstream in chain.tiers[-1]:
                 await upstream.act(behaviour)
-            row, doubts = await _phase(plan, chain, plan.seed + 1 + number)
-            findings.rows.append({"depth": depth, "phase": phase} | row)
-            findings.doubts += [f"depth {depth}, {phase}: {doubt}" for doubt in doubts]
-            log.info("measured", depth=depth, phase=phase, **row, doubts=doubts)
+            measured = await _play_phase(plan, chain, phase, plan.seed + 1 + number)
+            findings.rows.append(measured.row)
+            findings.doubts += [f"depth {depth}, {phase}: {doubt}" for doubt in measured.doubts]
+            log.info("measured", **measured.row.columns(), doubts=measured.doubts)
     finally:
         await chain.stop()
 
 
-def _streams(plan: Plan, chain: _Chain) -> list[load.Stream]:
-    ways = {"direct": [chain.direct], "through": chain.fronts}
-    return [load.Stream(n, c, plan.per_s, plan.class_name, plan.deadline_ms) for n, c in ways.items()]
+def _streams(plan: Plan, chain: Chain) -> list[load.Stream]:
+    clients = {"direct": [chain.direct], "through": chain.fronts}
+    return [
+        load.Stream(name, clients_of, plan.per_s, plan.class_name, plan.deadline_ms)
+        for name, clients_of in clients.items()
+    ]
+
+
+@dataclass(frozen=True, slots=True)
+class _Readings:
+    """What was read around a phase."""
+
+    usage_before: Usage
+    usage_after: Usage
+    cores_busy: float
+    attempts: list[int]
+    """At each tier."""
+    reports: dict[str, load.Report]
 
 
-async def _phase(plan: Plan, chain: _Chain, seed: int) -> tuple[dict[str, Any], list[str]]:
+async def _play_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
+    """Play the load of one phase."""
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
-    cores, before, asked = CoresWatch(), usage(pids), chain.asked()
+    cores = CoresWatch()
+    usage_before = usage(pids)
+    attempts_before = chain.attempts()
     reports = await load.play(_streams(plan, chain), plan.phase_s, seed)
-    after = usage(pids)
-    busy, attempts = cores.busy(), [b - a for a, b in zip(asked, chain.asked(), strict=True)]
-    direct, through = reports["direct"], reports["through"]
-    calls = through.sends
+    usage_after = usage(pids)
+    busy = cores.busy()
+    attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
     doubts = cores.doubts("the phase")
     for name, report in reports.items():
         doubts += report.doubts(name, plan.late_ms)
-    row: dict[str, Any] = {
-        "calls": calls,
-        "served": through.statuses[200],
-        "refused": through.statuses[503] + through.statuses[429],
-        "failed": calls - through.statuses[200] - through.statuses[503] - through.statuses[429],
-        "last_unserved_s": max(through.unserved, default=0.0),
-        **_times(direct.served, through.served),
-        **_spread(chain.deadlines_ms),
-        "attempts_top": attempts[0] / calls,
-        "attempts_bottom": attempts[-1] / calls,
-        "attempts_by_tier": attempts,
-        "processor_us_a_call": (after.processor_s - before.processor_s) * 1e6 / calls,
-        "resident_mib": after.resident / 2**20,
-        "cores_busy": busy,
-    }
-    return row, doubts
-
-
-def _times(direct: Latencies, through: Latencies) -> dict[str, float]:
-    """Milliseconds of the two ways; none where no call was served."""
+    readings = _Readings(usage_before, usage_after, busy, attempts, reports)
+    return Measured(_row(chain, phase, readings), doubts)
+
+
+def _row(chain: Chain, phase: str, readings: _Readings) -> RealDepthRow:
+    through = readings.reports["through"]
+    calls = through.sends
+    served = through.statuses[_OK]
+    rejected = sum(through.statuses[status] for status in _REJECTED)
+    processor_s = readings.usage_after.processor_s - readings.usage_before.processor_s
+    return RealDepthRow(
+        depth=len(chain.tiers),
+        phase=phase,
+        calls=calls,
+        served=served,
+        refused=rejected,
+        failed=calls - served - rejected,
+        last_unserved_s=max(through.unserved, default=0.0),
+        times=_times(readings.reports["direct"].served, through.served),
+        deadlines=_deadlines(chain.deadlines_ms),
+        attempts_top=readings.attempts[0] / calls,
+        attempts_bottom=readings.attempts[-1] / calls,
+        attempts_by_tier=readings.attempts,
+        processor_us_a_call=processor_s * 1e6 / calls,
+        resident_mib=readings.usage_after.resident / _MIB,
+        cores_busy=readings.cores_busy,
+    )
+
+
+def _times(direct: Latencies, through: Latencies) -> TimeColumns | None:
+    """Compare the two ways; None where no call was served one way or the other."""
     if not through.count or not direct.count:
-        return {}
-    return {
-        "direct_50_ms": direct.quantile_ms(0.5),
-        "through_50_ms": through.quantile_ms(0.5),
-        "through_90_ms": through.quantile_ms(0.9),
-        "added_50_ms": through.quantile_ms(0.5) - direct.quantile_ms(0.5),
-        "added_90_ms": through.quantile_ms(0.9) - direct.quantile_ms(0.9),
-    }
-
-
-def _spread(deadlines_ms: list[float]) -> dict[str, float]:
-    """The median and the shortest of the deadlines; none where nothing reached the bottom."""
+        return None
+    return TimeColumns(
+        direct_50_ms=direct.quantile_ms(0.5),
+        through_50_ms=through.quantile_ms(0.5),
+        through_90_ms=through.quantile_ms(0.9),
+        added_50_ms=through.quantile_ms(0.5) - direct.quantile_ms(0.5),
+        added_90_ms=through.quantile_ms(0.9) - direct.quantile_ms(0.9),
+    )
+
+
+def _deadlines(deadlines_ms: Sequence[float]) -> DeadlineColumns | None:
+    """The median and the shortest of the deadlines; None where there are none."""
     if not deadlines_ms:
-        return {}
+        return None
     ordered = sorted(deadlines_ms)
-    return {
-        "bottom_deadline_50_ms": ordered[len(ordered) // 2],
-        "bottom_deadline_least_ms": ordered[0],
-    }
+    return DeadlineColumns(
+        bottom_deadline_50_ms=ordered[len(ordered) // 2], bottom_deadline_least_ms=ordered[0]
+    )
--- /dev/null
+++ b/testbed/runs/real_depth_chain.py
@@ -0,0 +1,107 @@
+"""A chain of tiers whose upstreams are joined by real balancers, beside the same chain without balancers."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+
+from testbed import load, settings
+from testbed.discovery import Discovery
+from testbed.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.upstream import Asked, Upstream, UpstreamPools, next_tier
+
+_WIDTH = 2  # upstreams of a tier, and balancers in front of it
+_STARTED_TOGETHER = 8
+
+
+class Chain:
+    """Tiers of upstreams, joined by real balancers or directly.
+
+    Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two more
+    balancers are the clients' front.
+    """
+
+    def __init__(self, seed: int, depth: int) -> None:
+        self._depth = depth
+        self._seeds = itertools.count(seed * 1_000)
+        self._upstreams = UpstreamPools(seed)
+        self._lists: list[Discovery] = []
+        self.tiers: list[list[Upstream]] = []
+        self.balancers: list[RealBalancer] = []
+        self.fronts: list[load.Client] = []
+        """Clients of the balancers at the front."""
+        self.direct: load.Client
+        """The client of the chain without balancers."""
+        self.deadlines_ms: list[float] = []
+        """The deadlines of the requests that reached the last tier."""
+
+    async def start(self) -> None:
+        """Start all of it, the last tier first: a balancer is put to use once it is ready."""
+        await self._start_direct()
+        for tier in range(self._depth):
+            await self._start_tier(tier)
+        await self._start_balancers()
+        self._join()
+        for upstream in self.tiers[-1]:
+            upstream.seen = self._record_deadline
+
+    async def _start_direct(self) -> None:
+        """Start the chain without balancers: one upstream a tier."""
+        upstreams = await self._upstreams.start(self._depth)
+        for upper, lower in itertools.pairwise(upstreams):
+            upper.calls = next_tier(load.Client(lower.address), load.request_ids(next(self._seeds)))
+        self.direct = load.Client(upstreams[0].address)
+
+    async def _start_tier(self, tier: int) -> None:
+        """Start the upstreams of a tier and the discovery that lists them."""
+        self.tiers.append(await self._upstreams.start(_WIDTH))
+        self._lists.append(Discovery())
+        await self._lists[tier].start(f"127.79.{tier}.1")
+        self._lists[tier].set(
+            [
+                settings.entry(f"s-{tier:04x}{i:04x}", upstream.address)
+                for i, upstream in enumerate(self.tiers[tier])
+            ]
+        )
+
+    async def _start_balancers(self) -> None:
+        """Start the balancers in front of every tier, a few at a time."""
+        texts = [self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_WIDTH)]
+        for first in range(0, len(texts), _STARTED_TOGETHER):
+            for text in texts[first : first + _STARTED_TOGETHER]:
+                self.balancers.append(await RealBalancer.start(text, SAME_PYTHON))
+            await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
+
+    def _configuration_text(self, tier: int, number: int) -> str:
+        """The configuration of a balancer that sends to a tier, counted from 0."""
+        return settings.config(
+            f"n{tier}-{number}",
+            free_address(f"127.78.{tier}.{number + 1}"),
+            self._lists[tier].agent(number),
+            self._lists[tier].entries,
+            settings.site(balancers=_WIDTH, tier=tier, familyInfo={"passesDeadline": True}),
+            seed=next(self._seeds),
+            index=self._lists[tier].index,
+        )
+
+    def _join(self) -> None:
+        """Let each upstream above the last tier call the next tier through a balancer of its own."""
+        clients = [load.Client(balancer.address) for balancer in self.balancers]
+        self.fronts = clients[:_WIDTH]
+        above = [upstream for tier in self.tiers[:-1] for upstream in tier]
+        for upstream, client in zip(above, clients[_WIDTH:], strict=True):
+            upstream.calls = next_tier(client, load.request_ids(next(self._seeds)))
+
+    def _record_deadline(self, asked: Asked) -> None:
+        self.deadlines_ms.append(asked.deadline_ms)
+
+    def attempts(self) -> list[int]:
+        """The attempts so far at each tier."""
+        return [sum(upstream.counts.asked for upstream in tier) for tier in self.tiers]
+
+    async def stop(self) -> None:
+        """End all of it."""
+        await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
+        for discovery in self._lists:
+            await discovery.stop()
+        self._upstreams.close()
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -27,7 +27,8 @@
         "troubles": troubles,
     }
     with capture_logs():
-        return depth.play(depth.Plan.model_validate(base | changes), structlog.get_logger()).rows
+        findings = depth.play(depth.Plan.model_validate(base | changes), structlog.get_logger())
+    return [row.columns() for row in findings.rows]
 
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/test_chain.py
@@ -81,13 +81,13 @@
     return depth_run.Plan.model_validate(base | changes)
 
 
-def found(**changes: Any) -> Findings:
+def found(**changes: Any) -> Findings[Any]:
     with capture_logs():  # the command line's tests leave a log on a stream of theirs
         return depth_run.play(plan(**changes), structlog.get_logger())
 
 
 def rows(**changes: Any) -> list[dict[str, Any]]:
-    return found(**changes).rows
+    return [row.columns() for row in found(**changes).rows]
 
 
 # ---- the host ------------------------------------------------------------------------------------
@@ -326,14 +326,14 @@
 
 def test_a_run_that_needs_too_many_events_says_so_and_is_not_fitted() -> None:
     whole = found(sizes=(1, 2, 4))
-    assert not any(row["cut_short"] for row in whole.rows)
+    assert not any(row.cut_short for row in whole.rows)
     assert [(fit.x, fit.points) for fit in whole.fits] == [("depth", 3), ("depth", 3), ("ln depth", 3)] * 2
-    most = whole.rows[1]["events"]
+    most = whole.rows[1].work.events
     cut = found(sizes=(1, 2, 4), events_most=most)
-    assert [row["cut_short"] for row in cut.rows] == [False, False, True]
-    assert cut.rows[2]["events"] == most
+    assert [row.cut_short for row in cut.rows] == [False, False, True]
+    assert cut.rows[2].work.events == most
     assert {fit.points for fit in cut.fits} == {2}
-    assert cut.rows[2]["attempts_a_call_by_tier"][0] > 0
+    assert cut.rows[2].columns()["attempts_a_call_by_tier"][0] > 0
 
 
 def test_service_comes_back_with_the_servers() -> None:
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -1,6 +1,7 @@
 """The testbed's files, fits and command line."""
 
 import json
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Annotated
 
@@ -9,24 +10,55 @@
 
 from testbed.cli import app
 from testbed.experiment import FOLDER, ExperimentError, Plan, Run, formerly, read_plan
-from testbed.results import Findings, fit_line, table, write
+from testbed.results import OMITTED_IF_NONE, Findings, Row, fit_columns, fit_line, table, write
 from testbed.runs import RUNS
 
-RESULTS_FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
 GOOD = 'run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n'
 NONE = {"none": Run(Plan, lambda plan, log: Findings())}
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Point(Row):
+    n: int
+    ms: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class PartRow(Row):
+    a: int | None = None
+    b: int | None = field(default=None, metadata=OMITTED_IF_NONE)
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class WholeRow(Row):
+    first: int
+    part: PartRow | None = field(default=None, metadata=OMITTED_IF_NONE)
+    last: int
+
+
+def points(*pairs: tuple[int, float]) -> list[Point]:
+    return [Point(n=n, ms=ms) for n, ms in pairs]
+
+
+def test_a_row_s_columns_are_its_fields_and_those_of_its_parts_in_their_order() -> None:
+    whole = WholeRow(first=1, part=PartRow(a=2, b=3), last=4)
+    assert list(whole.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
+    assert WholeRow(first=1, part=PartRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
+    assert WholeRow(first=1, last=4).columns() == {"first": 1, "last": 4}
+
+
 def test_a_fit_gives_the_slope_and_its_error() -> None:
-    exact = fit_line([{"n": n, "ms": 3.0 * n + 2.0} for n in (1, 2, 4, 8)], "ms", "n")
+    exact = fit_columns(points(*((n, 3.0 * n + 2.0) for n in (1, 2, 4, 8))), "ms", "n")
+    assert (exact.y, exact.x, exact.points) == ("ms", "n", 4)
     assert (exact.slope, exact.intercept) == pytest.approx((3.0, 2.0))
     assert exact.slope_error == pytest.approx(0.0, abs=1e-9)
     # By hand: residuals -0.5, 1, -0.5 of one degree of freedom, over a spread of 2.
-    noisy = fit_line([{"n": n, "ms": ms} for n, ms in ((0, 0.0), (1, 2.0), (2, 1.0))], "ms", "n")
+    noisy = fit_columns(points((0, 0.0), (1, 2.0), (2, 1.0)), "ms", "n", label="ms (noisy)")
+    assert noisy == fit_line([0, 1, 2], [0.0, 2.0, 1.0], x="n", y="ms (noisy)")
     assert (noisy.slope, noisy.intercept) == pytest.approx((0.5, 0.5))
     assert noisy.slope_error == pytest.approx((1.5 / 2) ** 0.5)
     with pytest.raises(ValueError, match="two sizes"):
-        fit_line([{"n": 1, "ms": 1.0}], "ms", "n")
+        fit_columns(points((1, 1.0)), "ms", "n")
 
 
 @pytest.mark.parametrize(
@@ -49,12 +81,12 @@
 
 
 def test_a_run_that_doubts_itself_gives_no_figures(tmp_path: Path) -> None:
-    findings = Findings([{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}])
-    findings.fits.append(fit_line(findings.rows, "ms", "n"))
+    findings = Findings(points((1, 2.0), (2, 4.0)))
+    findings.fits.append(fit_columns(findings.rows, "ms", "n"))
     write(tmp_path / "good.json", "good", {"about": "A line."}, findings)
     good = json.loads((tmp_path / "good.json").read_text())
     assert good["valid"]
-    assert good["rows"] == findings.rows
+    assert good["rows"] == [{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}]
     assert good["fits"][0]["slope"] == pytest.approx(2.0)
     assert {"program", "python", "numpy"} <= good["versions"].keys()
     assert good["machine"]["cores"] > 0
@@ -81,26 +113,6 @@
     assert f"{path.stem:24} {plan.about}" in listed.output.splitlines()
 
 
-@pytest.mark.parametrize("path", sorted(RESULTS_FOLDER.glob("*.json")), ids=lambda path: path.stem)
-def test_a_stored_result_is_shown_with_its_columns_rows_and_fits(path: Path) -> None:
-    stored = json.loads(path.read_text(encoding="utf-8"))
-    shown = CliRunner().invoke(app, ["show", str(path)])
-    assert shown.exit_code == 0
-    lines = shown.output.splitlines()
-    assert lines[0] == f"{stored['experiment']}: {stored['plan']['about']}"
-    doubt_count = len(stored["doubts"])
-    assert lines[1 : 1 + doubt_count] == [f"no figures: {doubt}" for doubt in stored["doubts"]]
-    header_count = 1 if stored["rows"] else 0
-    assert len(lines) == 2 + doubt_count + header_count + len(stored["rows"]) + len(stored["fits"])
-    if stored["rows"]:
-        columns = lines[1 + doubt_count].split()
-        assert set(columns) == {name for row in stored["rows"] for name in row}
-
-
-def test_there_are_stored_results() -> None:
-    assert list(RESULTS_FOLDER.glob("*.json"))
-
-
 def test_a_renamed_field_is_read_by_both_names_and_written_by_the_new_one(tmp_path: Path) -> None:
     class RenamedPlan(Plan):
         new_s: Annotated[float, formerly("new_s", "old_s")] = 0.0
--- a/tests/testbed/test_load.py
+++ b/tests/testbed/test_load.py
@@ -361,7 +361,7 @@
         late_ms=0.0,
     )
     findings = added_time.play(plan, LOG)
-    (row,) = findings.rows
+    (row,) = [row.columns() for row in findings.rows]
     assert row["entries"] == 3
     assert row["calls"] == len(arrivals(200.0, 0.1, random.Random("5/through")))
     assert row["served"] == row["calls"] <= row["calls"] * row["attempts_a_call"]
@@ -387,7 +387,7 @@
         phase_s=0.05,
         late_ms=1_000.0,
     )
-    rows = {row["phase"]: row for row in real_depth.play(plan, LOG).rows}
+    rows = {row.phase: row.columns() for row in real_depth.play(plan, LOG).rows}
     assert next(iter(rows)) == "calm"
     assert len(rows) == 7
     for phase, row in rows.items():
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -6,7 +6,8 @@
 import os
 import subprocess
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import astuple, dataclass, fields
 from functools import partial
 from itertools import islice
 from types import SimpleNamespace
@@ -25,15 +26,11 @@
 from testbed.experiment import FOLDER, read_plan
 from testbed.hollow import Hollow, HollowProcess
 from testbed.meter import CoresWatch, LoopLag, processor_s, usage
-from testbed.runs import (
-    RUNS,
-    control_change,
-    control_delays,
-    control_rest,
-    list_size,
-    list_size_growth,
-    list_size_rounds,
-)
+from testbed.results import Row
+from testbed.runs import RUNS, control_change, control_rest, list_size
+from testbed.runs.control_delays import Spread, VersionSeen, delays_ms, spread
+from testbed.runs.list_size_rounds import REFERENCES, RoundColumns, Rounds
+from testbed.runs.list_size_rows import CellName, ListRow, with_growth
 from testbed.settings import Entry, config, entry, fleet, site
 from tests.network.loopback import ReceivedMessage, read_message, run
 
@@ -514,8 +511,9 @@
         "rounds_most": 1,
     }
     findings = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    lists = [row for row in findings.rows if row["measured"] == "list"]
-    decisions = [row for row in findings.rows if row["measured"] == "decision"]
+    rows = [row.columns() for row in findings.rows]
+    lists = [row for row in rows if row["measured"] == "list"]
+    decisions = [row for row in rows if row["measured"] == "decision"]
     assert [(row["entries"], row["keeps"]) for row in lists] == [
         (entries, keeps) for entries in (6, 40) for keeps in ("part", "all")
     ]
@@ -539,35 +537,57 @@
     assert all("list_module_ms_growth" in row for row in lists[2:])
 
 
+def list_row(entries: int, list_module_ms: float) -> ListRow:
+    costs = {column.name: 1.0 for column in fields(ListRow) if column.name.startswith(("list_", "delta_"))}
+    growth = {"delta_module_us_growth": None, "list_module_ms_growth": None}
+    values: dict[str, Any] = costs | growth | {"memory_kib": 1.0, "list_module_ms": list_module_ms}
+    return ListRow(
+        cell=CellName(measured="list", entries=entries, keeps="all", tier=0),
+        rounds=RoundColumns(rounds=1, rounds_played=1, reference_us=1.0),
+        **values,
+    )
+
+
 def test_growth_is_the_power_of_the_length_between_two_sizes() -> None:
-    cell = {"measured": "list", "keeps": "all", "tier": 0}
-    rows: list[dict[str, Any]] = [
-        cell | {"entries": n, "list_module_ms": ms} for n, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))
-    ]
-    list_size_growth.add_growth(rows)
-    assert "list_module_ms_growth" not in rows[0]
-    assert [row["list_module_ms_growth"] for row in rows[1:]] == pytest.approx([0.0, 2.0])
+    rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
+    grown = [row.columns() for row in with_growth(rows)]
+    assert "list_module_ms_growth" not in grown[0]
+    assert [row["list_module_ms_growth"] for row in grown[1:]] == pytest.approx([0.0, 2.0])
+    assert [row["delta_module_us_growth"] for row in grown[1:]] == [0.0, 0.0]
 
 
-def test_only_rounds_beside_a_quick_core_count() -> None:
-    class Counted:
-        def __init__(self) -> None:
-            self.name: dict[str, Any] = {"entries": 6}
-            self.rounds = 0
+@dataclass(frozen=True, slots=True, kw_only=True)
+class EntriesRow(Row):
+    entries: int
+
 
-        def play(self) -> list_size_rounds.Spans:
-            self.rounds += 1
-            return {"round": [float(self.rounds)]}
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RoundsRow(Row):
+    round: list[float]
+    columns_of_rounds: RoundColumns
 
-        def row(self, spans: list_size_rounds.Spans) -> dict[str, Any]:
-            return dict(spans)
 
+class CountedCell:
+    def __init__(self) -> None:
+        self.name = EntriesRow(entries=6)
+        self.rounds = 0
+
+    def play(self) -> float:
+        self.rounds += 1
+        return float(self.rounds)
+
+    def row(self, quick_rounds: Sequence[float], columns: RoundColumns) -> RoundsRow:
+        return RoundsRow(round=list(quick_rounds), columns_of_rounds=columns)
+
+
+def test_only_rounds_beside_a_quick_core_count() -> None:
     def played(enough: int, most: int, *readings: float) -> tuple[list[dict[str, Any]], list[str]]:
-        coming = iter([*[10.0] * list_size_rounds.REFERENCES, *readings])
-        rounds = list_size_rounds.Rounds(enough, most, lambda: next(coming))
-        rounds.play(Counted())
+        coming = iter([*[10.0] * REFERENCES, *readings])
+        rounds: Rounds[RoundsRow] = Rounds(enough, most, lambda: next(coming))
+        rounds.play(CountedCell())
         assert next(coming, None) is None
-        return rounds.rows()
+        findings = rounds.findings()
+        return [row.columns() for row in findings.rows], findings.doubts
 
     # A slow reference before or after a round leaves it out; enough quick ones end the play.
     rows, doubts = played(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
@@ -581,17 +601,12 @@
 
 def test_a_change_is_at_a_balancer_with_the_first_version_as_new() -> None:
     # Versions 5, 6 and 7; balancer 1 hears of 5 and 6 at once, balancer 2 never of 7.
-    notes = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
-    delays = control_delays.delays_ms(notes, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
+    times = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
+    seen = [VersionSeen(*time) for time in times]
+    delays = delays_ms(seen, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
     assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
-    assert control_delays.spread("ms", delays[:1]) == pytest.approx(
-        {"ms_median": 1000.0, "ms_99": 1000.0, "ms_longest": 1000.0}
-    )
-    assert control_delays.spread("ms", np.empty((0, 3))) == {
-        "ms_median": None,
-        "ms_99": None,
-        "ms_longest": None,
-    }
+    assert astuple(spread(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
+    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, longest=None)
 
 
 def test_the_run_under_change_sees_every_change_at_every_balancer() -> None:
@@ -599,10 +614,11 @@
     small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
     findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [(row["balancers"], row["multiple"]) for row in findings.rows] == [
+    rows = [row.columns() for row in findings.rows]
+    assert [(row["balancers"], row["multiple"]) for row in rows] == [
         (balancers, multiple) for balancers in (1, 3) for multiple in (200.0, 400.0)
     ]
-    for row in findings.rows:
+    for row in rows:
         assert row["changes"] > 0
         for told in ("in_force_ms", "taken_up_ms", "real_taken_up_ms"):
             assert 0 < row[f"{told}_median"] <= row[f"{told}_longest"] < float("inf")
@@ -610,7 +626,7 @@
         assert row["core_percent"] > 0
         assert row["real_core_percent"] > 0
         assert row["bytes_per_s"] > 0
-    assert {row["whole_lists"] for row in findings.rows} == {0}  # all followed the list from the start
+    assert {row.whole_lists for row in findings.rows} == {0}  # all followed the list from the start
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in findings.fits}
 
 
@@ -619,8 +635,8 @@
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
     findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [row["whole_lists"] for row in findings.rows] == [0] * 4
-    assert {row["real_core_percent"] for row in findings.rows} == {None}
+    assert [row.whole_lists for row in findings.rows] == [0] * 4
+    assert {row.real_core_percent for row in findings.rows} == {None}
 
 
 def test_the_run_at_rest_watches_a_real_balancer_of_each_size(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -634,9 +650,9 @@
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
     findings = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [(row["entries"], row["mode"]) for row in findings.rows] == [
+    assert [(row.entries, row.mode) for row in findings.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
     ]
     assert modes == [(entries, pushed) for pushed in (True, False) for entries in (3, 30)]
-    assert all(row["resident_mib"] > 5 and row["descriptors"] > 5 for row in findings.rows)
+    assert all(row.resident_mib > 5 and row.descriptors > 5 for row in findings.rows)
     assert {"resident_mib (push)", "bytes_per_s (ask)"} <= {fit.y for fit in findings.fits}
