--- a/testbed/runs/depth_plan.py
+++ b/testbed/runs/depth_plan.py
@@ -9,34 +9,35 @@
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass
 from testbed import experiment
 from testbed.chain import Behaviour, Shape
+from testbed.experiment import formerly
 
 Positive = Annotated[float, Field(gt=0)]
 NotNegative = Annotated[float, Field(ge=0)]
 
 
-class Trouble(BaseModel):
-    """One trouble: where, how many servers, and what they do meanwhile."""
+class Fault(BaseModel):
+    """One fault: in which tier, of how many servers, and what they do meanwhile."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     name: str
     behaviour: Behaviour
-    part: Annotated[float, Field(gt=0, le=1)] = 1.0
+    fraction: Annotated[float, Field(gt=0, le=1), formerly("fraction", "part")] = 1.0
     """Of the calls, where servers fail some."""
     tier: Literal["first", "middle", "bottom"] = "bottom"
     servers: Annotated[int, Field(ge=0)] = 0
     """How many of the tier's; 0 for all."""
 
     def tier_of(self, depth: int) -> int:
-        """The tier it strikes, counted from 1."""
+        """The tier of the faulty servers, counted from 1."""
         return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
 
 
 class Plan(experiment.Plan):
     """How the chains are built, what comes at them and what goes wrong."""
 
-    troubles: Annotated[tuple[Trouble, ...], Field(min_length=1)]
-    """Each is played at each depth."""
+    faults: Annotated[tuple[Fault, ...], Field(min_length=1), formerly("faults", "troubles")]
+    """Each is simulated at each depth."""
     servers_a_tier: Annotated[int, Field(ge=1)] = 6
     """Each of them with a balancer of its own, but for the last tier's."""
     fronts: Annotated[int, Field(ge=1)] = 6
@@ -44,23 +45,24 @@
     calls_per_s: Positive = 100.0
     """The mean rate at which calls come from outside; gaps are exponentially distributed."""
     warm_s: NotNegative = 5.0
-    """Before the trouble begins; 0 for trouble from the very first call."""
-    trouble_s: Positive = 15.0
+    """Before the fault begins; 0 for a fault from the very first call."""
+    fault_s: Annotated[Positive, formerly("fault_s", "trouble_s")] = 15.0
+    """How long the fault lasts."""
     after_s: NotNegative = 0.0
-    """After the trouble has ended; with 0 it lasts until the last call is over."""
+    """After the fault has ended; with 0 it lasts until the last call is over."""
     single_call: bool = False
-    """Only one call comes while the trouble lasts."""
-    effect: Idempotency = Idempotency.SAFE
+    """Only one call comes while the fault lasts."""
+    idempotency: Annotated[Idempotency, formerly("idempotency", "effect")] = Idempotency.SAFE
     """Keyed calls are kept apart by all servers together for `idempotency_window_ms`."""
-    idempotency_window_ms: Annotated[
-        NotNegative, experiment.formerly("idempotency_window_ms", "repeat_window_ms")
-    ] = 2_000.0
-    latency_objective_ms: Annotated[Positive, experiment.formerly("latency_objective_ms", "aim_ms")] = 1_000.0
+    idempotency_window_ms: Annotated[NotNegative, formerly("idempotency_window_ms", "repeat_window_ms")] = (
+        2_000.0
+    )
+    latency_objective_ms: Annotated[Positive, formerly("latency_objective_ms", "aim_ms")] = 1_000.0
     deadline_ms: Positive = 3_000.0
-    late_value: Annotated[float, Field(ge=0, le=1), experiment.formerly("late_value", "late_share")] = 0.0
+    late_value: Annotated[float, Field(ge=0, le=1), formerly("late_value", "late_share")] = 0.0
     attempts_cap: Annotated[int, Field(ge=1)] = 4
     may_cancel: bool = True
-    may_hedge: Annotated[bool, experiment.formerly("may_hedge", "may_duplicate")] = False
+    may_hedge: Annotated[bool, formerly("may_hedge", "may_duplicate")] = False
     hop_ms: NotNegative = 0.2
     """A message's way from machine to machine."""
     service_ms: NotNegative = 1.0
@@ -71,19 +73,19 @@
     """Calls a server works on at once; 0 for any number."""
     queue: Annotated[int, Field(ge=0)] = 64
     """Calls that wait at a server; further ones are turned away."""
-    events_most: Annotated[int, Field(ge=1)] = 3_000_000
-    """For each depth and trouble: the run is cut short after so many."""
+    events_max: Annotated[int, Field(ge=1), formerly("events_max", "events_most")] = 3_000_000
+    """For each depth and fault: the simulation is cut short after so many."""
 
     def shape(self, depth: int) -> Shape:
         """The chain of so many tiers."""
-        window = self.idempotency_window_ms if self.effect is Idempotency.KEYED else 0.0
+        window = self.idempotency_window_ms if self.idempotency is Idempotency.KEYED else 0.0
         return Shape(
             depth,
             RequestClass(
                 "call",
                 self.latency_objective_ms,
                 self.deadline_ms,
-                self.effect,
+                self.idempotency,
                 IdempotencyScope.ALL,
                 window,
                 late_value=self.late_value,
--- a/testbed/runs/depth_simulation.py
+++ b/testbed/runs/depth_simulation.py
@@ -1,4 +1,4 @@
-"""One chain under one trouble on a virtual clock: its schedule, and the row that comes of it."""
+"""One chain under one fault on a virtual clock: its schedule, and the row that comes of it."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 from testbed.chain import Behaviour, Call, Chain
 from testbed.results import Row
-from testbed.runs.depth_plan import Plan, Trouble
+from testbed.runs.depth_plan import Fault, Plan
 
 WINDOW_MS = 500.0
-"""The length of a window in which calls after the trouble's end are counted."""
+"""The length of a window in which calls after the fault's end are counted."""
 QUIET_MS = 1_000.0
 """A single call comes so long after the last one of the warm-up."""
 _OK = 200
@@ -28,7 +28,7 @@
     """When a call came."""
 
     BEFORE = 0
-    """Before the trouble."""
+    """Before the fault."""
     WHILE = 1
     """While it lasted."""
     AFTER = 2
@@ -42,18 +42,18 @@
     served: float | None
     """Of all calls that ended."""
     served_before: float | None
-    """Of those before the trouble, but for the last ones, which were under way as it began."""
+    """Of those before the fault, but for the last ones, which were under way as it began."""
     served_while: float | None
     served_after: float | None
     back_after_s: float | None
-    """From the trouble's end to the end of the first window that is served as before; null if none is."""
+    """From the fault's end to the end of the first window that is served as before; null if none is."""
     shed_while: float | None
-    """The fraction rejected without an attempt while the trouble lasted."""
+    """The fraction rejected without an attempt while the fault lasted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptColumns(Row):
-    """Attempts for the calls that came while the trouble lasted; null where none came."""
+    """Attempts for the calls that came while the fault lasted; null where none came."""
 
     bottom_attempts_a_call: float | None
     """At the last tier, by call."""
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DepthRow(Row):
-    """A chain of one depth under one trouble."""
+    """A chain of one depth under one fault."""
 
     depth: int
     trouble: str
@@ -99,25 +99,25 @@
     deadline_part_at_bottom: float | None
     """The fraction of a call's deadline that its first attempt at the last tier had left; the median."""
     served_after_by_window: list[float | None]
-    """The fraction served of the calls that came in each window after the trouble's end."""
+    """The fraction served of the calls that came in each window after the fault's end."""
     cut_short: bool
     """Whether the run needed more events than the plan allows: its attempts are then lower bounds."""
     work: WorkColumns
 
 
 class Simulation:
-    """One chain under one trouble."""
+    """One chain under one fault."""
 
-    def __init__(self, plan: Plan, depth: int, trouble: Trouble) -> None:
-        self._plan, self._trouble = plan, trouble
+    def __init__(self, plan: Plan, depth: int, fault: Fault) -> None:
+        self._plan, self._fault = plan, fault
         self._chain = Chain(plan.shape(depth), plan.seed)
         self._gaps = random.Random(f"{plan.seed}:arrivals")
         quiet_ms = QUIET_MS if plan.single_call and plan.warm_s else 0.0
         self._warm_ends = plan.warm_s * 1000
         self._begins = self._warm_ends + quiet_ms
-        self._ends = self._begins + plan.trouble_s * 1000
+        self._ends = self._begins + plan.fault_s * 1000
         clock = self._chain.clock
-        clock.at(self._begins, self._behave, trouble.behaviour)
+        clock.at(self._begins, self._behave, fault.behaviour)
         if plan.after_s:
             clock.at(self._ends, self._behave, Behaviour.SERVES)
         if plan.single_call:
@@ -125,10 +125,10 @@
         self._schedule_call(0.0)
 
     def _behave(self, behaviour: Behaviour) -> None:
-        """From now on the servers that the trouble strikes behave so."""
-        trouble, shape = self._trouble, self._chain.shape
-        count = trouble.servers or shape.servers_a_tier
-        self._chain.behave(trouble.tier_of(shape.depth), count, behaviour, trouble.part)
+        """From now on the servers that the fault is in behave so."""
+        fault, shape = self._fault, self._chain.shape
+        count = fault.servers or shape.servers_a_tier
+        self._chain.behave(fault.tier_of(shape.depth), count, behaviour, fault.fraction)
 
     def _schedule_call(self, now: float) -> None:
         """Schedule the call after one at `now`, unless it would come after the end."""
@@ -151,14 +151,14 @@
         """Run the simulation to its end, or until it has had too many events, and make the row of it."""
         began = time.perf_counter()
         chain = self._chain
-        finished = chain.clock.run(self._plan.events_most)
+        finished = chain.clock.run(self._plan.events_max)
         calls = chain.calls if finished else [call for call in chain.calls if call.status]
         windows = self._served_by_window(calls)
         added_ms = self._added_a_hop_ms(calls)
         deadline_parts = [call.deadline_part for call in chain.calls if call.bottom]
         return DepthRow(
             depth=chain.shape.depth,
-            trouble=self._trouble.name,
+            trouble=self._fault.name,
             calls=len(chain.calls),
             served=self._served(calls, windows),
             attempts=self._attempts(),
@@ -173,7 +173,7 @@
 
     def _served(self, calls: Sequence[Call], windows: list[float | None]) -> ServedColumns:
         before, during, after = ([call for call in calls if call.phase == phase] for phase in Phase)
-        # Calls still under way as the trouble begins don't tell how it was before.
+        # Calls still under way as the fault begins don't tell how it was before.
         settled = [call for call in before if call.arrived < self._warm_ends - WINDOW_MS]
         served_before = _served_fraction(settled)
         shed = [call.status == _UNAVAILABLE and not call.tried for call in during]
@@ -207,7 +207,7 @@
         return [(call.done - call.arrived) / depth - plain_ms for call in calls if call.status == _OK]
 
     def _served_by_window(self, calls: Sequence[Call]) -> list[float | None]:
-        """The fraction served of the calls that came in each window after the trouble's end."""
+        """The fraction served of the calls that came in each window after the fault's end."""
         if not self._plan.after_s:
             return []
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -43,7 +43,7 @@
 def play(plan: Plan, log: FilteringBoundLogger) -> Findings[ListSizeRow]:
     """Measure every size, kept in part and in all, at every tier."""
     cores = CoresWatch()
-    rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_most, reference_us)
+    rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
         for keep in KEEPS:
             for tier in plan.tiers:
--- a/testbed/runs/list_size_plan.py
+++ b/testbed/runs/list_size_plan.py
@@ -30,7 +30,7 @@
     """Whole lists in a round."""
     rounds: Annotated[int, Field(gt=0)]
     """Rounds of each cell that have to be quick."""
-    rounds_most: Annotated[int, Field(gt=0)]
+    rounds_max: Annotated[int, Field(gt=0), experiment.formerly("rounds_max", "rounds_most")]
     """Rounds of each cell that are played at the most to get them."""
 
 
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/test_chain.py
@@ -355,7 +355,7 @@
 @pytest.mark.parametrize(("tier", "struck"), [("first", 1), ("middle", 2), ("bottom", 4)])
 def test_a_trouble_strikes_its_tier_and_number_of_servers(tier: str, struck: int) -> None:
     trouble = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
-    one = depth_run.Trouble.model_validate(trouble)
+    one = depth_run.Fault.model_validate(trouble)
     assert one.tier_of(4) == struck
     assert one.tier_of(1) == 1
     [row] = rows(sizes=(4,), troubles=[trouble])
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -508,7 +508,7 @@
         "deltas": 3,
         "lists": 2,
         "rounds": 1,
-        "rounds_most": 1,
+        "rounds_max": 1,
     }
     findings = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
     rows = [row.columns() for row in findings.rows]
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -76,3 +76,11 @@
     if stored["rows"]:
         columns = lines[1 + doubt_count].split()
         assert set(columns) == {name for row in stored["rows"] for name in row}
+
+
+@pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
+def test_the_plan_of_a_stored_result_is_still_read(path: Path) -> None:
+    stored = json.loads(path.read_text(encoding="utf-8"))["plan"]
+    plan = RUNS[stored["run"]].plan.model_validate(stored)
+    assert (plan.run, plan.about, plan.seed) == (stored["run"], stored["about"], stored["seed"])
+    assert plan.sizes == tuple(stored["sizes"])
