--- /dev/null
+++ b/tests/testbed/loads.py
@@ -0,0 +1,29 @@
+"""What the tests of the load and of the hollow upstreams share."""
+
+from __future__ import annotations
+
+import asyncio
+
+from testbed.load import Client, compose, request_ids
+
+IDS = request_ids(1)
+
+
+class VirtualClock:
+    """A clock that goes on only by sleeping on it, or by `step` s with each look."""
+
+    def __init__(self, step: float = 0.0, stall: float = 0.0) -> None:
+        self.now, self._step, self._stall = 0.0, step, stall
+
+    def __call__(self) -> float:
+        self.now += self._step
+        return self.now
+
+    async def sleep(self, seconds: float) -> None:
+        await asyncio.sleep(0)  # what is ready goes first
+        self.now += max(seconds, 1e-4) + self._stall
+        self._stall = 0.0  # it happens once
+
+
+async def ask(client: Client, deadline_ms: float = 5_000.0, key: str = "") -> int:
+    return (await client.call(compose("read", next(IDS), deadline_ms, key), deadline_ms / 1000)).status
--- /dev/null
+++ b/tests/testbed/test_discovery.py
@@ -0,0 +1,210 @@
+"""Discovery's stand-in: the list, its watch and its agents."""
+
+import asyncio
+import json
+
+import pytest
+
+from loadbalancer.configuration import Address
+from testbed.discovery import Counts, Discovery, Mode, State
+from testbed.settings import Entry
+from tests.network.loopback import ReceivedMessage, read_message, run
+from tests.testbed.stand_ins import three, until
+
+Known = dict[str, Entry]
+
+
+class Watcher:
+    """A client of discovery on one connection."""
+
+    def __init__(self, address: Address) -> None:
+        self._address = address
+
+    async def __aenter__(self) -> "Watcher":
+        self.reader, self.writer = await asyncio.open_connection(*self._address)
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        self.writer.close()
+
+    def send(self, query: str = "", path: str = "/v1/servers") -> int:
+        request = f"GET {path}{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode()
+        self.writer.write(request)
+        return len(request)
+
+    async def ask(self, query: str = "", path: str = "/v1/servers") -> ReceivedMessage:
+        self.send(query, path)
+        return await read_message(self.reader)
+
+    async def told(self, query: str = "") -> tuple[int, bool, Known]:
+        return told(await self.ask(query))
+
+
+def told(answer: ReceivedMessage) -> tuple[int, bool, Known]:
+    assert answer.line.split(" ")[1] == "200"
+    said = json.loads(answer.body)
+    return said["index"], said["snapshot"], {e["name"]: e for e in said["endpoints"]}
+
+
+def test_discovery_tells_the_whole_list_and_then_what_changed() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        await discovery.start()
+        first = discovery.set(three())
+        async with Watcher(discovery.agent(0)) as watcher:
+            assert await watcher.told() == (first, True, {e["name"]: e for e in three()})
+            drains, gone = (three()[0] | {"status": s} for s in ("terminating", "terminated"))
+            weighs = three()[1] | {"weight": 2.0}
+            discovery.change([drains])
+            second = discovery.change([weighs])
+            both = {"s0": drains, "s1": weighs}
+            assert await watcher.told(f"?after={first}&wait_ms=60000") == (second, False, both)
+            assert (await watcher.told())[2]["s0"]["status"] == "terminating"
+            third = discovery.change([gone])
+            # Gone is told among changes only; of two changes of one entry, the later.
+            assert await watcher.told(f"?after={second}&wait_ms=60000") == (third, False, {"s0": gone})
+            assert await watcher.told(f"?after={first}") == (third, False, {"s0": gone, "s1": weighs})
+            assert await watcher.told() == (third, True, {"s1": weighs, "s2": three()[2]})
+            # Versions that it does not know, or knows no longer, get the whole list.
+            assert (await watcher.told(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
+            fourth = discovery.set(three())
+            assert (await watcher.told(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
+            assert await watcher.told(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_discovery_forgets_old_changes_and_then_tells_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("testbed.discovery.KEPT", 1)
+
+    async def scenario() -> None:
+        discovery = Discovery()
+        first = discovery.set(three())
+        second, third = (discovery.change([e | {"weight": 2.0}]) for e in three()[:2])
+        assert json.loads(discovery.body(first)[0])["snapshot"]
+        newer = json.loads(discovery.body(second)[0])
+        assert (newer["index"], newer["snapshot"]) == (third, False)
+        assert [e["name"] for e in newer["endpoints"]] == ["s1"]
+
+    run(scenario())
+
+
+def test_a_watch_ends_with_news_or_with_its_wait() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        await discovery.start()
+        index = discovery.set(three())
+        async with Watcher(discovery.agent(0)) as watcher:
+            assert await watcher.told(f"?after={index}&wait_ms=5") == (index, False, {})
+            watcher.send(f"?after={index}&wait_ms=60000")
+            await until(lambda: discovery.counts().calls == 2)
+            assert discovery.agents[0].told == index
+            news = discovery.change([three()[2] | {"weight": 4.0}])
+            assert discovery.agents[0].told == news  # written at once
+            assert discovery.changed_at[news] <= discovery.written_at[news]
+            assert told(await read_message(watcher.reader))[0] == news
+            for query, path, status in (
+                ("?after=1&wait_ms=60001", "/v1/servers", "400"),
+                ("?after=x", "/v1/servers", "400"),
+                ("", "/v1/others", "404"),
+            ):
+                assert (await watcher.ask(query, path)).line.split(" ")[1] == status
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_a_watch_continues_where_the_next_call_comes_within_200_ms() -> None:
+    now = [10.0]
+
+    async def scenario() -> None:
+        discovery = Discovery(lambda: now[0])
+        index = discovery.set(three())
+        async with Watcher(discovery.agent(0)) as watcher:
+            await watcher.told()
+            for pause, expected in ((0.2, (0, 1)), (0.201, (1, 1)), (0.0, (1, 2))):
+                now[0] += pause
+                await watcher.told(f"?after={index}")
+                counts = discovery.counts()
+                assert (counts.watches, counts.continued) == expected
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_discovery_counts_what_is_asked_and_told() -> None:
+    seen: list[tuple[int, int]] = []
+
+    async def scenario() -> None:
+        discovery = Discovery(on_watch=lambda agent, after, at: seen.append((agent, after)))
+        index = discovery.set(three())
+        sent = got = 0
+        async with Watcher(discovery.agent(0)) as one, Watcher(discovery.agent(7)) as other:
+            for watcher, query in ((one, ""), (one, f"?after={index}"), (other, "")):
+                sent += watcher.send(query)
+                head = await watcher.reader.readuntil(b"\r\n\r\n")
+                length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
+                got += len(head) + len(await watcher.reader.readexactly(length))
+            counts = discovery.counts()
+            assert (counts.calls, counts.whole, counts.entries) == (3, 2, 6)
+            assert (counts.bytes_in, counts.bytes_out) == (sent, got)
+            assert discovery.agents[7].counts.calls == 1
+            assert discovery.agents[0].taken_up == index
+            assert seen == [(0, index)]
+            assert counts.plus(counts, -1) == Counts()
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_agents_go_down_fall_silent_and_come_late_alone_or_as_a_group() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        await discovery.start("127.32.0.9")
+        index = discovery.set(three())
+        near, far = discovery.agent(0, "r0", "r0-z0"), discovery.agent(1, "r1", "r1-z1")
+        assert near[0] != far[0]
+        assert discovery.agent(0) == near
+        async with Watcher(near) as one, Watcher(far) as other:
+            for watcher in (one, other):
+                watcher.send(f"?after={index}&wait_ms=60000")
+            await until(lambda: discovery.counts().calls == 2)
+            discovery.put(State(Mode.SILENT), group="r1")
+            index = discovery.change([three()[0] | {"weight": 2.0}])
+            assert told(await read_message(one.reader))[0] == index
+            assert discovery.agents[1].told == -1
+            async with Watcher(far) as third:  # it accepts, though
+                third.send()
+                await until(lambda: discovery.counts().calls == 3)
+                assert discovery.agents[1].told == -1
+                discovery.put(State(), group="r1")
+                assert told(await read_message(third.reader))[1]
+                assert told(await read_message(other.reader))[0] == index
+            discovery.put(State(Mode.DOWN), agent=1)
+            discovery.put(State(late_ms=50.0))
+            with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+                await other.told()
+            with pytest.raises(ConnectionError):
+                await asyncio.open_connection(*far)
+            loop = asyncio.get_running_loop()
+            asked_at = loop.time()
+            assert (await one.told())[0] == index
+            assert loop.time() >= asked_at + 0.045  # the loop's timers round to milliseconds
+            discovery.put(State(), agent=1)
+        async with Watcher(far) as again:
+            assert (await again.told())[0] == index
+        soon = discovery.agent(2)
+        discovery.put(State(Mode.DOWN), agent=2)  # before its loop could accept
+        with pytest.raises(ConnectionError):
+            await asyncio.open_connection(*soon)
+        await discovery.stop()
+        with pytest.raises(ConnectionError):
+            await asyncio.open_connection(*near)
+
+    run(scenario())
+
+
+def test_discovery_listens_on_loopback_only() -> None:
+    with pytest.raises(ValueError, match="loopback"):
+        run(Discovery().start("10.0.0.1"))
--- /dev/null
+++ b/tests/testbed/test_hollow.py
@@ -0,0 +1,97 @@
+"""Hollow balancers: the real watch and the real decisions, without clients."""
+
+import asyncio
+from functools import partial
+
+import psutil
+import pytest
+
+from loadbalancer.configuration import read_configuration
+from loadbalancer.network import endpoint_watch as client
+from testbed.discovery import Discovery, Mode, State
+from testbed.hollow import Hollow, HollowProcess
+from testbed.settings import config, fleet, site
+from tests.network.loopback import run
+from tests.testbed.stand_ins import three, until
+
+
+@pytest.mark.parametrize("pushed", [True, False])
+def test_hollow_balancers_take_up_changes_through_the_real_watch(pushed: bool) -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        forced: list[list[int]] = [[], []]
+        first = discovery.set(fleet(20))
+        settings = site(balancers=2, pushed=pushed)
+        hollows = []
+        for i in range(2):
+            text = config(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], settings, seed=i)
+            hollow = Hollow(
+                read_configuration(text, lambda note: None),
+                asyncio.get_running_loop(),
+                partial(lambda book, index, at: book.append(index), forced[i]),
+            )
+            hollow.start()
+            hollows.append(hollow)
+        await until(lambda: all(agent.taken_up == first for agent in discovery.agents.values()))
+        draining = fleet(20)[3] | {"status": "terminating"}
+        second = discovery.change([draining])
+        await until(lambda: all(agent.taken_up == second for agent in discovery.agents.values()))
+        assert forced == [[0, first, second]] * 2
+        assert discovery.counts().whole == 2
+        for hollow in hollows:
+            assert len(hollow.balancer._ready) == 19
+            assert len(hollow.upstreams._pools) == 20
+            assert draining["name"] not in {s.member.name for s in hollow.balancer._ready}
+            with pytest.raises(ConnectionError):  # no callers
+                await asyncio.open_connection(*hollow.listener.address)
+
+    run(scenario())
+
+
+def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("loadbalancer.policy.balancer.LIST_RETRY_MS", 2.0)
+    monkeypatch.setattr(client, "ANSWER_S", 0.05)
+
+    async def scenario() -> None:
+        discovery = Discovery()
+        forced: list[int] = []
+        first = discovery.set(three())
+        address = discovery.agent(0)
+        discovery.put(State(Mode.SILENT))
+        text = config("n0", "127.0.0.1:0", address, [], site(balancers=1, pushed=False), seed=1)
+        Hollow(
+            read_configuration(text, lambda note: None),
+            asyncio.get_running_loop(),
+            lambda index, at: forced.append(index),
+        ).start()
+        await until(lambda: discovery.counts().calls == 2)  # the first was given up, by a timer it asks again
+        discovery.put(State())
+        await until(lambda: first in forced)
+
+    run(scenario())
+
+
+def test_a_process_of_hollow_balancers_reports_when_changes_were_in_force() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        first = discovery.set(three())
+        texts = {
+            i: config(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], site(balancers=3), seed=i)
+            for i in range(3)
+        }
+        process = HollowProcess(texts)
+        await until(lambda: all(agent.taken_up == first for agent in discovery.agents.values()))
+        began = process.report()
+        assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
+        assert set(began.indexes) == {0, first}
+        second = discovery.change([three()[1] | {"weight": 2.0}])
+        await until(lambda: all(agent.taken_up == second for agent in discovery.agents.values()))
+        last = process.stop()
+        assert sorted(last.balancers) == [0, 1, 2]
+        assert set(last.indexes) == {second}
+        assert all(discovery.changed_at[second] <= at for at in last.times)
+        assert last.lag_longest_s >= last.lag_99_s >= 0
+        await discovery.stop()
+        assert not psutil.pid_exists(process.pid)
+
+    run(scenario())
--- /dev/null
+++ b/tests/testbed/test_latency.py
@@ -0,0 +1,18 @@
+"""Latencies as histograms."""
+
+import pytest
+
+from testbed.latency import Latencies, added
+
+
+def test_added_time_is_told_by_quantiles_and_over_the_direct_median() -> None:
+    direct, through = Latencies(), Latencies()
+    for number in range(1, 1_001):
+        direct.record(number / 1e6)
+        through.record(3 * number / 1e6)
+    figures = added(direct, through)
+    assert figures["added_50_ms"] == pytest.approx(1.0, rel=0.01)
+    assert figures["added_99_ms"] == pytest.approx(1.98, rel=0.01)
+    assert figures["over_median_99_ms"] == pytest.approx(2.97 - 0.5, rel=0.01)
+    with pytest.raises(ValueError, match="no latencies"):
+        Latencies().quantile_ms(0.5)
--- /dev/null
+++ b/tests/testbed/test_settings.py
@@ -0,0 +1,39 @@
+"""The testbed's made-up settings and lists."""
+
+from loadbalancer.configuration import read_configuration
+from loadbalancer.settings import Idempotency
+from testbed.settings import config, fleet, site
+
+
+def test_settings_are_read_by_the_program_without_a_note() -> None:
+    notes: list[str] = []
+    entries = fleet(60)
+    settings = site(balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True})
+    read = read_configuration(
+        config("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41), notes.append
+    )
+    assert notes == []
+    assert (read.settings.balancers, read.settings.tier, read.settings.polls_discovery) == (7, 1, True)
+    assert {c.idempotency for c in read.settings.classes} == set(Idempotency)
+    assert read.settings.may_hedge
+    assert read.settings.may_cancel
+    assert read.settings.max_attempts == 4
+    assert (read.seed, read.discovery, read.known_endpoints.index, read.descriptor_limit) == (
+        5,
+        ("127.0.0.2", 8500),
+        41,
+        1024,
+    )
+    assert [e.endpoint.name for e in read.known_endpoints.endpoints] == [e["name"] for e in entries]
+
+
+def test_a_fleet_is_spread_over_its_zones_and_regions() -> None:
+    entries = fleet(290, seed=3)
+    assert entries == fleet(290, seed=3) != fleet(290, seed=4)
+    zones = [e["zone"] for e in entries]
+    assert len(set(zones)) == 29
+    assert {zones.count(zone) for zone in zones} == {10}
+    assert len({zone.partition("-")[0] for zone in zones}) == 8
+    assert len({e["name"] for e in entries}) == len({e["address"] for e in entries}) == 290
+    # The WIRE page: no two zones share a group's number.
+    assert len({(e["zone"], e["group"]) for e in entries}) == len({e["group"] for e in entries})
