--- /dev/null
+++ b/testbed/virtual_clock.py
@@ -0,0 +1,59 @@
+"""A virtual clock and its event queue: simulated time passes from one event to the next, and nothing waits.
+
+The clock is used by every simulation of the testbed and of the policy's tests. All times are milliseconds.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Callable
+from typing import Any
+
+
+class VirtualClock:
+    """Simulated time, and the callbacks that are scheduled on it.
+
+    Callbacks run in the order of their moments; those of the same moment run in the order of scheduling.
+
+    Attributes:
+        now: The current moment, in milliseconds from the start of the simulation.
+        events_run: How many callbacks have run so far.
+    """
+
+    def __init__(self, now: float = 0.0) -> None:
+        self.now = now
+        self.events_run = 0
+        self._queue: list[tuple[float, int, Callable[[Any], None], Any]] = []
+        self._scheduled = 0
+
+    def schedule(self, moment: float, callback: Callable[[Any], None], argument: Any) -> None:
+        """Call `callback(argument)` at a moment, or at the current one if that moment has passed."""
+        self._scheduled += 1
+        heapq.heappush(self._queue, (max(moment, self.now), self._scheduled, callback, argument))
+
+    def run(self, max_events: int) -> bool:
+        """Run callbacks until none is left.
+
+        Args:
+            max_events: The limit on `events_run`, those of earlier calls included.
+
+        Returns:
+            Whether the queue is empty; False says that the limit was reached before.
+        """
+        queue, pop = self._queue, heapq.heappop  # local names: this loop runs millions of times
+        while queue:
+            if self.events_run >= max_events:
+                return False
+            self.events_run += 1
+            self.now, _, callback, argument = pop(queue)
+            callback(argument)
+        return True
+
+    def run_until(self, moment: float) -> None:
+        """Run the callbacks that are due at or before a moment, then set the clock to it."""
+        queue = self._queue
+        while queue and queue[0][0] <= moment:
+            self.events_run += 1
+            self.now, _, callback, argument = heapq.heappop(queue)
+            callback(argument)
+        self.now = max(self.now, moment)
