--- /dev/null
+++ b/testbed/chain_host.py
@@ -0,0 +1,239 @@
+"""Runs one balancer's policy on the virtual clock: events go in, and its actions are carried out.
+
+It does for the policy what `loadbalancer.network.proxy` does with real sockets. All times are milliseconds,
+apart from the machine's time for decisions.
+"""
+
+from __future__ import annotations
+
+import time
+from collections import deque
+from dataclasses import dataclass, field
+
+from loadbalancer.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpoints,
+)
+from loadbalancer.endpoints import Endpoint
+from loadbalancer.events import (
+    NEVER_RAN,
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from loadbalancer.network.proxy import ANSWER_MS, NET_MS
+from loadbalancer.policy.balancer import LoadBalancer
+from testbed.chain_request import ChainStatistics, ClientRequest, Responder
+from testbed.chain_server import Attempt, Server
+from testbed.chain_settings import ChainSettings
+from testbed.virtual_clock import VirtualClock
+
+
+@dataclass(slots=True)
+class _Request:
+    """A request at its balancer."""
+
+    number: int
+    responder: Responder
+    client_request: ClientRequest
+    deadline_ms: float
+    """When the last attempt has to end, so that the response can still travel."""
+    attempts: list[Attempt | None] = field(default_factory=list)
+    """None for one that was decided after the response."""
+    is_open: bool = True
+    """Until its final response, or until nobody waits for one."""
+    may_have_run: bool = False
+    """Whether an attempt that has finished may have run."""
+    running_attempts: int = 0
+    queued_events: int = 0
+    """Events that the policy has not handled yet."""
+
+    @property
+    def is_over(self) -> bool:
+        """Whether nothing more can happen to it."""
+        return not (self.is_open or self.running_attempts or self.queued_events)
+
+
+class BalancerHost:
+    """A balancer's policy and the requests at it."""
+
+    def __init__(
+        self,
+        settings: ChainSettings,
+        clock: VirtualClock,
+        statistics: ChainStatistics,
+        tier: int,
+        servers: list[Server],
+        seed: int,
+    ) -> None:
+        """Start a balancer that sends to the servers of a tier, counted from 1."""
+        self._clock = clock
+        self._statistics = statistics
+        self._tier = tier
+        self._servers = {server.name: server for server in servers}
+        self._balancer = LoadBalancer(settings.balancer_settings(tier - 1), seed)
+        self._requests: dict[int, _Request] = {}
+        self._events: deque[tuple[Event, _Request | None]] = deque()
+        self._is_dispatching = False
+        self._last_number = 0
+        self._class_name = settings.request_class.name
+        self._dispatch(self._endpoint_list(EndpointListKind.CACHED))
+        self._dispatch(self._endpoint_list(EndpointListKind.SNAPSHOT))
+
+    @property
+    def open_requests(self) -> int:
+        """Requests that have no response yet, or have running attempts."""
+        return len(self._requests)
+
+    def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
+        """Take a request.
+
+        Args:
+            responder: Takes the response.
+            client_request: The request from outside that it is made for.
+            remaining_ms: The time until its deadline.
+
+        Returns:
+            Its number at this balancer.
+        """
+        self._last_number += 1
+        now = self._clock.now
+        request = _Request(self._last_number, responder, client_request, now + remaining_ms - ANSWER_MS)
+        self._requests[request.number] = request
+        self._clock.schedule(now + max(remaining_ms - NET_MS, 0.0), self._respond_before_deadline, request)
+        policy_ms = max(remaining_ms - ANSWER_MS, 0.0)
+        self._dispatch(RequestReceived(request.number, self._class_name, policy_ms), request)
+        return request.number
+
+    def disconnect(self, number: int) -> None:
+        """Handle that nobody waits for a request any more; without effect once it has its response."""
+        request = self._requests.get(number)
+        if request is not None and request.is_open:
+            self._abandon(request)
+
+    def _endpoint_list(self, kind: EndpointListKind) -> EndpointListUpdate:
+        return EndpointListUpdate(kind, tuple(Endpoint(name) for name in self._servers))
+
+    def _abandon(self, request: _Request) -> None:
+        request.is_open = False
+        self._dispatch(ClientDisconnected(request.number), request)
+        self._withdraw_attempts(request)
+
+    def _withdraw_attempts(self, request: _Request) -> None:
+        for attempt in request.attempts:
+            if attempt is not None:
+                attempt.withdraw()
+
+    def _respond_before_deadline(self, request: _Request) -> None:
+        """Respond shortly before the deadline where the policy has not."""
+        if request.is_open:
+            may_run = request.may_have_run or request.running_attempts
+            request.responder.respond(502 if may_run else 503)
+            self._abandon(request)
+
+    # ---- events -------------------------------------------------------------------------------
+
+    def _dispatch(self, event: Event, request: _Request | None = None) -> None:
+        """Pass an event on. Events caused by an action wait until all actions are carried out."""
+        if request is not None:
+            request.queued_events += 1
+        self._events.append((event, request))
+        if self._is_dispatching:
+            return
+        self._is_dispatching = True
+        while self._events:
+            self._handle(*self._events.popleft())
+        self._is_dispatching = False
+
+    def _handle(self, event: Event, request: _Request | None) -> None:
+        began_s = time.perf_counter()
+        actions = self._balancer.handle(event, self._clock.now)
+        self._statistics.record_decision(time.perf_counter() - began_s)
+        for action in actions:
+            self._perform(action)
+        if request is not None:
+            request.queued_events -= 1
+            if request.is_over:
+                self._requests.pop(request.number, None)
+
+    # ---- actions ------------------------------------------------------------------------------
+
+    def _perform(self, action: Action) -> None:
+        match action:
+            case StartAttempt():
+                self._start_attempt(action)
+            case SetTimer(at_ms, timer):
+                self._clock.schedule(at_ms, self._dispatch, TimerFired(timer))
+            case RejectRequest(number):
+                self._respond(number, 503)
+            case FailRequest(number):
+                self._respond(number, 502)
+            case CancelAttempt(number, index):
+                self._cancel_attempt(number, index)
+            case WatchEndpoints():
+                snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
+                self._clock.schedule(self._clock.now, self._dispatch, snapshot)
+            case CloseIdleConnections() | LogMessage():
+                pass  # connections are always up, and nobody reads the log
+            case StartHealthCheck():
+                raise ValueError("a health check, though the settings allow none")
+
+    def _respond(self, number: int, status: int) -> None:
+        request = self._requests.get(number)
+        if request is not None and request.is_open:
+            request.is_open = False
+            request.responder.respond(status)
+
+    def _cancel_attempt(self, number: int, index: int) -> None:
+        request = self._requests.get(number)
+        attempt = request.attempts[index] if request else None
+        if attempt is not None:
+            attempt.cancel()
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request = self._requests[action.request_id]
+        index = len(request.attempts)
+        request.running_attempts += 1
+        if not request.is_open:
+            request.attempts.append(None)
+            self._finish_attempt(request, index, action.endpoint, Outcome.NOT_SENT)
+            return
+        remaining_ms = request.deadline_ms - self._clock.now
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
+        timeout_ms = max(timeout_ms, 0.0)
+        server = self._servers[action.endpoint]
+        attempt = Attempt(
+            request.number, index, request.client_request, server, timeout_ms, self._on_attempt_finished
+        )
+        request.attempts.append(attempt)
+        self._statistics.record_attempt(request.client_request, self._tier, timeout_ms)
+        attempt.start()
+
+    def _on_attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
+        request = self._requests[attempt.request_number]  # it stays there while an attempt is running
+        self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
+
+    def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
+        """Record an attempt's outcome. The first successful response is sent before anything else."""
+        request.running_attempts -= 1
+        request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
+        if request.is_open and outcome is Outcome.SUCCEEDED:
+            request.is_open = False
+            request.responder.respond(200)
+        is_answered = not request.is_open
+        self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, is_answered), request)
+        if not request.is_open:
+            self._withdraw_attempts(request)
--- /dev/null
+++ b/testbed/chain_request.py
@@ -0,0 +1,91 @@
+"""A request from outside on its way through the tiers of a simulated chain, and counts over all requests."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from testbed.virtual_clock import VirtualClock
+
+
+class Responder(Protocol):
+    """Whoever waits for a balancer's response: a client outside, or a server of the tier above."""
+
+    def respond(self, status: int) -> None:
+        """Take the only final response."""
+
+
+class ClientRequest:
+    """One request from outside.
+
+    Attributes:
+        phase: The phase of the simulation in which it came; the caller of the chain gives phases a meaning.
+        received_at_ms: When it came.
+        finished_at_ms: When the front responded; infinite until then.
+        status: The front's response: 200 served, 502 failed, 503 rejected; 0 until then.
+        was_attempted: Whether the front made any attempt. A request that was rejected without one was shed.
+        last_tier_attempts: Attempts at the last tier that were made for it.
+        deadline_fraction: The timeout of the first of these, as a fraction of the request's deadline.
+    """
+
+    __slots__ = (
+        "_clock",
+        "deadline_fraction",
+        "finished_at_ms",
+        "last_tier_attempts",
+        "phase",
+        "received_at_ms",
+        "status",
+        "was_attempted",
+    )
+
+    def __init__(self, clock: VirtualClock, phase: int) -> None:
+        self._clock = clock
+        self.phase = phase
+        self.received_at_ms = clock.now
+        self.finished_at_ms = math.inf
+        self.status = 0
+        self.was_attempted = False
+        self.last_tier_attempts = 0
+        self.deadline_fraction = math.nan
+
+    def respond(self, status: int) -> None:
+        """Take the front's response."""
+        self.status = status
+        self.finished_at_ms = self._clock.now
+
+
+@dataclass(slots=True)
+class ChainStatistics:
+    """What the balancers of a chain have done so far.
+
+    Attributes:
+        depth: The number of tiers.
+        deadline_ms: The deadline of every request from outside.
+        attempts_by_phase: By the phase of the requests from outside: attempts at each tier, the first one's
+            at index 0.
+        decisions: Events that balancers have handled.
+        decision_s: The machine's time that they took, in seconds.
+    """
+
+    depth: int
+    deadline_ms: float
+    attempts_by_phase: dict[int, list[int]] = field(default_factory=dict)
+    decisions: int = 0
+    decision_s: float = 0.0
+
+    def record_decision(self, seconds: float) -> None:
+        """Count one handled event and the machine's time for it."""
+        self.decision_s += seconds
+        self.decisions += 1
+
+    def record_attempt(self, request: ClientRequest, tier: int, timeout_ms: float) -> None:
+        """Count an attempt at a tier (from 1) with its timeout."""
+        attempts_by_tier = self.attempts_by_phase.setdefault(request.phase, [0] * self.depth)
+        attempts_by_tier[tier - 1] += 1
+        request.was_attempted = True
+        if tier == self.depth:
+            if not request.last_tier_attempts:
+                request.deadline_fraction = timeout_ms / self.deadline_ms
+            request.last_tier_attempts += 1
--- /dev/null
+++ b/testbed/chain_server.py
@@ -0,0 +1,237 @@
+"""The servers of a simulated chain, and the attempts that balancers make at them.
+
+Connections are always up: a message takes `hop_ms` each way, a refused connect one `hop_ms`. A server and its
+own balancer are on one machine, so no time passes between them. All times are milliseconds.
+"""
+
+from __future__ import annotations
+
+import enum
+import math
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol
+
+from loadbalancer.events import Outcome
+from testbed.chain_request import ClientRequest, Responder
+from testbed.chain_settings import ChainSettings, ServiceModel
+from testbed.virtual_clock import VirtualClock
+
+
+class Behaviour(enum.Enum):
+    """What a server does with an attempt that reaches it; experiment files use the values."""
+
+    SERVES = "serves"
+    FAILS = "fails"
+    """It responds with 500 to a fraction of attempts once its work is done, without calling the next tier."""
+    REFUSES = "refuses"
+    """Its listener is closed: new attempts can't connect, attempts under way go on."""
+    REJECTS = "turns away"
+    """It responds at once with 503 and X-Not-Run."""
+    HANGS = "hangs"
+    """It accepts new attempts and never responds to them; attempts under way go on."""
+
+
+class AttemptStage(enum.Enum):
+    """How far an attempt is at its server."""
+
+    IN_TRANSIT = enum.auto()
+    QUEUED = enum.auto()
+    IN_SERVICE = enum.auto()
+    CALLING = enum.auto()
+    """The server waits for its own balancer's response from the next tier."""
+    FINISHED = enum.auto()
+
+
+class LocalBalancer(Protocol):
+    """The balancer of a server, through which it calls the next tier."""
+
+    def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
+        """Take a request that has so much time left; returns its number."""
+
+    def disconnect(self, number: int) -> None:
+        """Handle that nobody waits for that request any more."""
+
+
+class Attempt:
+    """One attempt: the balancer's side and the server's side of it.
+
+    Attributes:
+        request_number: The number of the request at its balancer.
+        index: The attempt's index among those of its request.
+        server: The server that it goes to.
+        client_request: The request from outside that it is made for.
+        timeout_ms: The time that the balancer waits for a response.
+        is_finished: Whether it is over for the balancer.
+        was_sent: Whether the server may have received it.
+        is_closed: Whether the server has seen the end of the balancer's connection.
+        stage: How far it is at the server.
+        deadline_ms: When its time is over, as the server understands it.
+        inner_number: The number of the server's own request at its balancer, once it calls the next tier.
+    """
+
+    __slots__ = (
+        "_on_finished",
+        "client_request",
+        "deadline_ms",
+        "index",
+        "inner_number",
+        "is_closed",
+        "is_finished",
+        "request_number",
+        "server",
+        "stage",
+        "timeout_ms",
+        "was_sent",
+    )
+
+    def __init__(
+        self,
+        request_number: int,
+        index: int,
+        client_request: ClientRequest,
+        server: Server,
+        timeout_ms: float,
+        on_finished: Callable[[Attempt, Outcome], None],
+    ) -> None:
+        self._on_finished = on_finished
+        self.request_number = request_number
+        self.index = index
+        self.client_request = client_request
+        self.server = server
+        self.timeout_ms = timeout_ms
+        self.is_finished = False
+        self.was_sent = False
+        self.is_closed = False
+        self.stage = AttemptStage.IN_TRANSIT
+        self.deadline_ms = math.inf
+        self.inner_number: int | None = None
+
+    def start(self) -> None:
+        """Send it, or fail to connect."""
+        server, clock = self.server, self.server.clock
+        arrival_ms = clock.now + server.hop_ms
+        if server.behaviour is Behaviour.REFUSES:
+            clock.schedule(arrival_ms, self._connect_failed, None)
+        else:
+            self.was_sent = True
+            clock.schedule(arrival_ms, server.receive, self)
+        clock.schedule(clock.now + self.timeout_ms, self._timed_out, None)
+
+    def cancel(self) -> None:
+        """Stop waiting for a response."""
+        self.finish(Outcome.CANCELLED)
+
+    def withdraw(self) -> None:
+        """Finish it if it was not sent."""
+        if not self.was_sent:
+            self.finish(Outcome.NOT_SENT)
+
+    def finish(self, outcome: Outcome) -> None:
+        """End it for the balancer; only the first outcome counts.
+
+        Without a response the connection is closed, which the server sees one hop later.
+        """
+        if self.is_finished:
+            return
+        self.is_finished = True
+        if self.was_sent and outcome in (Outcome.CANCELLED, Outcome.TIMED_OUT):
+            clock = self.server.clock
+            clock.schedule(clock.now + self.server.hop_ms, self.server.close, self)
+        self._on_finished(self, outcome)
+
+    def respond(self, status: int) -> None:
+        """Take the response of the server's own balancer: the server fails if its call failed."""
+        self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
+
+    def _connect_failed(self, _: None) -> None:
+        self.finish(Outcome.CONNECT_FAILED)
+
+    def _timed_out(self, _: None) -> None:
+        self.finish(Outcome.TIMED_OUT if self.was_sent else Outcome.CONNECT_FAILED)
+
+
+class Server:
+    """One server: it works on an attempt, then calls the next tier for it through its own balancer.
+
+    An attempt holds one of the `workers` slots from the start of the work to the response, or to the end of
+    the balancer's connection. `queue` further ones wait, and those beyond are rejected.
+
+    Attributes:
+        balancer: Its own balancer; None in the last tier.
+        behaviour: What it does with attempts.
+        failure_fraction: The fraction of attempts that fail under `Behaviour.FAILS`.
+        in_service: Attempts that hold a slot.
+        rejected: Attempts that were rejected because the queue was full.
+    """
+
+    def __init__(self, name: str, clock: VirtualClock, settings: ChainSettings, model: ServiceModel) -> None:
+        self.name = name
+        self.clock = clock
+        self.hop_ms = settings.hop_ms
+        self.balancer: LocalBalancer | None = None
+        self.behaviour = Behaviour.SERVES
+        self.failure_fraction = 1.0
+        self.in_service = 0
+        self.rejected = 0
+        self._settings = settings
+        self._model = model
+        self._queue: deque[Attempt] = deque()
+
+    def receive(self, attempt: Attempt) -> None:
+        """Take an attempt whose last byte has arrived."""
+        attempt.deadline_ms = self.clock.now + attempt.timeout_ms
+        if self.behaviour is Behaviour.REJECTS:
+            self._send_response(attempt, Outcome.REJECTED)
+        elif self.behaviour is Behaviour.HANGS:
+            return
+        elif self._settings.workers == 0 or self.in_service < self._settings.workers:
+            self._begin(attempt)
+        elif len(self._queue) < self._settings.queue:
+            attempt.stage = AttemptStage.QUEUED
+            self._queue.append(attempt)
+        else:
+            self.rejected += 1
+            self._send_response(attempt, Outcome.REJECTED)
+
+    def close(self, attempt: Attempt) -> None:
+        """Handle the end of the balancer's connection: nobody waits for the attempt any more."""
+        attempt.is_closed = True
+        if attempt.stage is AttemptStage.QUEUED:
+            self._queue.remove(attempt)
+        elif attempt.stage is AttemptStage.CALLING:
+            assert self.balancer is not None
+            assert attempt.inner_number is not None
+            attempt.stage = AttemptStage.FINISHED
+            self.balancer.disconnect(attempt.inner_number)
+            self._end()
+
+    def respond(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Respond to an attempt, unless it is over here."""
+        if attempt.stage is not AttemptStage.FINISHED:
+            attempt.stage = AttemptStage.FINISHED
+            self._send_response(attempt, outcome)
+            self._end()
+
+    def _begin(self, attempt: Attempt) -> None:
+        self.in_service += 1
+        attempt.stage = AttemptStage.IN_SERVICE
+        self.clock.schedule(self.clock.now + self._model.service_ms(), self._work_done, attempt)
+
+    def _work_done(self, attempt: Attempt) -> None:
+        fails = self.behaviour is Behaviour.FAILS and self._model.fails(self.failure_fraction)
+        if fails or self.balancer is None or attempt.is_closed:
+            self.respond(attempt, Outcome.ERROR if fails else Outcome.SUCCEEDED)
+            return
+        attempt.stage = AttemptStage.CALLING
+        remaining_ms = attempt.deadline_ms - self.clock.now
+        attempt.inner_number = self.balancer.receive(attempt, attempt.client_request, remaining_ms)
+
+    def _send_response(self, attempt: Attempt, outcome: Outcome) -> None:
+        if not attempt.is_closed:
+            self.clock.schedule(self.clock.now + self.hop_ms, attempt.finish, outcome)
+
+    def _end(self) -> None:
+        self.in_service -= 1
+        if self._queue:
+            self._begin(self._queue.popleft())
--- /dev/null
+++ b/testbed/chain_settings.py
@@ -0,0 +1,72 @@
+"""How a simulated chain is built, and the random part of its servers' work."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from loadbalancer.settings import RequestClass, Settings
+
+
+@dataclass(frozen=True, slots=True)
+class ChainSettings:
+    """The size of a chain, the work of its servers and the limits of its balancers.
+
+    Attributes:
+        depth: The number of tiers of servers.
+        request_class: The class of every request.
+        servers_per_tier: Servers in each tier; each has its own balancer, except in the last tier.
+        fronts: Balancers that receive requests from outside.
+        hop_ms: The time of a message from one machine to another.
+        service_ms: The mean time of a server's own work on a request.
+        steady_service: Whether each request takes exactly the mean; else times are exponentially distributed.
+        workers: Requests that a server works on at once; 0 for no limit.
+        queue: Requests that wait at a server; further ones are rejected.
+        max_attempts: Attempts per request that a balancer may make.
+        may_cancel: Whether a balancer may cancel attempts.
+        may_hedge: Whether a balancer may send hedged requests.
+    """
+
+    depth: int
+    request_class: RequestClass
+    servers_per_tier: int = 6
+    fronts: int = 6
+    hop_ms: float = 0.2
+    service_ms: float = 1.0
+    steady_service: bool = False
+    workers: int = 64
+    queue: int = 64
+    max_attempts: int = 4
+    may_cancel: bool = True
+    may_hedge: bool = False
+
+    def balancer_settings(self, tier: int) -> Settings:
+        """The settings of a balancer that belongs to a tier; tier 0 is the fronts'."""
+        return Settings(
+            classes=(self.request_class,),
+            balancers=self.servers_per_tier if tier else self.fronts,
+            tier=tier,
+            max_attempts=self.max_attempts,
+            may_cancel=self.may_cancel,
+            may_hedge=self.may_hedge,
+        )
+
+
+class ServiceModel:
+    """Draws service times and failures; each has its own random stream, shared by all servers of a chain."""
+
+    def __init__(self, settings: ChainSettings, seed: int) -> None:
+        self._settings = settings
+        self._service_random = random.Random(f"{seed}:service")
+        self._failure_random = random.Random(f"{seed}:fate")
+
+    def service_ms(self) -> float:
+        """The time of the work on one request."""
+        mean_ms = self._settings.service_ms
+        if self._settings.steady_service or not mean_ms:
+            return mean_ms
+        return self._service_random.expovariate(1 / mean_ms)
+
+    def fails(self, fraction: float) -> bool:
+        """Whether one request fails, where that fraction of requests does; certain from 1 on."""
+        return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth.py
@@ -21,7 +21,10 @@
 
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass
 from testbed import experiment
-from testbed.chain import Behaviour, Call, Chain, Shape
+from testbed.chain import Chain
+from testbed.chain_request import ClientRequest
+from testbed.chain_server import Behaviour
+from testbed.chain_settings import ChainSettings
 from testbed.results import Findings, Fit, fit_line
 
 BEFORE, WHILE, AFTER = range(3)
@@ -97,10 +100,10 @@
     events_most: Annotated[int, Field(ge=1)] = 3_000_000
     """For each depth and trouble: the run is cut short after so many."""
 
-    def shape(self, depth: int) -> Shape:
+    def shape(self, depth: int) -> ChainSettings:
         """The chain of so many tiers."""
         window = self.idempotency_window_ms if self.effect is Idempotency.KEYED else 0.0
-        return Shape(
+        return ChainSettings(
             depth,
             RequestClass(
                 "call",
@@ -136,27 +139,27 @@
         self.begins = self.warm_ends + quiet
         self.ends = self.begins + plan.trouble_s * 1000
         clock = self.chain.clock
-        clock.at(self.begins, self._strike, trouble.behaviour)
+        clock.schedule(self.begins, self._strike, trouble.behaviour)
         if plan.after_s:
-            clock.at(self.ends, self._strike, Behaviour.SERVES)
+            clock.schedule(self.ends, self._strike, Behaviour.SERVES)
         if plan.single_call:
-            clock.at(self.begins, self.chain.call, WHILE)
+            clock.schedule(self.begins, self.chain.send_request, WHILE)
         self._await_call(0.0)
 
     def _strike(self, behaviour: Behaviour) -> None:
-        trouble, shape = self._trouble, self.chain.shape
-        count = trouble.servers or shape.servers_a_tier
-        self.chain.behave(trouble.tier_of(shape.depth), count, behaviour, trouble.part)
+        trouble, shape = self._trouble, self.chain.settings
+        count = trouble.servers or shape.servers_per_tier
+        self.chain.set_behaviour(trouble.tier_of(shape.depth), count, behaviour, trouble.part)
 
     def _await_call(self, now: float) -> None:
         at = now + self._gaps.expovariate(self._plan.calls_per_s / 1000)
         if self._plan.single_call and self.warm_ends <= at < self.ends:
             at = self.ends + at - self.warm_ends
         if at < self.ends + self._plan.after_s * 1000:
-            self.chain.clock.at(at, self._arrive, at)
+            self.chain.clock.schedule(at, self._arrive, at)
 
     def _arrive(self, at: float) -> None:
-        self.chain.call(BEFORE if at < self.begins else WHILE if at < self.ends else AFTER)
+        self.chain.send_request(BEFORE if at < self.begins else WHILE if at < self.ends else AFTER)
         self._await_call(at)
 
     def row(self) -> dict[str, Any]:
@@ -164,30 +167,36 @@
         plan, chain = self._plan, self.chain
         began = time.perf_counter()
         whole = chain.clock.run(plan.events_most)
-        calls = chain.calls if whole else [c for c in chain.calls if c.status]
-        struck = [c for c in chain.calls if c.phase == WHILE]
-        admitted = sum(c.tried for c in struck)
-        counts = chain.attempts.get(WHILE, [0] * chain.shape.depth)
+        calls = chain.client_requests if whole else [c for c in chain.client_requests if c.status]
+        struck = [c for c in chain.client_requests if c.phase == WHILE]
+        admitted = sum(c.was_attempted for c in struck)
+        counts = chain.statistics.attempts_by_phase.get(WHILE, [0] * chain.settings.depth)
         phases = [[c for c in calls if c.phase == phase] for phase in (BEFORE, WHILE, AFTER)]
         windows = self._windows(phases[AFTER]) if plan.after_s else []
         # Calls still under way as the trouble begins don't tell how it was before.
-        former = _share([c for c in phases[BEFORE] if c.arrived < self.warm_ends - WINDOW_MS])
+        former = _share([c for c in phases[BEFORE] if c.received_at_ms < self.warm_ends - WINDOW_MS])
         plain_ms = 2 * plan.hop_ms + plan.service_ms
-        added = [(c.done - c.arrived) / chain.shape.depth - plain_ms for c in calls if c.status == 200]
-        parts = [c.deadline_part for c in chain.calls if c.bottom]
+        added = [
+            (c.finished_at_ms - c.received_at_ms) / chain.settings.depth - plain_ms
+            for c in calls
+            if c.status == 200
+        ]
+        parts = [c.deadline_fraction for c in chain.client_requests if c.last_tier_attempts]
         return {
-            "depth": chain.shape.depth,
+            "depth": chain.settings.depth,
             "trouble": self._trouble.name,
-            "calls": len(chain.calls),
+            "calls": len(chain.client_requests),
             "served": _share(calls),
             "served_before": former,
             "served_while": _share(phases[WHILE]),
             "served_after": _share(phases[AFTER]),
             "back_after_s": _back_after(windows, former),
-            "shed_while": _part(phases[WHILE], [c.status == 503 and not c.tried for c in phases[WHILE]]),
+            "shed_while": _part(
+                phases[WHILE], [c.status == 503 and not c.was_attempted for c in phases[WHILE]]
+            ),
             "bottom_attempts_a_call": counts[-1] / len(struck) if struck else None,
             "bottom_attempts_an_admitted": counts[-1] / admitted if admitted else None,
-            "bottom_attempts_most": max((c.bottom for c in struck), default=0),
+            "bottom_attempts_most": max((c.last_tier_attempts for c in struck), default=0),
             "attempts_a_call_by_tier": [round(n / len(struck), 4) if struck else None for n in counts],
             "turned_away_full": sum(s.rejected for tier in chain.tiers for s in tier),
             "added_a_hop_p50_ms": float(np.percentile(added, 50)) if added else None,
@@ -196,26 +205,26 @@
             "served_after_by_window": windows,
             "cut_short": not whole,
             "virtual_s": chain.clock.now / 1000,
-            "events": chain.clock.events,
-            "decisions": chain.decisions,
-            "machine_us_a_decision": chain.decision_s / max(chain.decisions, 1) * 1e6,
+            "events": chain.clock.events_run,
+            "decisions": chain.statistics.decisions,
+            "machine_us_a_decision": chain.statistics.decision_s / max(chain.statistics.decisions, 1) * 1e6,
             "machine_s": time.perf_counter() - began,
         }
 
-    def _windows(self, calls: list[Call]) -> list[float | None]:
+    def _windows(self, calls: list[ClientRequest]) -> list[float | None]:
         """The share served of the calls that came in each window after the trouble's end."""
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
-        windows: list[list[Call]] = [[] for _ in range(count)]
+        windows: list[list[ClientRequest]] = [[] for _ in range(count)]
         for call in calls:
-            windows[min(int((call.arrived - self.ends) / WINDOW_MS), count - 1)].append(call)
+            windows[min(int((call.received_at_ms - self.ends) / WINDOW_MS), count - 1)].append(call)
         return [_share(window) for window in windows]
 
 
-def _part(of: list[Call], those: list[bool]) -> float | None:
+def _part(of: list[ClientRequest], those: list[bool]) -> float | None:
     return sum(those) / len(of) if of else None
 
 
-def _share(calls: list[Call]) -> float | None:
+def _share(calls: list[ClientRequest]) -> float | None:
     return _part(calls, [c.status == 200 for c in calls])
 
 
