--- a/testbed/discovery.py
+++ b/testbed/discovery.py
@@ -21,7 +21,7 @@
 import httptools
 
 from loadbalancer.configuration import Address
-from testbed.settings import Entry
+from testbed.settings import EndpointEntry
 
 WAIT_MOST_MS = 60_000  # of one watch call
 CONTINUES_S = 0.2  # a watch call so soon after the answer before continues that watch
@@ -105,8 +105,8 @@
         """By version: when the list became that."""
         self.written_at: list[float] = [clock()]
         """By version: when the last of the open watches had been written it."""
-        self._entries: dict[str, Entry] = {}
-        self._changed: dict[str, tuple[int, Entry]] = {}  # by name, the latest change last
+        self._entries: dict[str, EndpointEntry] = {}
+        self._changed: dict[str, tuple[int, EndpointEntry]] = {}  # by name, the latest change last
         self._horizon = 0  # changes after this version are all remembered
         self._agents: dict[int, Agent] = {}
         self._states: dict[Hashable, State] = {}
@@ -130,18 +130,18 @@
     # ---- the list -------------------------------------------------------------------------------
 
     @property
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[EndpointEntry]:
         """The whole list as it is now."""
         return list(self._entries.values())
 
-    def set(self, entries: Iterable[Entry]) -> int:
+    def set(self, entries: Iterable[EndpointEntry]) -> int:
         """A new list in place of the old one, told as a whole list to all; its version."""
         self._entries = {e["name"]: e for e in entries}
         self._changed.clear()
         self._horizon = self.index + 1
         return self._news()
 
-    def change(self, entries: Iterable[Entry]) -> int:
+    def change(self, entries: Iterable[EndpointEntry]) -> int:
         """Changed, new and (by status `terminated`) gone entries, as one change; the list's new version."""
         for entry in entries:
             name = entry["name"]
@@ -176,7 +176,7 @@
             self._bodies[after] = known
         return known
 
-    def _since(self, after: int) -> Iterator[Entry]:
+    def _since(self, after: int) -> Iterator[EndpointEntry]:
         for index, entry in reversed(self._changed.values()):
             if index <= after:
                 return
@@ -397,8 +397,8 @@
 
 
 def single_changes(
-    entries: Iterable[Entry], seed: int, now_ms: Callable[[], float]
-) -> Iterator[tuple[Entry, ...]]:
+    entries: Iterable[EndpointEntry], seed: int, now_ms: Callable[[], float]
+) -> Iterator[tuple[EndpointEntry, ...]]:
     """Changes of one entry each, without end: servers restart, drain and go, and new ones come for these.
 
     `now_ms` is Unix time in milliseconds, for `since_ms`. The list keeps its length within one in twenty.
@@ -406,9 +406,9 @@
     chance = random.Random(seed)
     here = {e["name"]: e for e in entries}
     least, names = len(here) - max(len(here) // 20, 1), set(here)
-    leaving: list[Entry] = []
-    back: list[Entry] = []
-    gone: list[Entry] = []
+    leaving: list[EndpointEntry] = []
+    back: list[EndpointEntry] = []
+    gone: list[EndpointEntry] = []
     while True:
         moves = ["restart", "drain"] if len(here) > least else []
         moves += [move for move, some in (("return", back), ("go", leaving), ("come", gone)) if some]
@@ -433,8 +433,8 @@
 
 
 def restarts(
-    entries: Iterable[Entry], step: int, seed: int, now_ms: Callable[[], float]
-) -> Iterator[tuple[Entry, ...]]:
+    entries: Iterable[EndpointEntry], step: int, seed: int, now_ms: Callable[[], float]
+) -> Iterator[tuple[EndpointEntry, ...]]:
     """A restart of all entries, `step` at a time in an order from the seed: each drains, then returns."""
     order = list(entries)
     random.Random(seed).shuffle(order)
@@ -451,7 +451,9 @@
         yield at
 
 
-async def play(discovery: Discovery, changes: Iterator[tuple[Entry, ...]], moments: Iterable[float]) -> float:
+async def play(
+    discovery: Discovery, changes: Iterator[tuple[EndpointEntry, ...]], moments: Iterable[float]
+) -> float:
     """Make a change at each moment (seconds from now), whatever balancers do; the longest lateness in s."""
     loop = asyncio.get_running_loop()
     begin, late = loop.time(), 0.0
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -58,10 +58,10 @@
     discovery = Discovery()
     try:
         await discovery.start(_AGENTS)
-        entries = settings.fleet(size, seed=plan.seed, addresses=apart.addresses)
+        entries = settings.endpoint_entries(size, seed=plan.seed, addresses=apart.addresses)
         discovery.set(entries)
-        site = settings.site(balancers=size)
-        text = settings.config(
+        site = settings.balancer_settings(balancers=size)
+        text = settings.configuration_text(
             "n1",
             free_address(_BALANCER),
             discovery.agent(0),
--- a/testbed/runs/control.py
+++ b/testbed/runs/control.py
@@ -95,7 +95,7 @@
 
     def text(number: int, listen: str) -> str:
         agent = discovery.agent(number)
-        return settings.config(f"n{number}", listen, agent, [], site, seed=seed + number)
+        return settings.configuration_text(f"n{number}", listen, agent, [], site, seed=seed + number)
 
     for first in range(min(processes, hollow)):
         texts = {number: text(number, "127.0.0.1:0") for number in range(first, hollow, processes)}
@@ -146,8 +146,8 @@
             for place, entries in enumerate(plan.sizes):
                 discovery = _discovery(stack)
                 await discovery.start(f"127.32.{place}.1")
-                discovery.set(settings.fleet(entries, seed=plan.seed))
-                site = settings.site(balancers=entries, pushed=pushed)
+                discovery.set(settings.endpoint_entries(entries, seed=plan.seed))
+                site = settings.balancer_settings(balancers=entries, pushed=pushed)
                 fleets.append(
                     await _start(
                         stack,
@@ -243,8 +243,8 @@
                 stack, time.monotonic, lambda agent, after, at, seen=seen: seen.append((agent, after, at))
             )
             await discovery.start("127.33.0.1")
-            discovery.set(settings.fleet(plan.entries, seed=plan.seed))
-            site = settings.site(balancers=max(balancers, plan.entries), pushed=plan.pushed)
+            discovery.set(settings.endpoint_entries(plan.entries, seed=plan.seed))
+            site = settings.balancer_settings(balancers=max(balancers, plan.entries), pushed=plan.pushed)
             fleet = await _start(
                 stack,
                 discovery,
@@ -279,7 +279,7 @@
     fleet: _Fleet,
     multiple: float,
     span_s: float,
-    changes: Iterator[tuple[settings.Entry, ...]],
+    changes: Iterator[tuple[settings.EndpointEntry, ...]],
     seen: list[tuple[int, int, float]],
     doubts: list[str],
 ) -> dict[str, Any]:
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -193,9 +193,13 @@
 
 
 def _config_text(plan: Plan, entries: int, keep: str, tier: int) -> str:
-    fleet = settings.fleet(entries, seed=plan.seed)
-    site = settings.site(balancers=entries if keep == "part" else 1, tier=tier, zone=fleet[0]["zone"])
-    return settings.config("n0", "127.0.0.1:0", "127.0.0.1:1", fleet, site, seed=plan.seed, index=1)
+    fleet = settings.endpoint_entries(entries, seed=plan.seed)
+    site = settings.balancer_settings(
+        balancers=entries if keep == "part" else 1, tier=tier, zone=fleet[0]["zone"]
+    )
+    return settings.configuration_text(
+        "n0", "127.0.0.1:0", "127.0.0.1:1", fleet, site, seed=plan.seed, index=1
+    )
 
 
 def _ignore(text: str) -> None:
@@ -288,7 +292,7 @@
             UpstreamPools(config, loop),
         )
         loop.close()  # books need none
-        self._fleet = settings.fleet(entries, seed=plan.seed)
+        self._fleet = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery, self._now, self._turn = Discovery(), _BEGIN_MS, 0
         self._discovery.set(self._fleet)
         self._take_up(self._discovery.body(-1)[0])  # the first list makes what later ones find
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth.py
@@ -85,16 +85,17 @@
             self._lists.append(Discovery())
             await self._lists[tier].start(f"127.79.{tier}.1")
             entries = [
-                settings.entry(f"s-{tier:04x}{i:04x}", u.address) for i, u in enumerate(self.tiers[tier])
+                settings.endpoint_entry(f"s-{tier:04x}{i:04x}", u.address)
+                for i, u in enumerate(self.tiers[tier])
             ]
             self._lists[tier].set(entries)
         texts = [
-            settings.config(
+            settings.configuration_text(
                 f"n{tier}-{i}",
                 free_address(f"127.78.{tier}.{i + 1}"),
                 self._lists[tier].agent(i),
                 self._lists[tier].entries,
-                settings.site(balancers=_WIDTH, tier=tier, familyInfo={"passesDeadline": True}),
+                settings.balancer_settings(balancers=_WIDTH, tier=tier, familyInfo={"passesDeadline": True}),
                 seed=next(seeds),
                 index=self._lists[tier].index,
             )
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -1,120 +1,170 @@
-"""Made-up settings, lists and configurations in the forms of the PROTOCOL, WIRE and DEPLOY pages."""
+"""Generated settings, endpoint lists and configurations.
+
+They have the forms of the PROTOCOL, WIRE and DEPLOY pages.
+"""
 
 from __future__ import annotations
 
 import json
 import random
 from collections.abc import Sequence
-from typing import Any
+from typing import Any, TypedDict
 
 from loadbalancer.configuration import Address
 
-Entry = dict[str, Any]
-"""One entry of discovery's list, as the PROTOCOL page shows it."""
 
-CLASSES: tuple[dict[str, Any], ...] = (
+class EndpointEntry(TypedDict):
+    """One entry of discovery's list, as the PROTOCOL page shows it."""
+
+    name: str
+    address: str
+    zone: str
+    type: str
+    group: int
+    status: str
+    weight: float
+    since_ms: int
+
+
+REQUEST_CLASSES: tuple[dict[str, Any], ...] = (
     {"name": "look-up", "effect": "retryable", "target": 400.0, "deadline": 2000.0, "worth": 1.0},
     {"name": "store", "effect": "dedup", "target": 600.0, "deadline": 2500.0, "worth": 2.0},
     {"name": "order", "effect": "fragile", "target": 800.0, "deadline": 3000.0, "worth": 4.0},
 )
-REPEAT_WINDOW_MS = 3000.0
-TYPES = ("m1", "m2", "m4")
-WEIGHTS = (1.0, 1.0, 1.0, 2.0)
-PORT = 5000
-
-
-def site(
+"""The request classes of all settings, with the names and units of the WIRE page."""
+
+IDEMPOTENCY_WINDOW_MS = 3000.0
+LIMITS: dict[str, Any] = {
+    "attemptsCap": 4,
+    "connIdle": 30_000.0,
+    "connectTimeout": 250.0,
+    "mayCancel": True,
+    "mayDuplicate": False,
+    "probes": True,
+    "retryAfter": True,
+    "maxRetryAfter": 2_000.0,
+}
+CONTRACT: dict[str, Any] = {
+    "askWithin": 10_000.0,
+    "cold": 8_000.0,
+    "coldFrom": 0.3,
+    "drainGrace": 750.0,
+    "graceToAnswer": 20.0,
+    "overloadFactor": 3.0,
+    "tipAfter": 1_000.0,
+}
+RESOURCE_LIMITS = {"cores": 1.0, "memory_mb": 256, "sockets": 1024}
+"""Of each balancer: cores, memory in MB and file descriptors."""
+
+ENDPOINT_TYPES = ("m1", "m2", "m4")
+ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
+"""Weights are drawn from these: a quarter of the endpoints has double weight."""
+
+ENDPOINT_PORT = 5000
+HOSTS_PER_OCTET = 250
+"""Numbers of loopback hosts use 1 to 250 of the last octet and 0 to 249 of the one before."""
+
+
+def balancer_settings(
     *, balancers: int, tier: int = 0, pushed: bool = True, zone: str = "", **overrides: Any
 ) -> dict[str, Any]:
-    """The settings of one balancer as nested JSON, with the names and units of the WIRE page (milliseconds).
-
-    `balancers` counts those in its tier, `tier` is the one that it sends to. Each of `overrides` replaces a
-    whole top-level part, but for `limits` and `contract`, of which it replaces single figures.
+    """Return the settings of one balancer as nested JSON, with the names and units of the WIRE page.
+
+    Args:
+        balancers: The number of balancers in its tier.
+        tier: The tier that it sends to.
+        pushed: Whether discovery pushes lists; else the balancer polls them.
+        zone: Its zone.
+        overrides: Each replaces a whole top-level part, except `limits` and `contract`, of which it replaces
+            single values.
     """
     settings: dict[str, Any] = {
         "balancers": balancers,
         "tier": tier,
         "zone": zone,
         "discovery": "push" if pushed else "ask",
-        "classes": [c | {"keyScope": "all", "repeatWindow": REPEAT_WINDOW_MS} for c in CLASSES],
+        "classes": [c | {"keyScope": "all", "repeatWindow": IDEMPOTENCY_WINDOW_MS} for c in REQUEST_CLASSES],
         "tick": 1.0,
         "overShareWorth": 0.1,
         "weights": "nominal",
         "telemetry": {"how": "none"},
-        "limits": {
-            "attemptsCap": 4,
-            "connIdle": 30_000.0,
-            "connectTimeout": 250.0,
-            "mayCancel": True,
-            "mayDuplicate": False,
-            "probes": True,
-            "retryAfter": True,
-            "maxRetryAfter": 2_000.0,
-        },
-        "contract": {
-            "askWithin": 10_000.0,
-            "cold": 8_000.0,
-            "coldFrom": 0.3,
-            "drainGrace": 750.0,
-            "graceToAnswer": 20.0,
-            "overloadFactor": 3.0,
-            "tipAfter": 1_000.0,
-        },
+        "limits": LIMITS,
+        "contract": CONTRACT,
     }
     for name, value in overrides.items():
-        merged = name in ("limits", "contract")
-        settings[name] = settings[name] | value if merged else value
+        is_merged = name in ("limits", "contract")
+        settings[name] = settings[name] | value if is_merged else value
     return settings
 
 
-def place(address: Address | str) -> str:
-    """An address in its written form, `host:port`."""
+def format_address(address: Address | str) -> str:
+    """Return an address in its written form, `host:port`."""
     return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
 
 
-def config(
+def configuration_text(
     name: str,
     listen: Address | str,
     discovery: Address | str,
-    known: Sequence[Entry],
+    known: Sequence[EndpointEntry],
     settings: dict[str, Any],
     *,
     seed: int,
     index: int = 0,
-    sockets: int = 1024,
-    memory_mb: float = 256,
 ) -> str:
-    """The text of the file that `LB_CONFIG` names (DEPLOY page).
-
-    `known` is the list as the balancer last had it, at version `index`; where it is empty, the balancer asks
-    for the whole list first.
+    """Return the text of the file that `LB_CONFIG` names (DEPLOY page).
+
+    Args:
+        name: The balancer's name.
+        listen: Where it listens.
+        discovery: The address of its discovery agent.
+        known: The endpoint list as the balancer last had it; without one it first requests the whole list.
+        settings: Its settings, from `balancer_settings`.
+        seed: The seed of its random numbers.
+        index: The version of `known`.
     """
-    told = {
+    configuration = {
         "name": name,
-        "listen": place(listen),
-        "discovery": place(discovery),
+        "listen": format_address(listen),
+        "discovery": format_address(discovery),
         "seed": f"{seed:016x}",
-        "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
+        "limits": RESOURCE_LIMITS,
         "known": {"index": index, "snapshot": True, "endpoints": list(known)},
         "settings": settings,
     }
-    return json.dumps(told)
+    return json.dumps(configuration)
 
 
-def entry(name: str, address: Address | str, **more: Any) -> Entry:
-    """One list entry; `more` replaces fields of it (zone, type, group, status, weight, since_ms)."""
-    base = {"name": name, "address": place(address), "zone": "r0-z0", "type": TYPES[0], "group": 0}
-    return base | {"status": "in_service", "weight": 1.0, "since_ms": 0} | more
+def endpoint_entry(
+    name: str,
+    address: Address | str,
+    *,
+    zone: str = "r0-z0",
+    endpoint_type: str = ENDPOINT_TYPES[0],
+    group: int = 0,
+    weight: float = 1.0,
+) -> EndpointEntry:
+    """Return one list entry, in service since the start of Unix time."""
+    return {
+        "name": name,
+        "address": format_address(address),
+        "zone": zone,
+        "type": endpoint_type,
+        "group": group,
+        "status": "in_service",
+        "weight": weight,
+        "since_ms": 0,
+    }
 
 
-def loopback(number: int, first: int = 64) -> str:
-    """The loopback host of that number, 127.`first`.0.1 and on: each upstream or agent has its own."""
-    high, low = divmod(number, 250 * 250)
-    middle, last = divmod(low, 250)
-    return f"127.{first + high}.{middle}.{last + 1}"
+def loopback_host(number: int, first_octet: int = 64) -> str:
+    """Return the loopback host of that number, from 127.`first_octet`.0.1 on."""
+    high, low = divmod(number, HOSTS_PER_OCTET * HOSTS_PER_OCTET)
+    middle, last = divmod(low, HOSTS_PER_OCTET)
+    return f"127.{first_octet + high}.{middle}.{last + 1}"
 
 
-def fleet(
+def endpoint_entries(
     count: int,
     zones: int = 29,
     regions: int = 8,
@@ -122,24 +172,33 @@
     groups: int = 4,
     seed: int = 1,
     addresses: Sequence[Address | str] | None = None,
-) -> list[Entry]:
-    """`count` entries spread evenly over the zones, which are spread over the regions.
-
-    Zones are named `r<region>-z<zone>`; each has `groups` groups of its own. Names, types and weights come
-    from the seed. Without `addresses` each entry has a loopback host of its own, where nobody listens.
+) -> list[EndpointEntry]:
+    """Return entries spread evenly over the zones, which are spread over the regions.
+
+    Args:
+        count: The number of entries.
+        zones: The number of zones, named `r<region>-z<zone>`.
+        regions: The number of regions.
+        groups: The number of groups in each zone; no two zones share a group.
+        seed: Names, types and weights are drawn from it.
+        addresses: The entries' addresses; without them each entry has a loopback host of its own, where
+            nothing listens.
     """
-    chance = random.Random(seed)
-    names: dict[str, None] = {}
+    source = random.Random(seed)
+    names: dict[str, None] = {}  # in place of a set, since it keeps the order
     while len(names) < count:
-        names[f"s-{chance.getrandbits(32):08x}"] = None
+        names[f"s-{source.getrandbits(32):08x}"] = None
     entries = []
     for i, name in enumerate(names):
-        zone, turn = i % zones, i // zones
-        more = {
-            "zone": f"r{zone % regions}-z{zone}",
-            "type": chance.choice(TYPES),
-            "group": zone * groups + turn % groups,
-            "weight": chance.choice(WEIGHTS),
-        }
-        entries.append(entry(name, addresses[i] if addresses else (loopback(i), PORT), **more))
+        zone, round_number = i % zones, i // zones
+        entries.append(
+            endpoint_entry(
+                name,
+                addresses[i] if addresses else (loopback_host(i), ENDPOINT_PORT),
+                zone=f"r{zone % regions}-z{zone}",
+                endpoint_type=source.choice(ENDPOINT_TYPES),
+                group=zone * groups + round_number % groups,
+                weight=source.choice(ENDPOINT_WEIGHTS),
+            )
+        )
     return entries
--- a/testbed/upstream.py
+++ b/testbed/upstream.py
@@ -22,7 +22,7 @@
 
 from loadbalancer.configuration import Address
 from testbed.load import Client, Clock, compose
-from testbed.settings import loopback
+from testbed.settings import loopback_host
 
 HOSTS = 72
 """Upstreams listen on 127.72.x.y and on."""
@@ -283,7 +283,9 @@
         """Start `count` more that serve, on hosts of their own from 127.`hosts`.0.1 on."""
         first = len(self.all)
         for number in range(first, first + count):
-            upstream = Upstream(loopback(number, hosts), random.Random(f"{self._seed}/{number}"), self._clock)
+            upstream = Upstream(
+                loopback_host(number, hosts), random.Random(f"{self._seed}/{number}"), self._clock
+            )
             await upstream.listen()
             self.all.append(upstream)
         return self.all[first:]
--- a/tests/testbed/stand_ins.py
+++ b/tests/testbed/stand_ins.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from testbed.settings import Entry, entry
+from testbed.settings import EndpointEntry, endpoint_entry
 
 
 async def until(true: Callable[[], object]) -> None:
@@ -14,5 +14,5 @@
         await asyncio.sleep(0)
 
 
-def three() -> list[Entry]:
-    return [entry(f"s{i}", f"127.0.0.1:{5000 + i}") for i in range(3)]
+def three() -> list[EndpointEntry]:
+    return [endpoint_entry(f"s{i}", f"127.0.0.1:{5000 + i}") for i in range(3)]
--- a/tests/testbed/test_churn.py
+++ b/tests/testbed/test_churn.py
@@ -3,19 +3,19 @@
 from itertools import islice
 
 from testbed.discovery import Discovery, play, restarts, single_changes, times
-from testbed.settings import Entry, fleet
+from testbed.settings import EndpointEntry, endpoint_entries
 from tests.network.loopback import run
 
 
 def test_churn_is_the_same_for_a_seed_and_keeps_the_list() -> None:
-    def played(seed: int) -> list[tuple[Entry, ...]]:
-        return list(islice(single_changes(fleet(60), seed, lambda: 7.0), 500))
+    def played(seed: int) -> list[tuple[EndpointEntry, ...]]:
+        return list(islice(single_changes(endpoint_entries(60), seed, lambda: 7.0), 500))
 
     assert played(1) == played(1) != played(2)
     assert list(times(5.0, 10.0, 1)) == list(times(5.0, 10.0, 1)) != list(times(5.0, 10.0, 2))
     assert 30 <= len(list(times(5.0, 10.0, 1))) <= 70
     assert max(times(5.0, 10.0, 1)) < 10.0
-    status = {e["name"]: "in_service" for e in fleet(60)}
+    status = {e["name"]: "in_service" for e in endpoint_entries(60)}
     seen, gone = set(), set()
     for (changed,) in played(1):
         assert changed["name"] not in gone  # a new process bears a new name
@@ -37,7 +37,7 @@
 
 
 def test_restarts_in_steps_drain_and_return_every_entry() -> None:
-    steps = list(restarts(fleet(10), 4, 1, lambda: 9.0))
+    steps = list(restarts(endpoint_entries(10), 4, 1, lambda: 9.0))
     assert [len(step) for step in steps] == [4, 4, 4, 4, 2, 2]
     for drain, back in zip(steps[::2], steps[1::2], strict=True):
         assert [e["name"] for e in drain] == [e["name"] for e in back]
@@ -45,15 +45,17 @@
         assert {(e["status"], e["since_ms"]) for e in back} == {("in_service", 9)}
     assert len({e["name"] for step in steps for e in step}) == 10
     assert (
-        steps == list(restarts(fleet(10), 4, 1, lambda: 9.0)) != list(restarts(fleet(10), 4, 2, lambda: 9.0))
+        steps
+        == list(restarts(endpoint_entries(10), 4, 1, lambda: 9.0))
+        != list(restarts(endpoint_entries(10), 4, 2, lambda: 9.0))
     )
 
 
 def test_churn_is_played_to_its_end() -> None:
     async def scenario() -> None:
         discovery = Discovery()
-        first = discovery.set(fleet(10))
-        late = await play(discovery, restarts(fleet(10), 5, 1, lambda: 9.0), [0.0] * 9)
+        first = discovery.set(endpoint_entries(10))
+        late = await play(discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9)
         assert discovery.index == first + 4
         assert late >= 0
         assert {e["since_ms"] for e in discovery.entries} == {9}
--- a/tests/testbed/test_discovery.py
+++ b/tests/testbed/test_discovery.py
@@ -7,11 +7,11 @@
 
 from loadbalancer.configuration import Address
 from testbed.discovery import Counts, Discovery, Mode, State
-from testbed.settings import Entry
+from testbed.settings import EndpointEntry
 from tests.network.loopback import ReceivedMessage, read_message, run
 from tests.testbed.stand_ins import three, until
 
-Known = dict[str, Entry]
+Known = dict[str, EndpointEntry]
 
 
 class Watcher:
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -10,7 +10,7 @@
 from loadbalancer.network import endpoint_watch as client
 from testbed.discovery import Discovery, Mode, State
 from testbed.hollow import Hollow, HollowProcess
-from testbed.settings import config, fleet, site
+from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 from tests.network.loopback import run
 from tests.testbed.stand_ins import three, until
 
@@ -20,11 +20,11 @@
     async def scenario() -> None:
         discovery = Discovery()
         forced: list[list[int]] = [[], []]
-        first = discovery.set(fleet(20))
-        settings = site(balancers=2, pushed=pushed)
+        first = discovery.set(endpoint_entries(20))
+        settings = balancer_settings(balancers=2, pushed=pushed)
         hollows = []
         for i in range(2):
-            text = config(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], settings, seed=i)
+            text = configuration_text(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], settings, seed=i)
             hollow = Hollow(
                 read_configuration(text, lambda note: None),
                 asyncio.get_running_loop(),
@@ -33,7 +33,7 @@
             hollow.start()
             hollows.append(hollow)
         await until(lambda: all(agent.taken_up == first for agent in discovery.agents.values()))
-        draining = fleet(20)[3] | {"status": "terminating"}
+        draining = endpoint_entries(20)[3] | {"status": "terminating"}
         second = discovery.change([draining])
         await until(lambda: all(agent.taken_up == second for agent in discovery.agents.values()))
         assert forced == [[0, first, second]] * 2
@@ -58,7 +58,9 @@
         first = discovery.set(three())
         address = discovery.agent(0)
         discovery.put(State(Mode.SILENT))
-        text = config("n0", "127.0.0.1:0", address, [], site(balancers=1, pushed=False), seed=1)
+        text = configuration_text(
+            "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
+        )
         Hollow(
             read_configuration(text, lambda note: None),
             asyncio.get_running_loop(),
@@ -76,7 +78,9 @@
         discovery = Discovery()
         first = discovery.set(three())
         texts = {
-            i: config(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], site(balancers=3), seed=i)
+            i: configuration_text(
+                f"n{i}", "127.0.0.1:0", discovery.agent(i), [], balancer_settings(balancers=3), seed=i
+            )
             for i in range(3)
         }
         process = HollowProcess(texts)
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -2,15 +2,18 @@
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.settings import Idempotency
-from testbed.settings import config, fleet, site
+from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 
 
 def test_settings_are_read_by_the_program_without_a_note() -> None:
     notes: list[str] = []
-    entries = fleet(60)
-    settings = site(balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True})
+    entries = endpoint_entries(60)
+    settings = balancer_settings(
+        balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True}
+    )
     read = read_configuration(
-        config("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41), notes.append
+        configuration_text("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41),
+        notes.append,
     )
     assert notes == []
     assert (read.settings.balancers, read.settings.tier, read.settings.polls_discovery) == (7, 1, True)
@@ -28,8 +31,8 @@
 
 
 def test_a_fleet_is_spread_over_its_zones_and_regions() -> None:
-    entries = fleet(290, seed=3)
-    assert entries == fleet(290, seed=3) != fleet(290, seed=4)
+    entries = endpoint_entries(290, seed=3)
+    assert entries == endpoint_entries(290, seed=3) != endpoint_entries(290, seed=4)
     zones = [e["zone"] for e in entries]
     assert len(set(zones)) == 29
     assert {zones.count(zone) for zone in zones} == {10}
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -11,7 +11,7 @@
 from testbed.discovery import Discovery
 from testbed.experiment import FOLDER, read_plan
 from testbed.runs import RUNS, control, list_size
-from testbed.settings import fleet, site
+from testbed.settings import balancer_settings, endpoint_entries
 
 # Of its own: a test of the command line leaves the shared one with an output that is closed.
 SILENT_LOG = structlog.wrap_logger(
@@ -42,7 +42,7 @@
     assert kept["part"] <= SUBSET_COVER < kept["all"]
     for row in lists:
         discovery = Discovery()
-        discovery.set(fleet(row["entries"], seed=plan.seed))
+        discovery.set(endpoint_entries(row["entries"], seed=plan.seed))
         assert row["list_bytes"] == len(discovery.body(-1)[0])
         parts = sum(row[f"list_{part}_ms"] for part in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < parts
@@ -142,9 +142,9 @@
 
     def noted(**more: Any) -> dict[str, Any]:
         modes.append((more["balancers"], more["pushed"]))
-        return site(**more)
+        return balancer_settings(**more)
 
-    monkeypatch.setattr("testbed.runs.control.settings.site", noted)
+    monkeypatch.setattr("testbed.runs.control.settings.balancer_settings", noted)
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
     findings = control.play_rest(control.RestPlan.model_validate(plan.model_dump() | small), SILENT_LOG)
