--- /dev/null
+++ b/testbed/discovery_agent.py
@@ -0,0 +1,264 @@
+"""A balancer's agent of discovery's stand-in: its listener, its connections and its watches."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable, Hashable
+from dataclasses import dataclass, field
+from typing import cast
+from urllib.parse import parse_qs, urlsplit
+
+from loadbalancer.configuration import Address
+from testbed.agent_state import AgentMode, AgentState, RequestCounts
+from testbed.endpoint_history import NO_VERSION, EndpointHistory, ListResponse
+from testbed.http_reader import HttpRequest, MalformedRequestError, RequestReader
+
+LIST_PATH = "/v1/servers"
+MAX_WAIT_MS = 60_000
+"""The longest wait of a watch request."""
+
+CONTINUED_WATCH_S = 0.2
+"""A watch request that comes so soon after the response before continues that watch."""
+
+LISTEN_BACKLOG = 128
+
+WatchObserver = Callable[[int, int, float], None]
+"""Takes each watch request: the agent's number, the version that the balancer has, the time in seconds."""
+
+
+@dataclass(eq=False, slots=True)
+class Agent:
+    """One balancer's agent.
+
+    Attributes:
+        number: The balancer's number.
+        address: Where it listens.
+        groups: The groups whose state it shares, such as a zone or a region.
+        history: The endpoint list.
+        clock: Returns the time in seconds.
+        on_watch: Takes each watch request.
+        counts: What its requests cost.
+        state: What it does with connections and requests.
+        written_index: The version that was last written to the balancer.
+        acknowledged_index: The highest version that a watch request named as known.
+        responded_at_s: When the last response was written.
+        connections: Its open connections.
+    """
+
+    number: int
+    address: Address
+    groups: tuple[Hashable, ...]
+    history: EndpointHistory
+    clock: Callable[[], float]
+    on_watch: WatchObserver
+    counts: RequestCounts = field(default_factory=RequestCounts)
+    state: AgentState = field(default_factory=AgentState)
+    written_index: int = NO_VERSION
+    acknowledged_index: int = NO_VERSION
+    responded_at_s: float = float("-inf")
+    connections: set[AgentConnection] = field(default_factory=set)
+    _listener: socket.socket | None = None
+    _server: asyncio.Server | None = None
+    _serving: set[asyncio.Task[None]] = field(default_factory=set)
+
+    def set_state(self, state: AgentState) -> None:
+        """Take a new state: close, listen again, or send the responses that are due."""
+        self.state = state
+        if state.mode is AgentMode.DOWN:
+            self.close()
+        elif self._listener is None:
+            self.listen()
+        if state.mode is AgentMode.UP:
+            self.respond_to_open()
+
+    def respond_to_open(self) -> None:
+        """Respond to the open requests whose response is due."""
+        for connection in list(self.connections):
+            connection.respond_if_due()
+
+    def listen(self) -> None:
+        """Listen; the port is the system's choice the first time."""
+        # The kernel takes connections from here on; the loop accepts them a moment later.
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(self.address)
+        listener.listen(LISTEN_BACKLOG)
+        listener.setblocking(False)
+        self._listener = listener
+        self.address = listener.getsockname()
+        task = asyncio.get_running_loop().create_task(self._serve(listener))
+        self._serving.add(task)
+        task.add_done_callback(self._serving.discard)
+
+    async def _serve(self, listener: socket.socket) -> None:
+        loop = asyncio.get_running_loop()
+        if self._listener is not listener:  # it went down before it could accept
+            return
+        server = await loop.create_server(lambda: AgentConnection(self), sock=listener)
+        if self._listener is listener:
+            self._server = server
+        else:
+            server.close()
+
+    def close(self) -> None:
+        """Close the listener and reset the open connections."""
+        if self._server is not None:
+            self._server.close()
+        if self._listener is not None:
+            self._listener.close()
+        self._server = self._listener = None
+        for connection in list(self.connections):
+            connection.reset()
+
+    def stop(self) -> None:
+        """Close for good."""
+        self.close()
+        for task in list(self._serving):
+            task.cancel()
+
+    def record_request(self, known_index: int) -> None:
+        """Count a request; `NO_VERSION` is that of one that wants the whole list at once."""
+        now_s = self.clock()
+        self.counts.requests += 1
+        if known_index == NO_VERSION:
+            return
+        if now_s - self.responded_at_s <= CONTINUED_WATCH_S:
+            self.counts.continued += 1
+        else:
+            self.counts.watches += 1
+        self.acknowledged_index = max(self.acknowledged_index, known_index)
+        self.on_watch(self.number, known_index, now_s)
+
+    def record_response(self, response: ListResponse) -> None:
+        """Count a response that is written."""
+        self.responded_at_s = self.clock()
+        self.written_index = self.history.index
+        self.counts.entries += response.entry_count
+        self.counts.snapshots += response.is_snapshot
+
+
+@dataclass(frozen=True, slots=True)
+class _ListRequest:
+    """A request for the list: the version that the balancer has, and how long it waits for a newer one."""
+
+    known_index: int
+    wait_ms: int
+
+    @property
+    def is_valid(self) -> bool:
+        return self.known_index >= NO_VERSION and 0 <= self.wait_ms <= MAX_WAIT_MS
+
+
+def _read_list_request(query_text: str) -> _ListRequest | None:
+    """Read the query of a request for the list; None where it is invalid."""
+    query = parse_qs(query_text)
+    try:
+        known_index = int(query["after"][0]) if "after" in query else NO_VERSION
+        wait_ms = int(query["wait_ms"][0]) if "wait_ms" in query else 0
+    except ValueError:
+        return None
+    request = _ListRequest(known_index, wait_ms)
+    return request if request.is_valid else None
+
+
+class AgentConnection(asyncio.Protocol):
+    """One connection to an agent, with one open request at a time."""
+
+    def __init__(self, agent: Agent) -> None:
+        self._agent = agent
+        self._reader = RequestReader(self._on_request)
+        self._transport: asyncio.Transport | None = None
+        self._known_index: int | None = None  # of the open request; None where there is none
+        self._wait_is_over = False  # of the open request
+        self._wait_timer: asyncio.TimerHandle | None = None
+        self._delay_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Join the agent's connections."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._agent.connections.add(self)
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Leave the agent's connections."""
+        self._agent.connections.discard(self)
+        self._forget_request()
+
+    def data_received(self, data: bytes) -> None:
+        """Read on; what is no request ends the connection."""
+        self._agent.counts.bytes_in += len(data)
+        try:
+            self._reader.feed(data)
+        except MalformedRequestError:
+            self.reset()
+
+    def _on_request(self, request: HttpRequest) -> None:
+        url = urlsplit(request.target)
+        if url.path != LIST_PATH or request.method != "GET":
+            self._write(404, b"")
+            return
+        list_request = _read_list_request(url.query)
+        if list_request is None or self._known_index is not None:
+            self._write(400, b"")
+            return
+        self._open_request(list_request)
+
+    def _open_request(self, request: _ListRequest) -> None:
+        self._known_index = request.known_index
+        self._wait_is_over = request.known_index == NO_VERSION
+        self._agent.record_request(request.known_index)
+        if not self._wait_is_over:
+            loop = asyncio.get_running_loop()
+            self._wait_timer = loop.call_later(request.wait_ms / 1000, self._end_wait)
+        self.respond_if_due()
+
+    def _end_wait(self) -> None:
+        self._wait_is_over = True
+        self.respond_if_due()
+
+    def respond_if_due(self) -> None:
+        """Respond to the open request if there is a newer version or its wait is over.
+
+        The response takes the agent's delay, and is left out while the agent is not up.
+        """
+        if self._known_index is None or self._delay_timer is not None:
+            return
+        if not self._wait_is_over and not self._agent.history.is_outdated(self._known_index):
+            return
+        delay_ms = self._agent.state.delay_ms
+        if delay_ms:
+            loop = asyncio.get_running_loop()
+            self._delay_timer = loop.call_later(delay_ms / 1000, self._respond)
+        else:
+            self._respond()
+
+    def _respond(self) -> None:
+        self._delay_timer = None
+        if self._known_index is None or self._agent.state.mode is not AgentMode.UP:
+            return
+        response = self._agent.history.response_after(self._known_index)
+        self._forget_request()
+        self._agent.record_response(response)
+        self._write(200, response.body)
+
+    def _write(self, status: int, body: bytes) -> None:
+        assert self._transport is not None
+        head = b"HTTP/1.1 %d -\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+        data = head % (status, len(body)) + body
+        self._agent.counts.bytes_out += len(data)
+        self._transport.write(data)
+        if not self._reader.keeps_alive:
+            self._transport.close()
+
+    def _forget_request(self) -> None:
+        self._known_index = None
+        for timer in (self._wait_timer, self._delay_timer):
+            if timer is not None:
+                timer.cancel()
+        self._wait_timer = self._delay_timer = None
+
+    def reset(self) -> None:
+        """End the connection at once."""
+        self._forget_request()
+        if self._transport is not None:
+            self._transport.abort()
--- /dev/null
+++ b/testbed/endpoint_history.py
@@ -0,0 +1,104 @@
+"""The endpoint list of discovery's stand-in with its versions, and the bodies of its responses."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
+
+from testbed.settings import EndpointEntry
+
+NO_VERSION = -1
+"""The version of a balancer that has no list yet."""
+
+MAX_REMEMBERED_CHANGES = 20_000
+"""Changed names that are remembered; a balancer whose version is older gets a snapshot."""
+
+REMOVED = "terminated"
+"""The status of an entry that is no longer in the list."""
+
+
+@dataclass(frozen=True, slots=True)
+class ListResponse:
+    """A response for one known version.
+
+    Attributes:
+        body: The JSON text.
+        entry_count: The number of entries in it.
+        is_snapshot: Whether they are the whole list; else they are those that changed.
+    """
+
+    body: bytes
+    entry_count: int
+    is_snapshot: bool
+
+
+class EndpointHistory:
+    """The list, its version, and the latest change of each name.
+
+    Attributes:
+        index: The version of the list.
+    """
+
+    def __init__(self) -> None:
+        self.index = 0
+        self._entries: dict[str, EndpointEntry] = {}
+        self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, the latest change last
+        self._oldest_index = 0  # all changes after this version are remembered
+        self._responses: dict[int, ListResponse] = {}  # of this version of the list, by known version
+
+    @property
+    def entries(self) -> list[EndpointEntry]:
+        """The whole list as it is now."""
+        return list(self._entries.values())
+
+    def replace_entries(self, entries: Iterable[EndpointEntry]) -> None:
+        """Put a new list in place of the old one; every balancer gets a snapshot of it."""
+        self._entries = {entry["name"]: entry for entry in entries}
+        self._changes.clear()
+        self._oldest_index = self.index + 1
+        self._advance()
+
+    def apply_changes(self, entries: Iterable[EndpointEntry]) -> None:
+        """Make one new version of changed, new and (by status `terminated`) removed entries."""
+        for entry in entries:
+            name = entry["name"]
+            if entry["status"] == REMOVED:
+                self._entries.pop(name, None)
+            else:
+                self._entries[name] = entry
+            self._changes.pop(name, None)
+            self._changes[name] = self.index + 1, entry
+        while len(self._changes) > MAX_REMEMBERED_CHANGES:
+            oldest_name = next(iter(self._changes))
+            self._oldest_index = self._changes.pop(oldest_name)[0]
+        self._advance()
+
+    def _advance(self) -> None:
+        self.index += 1
+        self._responses.clear()
+
+    def response_after(self, known_index: int) -> ListResponse:
+        """Return the response for a balancer that has a version, or `NO_VERSION`."""
+        response = self._responses.get(known_index)
+        if response is None:
+            response = self._responses[known_index] = self._build_response(known_index)
+        return response
+
+    def _build_response(self, known_index: int) -> ListResponse:
+        is_snapshot = not self._oldest_index <= known_index <= self.index
+        entries = self.entries if is_snapshot else list(self._changes_after(known_index))
+        content = {"index": self.index, "snapshot": is_snapshot, "endpoints": entries}
+        body = json.dumps(content, separators=(",", ":")).encode()
+        return ListResponse(body, len(entries), is_snapshot)
+
+    def _changes_after(self, known_index: int) -> Iterator[EndpointEntry]:
+        """Yield the entries that changed after a version, the latest change first."""
+        for index, entry in reversed(self._changes.values()):
+            if index <= known_index:
+                return
+            yield entry
+
+    def is_outdated(self, known_index: int) -> bool:
+        """Whether there is a newer version, or that version never existed."""
+        return known_index != self.index
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -59,12 +59,12 @@
     try:
         await discovery.start(_AGENTS)
         entries = settings.endpoint_entries(size, seed=plan.seed, addresses=apart.addresses)
-        discovery.set(entries)
+        discovery.replace_entries(entries)
         site = settings.balancer_settings(balancers=size)
         text = settings.configuration_text(
             "n1",
             free_address(_BALANCER),
-            discovery.agent(0),
+            discovery.agent_address(0),
             entries,
             site,
             seed=plan.seed,
--- a/testbed/runs/control.py
+++ b/testbed/runs/control.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import random
 import time
 from collections.abc import Callable, Coroutine, Iterator
 from contextlib import AsyncExitStack
@@ -20,7 +21,10 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.discovery import Counts, Discovery, play, single_changes, times
+from testbed.agent_state import RequestCounts
+from testbed.arrivals import arrival_times
+from testbed.churn import play_changes, single_changes
+from testbed.discovery import Discovery
 from testbed.hollow import HollowProcess
 from testbed.meter import CoresWatch, LoopLag, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
@@ -52,13 +56,13 @@
 
 def _follows(discovery: Discovery) -> bool:
     """Whether every balancer watches from the newest version on."""
-    return all(agent.taken_up == discovery.index for agent in discovery.agents.values())
+    return all(agent.acknowledged_index == discovery.index for agent in discovery.agents.values())
 
 
-def _sum(discovery: Discovery, numbers: range) -> Counts:
-    total = Counts()
+def _sum(discovery: Discovery, numbers: range) -> RequestCounts:
+    total = RequestCounts()
     for number in numbers:
-        total = total.plus(discovery.agents[number].counts)
+        total += discovery.agents[number].counts
     return total
 
 
@@ -94,7 +98,7 @@
     fleet = _Fleet(discovery, [], [], hollow)
 
     def text(number: int, listen: str) -> str:
-        agent = discovery.agent(number)
+        agent = discovery.agent_address(number)
         return settings.configuration_text(f"n{number}", listen, agent, [], site, seed=seed + number)
 
     for first in range(min(processes, hollow)):
@@ -146,7 +150,7 @@
             for place, entries in enumerate(plan.sizes):
                 discovery = _discovery(stack)
                 await discovery.start(f"127.32.{place}.1")
-                discovery.set(settings.endpoint_entries(entries, seed=plan.seed))
+                discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
                 site = settings.balancer_settings(balancers=entries, pushed=pushed)
                 fleets.append(
                     await _start(
@@ -173,7 +177,7 @@
 async def _watch_rest(plan: RestPlan, pushed: bool, fleets: list[_Fleet], findings: Findings) -> None:
     lag, cores, began = LoopLag(asyncio.get_running_loop()), CoresWatch(), time.monotonic()
 
-    def look(fleet: _Fleet) -> tuple[float, Counts, Counts]:
+    def look(fleet: _Fleet) -> tuple[float, RequestCounts, RequestCounts]:
         spent = usage([fleet.real[0].pid]).processor_s
         parts = fleet.real_agents, fleet.hollow_agents
         real, hollow = (_sum(fleet.discovery, part) for part in parts)
@@ -184,7 +188,7 @@
     span_s = time.monotonic() - began
     for entries, fleet, (spent, real, hollow) in zip(plan.sizes, fleets, before, strict=True):
         now_spent, now_real, now_hollow = look(fleet)
-        told, hollow_told = now_real.plus(real, -1), now_hollow.plus(hollow, -1)
+        told, hollow_told = now_real - real, now_hollow - hollow
         held = usage([fleet.real[0].pid])
         findings.rows.append(
             {
@@ -193,9 +197,9 @@
                 "core_percent": (now_spent - spent) / span_s * 100,
                 "resident_mib": held.resident / _MIB,
                 "descriptors": held.descriptors,
-                "calls_per_s": told.calls / span_s,
+                "calls_per_s": told.requests / span_s,
                 "bytes_per_s": (told.bytes_in + told.bytes_out) / span_s,
-                "hollow_calls_per_s": hollow_told.calls / span_s / fleet.hollow,
+                "hollow_calls_per_s": hollow_told.requests / span_s / fleet.hollow,
                 "hollow_bytes_per_s": (hollow_told.bytes_in + hollow_told.bytes_out) / span_s / fleet.hollow,
             }
         )
@@ -243,7 +247,7 @@
                 stack, time.monotonic, lambda agent, after, at, seen=seen: seen.append((agent, after, at))
             )
             await discovery.start("127.33.0.1")
-            discovery.set(settings.endpoint_entries(plan.entries, seed=plan.seed))
+            discovery.replace_entries(settings.endpoint_entries(plan.entries, seed=plan.seed))
             site = settings.balancer_settings(balancers=max(balancers, plan.entries), pushed=plan.pushed)
             fleet = await _start(
                 stack,
@@ -300,12 +304,12 @@
     before = _sum(discovery, fleet.hollow_agents)
     rate = multiple * plan.changes_per_day / DAY_S
     seed = plan.seed + round(1000 * multiple) + fleet.hollow
-    late_s = await play(discovery, changes, times(rate, span_s, seed))
+    late_s = await play_changes(discovery, changes, arrival_times(rate, span_s, random.Random(seed)))
     await asyncio.sleep(max(began + span_s - time.monotonic(), 0.0))
     await _until(lambda: _follows(discovery), FOLLOW_S, "every balancer has the last change")
     took_s = time.monotonic() - began
     used = [usage([pid]).processor_s - was for pid, was in zip(_pids(fleet), spent, strict=True)]
-    told = _sum(discovery, fleet.hollow_agents).plus(before, -1)
+    told = _sum(discovery, fleet.hollow_agents) - before
     stretch = f"{fleet.hollow} balancers, {multiple:g} times"
     doubts += cores.doubts(stretch)
     lag_99_s, _ = lag.take()
@@ -337,9 +341,9 @@
         "written_ms_longest": float(written.max() * 1000) if written.size else None,
         "core_percent": float(shares[: len(fleet.processes)].sum()) / fleet.hollow,
         "real_core_percent": float(shares[len(fleet.processes) :].mean()) if fleet.real else None,
-        "calls_per_s": told.calls / took_s / fleet.hollow,
+        "calls_per_s": told.requests / took_s / fleet.hollow,
         "bytes_per_s": (told.bytes_in + told.bytes_out) / took_s / fleet.hollow,
-        "whole_lists": told.whole,
+        "whole_lists": told.snapshots,
         "loops_late_ms_99": max(lags) * 1000,
         "process_percent_most": float(shares.max()),
     }
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -294,9 +294,9 @@
         loop.close()  # books need none
         self._fleet = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery, self._now, self._turn = Discovery(), _BEGIN_MS, 0
-        self._discovery.set(self._fleet)
-        self._take_up(self._discovery.body(-1)[0])  # the first list makes what later ones find
-        self._list_bytes = self._delta_bytes = len(self._discovery.body(-1)[0])
+        self._discovery.replace_entries(self._fleet)
+        self._take_up(self._discovery.list_response(-1).body)  # the first list makes what later ones find
+        self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         _frozen()
 
     def _take_up(self, body: bytes) -> list[int]:
@@ -319,12 +319,12 @@
         """So many whole lists, then so many changes; nanoseconds by part and in all."""
         spans: Spans = {f"{what}_{part}": [] for what in ("list", "delta") for part in (*_PARTS, "whole")}
         for _ in range(self._plan.lists):
-            self._note(spans, "list", self._discovery.body(-1)[0])
+            self._note(spans, "list", self._discovery.list_response(-1).body)
         for _ in range(self._plan.deltas):
             index, self._turn = self._discovery.index, self._turn + 1
             old = self._fleet[self._turn % len(self._fleet)]
-            self._discovery.change([old | {"weight": 1.0 + self._turn % 7}])
-            body = self._discovery.body(index)[0]
+            self._discovery.apply_changes([old | {"weight": 1.0 + self._turn % 7}])
+            body = self._discovery.list_response(index).body
             self._delta_bytes = len(body)
             self._note(spans, "delta", body)
         return spans
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth.py
@@ -88,12 +88,12 @@
                 settings.endpoint_entry(f"s-{tier:04x}{i:04x}", u.address)
                 for i, u in enumerate(self.tiers[tier])
             ]
-            self._lists[tier].set(entries)
+            self._lists[tier].replace_entries(entries)
         texts = [
             settings.configuration_text(
                 f"n{tier}-{i}",
                 free_address(f"127.78.{tier}.{i + 1}"),
-                self._lists[tier].agent(i),
+                self._lists[tier].agent_address(i),
                 self._lists[tier].entries,
                 settings.balancer_settings(balancers=_WIDTH, tier=tier, familyInfo={"passesDeadline": True}),
                 seed=next(seeds),
--- a/tests/testbed/test_churn.py
+++ b/tests/testbed/test_churn.py
@@ -1,8 +1,11 @@
 """Made-up changes of discovery's list."""
 
+import random
 from itertools import islice
 
-from testbed.discovery import Discovery, play, restarts, single_changes, times
+from testbed.arrivals import arrival_times
+from testbed.churn import play_changes, restarts, single_changes
+from testbed.discovery import Discovery
 from testbed.settings import EndpointEntry, endpoint_entries
 from tests.network.loopback import run
 
@@ -12,9 +15,13 @@
         return list(islice(single_changes(endpoint_entries(60), seed, lambda: 7.0), 500))
 
     assert played(1) == played(1) != played(2)
-    assert list(times(5.0, 10.0, 1)) == list(times(5.0, 10.0, 1)) != list(times(5.0, 10.0, 2))
-    assert 30 <= len(list(times(5.0, 10.0, 1))) <= 70
-    assert max(times(5.0, 10.0, 1)) < 10.0
+    assert (
+        list(arrival_times(5.0, 10.0, random.Random(1)))
+        == list(arrival_times(5.0, 10.0, random.Random(1)))
+        != list(arrival_times(5.0, 10.0, random.Random(2)))
+    )
+    assert 30 <= len(list(arrival_times(5.0, 10.0, random.Random(1)))) <= 70
+    assert max(arrival_times(5.0, 10.0, random.Random(1))) < 10.0
     status = {e["name"]: "in_service" for e in endpoint_entries(60)}
     seen, gone = set(), set()
     for (changed,) in played(1):
@@ -54,8 +61,8 @@
 def test_churn_is_played_to_its_end() -> None:
     async def scenario() -> None:
         discovery = Discovery()
-        first = discovery.set(endpoint_entries(10))
-        late = await play(discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9)
+        first = discovery.replace_entries(endpoint_entries(10))
+        late = await play_changes(discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9)
         assert discovery.index == first + 4
         assert late >= 0
         assert {e["since_ms"] for e in discovery.entries} == {9}
--- a/tests/testbed/test_discovery.py
+++ b/tests/testbed/test_discovery.py
@@ -6,7 +6,8 @@
 import pytest
 
 from loadbalancer.configuration import Address
-from testbed.discovery import Counts, Discovery, Mode, State
+from testbed.agent_state import AgentMode, AgentState, RequestCounts
+from testbed.discovery import Discovery
 from testbed.settings import EndpointEntry
 from tests.network.loopback import ReceivedMessage, read_message, run
 from tests.testbed.stand_ins import three, until
@@ -14,13 +15,13 @@
 Known = dict[str, EndpointEntry]
 
 
-class Watcher:
+class WatchClient:
     """A client of discovery on one connection."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
 
-    async def __aenter__(self) -> "Watcher":
+    async def __aenter__(self) -> "WatchClient":
         self.reader, self.writer = await asyncio.open_connection(*self._address)
         return self
 
@@ -36,54 +37,58 @@
         self.send(query, path)
         return await read_message(self.reader)
 
-    async def told(self, query: str = "") -> tuple[int, bool, Known]:
-        return told(await self.ask(query))
+    async def request_list(self, query: str = "") -> tuple[int, bool, Known]:
+        return read_list(await self.ask(query))
 
 
-def told(answer: ReceivedMessage) -> tuple[int, bool, Known]:
-    assert answer.line.split(" ")[1] == "200"
-    said = json.loads(answer.body)
-    return said["index"], said["snapshot"], {e["name"]: e for e in said["endpoints"]}
+def read_list(response: ReceivedMessage) -> tuple[int, bool, Known]:
+    assert response.line.split(" ")[1] == "200"
+    content = json.loads(response.body)
+    return content["index"], content["snapshot"], {e["name"]: e for e in content["endpoints"]}
 
 
 def test_discovery_tells_the_whole_list_and_then_what_changed() -> None:
     async def scenario() -> None:
         discovery = Discovery()
         await discovery.start()
-        first = discovery.set(three())
-        async with Watcher(discovery.agent(0)) as watcher:
-            assert await watcher.told() == (first, True, {e["name"]: e for e in three()})
+        first = discovery.replace_entries(three())
+        async with WatchClient(discovery.agent_address(0)) as watcher:
+            assert await watcher.request_list() == (first, True, {e["name"]: e for e in three()})
             drains, gone = (three()[0] | {"status": s} for s in ("terminating", "terminated"))
             weighs = three()[1] | {"weight": 2.0}
-            discovery.change([drains])
-            second = discovery.change([weighs])
+            discovery.apply_changes([drains])
+            second = discovery.apply_changes([weighs])
             both = {"s0": drains, "s1": weighs}
-            assert await watcher.told(f"?after={first}&wait_ms=60000") == (second, False, both)
-            assert (await watcher.told())[2]["s0"]["status"] == "terminating"
-            third = discovery.change([gone])
+            assert await watcher.request_list(f"?after={first}&wait_ms=60000") == (second, False, both)
+            assert (await watcher.request_list())[2]["s0"]["status"] == "terminating"
+            third = discovery.apply_changes([gone])
             # Gone is told among changes only; of two changes of one entry, the later.
-            assert await watcher.told(f"?after={second}&wait_ms=60000") == (third, False, {"s0": gone})
-            assert await watcher.told(f"?after={first}") == (third, False, {"s0": gone, "s1": weighs})
-            assert await watcher.told() == (third, True, {"s1": weighs, "s2": three()[2]})
+            assert await watcher.request_list(f"?after={second}&wait_ms=60000") == (
+                third,
+                False,
+                {"s0": gone},
+            )
+            assert await watcher.request_list(f"?after={first}") == (third, False, {"s0": gone, "s1": weighs})
+            assert await watcher.request_list() == (third, True, {"s1": weighs, "s2": three()[2]})
             # Versions that it does not know, or knows no longer, get the whole list.
-            assert (await watcher.told(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
-            fourth = discovery.set(three())
-            assert (await watcher.told(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
-            assert await watcher.told(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
+            assert (await watcher.request_list(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
+            fourth = discovery.replace_entries(three())
+            assert (await watcher.request_list(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
+            assert await watcher.request_list(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
         await discovery.stop()
 
     run(scenario())
 
 
 def test_discovery_forgets_old_changes_and_then_tells_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("testbed.discovery.KEPT", 1)
+    monkeypatch.setattr("testbed.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
 
     async def scenario() -> None:
         discovery = Discovery()
-        first = discovery.set(three())
-        second, third = (discovery.change([e | {"weight": 2.0}]) for e in three()[:2])
-        assert json.loads(discovery.body(first)[0])["snapshot"]
-        newer = json.loads(discovery.body(second)[0])
+        first = discovery.replace_entries(three())
+        second, third = (discovery.apply_changes([e | {"weight": 2.0}]) for e in three()[:2])
+        assert json.loads(discovery.list_response(first).body)["snapshot"]
+        newer = json.loads(discovery.list_response(second).body)
         assert (newer["index"], newer["snapshot"]) == (third, False)
         assert [e["name"] for e in newer["endpoints"]] == ["s1"]
 
@@ -94,16 +99,16 @@
     async def scenario() -> None:
         discovery = Discovery()
         await discovery.start()
-        index = discovery.set(three())
-        async with Watcher(discovery.agent(0)) as watcher:
-            assert await watcher.told(f"?after={index}&wait_ms=5") == (index, False, {})
+        index = discovery.replace_entries(three())
+        async with WatchClient(discovery.agent_address(0)) as watcher:
+            assert await watcher.request_list(f"?after={index}&wait_ms=5") == (index, False, {})
             watcher.send(f"?after={index}&wait_ms=60000")
-            await until(lambda: discovery.counts().calls == 2)
-            assert discovery.agents[0].told == index
-            news = discovery.change([three()[2] | {"weight": 4.0}])
-            assert discovery.agents[0].told == news  # written at once
-            assert discovery.changed_at[news] <= discovery.written_at[news]
-            assert told(await read_message(watcher.reader))[0] == news
+            await until(lambda: discovery.counts().requests == 2)
+            assert discovery.agents[0].written_index == index
+            newest = discovery.apply_changes([three()[2] | {"weight": 4.0}])
+            assert discovery.agents[0].written_index == newest  # written at once
+            assert discovery.changed_at[newest] <= discovery.written_at[newest]
+            assert read_list(await read_message(watcher.reader))[0] == newest
             for query, path, status in (
                 ("?after=1&wait_ms=60001", "/v1/servers", "400"),
                 ("?after=x", "/v1/servers", "400"),
@@ -120,12 +125,12 @@
 
     async def scenario() -> None:
         discovery = Discovery(lambda: now[0])
-        index = discovery.set(three())
-        async with Watcher(discovery.agent(0)) as watcher:
-            await watcher.told()
+        index = discovery.replace_entries(three())
+        async with WatchClient(discovery.agent_address(0)) as watcher:
+            await watcher.request_list()
             for pause, expected in ((0.2, (0, 1)), (0.201, (1, 1)), (0.0, (1, 2))):
                 now[0] += pause
-                await watcher.told(f"?after={index}")
+                await watcher.request_list(f"?after={index}")
                 counts = discovery.counts()
                 assert (counts.watches, counts.continued) == expected
         await discovery.stop()
@@ -138,21 +143,24 @@
 
     async def scenario() -> None:
         discovery = Discovery(on_watch=lambda agent, after, at: seen.append((agent, after)))
-        index = discovery.set(three())
+        index = discovery.replace_entries(three())
         sent = got = 0
-        async with Watcher(discovery.agent(0)) as one, Watcher(discovery.agent(7)) as other:
+        async with (
+            WatchClient(discovery.agent_address(0)) as one,
+            WatchClient(discovery.agent_address(7)) as other,
+        ):
             for watcher, query in ((one, ""), (one, f"?after={index}"), (other, "")):
                 sent += watcher.send(query)
                 head = await watcher.reader.readuntil(b"\r\n\r\n")
                 length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
                 got += len(head) + len(await watcher.reader.readexactly(length))
             counts = discovery.counts()
-            assert (counts.calls, counts.whole, counts.entries) == (3, 2, 6)
+            assert (counts.requests, counts.snapshots, counts.entries) == (3, 2, 6)
             assert (counts.bytes_in, counts.bytes_out) == (sent, got)
-            assert discovery.agents[7].counts.calls == 1
-            assert discovery.agents[0].taken_up == index
+            assert discovery.agents[7].counts.requests == 1
+            assert discovery.agents[0].acknowledged_index == index
             assert seen == [(0, index)]
-            assert counts.plus(counts, -1) == Counts()
+            assert counts - counts == RequestCounts()
         await discovery.stop()
 
     run(scenario())
@@ -162,40 +170,40 @@
     async def scenario() -> None:
         discovery = Discovery()
         await discovery.start("127.32.0.9")
-        index = discovery.set(three())
-        near, far = discovery.agent(0, "r0", "r0-z0"), discovery.agent(1, "r1", "r1-z1")
+        index = discovery.replace_entries(three())
+        near, far = discovery.agent_address(0, "r0", "r0-z0"), discovery.agent_address(1, "r1", "r1-z1")
         assert near[0] != far[0]
-        assert discovery.agent(0) == near
-        async with Watcher(near) as one, Watcher(far) as other:
+        assert discovery.agent_address(0) == near
+        async with WatchClient(near) as one, WatchClient(far) as other:
             for watcher in (one, other):
                 watcher.send(f"?after={index}&wait_ms=60000")
-            await until(lambda: discovery.counts().calls == 2)
-            discovery.put(State(Mode.SILENT), group="r1")
-            index = discovery.change([three()[0] | {"weight": 2.0}])
-            assert told(await read_message(one.reader))[0] == index
-            assert discovery.agents[1].told == -1
-            async with Watcher(far) as third:  # it accepts, though
+            await until(lambda: discovery.counts().requests == 2)
+            discovery.set_state(AgentState(AgentMode.SILENT), group="r1")
+            index = discovery.apply_changes([three()[0] | {"weight": 2.0}])
+            assert read_list(await read_message(one.reader))[0] == index
+            assert discovery.agents[1].written_index == -1
+            async with WatchClient(far) as third:  # it accepts, though
                 third.send()
-                await until(lambda: discovery.counts().calls == 3)
-                assert discovery.agents[1].told == -1
-                discovery.put(State(), group="r1")
-                assert told(await read_message(third.reader))[1]
-                assert told(await read_message(other.reader))[0] == index
-            discovery.put(State(Mode.DOWN), agent=1)
-            discovery.put(State(late_ms=50.0))
+                await until(lambda: discovery.counts().requests == 3)
+                assert discovery.agents[1].written_index == -1
+                discovery.set_state(AgentState(), group="r1")
+                assert read_list(await read_message(third.reader))[1]
+                assert read_list(await read_message(other.reader))[0] == index
+            discovery.set_state(AgentState(AgentMode.DOWN), agent=1)
+            discovery.set_state(AgentState(delay_ms=50.0))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-                await other.told()
+                await other.request_list()
             with pytest.raises(ConnectionError):
                 await asyncio.open_connection(*far)
             loop = asyncio.get_running_loop()
             asked_at = loop.time()
-            assert (await one.told())[0] == index
+            assert (await one.request_list())[0] == index
             assert loop.time() >= asked_at + 0.045  # the loop's timers round to milliseconds
-            discovery.put(State(), agent=1)
-        async with Watcher(far) as again:
-            assert (await again.told())[0] == index
-        soon = discovery.agent(2)
-        discovery.put(State(Mode.DOWN), agent=2)  # before its loop could accept
+            discovery.set_state(AgentState(), agent=1)
+        async with WatchClient(far) as again:
+            assert (await again.request_list())[0] == index
+        soon = discovery.agent_address(2)
+        discovery.set_state(AgentState(AgentMode.DOWN), agent=2)  # before its loop could accept
         with pytest.raises(ConnectionError):
             await asyncio.open_connection(*soon)
         await discovery.stop()
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -8,7 +8,8 @@
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network import endpoint_watch as client
-from testbed.discovery import Discovery, Mode, State
+from testbed.agent_state import AgentMode, AgentState
+from testbed.discovery import Discovery
 from testbed.hollow import Hollow, HollowProcess
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 from tests.network.loopback import run
@@ -20,11 +21,13 @@
     async def scenario() -> None:
         discovery = Discovery()
         forced: list[list[int]] = [[], []]
-        first = discovery.set(endpoint_entries(20))
+        first = discovery.replace_entries(endpoint_entries(20))
         settings = balancer_settings(balancers=2, pushed=pushed)
         hollows = []
         for i in range(2):
-            text = configuration_text(f"n{i}", "127.0.0.1:0", discovery.agent(i), [], settings, seed=i)
+            text = configuration_text(
+                f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i
+            )
             hollow = Hollow(
                 read_configuration(text, lambda note: None),
                 asyncio.get_running_loop(),
@@ -32,12 +35,12 @@
             )
             hollow.start()
             hollows.append(hollow)
-        await until(lambda: all(agent.taken_up == first for agent in discovery.agents.values()))
+        await until(lambda: all(agent.acknowledged_index == first for agent in discovery.agents.values()))
         draining = endpoint_entries(20)[3] | {"status": "terminating"}
-        second = discovery.change([draining])
-        await until(lambda: all(agent.taken_up == second for agent in discovery.agents.values()))
+        second = discovery.apply_changes([draining])
+        await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
         assert forced == [[0, first, second]] * 2
-        assert discovery.counts().whole == 2
+        assert discovery.counts().snapshots == 2
         for hollow in hollows:
             assert len(hollow.balancer._ready) == 19
             assert len(hollow.upstreams._pools) == 20
@@ -55,9 +58,9 @@
     async def scenario() -> None:
         discovery = Discovery()
         forced: list[int] = []
-        first = discovery.set(three())
-        address = discovery.agent(0)
-        discovery.put(State(Mode.SILENT))
+        first = discovery.replace_entries(three())
+        address = discovery.agent_address(0)
+        discovery.set_state(AgentState(AgentMode.SILENT))
         text = configuration_text(
             "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
         )
@@ -66,8 +69,9 @@
             asyncio.get_running_loop(),
             lambda index, at: forced.append(index),
         ).start()
-        await until(lambda: discovery.counts().calls == 2)  # the first was given up, by a timer it asks again
-        discovery.put(State())
+        # The first request was given up; a timer starts the next one.
+        await until(lambda: discovery.counts().requests == 2)
+        discovery.set_state(AgentState())
         await until(lambda: first in forced)
 
     run(scenario())
@@ -76,20 +80,20 @@
 def test_a_process_of_hollow_balancers_reports_when_changes_were_in_force() -> None:
     async def scenario() -> None:
         discovery = Discovery()
-        first = discovery.set(three())
+        first = discovery.replace_entries(three())
         texts = {
             i: configuration_text(
-                f"n{i}", "127.0.0.1:0", discovery.agent(i), [], balancer_settings(balancers=3), seed=i
+                f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], balancer_settings(balancers=3), seed=i
             )
             for i in range(3)
         }
         process = HollowProcess(texts)
-        await until(lambda: all(agent.taken_up == first for agent in discovery.agents.values()))
+        await until(lambda: all(agent.acknowledged_index == first for agent in discovery.agents.values()))
         began = process.report()
         assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
         assert set(began.indexes) == {0, first}
-        second = discovery.change([three()[1] | {"weight": 2.0}])
-        await until(lambda: all(agent.taken_up == second for agent in discovery.agents.values()))
+        second = discovery.apply_changes([three()[1] | {"weight": 2.0}])
+        await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
         last = process.stop()
         assert sorted(last.balancers) == [0, 1, 2]
         assert set(last.indexes) == {second}
--- a/tests/testbed/test_stand_ins_and_runs.py
+++ b/tests/testbed/test_stand_ins_and_runs.py
@@ -42,8 +42,8 @@
     assert kept["part"] <= SUBSET_COVER < kept["all"]
     for row in lists:
         discovery = Discovery()
-        discovery.set(endpoint_entries(row["entries"], seed=plan.seed))
-        assert row["list_bytes"] == len(discovery.body(-1)[0])
+        discovery.replace_entries(endpoint_entries(row["entries"], seed=plan.seed))
+        assert row["list_bytes"] == len(discovery.list_response(-1).body)
         parts = sum(row[f"list_{part}_ms"] for part in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < parts
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
