--- /dev/null
+++ b/testbed/child_process.py
@@ -0,0 +1,72 @@
+"""A child process that does a part of an experiment and responds to requests over a pipe."""
+
+from __future__ import annotations
+
+import asyncio
+import multiprocessing
+from collections.abc import Callable, Coroutine
+from multiprocessing.connection import Connection
+from typing import Any
+
+import uvloop
+
+STOP_TIMEOUT_S = 10.0
+"""A child that has not ended by itself in that time is killed."""
+
+
+class ChildProcess:
+    """A child process, which ends with the process that started it.
+
+    Attributes:
+        pid: Its process id.
+    """
+
+    def __init__(self, target: Callable[..., None], *args: Any) -> None:
+        """Start it: `target` is called with its end of the pipe and the further arguments."""
+        context = multiprocessing.get_context("spawn")
+        self._pipe, child_pipe = context.Pipe()
+        self._process = context.Process(target=target, args=(child_pipe, *args), daemon=True)
+        self._process.start()
+        child_pipe.close()
+        assert self._process.pid is not None
+        self.pid: int = self._process.pid
+
+    def receive(self) -> Any:
+        """Wait for a message from it."""
+        return self._pipe.recv()
+
+    def request(self, message: str) -> Any:
+        """Send it a request and wait for the response."""
+        self._pipe.send(message)
+        return self._pipe.recv()
+
+    def stop(self) -> None:
+        """Close the pipe, which ends it; kill it if that takes too long."""
+        self._pipe.close()
+        self._process.join(STOP_TIMEOUT_S)
+        if self._process.is_alive():
+            self._process.kill()
+            self._process.join()
+
+
+def run_child(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run the main coroutine of a child process on an event loop as the program uses it."""
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(scenario)
+
+
+async def serve_pipe(pipe: Connection, respond: Callable[[], object]) -> None:
+    """Send a response to each request on a child's end of the pipe, until the other end closes."""
+    loop = asyncio.get_running_loop()
+    closed = asyncio.Event()
+
+    def on_readable() -> None:
+        try:
+            pipe.recv()
+            pipe.send(respond())
+        except (EOFError, OSError):
+            closed.set()
+
+    loop.add_reader(pipe.fileno(), on_readable)
+    await closed.wait()
+    loop.remove_reader(pipe.fileno())
--- /dev/null
+++ b/testbed/http_client.py
@@ -0,0 +1,185 @@
+"""A client of one address that sends requests in the form of the PROTOCOL page."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+from collections.abc import Callable, Iterator
+from contextlib import suppress
+from dataclasses import dataclass
+from typing import cast
+
+import httptools
+
+from loadbalancer.configuration import Address
+
+Clock = Callable[[], float]
+"""Returns the time in seconds."""
+
+NO_RESPONSE = 0
+"""The status of a request that got no response: its time passed, or the connection broke."""
+
+
+@dataclass(frozen=True, slots=True)
+class HttpResponse:
+    """A response, and when its last byte came in seconds of the client's clock."""
+
+    status: int
+    body: bytes
+    received_at: float
+
+
+def request_ids(seed: int) -> Iterator[str]:
+    """Yield ids of 16 hex digits that never repeat, as the PROTOCOL page shows them."""
+    first = random.Random(seed).getrandbits(32)
+    number = 0
+    while True:
+        yield f"{first:08x}{number:08x}"
+        number += 1
+
+
+def compose_request(
+    class_name: str, request_id: str, deadline_ms: float, key: str = "", body: bytes = b""
+) -> bytes:
+    """Return a request of the PROTOCOL page: POST where it has an idempotency key or a body, else GET."""
+    has_body = bool(key or body)
+    lines = [
+        f"{'POST' if has_body else 'GET'} /{class_name}/x HTTP/1.1",
+        "Host: api.internal",
+        f"X-Request-Id: {request_id}",
+        f"X-Class: {class_name}",
+        f"X-Deadline: {max(round(deadline_ms * 1000), 1)}u",
+    ]
+    if key:
+        lines.append(f"Idempotency-Key: {key}")
+    if has_body:
+        lines.append(f"Content-Length: {len(body)}")
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+
+
+class _ClientConnection(asyncio.Protocol):
+    """One connection of a client, with one request at a time.
+
+    Attributes:
+        has_received: Whether anything came since the last request.
+        is_closed: Whether it has ended.
+        may_reuse: Whether it can take a further request.
+    """
+
+    def __init__(self, on_closed: Callable[[_ClientConnection], None], clock: Clock) -> None:
+        self._on_closed = on_closed
+        self._clock = clock
+        self._transport: asyncio.Transport | None = None
+        self._response: asyncio.Future[HttpResponse] | None = None
+        self._parser = httptools.HttpResponseParser(self)
+        self._body: list[bytes] = []
+        self.has_received = False
+        self.is_closed = False
+        self.may_reuse = True
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self._transport = cast(asyncio.Transport, transport)
+
+    def on_body(self, data: bytes) -> None:
+        self._body.append(data)
+
+    def on_message_complete(self) -> None:
+        self.may_reuse = self._parser.should_keep_alive()
+        response = HttpResponse(self._parser.get_status_code(), b"".join(self._body), self._clock())
+        self._body = []
+        if self._response is not None and not self._response.done():
+            self._response.set_result(response)
+
+    def data_received(self, data: bytes) -> None:
+        self.has_received = True
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.close()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        self.is_closed = True
+        self._on_closed(self)
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(ConnectionResetError("the connection ended"))
+
+    async def send(self, request: bytes) -> HttpResponse:
+        assert self._transport is not None
+        self._response = asyncio.get_running_loop().create_future()
+        self.has_received = False
+        self._transport.write(request)
+        return await self._response
+
+    def close(self) -> None:
+        self.is_closed = True
+        if self._transport is not None:
+            self._transport.abort()
+
+
+class Client:
+    """A client of one address: it keeps its connections, and opens more when all are busy (PROTOCOL page).
+
+    Attributes:
+        opened_connections: The connections that it has opened so far.
+    """
+
+    def __init__(self, address: Address, clock: Clock = time.perf_counter) -> None:
+        self._address = address
+        self._clock = clock
+        self._idle: list[_ClientConnection] = []
+        self.opened_connections = 0
+
+    async def send(self, request: bytes, timeout_s: float) -> HttpResponse:
+        """Send a request and wait for the response.
+
+        A request that crossed the close of a kept connection is sent once more, on a new one. A request that
+        is given up, by time or by cancellation, closes its connection.
+
+        Returns:
+            The response, or one with the status `NO_RESPONSE`.
+        """
+        try:
+            async with asyncio.timeout(timeout_s):
+                return await self._send(request)
+        except OSError:  # TimeoutError is one
+            return HttpResponse(NO_RESPONSE, b"", self._clock())
+
+    async def _send(self, request: bytes) -> HttpResponse:
+        if self._idle:
+            connection = self._idle.pop()
+            with suppress(ConnectionError):
+                return await self._send_on(connection, request)
+            if connection.has_received:
+                raise ConnectionResetError("broke within the response")
+        return await self._send_on(await self._open(), request)
+
+    async def _open(self) -> _ClientConnection:
+        self.opened_connections += 1
+        loop = asyncio.get_running_loop()
+        _, connection = await loop.create_connection(
+            lambda: _ClientConnection(self._forget, self._clock), *self._address
+        )
+        return connection
+
+    async def _send_on(self, connection: _ClientConnection, request: bytes) -> HttpResponse:
+        try:
+            response = await connection.send(request)
+        except BaseException:
+            connection.close()
+            raise
+        if connection.may_reuse and not connection.is_closed:
+            self._idle.append(connection)
+        else:
+            connection.close()
+        return response
+
+    def _forget(self, connection: _ClientConnection) -> None:
+        if connection in self._idle:
+            self._idle.remove(connection)
+
+    def close(self) -> None:
+        """Close the connections that are kept."""
+        for connection in self._idle[:]:
+            connection.close()
+        self._idle.clear()
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -13,13 +13,13 @@
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
-from testbed import latency, load, settings
+from testbed import http_client, latency, load, settings
 from testbed.discovery import Discovery
 from testbed.meter import CoresWatch, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.results import Findings, fit_line
 from testbed.runs import loaded
-from testbed.upstream import UpstreamsApart
+from testbed.upstream_group import UpstreamProcess
 
 _AGENTS = "127.79.0.1"
 _BALANCER = "127.78.0.1"
@@ -54,7 +54,7 @@
 
 
 async def _measure(plan: Plan, size: int) -> tuple[dict[str, Any], list[str]]:
-    apart = UpstreamsApart(size, plan.service_ms, plan.seed)
+    apart = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
         await discovery.start(_AGENTS)
@@ -82,22 +82,22 @@
 
 
 async def _side_by_side(
-    plan: Plan, size: int, apart: UpstreamsApart, balancer: RealBalancer
+    plan: Plan, size: int, apart: UpstreamProcess, balancer: RealBalancer
 ) -> tuple[dict[str, Any], list[str]]:
-    near = [load.Client(address) for address in apart.addresses[: plan.direct_servers]]
-    front = load.Client(balancer.address)
+    near = [http_client.Client(address) for address in apart.addresses[: plan.direct_servers]]
+    front = http_client.Client(balancer.address)
     streams = [
         load.Stream("direct", near, plan.per_s, plan.class_name, plan.deadline_ms),
         load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
     ]
-    await load.play(streams, plan.warm_s, plan.seed + 1)
+    await load.play_streams(streams, plan.warm_s, plan.seed + 1)
     at_rest = usage([balancer.pid])
     await asyncio.sleep(plan.rest_s)
     rest_us_a_s = (usage([balancer.pid]).processor_s - at_rest.processor_s) / plan.rest_s * 1e6
     gc.collect()
     gc.freeze()  # what the load has built needs no look while it measures
     cores, counted, before = CoresWatch(), apart.counts(), usage([balancer.pid])
-    reports = await load.play(streams, plan.measure_s, plan.seed)
+    reports = await load.play_streams(streams, plan.measure_s, plan.seed)
     after, recounted = usage([balancer.pid]), apart.counts()
     gc.unfreeze()
     busy, doubts = cores.busy(), cores.doubts(f"{size} entries")
@@ -114,9 +114,9 @@
         "rest_us_a_s": rest_us_a_s,
         "net_us_a_call": (processor_us - rest_us_a_s * plan.measure_s) / through.sends,
         "resident_mib": after.resident / 2**20,
-        "attempts_a_call": (recounted.asked - counted.asked - direct.sends) / through.sends,
+        "attempts_a_call": (recounted.requests - counted.requests - direct.sends) / through.sends,
         "opened_a_call": (recounted.connections - counted.connections - direct.opened) / through.sends,
-        "probes": recounted.probes - counted.probes,
+        "probes": recounted.health_checks - counted.health_checks,
         "late_99_ms": through.lateness.quantile_ms(0.99),
         "cores_busy": busy,
     }
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth.py
@@ -14,25 +14,28 @@
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
-from testbed import load, settings
+from testbed import http_client, load, settings
 from testbed.discovery import Discovery
 from testbed.latency import Latencies
 from testbed.meter import CoresWatch, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.results import Findings, fit_line
 from testbed.runs import loaded
-from testbed.upstream import Asked, Behaviour, Upstream, UpstreamPools, Way, next_tier
+from testbed.upstream import Upstream, forward_through
+from testbed.upstream_behaviour import Behaviour, UpstreamMode
+from testbed.upstream_connection import ReceivedRequest
+from testbed.upstream_group import UpstreamGroup
 
 _WIDTH = 2
 _AT_ONCE = 8  # balancers that start at the same time
 _CALM = Behaviour()
 _PHASES = (
     ("calm", _CALM),
-    ("fails 0.1", Behaviour(Way.FAIL, 0.1)),
-    ("fails 0.5", Behaviour(Way.FAIL, 0.5)),
-    ("fails all", Behaviour(Way.FAIL)),
+    ("fails 0.1", Behaviour(UpstreamMode.FAIL, 0.1)),
+    ("fails 0.5", Behaviour(UpstreamMode.FAIL, 0.5)),
+    ("fails all", Behaviour(UpstreamMode.FAIL)),
     ("back after failing", _CALM),
-    ("hangs", Behaviour(Way.HANG)),
+    ("hangs", Behaviour(UpstreamMode.HANG)),
     ("back after hanging", _CALM),
 )
 
@@ -64,12 +67,12 @@
 
     def __init__(self, plan: Plan, depth: int) -> None:
         self._plan, self._depth = plan, depth
-        self._upstreams = UpstreamPools(plan.seed)
+        self._upstreams = UpstreamGroup(plan.seed)
         self._lists: list[Discovery] = []
         self.tiers: list[list[Upstream]] = []
         self.balancers: list[RealBalancer] = []
-        self.fronts: list[load.Client] = []
-        self.direct: load.Client
+        self.fronts: list[http_client.Client] = []
+        self.direct: http_client.Client
         self.deadlines_ms: list[float] = []
         """What the requests that reached the bottom said."""
 
@@ -78,8 +81,10 @@
         seeds = itertools.count(self._plan.seed * 1_000)
         bare = await self._upstreams.start(self._depth)
         for upper, lower in itertools.pairwise(bare):
-            upper.calls = next_tier(load.Client(lower.address), load.request_ids(next(seeds)))
-        self.direct = load.Client(bare[0].address)
+            upper.forward = forward_through(
+                http_client.Client(lower.address), http_client.request_ids(next(seeds))
+            )
+        self.direct = http_client.Client(bare[0].address)
         for tier in range(self._depth):
             self.tiers.append(await self._upstreams.start(_WIDTH))
             self._lists.append(Discovery())
@@ -106,20 +111,20 @@
             for text in texts[first : first + _AT_ONCE]:
                 self.balancers.append(await RealBalancer.start(text, SAME_PYTHON))
             await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
-        callers = [load.Client(balancer.address) for balancer in self.balancers]
+        callers = [http_client.Client(balancer.address) for balancer in self.balancers]
         self.fronts = callers[:_WIDTH]
         above = [upstream for tier in self.tiers[:-1] for upstream in tier]
         for upstream, caller in zip(above, callers[_WIDTH:], strict=True):
-            upstream.calls = next_tier(caller, load.request_ids(next(seeds)))
+            upstream.forward = forward_through(caller, http_client.request_ids(next(seeds)))
         for upstream in self.tiers[-1]:
-            upstream.seen = self._saw
+            upstream.on_request = self._saw
 
-    def _saw(self, asked: Asked) -> None:
+    def _saw(self, asked: ReceivedRequest) -> None:
         self.deadlines_ms.append(asked.deadline_ms)
 
     def asked(self) -> list[int]:
         """By tier: the attempts that came so far."""
-        return [sum(upstream.counts.asked for upstream in tier) for tier in self.tiers]
+        return [sum(upstream.counts.requests for upstream in tier) for tier in self.tiers]
 
     async def stop(self) -> None:
         """End all of it."""
@@ -133,10 +138,10 @@
     chain = _Chain(plan, depth)
     try:
         await chain.start()
-        await load.play(_streams(plan, chain), plan.warm_s, plan.seed)
+        await load.play_streams(_streams(plan, chain), plan.warm_s, plan.seed)
         for number, (phase, behaviour) in enumerate(_PHASES if depth in plan.faults_at else _PHASES[:1]):
             for upstream in chain.tiers[-1]:
-                await upstream.act(behaviour)
+                await upstream.set_behaviour(behaviour)
             row, doubts = await _phase(plan, chain, plan.seed + 1 + number)
             findings.rows.append({"depth": depth, "phase": phase} | row)
             findings.doubts += [f"depth {depth}, {phase}: {doubt}" for doubt in doubts]
@@ -154,7 +159,7 @@
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
     cores, before, asked = CoresWatch(), usage(pids), chain.asked()
-    reports = await load.play(_streams(plan, chain), plan.phase_s, seed)
+    reports = await load.play_streams(_streams(plan, chain), plan.phase_s, seed)
     after = usage(pids)
     busy, attempts = cores.busy(), [b - a for a, b in zip(asked, chain.asked(), strict=True)]
     direct, through = reports["direct"], reports["through"]
--- /dev/null
+++ b/testbed/upstream_connection.py
@@ -0,0 +1,139 @@
+"""A balancer's connection to a hollow upstream."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+from dataclasses import dataclass
+from typing import Protocol, cast
+
+from testbed.http_client import Clock
+from testbed.http_reader import HttpRequest, MalformedRequestError, RequestReader
+from testbed.upstream_behaviour import Behaviour, UpstreamCounts, UpstreamMode
+
+HEALTH_PATH = "/healthz"
+_REASONS = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
+_MS_PER_UNIT = {"m": 1.0, "u": 0.001}
+_LINGER_ZERO = struct.pack("ii", 1, 0)
+"""With SO_LINGER so set, closing a socket sends a reset."""
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedRequest:
+    """A request as an upstream received it.
+
+    Attributes:
+        class_name: The request class.
+        request_id: Its id.
+        deadline_ms: The time that its sender gives it; 0 where it names none.
+        key: The idempotency key; empty where it has none.
+        body: The body.
+        received_at: When its last byte came, in seconds of the upstreams' clock.
+    """
+
+    class_name: str
+    request_id: str
+    deadline_ms: float
+    key: str
+    body: bytes
+    received_at: float
+
+
+class RequestHandler(Protocol):
+    """The upstream that a connection belongs to."""
+
+    behaviour: Behaviour
+    counts: UpstreamCounts
+    connections: set[UpstreamConnection]
+    clock: Clock
+
+    async def handle(self, request: ReceivedRequest, connection: UpstreamConnection) -> None:
+        """Respond to a request, or do what the behaviour says in place of it."""
+
+
+def read_deadline_ms(text: str) -> float:
+    """Return `X-Deadline`, a number and a unit, in milliseconds; 0 where it is empty."""
+    return float(text[:-1]) * _MS_PER_UNIT[text[-1]] if text else 0.0
+
+
+class UpstreamConnection(asyncio.Protocol):
+    """One connection, with one request at a time."""
+
+    def __init__(self, upstream: RequestHandler) -> None:
+        self._upstream = upstream
+        self._reader = RequestReader(self._on_request)
+        self._transport: asyncio.Transport | None = None
+        self._task: asyncio.Task[None] | None = None  # handles the open request
+        self._was_reset_here = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Join the upstream's connections."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._upstream.connections.add(self)
+        self._upstream.counts.connections += 1
+
+    def data_received(self, data: bytes) -> None:
+        """Read on; what is no request ends the connection."""
+        try:
+            self._reader.feed(data)
+        except MalformedRequestError:
+            self.reset()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Leave the upstream's connections; an open request is abandoned."""
+        self._upstream.connections.discard(self)
+        if self._task is not None:
+            self._upstream.counts.abandoned += not self._was_reset_here
+            self._task.cancel()
+
+    def _on_request(self, request: HttpRequest) -> None:
+        upstream = self._upstream
+        if request.target == HEALTH_PATH:
+            upstream.counts.health_checks += 1
+            self._respond_to_health_check(upstream.behaviour.mode)
+        elif "x-request-id" not in request.headers:
+            self.respond(404)
+        elif self._task is not None:
+            upstream.counts.overlapping += 1
+            self.reset()
+        else:
+            received = self._received(request)
+            self._task = asyncio.ensure_future(upstream.handle(received, self))
+            self._task.add_done_callback(self._on_handled)
+
+    def _received(self, request: HttpRequest) -> ReceivedRequest:
+        headers = request.headers
+        return ReceivedRequest(
+            headers.get("x-class", ""),
+            headers["x-request-id"],
+            read_deadline_ms(headers.get("x-deadline", "")),
+            headers.get("idempotency-key", ""),
+            request.body,
+            self._upstream.clock(),
+        )
+
+    def _on_handled(self, task: asyncio.Task[None]) -> None:
+        self._task = None
+        if not task.cancelled() and (error := task.exception()) is not None:
+            raise error
+
+    def _respond_to_health_check(self, mode: UpstreamMode) -> None:
+        if mode is UpstreamMode.RESET:
+            self.reset()
+        elif mode is not UpstreamMode.HANG:
+            self.respond(503 if mode is UpstreamMode.REJECT else 200)
+
+    def respond(self, status: int, body: bytes = b"", headers: tuple[str, ...] = ()) -> None:
+        """Respond to the open request."""
+        assert self._transport is not None
+        lines = [f"HTTP/1.1 {status} {_REASONS[status]}", f"Content-Length: {len(body)}", *headers]
+        self._transport.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
+
+    def reset(self) -> None:
+        """Break the connection as a process does that is killed."""
+        assert self._transport is not None
+        self._was_reset_here = True
+        transport_socket = self._transport.get_extra_info("socket")
+        transport_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
+        self._transport.abort()
--- /dev/null
+++ b/testbed/upstream_group.py
@@ -0,0 +1,89 @@
+"""Many hollow upstreams, each at a loopback address of its own, in this process or in a child process."""
+
+from __future__ import annotations
+
+import random
+import time
+from multiprocessing.connection import Connection
+from typing import cast
+
+from loadbalancer.configuration import Address
+from testbed.child_process import ChildProcess, run_child, serve_pipe
+from testbed.http_client import Clock
+from testbed.settings import loopback_host
+from testbed.upstream import Upstream
+from testbed.upstream_behaviour import Behaviour, UpstreamCounts
+
+FIRST_OCTET = 72
+"""Upstreams listen on 127.72.x.y and on, if not said otherwise."""
+
+
+class UpstreamGroup:
+    """Hollow upstreams in this process, all random numbers from one seed.
+
+    Attributes:
+        upstreams: All of them, in the order of their start.
+    """
+
+    def __init__(self, seed: int, clock: Clock = time.perf_counter) -> None:
+        self._seed = seed
+        self._clock = clock
+        self.upstreams: list[Upstream] = []
+
+    async def start(self, count: int, first_octet: int = FIRST_OCTET) -> list[Upstream]:
+        """Start and return `count` more that serve, on hosts of their own from 127.`first_octet`.0.1 on."""
+        first = len(self.upstreams)
+        for number in range(first, first + count):
+            source = random.Random(f"{self._seed}/{number}")
+            upstream = Upstream(loopback_host(number, first_octet), source, self._clock)
+            await upstream.listen()
+            self.upstreams.append(upstream)
+        return self.upstreams[first:]
+
+    def total(self) -> UpstreamCounts:
+        """Return the sum of their counts."""
+        total = UpstreamCounts()
+        for upstream in self.upstreams:
+            total += upstream.counts
+        return total
+
+    def close(self) -> None:
+        """Close all of them."""
+        for upstream in self.upstreams:
+            upstream.close()
+
+
+class UpstreamProcess:
+    """Hollow upstreams in a child process, so that they take no time from the load's event loop.
+
+    Attributes:
+        pid: The child's process id.
+        addresses: Where the upstreams listen.
+    """
+
+    def __init__(self, count: int, service_ms: float, seed: int, first_octet: int = FIRST_OCTET) -> None:
+        self._child = ChildProcess(_run, count, service_ms, seed, first_octet)
+        self.pid = self._child.pid
+        self.addresses: list[Address] = self._child.receive()
+
+    def counts(self) -> UpstreamCounts:
+        """Return the sum of the upstreams' counts."""
+        return cast(UpstreamCounts, self._child.request("counts"))
+
+    def stop(self) -> None:
+        """End the process."""
+        self._child.stop()
+
+
+def _run(pipe: Connection, count: int, service_ms: float, seed: int, first_octet: int) -> None:
+    """Run the child process."""
+    run_child(_serve(pipe, count, service_ms, seed, first_octet))
+
+
+async def _serve(pipe: Connection, count: int, service_ms: float, seed: int, first_octet: int) -> None:
+    group = UpstreamGroup(seed)
+    for upstream in await group.start(count, first_octet):
+        upstream.behaviour = Behaviour(service_ms=service_ms)
+    pipe.send([upstream.address for upstream in group.upstreams])
+    await serve_pipe(pipe, group.total)
+    group.close()
--- a/tests/testbed/loads.py
+++ b/tests/testbed/loads.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from testbed.load import Client, compose, request_ids
+from testbed.http_client import Client, compose_request, request_ids
 
 IDS = request_ids(1)
 
@@ -26,4 +26,6 @@
 
 
 async def ask(client: Client, deadline_ms: float = 5_000.0, key: str = "") -> int:
-    return (await client.call(compose("read", next(IDS), deadline_ms, key), deadline_ms / 1000)).status
+    return (
+        await client.send(compose_request("read", next(IDS), deadline_ms, key), deadline_ms / 1000)
+    ).status
--- /dev/null
+++ b/tests/testbed/test_arrivals.py
@@ -0,0 +1,13 @@
+"""Moments of independent arrivals."""
+
+import random
+
+from testbed.arrivals import arrival_times
+
+
+def test_arrivals_come_from_the_seed_at_the_given_rate() -> None:
+    times = list(arrival_times(200.0, 20.0, random.Random(1)))
+    assert times == sorted(times) == list(arrival_times(200.0, 20.0, random.Random(1)))
+    assert times[0] > 0
+    assert times[-1] < 20.0
+    assert abs(len(times) - 4_000) < 5 * 4_000**0.5
--- /dev/null
+++ b/tests/testbed/test_http_client.py
@@ -0,0 +1,34 @@
+"""The client of the testbed's load."""
+
+import asyncio
+
+from loadbalancer.configuration import read_address
+from testbed.http_client import Client
+from tests.network.loopback import Upstream as Scripted
+from tests.network.loopback import response, run
+from tests.testbed.loads import ask
+
+
+def test_a_client_opens_more_when_busy_and_sends_once_more_where_a_close_crossed() -> None:
+    async def scenario() -> None:
+        more = asyncio.Event()
+
+        async def wait(asked: object, writer: asyncio.StreamWriter) -> None:
+            if len(server.asked) == 2:
+                more.set()
+            await more.wait()
+            writer.write(response())
+
+        async def drop(asked: object, writer: asyncio.StreamWriter) -> None:
+            writer.transport.abort()
+
+        server = Scripted(wait, wait, drop, response())
+        client = Client(read_address(await server.start()))
+        assert tuple(await asyncio.gather(ask(client), ask(client))) == (200, 200)
+        assert client.opened_connections == server.connections == 2
+        assert await ask(client) == 200
+        assert (client.opened_connections, len(server.asked)) == (3, 4)
+        assert server.asked[2].headers["x-request-id"] == server.asked[3].headers["x-request-id"]
+        client.close()
+
+    run(scenario())
