--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -13,13 +13,14 @@
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
-from testbed import latency, load, settings
+from testbed import http_client, latency, load, settings
 from testbed.discovery import Discovery
 from testbed.meter import CoresWatch, Usage, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.results import Findings, Measured, Row, fit_columns
 from testbed.runs import loaded
-from testbed.upstream import Counts, UpstreamsApart
+from testbed.upstream_behaviour import UpstreamCounts
+from testbed.upstream_group import UpstreamProcess
 
 _AGENTS = "127.79.0.1"
 _BALANCER = "127.78.0.1"
@@ -98,17 +99,17 @@
 
 async def _play_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
     """Start upstreams, discovery and a balancer, and measure it."""
-    upstreams = UpstreamsApart(size, plan.service_ms, plan.seed)
+    upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
         await discovery.start(_AGENTS)
-        entries = settings.fleet(size, seed=plan.seed, addresses=upstreams.addresses)
-        discovery.set(entries)
-        site = settings.site(balancers=size)
-        text = settings.config(
+        entries = settings.endpoint_entries(size, seed=plan.seed, addresses=upstreams.addresses)
+        discovery.replace_entries(entries)
+        site = settings.balancer_settings(balancers=size)
+        text = settings.configuration_text(
             "n1",
             free_address(_BALANCER),
-            discovery.agent(0),
+            discovery.agent_address(0),
             entries,
             site,
             seed=plan.seed,
@@ -132,20 +133,20 @@
     rest_us_a_s: float
     usage_before: Usage
     usage_after: Usage
-    counts_before: Counts
-    counts_after: Counts
+    counts_before: UpstreamCounts
+    counts_after: UpstreamCounts
     cores_busy: float
-    reports: dict[str, load.Report]
+    reports: dict[str, load.StreamReport]
 
 
 class _Measurement:
     """Calls of both ways side by side, and what they cost a balancer."""
 
-    def __init__(self, plan: Plan, size: int, upstreams: UpstreamsApart, balancer: RealBalancer) -> None:
+    def __init__(self, plan: Plan, size: int, upstreams: UpstreamProcess, balancer: RealBalancer) -> None:
         self._plan, self._size = plan, size
         self._upstreams, self._balancer = upstreams, balancer
-        direct = [load.Client(address) for address in upstreams.addresses[: plan.direct_servers]]
-        front = load.Client(balancer.address)
+        direct = [http_client.Client(address) for address in upstreams.addresses[: plan.direct_servers]]
+        front = http_client.Client(balancer.address)
         self._streams = [
             load.Stream("direct", direct, plan.per_s, plan.class_name, plan.deadline_ms),
             load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
@@ -154,14 +155,14 @@
     async def play(self) -> Measured[AddedTimeRow]:
         """Warm up, rest, and measure under load."""
         plan = self._plan
-        await load.play(self._streams, plan.warm_s, plan.seed + 1)
+        await load.play_streams(self._streams, plan.warm_s, plan.seed + 1)
         rest_us_a_s = await self._rest()
         gc.collect()
         gc.freeze()  # the collector need not look at what the load has built while it measures
         cores = CoresWatch()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
-        reports = await load.play(self._streams, plan.measure_s, plan.seed)
+        reports = await load.play_streams(self._streams, plan.measure_s, plan.seed)
         usage_after = self._usage()
         counts_after = self._upstreams.counts()
         gc.unfreeze()
@@ -196,9 +197,9 @@
             rest_us_a_s=readings.rest_us_a_s,
             net_us_a_call=(processor_us - rest_us) / through.sends,
             resident_mib=readings.usage_after.resident / _MIB,
-            attempts_a_call=(after.asked - before.asked - direct.sends) / through.sends,
+            attempts_a_call=(after.requests - before.requests - direct.sends) / through.sends,
             opened_a_call=(after.connections - before.connections - direct.opened) / through.sends,
-            probes=after.probes - before.probes,
+            probes=after.health_checks - before.health_checks,
             late_99_ms=through.lateness.quantile_ms(0.99),
             cores_busy=readings.cores_busy,
         )
--- a/testbed/runs/control_change.py
+++ b/testbed/runs/control_change.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import asyncio
+import random
 import time
 from collections.abc import Iterator
 from contextlib import AsyncExitStack
@@ -15,8 +16,8 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.discovery import play as play_changes
-from testbed.discovery import single_changes, times
+from testbed.arrivals import arrival_times
+from testbed.churn import play_changes, single_changes
 from testbed.results import Findings, Measured, fit_columns
 from testbed.runs.control_change_measurement import ChangeMeasurement, ChangeRow
 from testbed.runs.control_delays import VersionSeen
@@ -80,14 +81,14 @@
     async with AsyncExitStack() as stack:
         discovery = start_discovery(stack, time.monotonic, on_watch)
         await discovery.start("127.33.0.1")
-        discovery.set(settings.fleet(plan.entries, seed=plan.seed))
+        discovery.replace_entries(settings.endpoint_entries(plan.entries, seed=plan.seed))
         group = await start_group(
             stack,
             discovery,
             hollow=balancers,
             processes=plan.processes,
             real=plan.real,
-            site=settings.site(balancers=max(balancers, plan.entries), pushed=plan.pushed),
+            site=settings.balancer_settings(balancers=max(balancers, plan.entries), pushed=plan.pushed),
             seed=plan.seed,
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
@@ -102,14 +103,15 @@
     group: BalancerGroup,
     multiple: float,
     span_s: float,
-    changes: Iterator[tuple[settings.Entry, ...]],
+    changes: Iterator[tuple[settings.EndpointEntry, ...]],
     watch_calls: list[VersionSeen],
 ) -> Measured[ChangeRow]:
     """Play changes at one rate until every balancer has the last one."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / DAY_S
     seed = plan.seed + round(1000 * multiple) + group.hollow
-    played_late_s = await play_changes(group.discovery, changes, times(rate_per_s, span_s, seed))
+    moments_s = arrival_times(rate_per_s, span_s, random.Random(seed))
+    played_late_s = await play_changes(group.discovery, changes, moments_s)
     await asyncio.sleep(max(span_s - measurement.elapsed_s, 0.0))
     await wait_until(lambda: all_follow(group.discovery), FOLLOW_S, "every balancer has the last change")
     return measurement.finish(multiple, played_late_s, watch_calls)
--- a/testbed/runs/control_change_measurement.py
+++ b/testbed/runs/control_change_measurement.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from testbed.discovery import Counts
+from testbed.agent_state import RequestCounts
 from testbed.hollow import Report
 from testbed.meter import CoresWatch, LoopLag, usage
 from testbed.results import Measured, Row
@@ -85,7 +85,7 @@
     elapsed_s: float
     processor_s: list[float]
     """Processor time by process, hollow balancers' first."""
-    counts: Counts
+    counts: RequestCounts
     """What hollow balancers and discovery exchanged."""
     reports: list[Report]
     lag_99_s: float
@@ -129,7 +129,7 @@
         processor_s = [
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
-        counts = sum_counts(self._group.discovery, self._group.hollow_agents).plus(self._counts, -1)
+        counts = sum_counts(self._group.discovery, self._group.hollow_agents) - self._counts
         doubts = self._cores.doubts(name)
         lag_99_s, _ = self._lag.take()
         self._lag.stop()
@@ -153,9 +153,9 @@
             delays=self._delays(readings.reports, watch_calls),
             core_percent=float(hollow_percent.sum()) / group.hollow,
             real_core_percent=float(real_percent.mean()) if group.real else None,
-            calls_per_s=counts.calls / elapsed_s / group.hollow,
+            calls_per_s=counts.requests / elapsed_s / group.hollow,
             bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow,
-            whole_lists=counts.whole,
+            whole_lists=counts.snapshots,
             loops_late_ms_99=readings.lag_99_s * 1000,
             process_percent_most=float(core_percent.max()),
         )
--- a/testbed/runs/control_group.py
+++ b/testbed/runs/control_group.py
@@ -15,7 +15,8 @@
 import uvloop
 
 from testbed import settings
-from testbed.discovery import Counts, Discovery
+from testbed.agent_state import RequestCounts
+from testbed.discovery import Discovery
 from testbed.hollow import HollowProcess
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.results import Findings, RowT
@@ -52,14 +53,14 @@
 
 def all_follow(discovery: Discovery) -> bool:
     """Whether every balancer watches from the newest version on."""
-    return all(agent.taken_up == discovery.index for agent in discovery.agents.values())
+    return all(agent.acknowledged_index == discovery.index for agent in discovery.agents.values())
 
 
-def sum_counts(discovery: Discovery, numbers: range) -> Counts:
+def sum_counts(discovery: Discovery, numbers: range) -> RequestCounts:
     """Add up what the agents of these numbers have counted."""
-    total = Counts()
+    total = RequestCounts()
     for number in numbers:
-        total = total.plus(discovery.agents[number].counts)
+        total += discovery.agents[number].counts
     return total
 
 
@@ -100,8 +101,8 @@
     group = BalancerGroup(discovery, [], [], hollow)
 
     def text(number: int, listen: str) -> str:
-        agent = discovery.agent(number)
-        return settings.config(f"n{number}", listen, agent, [], site, seed=seed + number)
+        agent = discovery.agent_address(number)
+        return settings.configuration_text(f"n{number}", listen, agent, [], site, seed=seed + number)
 
     for first in range(min(processes, hollow)):
         texts = {number: text(number, "127.0.0.1:0") for number in range(first, hollow, processes)}
--- a/testbed/runs/control_rest.py
+++ b/testbed/runs/control_rest.py
@@ -12,7 +12,7 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.discovery import Counts
+from testbed.agent_state import RequestCounts
 from testbed.meter import CoresWatch, LoopLag, usage
 from testbed.results import Findings, Row, fit_columns
 from testbed.runs.control_group import (
@@ -68,8 +68,8 @@
 
     processor_s: float
     """Processor time of the real balancer."""
-    real: Counts
-    hollow: Counts
+    real: RequestCounts
+    hollow: RequestCounts
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> Findings[RestRow]:
@@ -99,8 +99,8 @@
     """Start the balancers of one size under a discovery of their own; `place` numbers the sizes."""
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{place}.1")
-    discovery.set(settings.fleet(entries, seed=plan.seed))
-    site = settings.site(balancers=entries, pushed=pushed)
+    discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
+    site = settings.balancer_settings(balancers=entries, pushed=pushed)
     return await start_group(
         stack, discovery, hollow=plan.hollow, processes=1, real=1, site=site, seed=plan.seed
     )
@@ -134,8 +134,8 @@
 
 def _row(entries: int, pushed: bool, group: BalancerGroup, before: _Reading, span_s: float) -> RestRow:
     now = _read(group)
-    real = now.real.plus(before.real, -1)
-    hollow = now.hollow.plus(before.hollow, -1)
+    real = now.real - before.real
+    hollow = now.hollow - before.hollow
     used = usage([group.real[0].pid])
     return RestRow(
         entries=entries,
@@ -143,8 +143,8 @@
         core_percent=(now.processor_s - before.processor_s) / span_s * 100,
         resident_mib=used.resident / _MIB,
         descriptors=used.descriptors,
-        calls_per_s=real.calls / span_s,
+        calls_per_s=real.requests / span_s,
         bytes_per_s=(real.bytes_in + real.bytes_out) / span_s,
-        hollow_calls_per_s=hollow.calls / span_s / group.hollow,
+        hollow_calls_per_s=hollow.requests / span_s / group.hollow,
         hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / span_s / group.hollow,
     )
--- a/testbed/runs/depth_plan.py
+++ b/testbed/runs/depth_plan.py
@@ -8,7 +8,8 @@
 
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass
 from testbed import experiment
-from testbed.chain import Behaviour, Shape
+from testbed.chain_server import Behaviour
+from testbed.chain_settings import ChainSettings
 from testbed.experiment import formerly
 
 Positive = Annotated[float, Field(gt=0)]
@@ -76,10 +77,10 @@
     events_max: Annotated[int, Field(ge=1), formerly("events_max", "events_most")] = 3_000_000
     """For each depth and fault: the simulation is cut short after so many."""
 
-    def shape(self, depth: int) -> Shape:
+    def shape(self, depth: int) -> ChainSettings:
         """The chain of so many tiers."""
         window = self.idempotency_window_ms if self.idempotency is Idempotency.KEYED else 0.0
-        return Shape(
+        return ChainSettings(
             depth,
             RequestClass(
                 "call",
--- a/testbed/runs/depth_simulation.py
+++ b/testbed/runs/depth_simulation.py
@@ -12,7 +12,9 @@
 
 import numpy as np
 
-from testbed.chain import Behaviour, Call, Chain
+from testbed.chain import Chain
+from testbed.chain_request import ClientRequest
+from testbed.chain_server import Behaviour
 from testbed.results import Row
 from testbed.runs.depth_plan import Fault, Plan
 
@@ -117,18 +119,18 @@
         self._begins = self._warm_ends + quiet_ms
         self._ends = self._begins + plan.fault_s * 1000
         clock = self._chain.clock
-        clock.at(self._begins, self._behave, fault.behaviour)
+        clock.schedule(self._begins, self._behave, fault.behaviour)
         if plan.after_s:
-            clock.at(self._ends, self._behave, Behaviour.SERVES)
+            clock.schedule(self._ends, self._behave, Behaviour.SERVES)
         if plan.single_call:
-            clock.at(self._begins, self._chain.call, Phase.WHILE)
+            clock.schedule(self._begins, self._chain.send_request, Phase.WHILE)
         self._schedule_call(0.0)
 
     def _behave(self, behaviour: Behaviour) -> None:
         """From now on the servers that the fault is in behave so."""
-        fault, shape = self._fault, self._chain.shape
-        count = fault.servers or shape.servers_a_tier
-        self._chain.behave(fault.tier_of(shape.depth), count, behaviour, fault.fraction)
+        fault, settings = self._fault, self._chain.settings
+        count = fault.servers or settings.servers_per_tier
+        self._chain.set_behaviour(fault.tier_of(settings.depth), count, behaviour, fault.fraction)
 
     def _schedule_call(self, now: float) -> None:
         """Schedule the call after one at `now`, unless it would come after the end."""
@@ -136,10 +138,10 @@
         if self._plan.single_call and self._warm_ends <= at < self._ends:
             at = self._ends + at - self._warm_ends
         if at < self._ends + self._plan.after_s * 1000:
-            self._chain.clock.at(at, self._arrive, at)
+            self._chain.clock.schedule(at, self._arrive, at)
 
     def _arrive(self, at: float) -> None:
-        self._chain.call(self._phase_at(at))
+        self._chain.send_request(self._phase_at(at))
         self._schedule_call(at)
 
     def _phase_at(self, at: float) -> Phase:
@@ -152,14 +154,14 @@
         began = time.perf_counter()
         chain = self._chain
         finished = chain.clock.run(self._plan.events_max)
-        calls = chain.calls if finished else [call for call in chain.calls if call.status]
+        calls = chain.client_requests if finished else [call for call in chain.client_requests if call.status]
         windows = self._served_by_window(calls)
         added_ms = self._added_a_hop_ms(calls)
-        deadline_parts = [call.deadline_part for call in chain.calls if call.bottom]
+        deadline_parts = [call.deadline_fraction for call in chain.client_requests if call.last_tier_attempts]
         return DepthRow(
-            depth=chain.shape.depth,
+            depth=chain.settings.depth,
             trouble=self._fault.name,
-            calls=len(chain.calls),
+            calls=len(chain.client_requests),
             served=self._served(calls, windows),
             attempts=self._attempts(),
             turned_away_full=sum(server.rejected for tier in chain.tiers for server in tier),
@@ -171,12 +173,12 @@
             work=self._work(began),
         )
 
-    def _served(self, calls: Sequence[Call], windows: list[float | None]) -> ServedColumns:
+    def _served(self, calls: Sequence[ClientRequest], windows: list[float | None]) -> ServedColumns:
         before, during, after = ([call for call in calls if call.phase == phase] for phase in Phase)
         # Calls still under way as the fault begins don't tell how it was before.
-        settled = [call for call in before if call.arrived < self._warm_ends - WINDOW_MS]
+        settled = [call for call in before if call.received_at_ms < self._warm_ends - WINDOW_MS]
         served_before = _served_fraction(settled)
-        shed = [call.status == _UNAVAILABLE and not call.tried for call in during]
+        shed = [call.status == _UNAVAILABLE and not call.was_attempted for call in during]
         return ServedColumns(
             served=_served_fraction(calls),
             served_before=served_before,
@@ -188,42 +190,46 @@
 
     def _attempts(self) -> AttemptColumns:
         chain = self._chain
-        during = [call for call in chain.calls if call.phase == Phase.WHILE]
-        admitted = sum(call.tried for call in during)
-        by_tier = chain.attempts.get(Phase.WHILE, [0] * chain.shape.depth)
+        during = [call for call in chain.client_requests if call.phase == Phase.WHILE]
+        admitted = sum(call.was_attempted for call in during)
+        by_tier = chain.statistics.attempts_by_phase.get(Phase.WHILE, [0] * chain.settings.depth)
         return AttemptColumns(
             bottom_attempts_a_call=by_tier[-1] / len(during) if during else None,
             bottom_attempts_an_admitted=by_tier[-1] / admitted if admitted else None,
-            bottom_attempts_most=max((call.bottom for call in during), default=0),
+            bottom_attempts_most=max((call.last_tier_attempts for call in during), default=0),
             attempts_a_call_by_tier=[
                 round(attempts / len(during), 4) if during else None for attempts in by_tier
             ],
         )
 
-    def _added_a_hop_ms(self, calls: Sequence[Call]) -> list[float]:
+    def _added_a_hop_ms(self, calls: Sequence[ClientRequest]) -> list[float]:
         """What each served call took by tier, beside the messages' way and the mean of the work."""
         plain_ms = 2 * self._plan.hop_ms + self._plan.service_ms
-        depth = self._chain.shape.depth
-        return [(call.done - call.arrived) / depth - plain_ms for call in calls if call.status == _OK]
-
-    def _served_by_window(self, calls: Sequence[Call]) -> list[float | None]:
+        depth = self._chain.settings.depth
+        return [
+            (call.finished_at_ms - call.received_at_ms) / depth - plain_ms
+            for call in calls
+            if call.status == _OK
+        ]
+
+    def _served_by_window(self, calls: Sequence[ClientRequest]) -> list[float | None]:
         """The fraction served of the calls that came in each window after the fault's end."""
         if not self._plan.after_s:
             return []
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
-        windows: list[list[Call]] = [[] for _ in range(count)]
+        windows: list[list[ClientRequest]] = [[] for _ in range(count)]
         for call in calls:
             if call.phase == Phase.AFTER:
-                windows[min(int((call.arrived - self._ends) / WINDOW_MS), count - 1)].append(call)
+                windows[min(int((call.received_at_ms - self._ends) / WINDOW_MS), count - 1)].append(call)
         return [_served_fraction(window) for window in windows]
 
     def _work(self, began: float) -> WorkColumns:
         chain = self._chain
         return WorkColumns(
             virtual_s=chain.clock.now / 1000,
-            events=chain.clock.events,
-            decisions=chain.decisions,
-            machine_us_a_decision=chain.decision_s / max(chain.decisions, 1) * 1e6,
+            events=chain.clock.events_run,
+            decisions=chain.statistics.decisions,
+            machine_us_a_decision=chain.statistics.decision_s / max(chain.statistics.decisions, 1) * 1e6,
             machine_s=time.perf_counter() - began,
         )
 
@@ -232,7 +238,7 @@
     return sum(which) / len(which) if which else None
 
 
-def _served_fraction(calls: Sequence[Call]) -> float | None:
+def _served_fraction(calls: Sequence[ClientRequest]) -> float | None:
     return _fraction([call.status == _OK for call in calls])
 
 
--- a/testbed/runs/list_size_lists.py
+++ b/testbed/runs/list_size_lists.py
@@ -67,14 +67,14 @@
         self._balancer = LoadBalancer(config.settings, config.seed)
         self._upstreams = UpstreamPools(config, loop)
         loop.close()  # taking up a list opens no connection
-        self._entries = settings.fleet(entries, seed=plan.seed)
+        self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _BEGIN_MS
         self._changes = 0
-        self._discovery.set(self._entries)
+        self._discovery.replace_entries(self._entries)
         # The first list makes what later ones find.
-        self._take_up(self._discovery.body(-1)[0])
-        self._list_bytes = self._delta_bytes = len(self._discovery.body(-1)[0])
+        self._take_up(self._discovery.list_response(-1).body)
+        self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         freeze_collector()
 
     def _take_up(self, body: bytes) -> UpdateSpans:
@@ -97,7 +97,7 @@
         """Take up the whole lists of one round, then its changes."""
         measured = ListRound()
         for _ in range(self._plan.lists):
-            measured.lists.append(self._take_up(self._discovery.body(-1)[0]))
+            measured.lists.append(self._take_up(self._discovery.list_response(-1).body))
         for _ in range(self._plan.deltas):
             measured.deltas.append(self._take_up(self._change()))
         return measured
@@ -107,8 +107,8 @@
         version = self._discovery.index
         self._changes += 1
         entry = self._entries[self._changes % len(self._entries)]
-        self._discovery.change([entry | {"weight": 1.0 + self._changes % 7}])
-        body = self._discovery.body(version)[0]
+        self._discovery.apply_changes([entry | {"weight": 1.0 + self._changes % 7}])
+        body = self._discovery.list_response(version).body
         self._delta_bytes = len(body)
         return body
 
--- a/testbed/runs/list_size_plan.py
+++ b/testbed/runs/list_size_plan.py
@@ -41,9 +41,12 @@
 
 def configuration_text(plan: Plan, entries: int, keep: str, tier: int) -> str:
     """The text of the file that `LB_CONFIG` would name for a balancer in a cell of that size."""
-    fleet = settings.fleet(entries, seed=plan.seed)
-    site = settings.site(balancers=entries if keep == "part" else 1, tier=tier, zone=fleet[0]["zone"])
-    return settings.config("n0", "127.0.0.1:0", "127.0.0.1:1", fleet, site, seed=plan.seed, index=1)
+    known = settings.endpoint_entries(entries, seed=plan.seed)
+    balancers = entries if keep == "part" else 1
+    site = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
+    return settings.configuration_text(
+        "n0", "127.0.0.1:0", "127.0.0.1:1", known, site, seed=plan.seed, index=1
+    )
 
 
 def ignore_message(text: str) -> None:
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth.py
@@ -19,17 +19,17 @@
 from testbed.results import OMITTED_IF_NONE, Findings, Measured, Row, fit_columns
 from testbed.runs import loaded
 from testbed.runs.real_depth_chain import Chain
-from testbed.upstream import Behaviour, Way
+from testbed.upstream_behaviour import Behaviour, UpstreamMode
 
 _CALM = Behaviour()
 _CALM_PHASE = "calm"
 _PHASES = (
     (_CALM_PHASE, _CALM),
-    ("fails 0.1", Behaviour(Way.FAIL, 0.1)),
-    ("fails 0.5", Behaviour(Way.FAIL, 0.5)),
-    ("fails all", Behaviour(Way.FAIL)),
+    ("fails 0.1", Behaviour(UpstreamMode.FAIL, 0.1)),
+    ("fails 0.5", Behaviour(UpstreamMode.FAIL, 0.5)),
+    ("fails all", Behaviour(UpstreamMode.FAIL)),
     ("back after failing", _CALM),
-    ("hangs", Behaviour(Way.HANG)),
+    ("hangs", Behaviour(UpstreamMode.HANG)),
     ("back after hanging", _CALM),
 )
 
@@ -121,10 +121,10 @@
     chain = Chain(plan.seed, depth)
     try:
         await chain.start()
-        await load.play(_streams(plan, chain), plan.warm_s, plan.seed)
+        await load.play_streams(_streams(plan, chain), plan.warm_s, plan.seed)
         for number, (phase, behaviour) in enumerate(_PHASES if depth in plan.faults_at else _PHASES[:1]):
             for upstream in chain.tiers[-1]:
-                await upstream.act(behaviour)
+                await upstream.set_behaviour(behaviour)
             measured = await _play_phase(plan, chain, phase, plan.seed + 1 + number)
             findings.rows.append(measured.row)
             findings.doubts += [f"depth {depth}, {phase}: {doubt}" for doubt in measured.doubts]
@@ -150,7 +150,7 @@
     cores_busy: float
     attempts: list[int]
     """At each tier."""
-    reports: dict[str, load.Report]
+    reports: dict[str, load.StreamReport]
 
 
 async def _play_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
@@ -160,7 +160,7 @@
     cores = CoresWatch()
     usage_before = usage(pids)
     attempts_before = chain.attempts()
-    reports = await load.play(_streams(plan, chain), plan.phase_s, seed)
+    reports = await load.play_streams(_streams(plan, chain), plan.phase_s, seed)
     usage_after = usage(pids)
     busy = cores.busy()
     attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
--- /dev/null
+++ b/tests/testbed/test_discovery.py
@@ -0,0 +1,218 @@
+"""Discovery's stand-in: the list, its watch and its agents."""
+
+import asyncio
+import json
+
+import pytest
+
+from loadbalancer.configuration import Address
+from testbed.agent_state import AgentMode, AgentState, RequestCounts
+from testbed.discovery import Discovery
+from testbed.settings import EndpointEntry
+from tests.network.loopback import ReceivedMessage, read_message, run
+from tests.testbed.stand_ins import three, until
+
+Known = dict[str, EndpointEntry]
+
+
+class WatchClient:
+    """A client of discovery on one connection."""
+
+    def __init__(self, address: Address) -> None:
+        self._address = address
+
+    async def __aenter__(self) -> "WatchClient":
+        self.reader, self.writer = await asyncio.open_connection(*self._address)
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        self.writer.close()
+
+    def send(self, query: str = "", path: str = "/v1/servers") -> int:
+        request = f"GET {path}{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode()
+        self.writer.write(request)
+        return len(request)
+
+    async def ask(self, query: str = "", path: str = "/v1/servers") -> ReceivedMessage:
+        self.send(query, path)
+        return await read_message(self.reader)
+
+    async def request_list(self, query: str = "") -> tuple[int, bool, Known]:
+        return read_list(await self.ask(query))
+
+
+def read_list(response: ReceivedMessage) -> tuple[int, bool, Known]:
+    assert response.line.split(" ")[1] == "200"
+    content = json.loads(response.body)
+    return content["index"], content["snapshot"], {e["name"]: e for e in content["endpoints"]}
+
+
+def test_discovery_tells_the_whole_list_and_then_what_changed() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        await discovery.start()
+        first = discovery.replace_entries(three())
+        async with WatchClient(discovery.agent_address(0)) as watcher:
+            assert await watcher.request_list() == (first, True, {e["name"]: e for e in three()})
+            drains, gone = (three()[0] | {"status": s} for s in ("terminating", "terminated"))
+            weighs = three()[1] | {"weight": 2.0}
+            discovery.apply_changes([drains])
+            second = discovery.apply_changes([weighs])
+            both = {"s0": drains, "s1": weighs}
+            assert await watcher.request_list(f"?after={first}&wait_ms=60000") == (second, False, both)
+            assert (await watcher.request_list())[2]["s0"]["status"] == "terminating"
+            third = discovery.apply_changes([gone])
+            # Gone is told among changes only; of two changes of one entry, the later.
+            assert await watcher.request_list(f"?after={second}&wait_ms=60000") == (
+                third,
+                False,
+                {"s0": gone},
+            )
+            assert await watcher.request_list(f"?after={first}") == (third, False, {"s0": gone, "s1": weighs})
+            assert await watcher.request_list() == (third, True, {"s1": weighs, "s2": three()[2]})
+            # Versions that it does not know, or knows no longer, get the whole list.
+            assert (await watcher.request_list(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
+            fourth = discovery.replace_entries(three())
+            assert (await watcher.request_list(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
+            assert await watcher.request_list(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_discovery_forgets_old_changes_and_then_tells_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("testbed.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
+
+    async def scenario() -> None:
+        discovery = Discovery()
+        first = discovery.replace_entries(three())
+        second, third = (discovery.apply_changes([e | {"weight": 2.0}]) for e in three()[:2])
+        assert json.loads(discovery.list_response(first).body)["snapshot"]
+        newer = json.loads(discovery.list_response(second).body)
+        assert (newer["index"], newer["snapshot"]) == (third, False)
+        assert [e["name"] for e in newer["endpoints"]] == ["s1"]
+
+    run(scenario())
+
+
+def test_a_watch_ends_with_news_or_with_its_wait() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        await discovery.start()
+        index = discovery.replace_entries(three())
+        async with WatchClient(discovery.agent_address(0)) as watcher:
+            assert await watcher.request_list(f"?after={index}&wait_ms=5") == (index, False, {})
+            watcher.send(f"?after={index}&wait_ms=60000")
+            await until(lambda: discovery.counts().requests == 2)
+            assert discovery.agents[0].written_index == index
+            newest = discovery.apply_changes([three()[2] | {"weight": 4.0}])
+            assert discovery.agents[0].written_index == newest  # written at once
+            assert discovery.changed_at[newest] <= discovery.written_at[newest]
+            assert read_list(await read_message(watcher.reader))[0] == newest
+            for query, path, status in (
+                ("?after=1&wait_ms=60001", "/v1/servers", "400"),
+                ("?after=x", "/v1/servers", "400"),
+                ("", "/v1/others", "404"),
+            ):
+                assert (await watcher.ask(query, path)).line.split(" ")[1] == status
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_a_watch_continues_where_the_next_call_comes_within_200_ms() -> None:
+    now = [10.0]
+
+    async def scenario() -> None:
+        discovery = Discovery(lambda: now[0])
+        index = discovery.replace_entries(three())
+        async with WatchClient(discovery.agent_address(0)) as watcher:
+            await watcher.request_list()
+            for pause, expected in ((0.2, (0, 1)), (0.201, (1, 1)), (0.0, (1, 2))):
+                now[0] += pause
+                await watcher.request_list(f"?after={index}")
+                counts = discovery.counts()
+                assert (counts.watches, counts.continued) == expected
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_discovery_counts_what_is_asked_and_told() -> None:
+    seen: list[tuple[int, int]] = []
+
+    async def scenario() -> None:
+        discovery = Discovery(on_watch=lambda agent, after, at: seen.append((agent, after)))
+        index = discovery.replace_entries(three())
+        sent = got = 0
+        async with (
+            WatchClient(discovery.agent_address(0)) as one,
+            WatchClient(discovery.agent_address(7)) as other,
+        ):
+            for watcher, query in ((one, ""), (one, f"?after={index}"), (other, "")):
+                sent += watcher.send(query)
+                head = await watcher.reader.readuntil(b"\r\n\r\n")
+                length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
+                got += len(head) + len(await watcher.reader.readexactly(length))
+            counts = discovery.counts()
+            assert (counts.requests, counts.snapshots, counts.entries) == (3, 2, 6)
+            assert (counts.bytes_in, counts.bytes_out) == (sent, got)
+            assert discovery.agents[7].counts.requests == 1
+            assert discovery.agents[0].acknowledged_index == index
+            assert seen == [(0, index)]
+            assert counts - counts == RequestCounts()
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_agents_go_down_fall_silent_and_come_late_alone_or_as_a_group() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        await discovery.start("127.32.0.9")
+        index = discovery.replace_entries(three())
+        near, far = discovery.agent_address(0, "r0", "r0-z0"), discovery.agent_address(1, "r1", "r1-z1")
+        assert near[0] != far[0]
+        assert discovery.agent_address(0) == near
+        async with WatchClient(near) as one, WatchClient(far) as other:
+            for watcher in (one, other):
+                watcher.send(f"?after={index}&wait_ms=60000")
+            await until(lambda: discovery.counts().requests == 2)
+            discovery.set_state(AgentState(AgentMode.SILENT), group="r1")
+            index = discovery.apply_changes([three()[0] | {"weight": 2.0}])
+            assert read_list(await read_message(one.reader))[0] == index
+            assert discovery.agents[1].written_index == -1
+            async with WatchClient(far) as third:  # it accepts, though
+                third.send()
+                await until(lambda: discovery.counts().requests == 3)
+                assert discovery.agents[1].written_index == -1
+                discovery.set_state(AgentState(), group="r1")
+                assert read_list(await read_message(third.reader))[1]
+                assert read_list(await read_message(other.reader))[0] == index
+            discovery.set_state(AgentState(AgentMode.DOWN), agent=1)
+            discovery.set_state(AgentState(delay_ms=50.0))
+            with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+                await other.request_list()
+            with pytest.raises(ConnectionError):
+                await asyncio.open_connection(*far)
+            loop = asyncio.get_running_loop()
+            asked_at = loop.time()
+            assert (await one.request_list())[0] == index
+            assert loop.time() >= asked_at + 0.045  # the loop's timers round to milliseconds
+            discovery.set_state(AgentState(), agent=1)
+        async with WatchClient(far) as again:
+            assert (await again.request_list())[0] == index
+        soon = discovery.agent_address(2)
+        discovery.set_state(AgentState(AgentMode.DOWN), agent=2)  # before its loop could accept
+        with pytest.raises(ConnectionError):
+            await asyncio.open_connection(*soon)
+        await discovery.stop()
+        with pytest.raises(ConnectionError):
+            await asyncio.open_connection(*near)
+
+    run(scenario())
+
+
+def test_discovery_listens_on_loopback_only() -> None:
+    with pytest.raises(ValueError, match="loopback"):
+        run(Discovery().start("10.0.0.1"))
--- /dev/null
+++ b/tests/testbed/test_hollow.py
@@ -0,0 +1,105 @@
+"""Hollow balancers: the real watch and the real decisions, without clients."""
+
+import asyncio
+from functools import partial
+
+import psutil
+import pytest
+
+from loadbalancer.configuration import read_configuration
+from loadbalancer.network import endpoint_watch as client
+from testbed.agent_state import AgentMode, AgentState
+from testbed.discovery import Discovery
+from testbed.hollow import Hollow, HollowProcess
+from testbed.settings import balancer_settings, configuration_text, endpoint_entries
+from tests.network.loopback import run
+from tests.testbed.stand_ins import three, until
+
+
+@pytest.mark.parametrize("pushed", [True, False])
+def test_hollow_balancers_take_up_changes_through_the_real_watch(pushed: bool) -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        forced: list[list[int]] = [[], []]
+        first = discovery.replace_entries(endpoint_entries(20))
+        settings = balancer_settings(balancers=2, pushed=pushed)
+        hollows = []
+        for i in range(2):
+            text = configuration_text(
+                f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i
+            )
+            hollow = Hollow(
+                read_configuration(text, lambda note: None),
+                asyncio.get_running_loop(),
+                partial(lambda book, index, at: book.append(index), forced[i]),
+            )
+            hollow.start()
+            hollows.append(hollow)
+        await until(lambda: all(agent.acknowledged_index == first for agent in discovery.agents.values()))
+        draining = endpoint_entries(20)[3] | {"status": "terminating"}
+        second = discovery.apply_changes([draining])
+        await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
+        assert forced == [[0, first, second]] * 2
+        assert discovery.counts().snapshots == 2
+        for hollow in hollows:
+            assert len(hollow.balancer._ready) == 19
+            assert len(hollow.upstreams._pools) == 20
+            assert draining["name"] not in {s.member.name for s in hollow.balancer._ready}
+            with pytest.raises(ConnectionError):  # no callers
+                await asyncio.open_connection(*hollow.listener.address)
+
+    run(scenario())
+
+
+def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("loadbalancer.policy.balancer.LIST_RETRY_MS", 2.0)
+    monkeypatch.setattr(client, "ANSWER_S", 0.05)
+
+    async def scenario() -> None:
+        discovery = Discovery()
+        forced: list[int] = []
+        first = discovery.replace_entries(three())
+        address = discovery.agent_address(0)
+        discovery.set_state(AgentState(AgentMode.SILENT))
+        text = configuration_text(
+            "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
+        )
+        Hollow(
+            read_configuration(text, lambda note: None),
+            asyncio.get_running_loop(),
+            lambda index, at: forced.append(index),
+        ).start()
+        # The first request was given up; a timer starts the next one.
+        await until(lambda: discovery.counts().requests == 2)
+        discovery.set_state(AgentState())
+        await until(lambda: first in forced)
+
+    run(scenario())
+
+
+def test_a_process_of_hollow_balancers_reports_when_changes_were_in_force() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        first = discovery.replace_entries(three())
+        texts = {
+            i: configuration_text(
+                f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], balancer_settings(balancers=3), seed=i
+            )
+            for i in range(3)
+        }
+        process = HollowProcess(texts)
+        await until(lambda: all(agent.acknowledged_index == first for agent in discovery.agents.values()))
+        began = process.report()
+        assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
+        assert set(began.indexes) == {0, first}
+        second = discovery.apply_changes([three()[1] | {"weight": 2.0}])
+        await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
+        last = process.stop()
+        assert sorted(last.balancers) == [0, 1, 2]
+        assert set(last.indexes) == {second}
+        assert all(discovery.changed_at[second] <= at for at in last.times)
+        assert last.lag_longest_s >= last.lag_99_s >= 0
+        await discovery.stop()
+        assert not psutil.pid_exists(process.pid)
+
+    run(scenario())
