--- /dev/null
+++ b/tests/testbed/test_control_run.py
@@ -0,0 +1,78 @@
+"""The runs on the control plane: balancers at rest and under changes of the list."""
+
+import logging
+from dataclasses import astuple
+from typing import Any
+
+import numpy as np
+import pytest
+import structlog
+
+from testbed.experiment import FOLDER, read_plan
+from testbed.runs import RUNS, control_change, control_rest
+from testbed.runs.control_delays import Spread, VersionSeen, delays_ms, spread
+from testbed.settings import balancer_settings
+
+# Of its own: a test of the command line leaves the shared one with an output that is closed.
+SILENT_LOG = structlog.wrap_logger(
+    structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
+)
+
+
+def test_a_change_is_at_a_balancer_with_the_first_version_as_new() -> None:
+    # Versions 5, 6 and 7; balancer 1 hears of 5 and 6 at once, balancer 2 never of 7.
+    times = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
+    seen = [VersionSeen(*time) for time in times]
+    delays = delays_ms(seen, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
+    assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
+    assert astuple(spread(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
+    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, longest=None)
+
+
+def test_the_run_under_change_sees_every_change_at_every_balancer() -> None:
+    plan = read_plan(FOLDER / "control_change.toml", RUNS)
+    small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
+    small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
+    findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    rows = [row.columns() for row in findings.rows]
+    assert [(row["balancers"], row["multiple"]) for row in rows] == [
+        (balancers, multiple) for balancers in (1, 3) for multiple in (200.0, 400.0)
+    ]
+    for row in rows:
+        assert row["changes"] > 0
+        for told in ("in_force_ms", "taken_up_ms", "real_taken_up_ms"):
+            assert 0 < row[f"{told}_median"] <= row[f"{told}_longest"] < float("inf")
+        assert row["in_force_ms_median"] <= row["everywhere_ms_median"] <= row["in_force_ms_longest"]
+        assert row["core_percent"] > 0
+        assert row["real_core_percent"] > 0
+        assert row["bytes_per_s"] > 0
+    assert {row.whole_lists for row in findings.rows} == {0}  # all followed the list from the start
+    assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in findings.fits}
+
+
+def test_the_run_under_change_waits_until_its_balancers_follow() -> None:
+    plan = read_plan(FOLDER / "control_change.toml", RUNS)
+    small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
+    small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
+    findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    assert [row.whole_lists for row in findings.rows] == [0] * 4
+    assert {row.real_core_percent for row in findings.rows} == {None}
+
+
+def test_the_run_at_rest_watches_a_real_balancer_of_each_size(monkeypatch: pytest.MonkeyPatch) -> None:
+    modes = []
+
+    def noted(**more: Any) -> dict[str, Any]:
+        modes.append((more["balancers"], more["pushed"]))
+        return balancer_settings(**more)
+
+    monkeypatch.setattr("testbed.runs.control_rest.settings.balancer_settings", noted)
+    plan = read_plan(FOLDER / "control_rest.toml", RUNS)
+    small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
+    findings = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    assert [(row.entries, row.mode) for row in findings.rows] == [
+        (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
+    ]
+    assert modes == [(entries, pushed) for pushed in (True, False) for entries in (3, 30)]
+    assert all(row.resident_mib > 5 and row.descriptors > 5 for row in findings.rows)
+    assert {"resident_mib (push)", "bytes_per_s (ask)"} <= {fit.y for fit in findings.fits}
