--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -14,6 +14,11 @@
 from testbed.experiment import FOLDER, ExperimentError, read_plan
 from testbed.runs import RUNS
 
+_EXIT_USAGE = 2
+"""A file can't be read, or is no experiment or result."""
+_EXIT_INVALID = 3
+"""A run gives no figures."""
+
 app = typer.Typer(
     help="Experiments on loadbalancer at the sizes it is meant for.",
     no_args_is_help=True,
@@ -36,7 +41,7 @@
 
 def _fail(text: str) -> typer.Exit:
     print(f"testbed: {text}", file=sys.stderr)
-    return typer.Exit(2)
+    return typer.Exit(_EXIT_USAGE)
 
 
 def _path(name: str) -> Path:
@@ -70,15 +75,15 @@
         plans = [(_path(name), read_plan(_path(name), RUNS)) for name in names]
     except ExperimentError as error:
         raise _fail(str(error)) from None
-    doubted = False
+    all_valid = True
     for path, plan in plans:
         log.info("begins", experiment=path.stem, run=plan.run, seed=plan.seed)
-        findings = RUNS[plan.run].play(plan, log)
-        results.write(out / f"{path.stem}.json", path.stem, plan.model_dump(mode="json"), findings)
-        log.info("ended", experiment=path.stem, rows=len(findings.rows), doubts=findings.doubts)
-        doubted = doubted or bool(findings.doubts)
-    if doubted:
-        raise typer.Exit(3)
+        result = RUNS[plan.run].play(plan, log)
+        results.write(out / f"{path.stem}.json", path.stem, plan.model_dump(mode="json"), result)
+        log.info("ended", experiment=path.stem, rows=len(result.rows), doubts=result.invalid_reasons)
+        all_valid = all_valid and result.is_valid
+    if not all_valid:
+        raise typer.Exit(_EXIT_INVALID)
 
 
 @app.command()
@@ -88,7 +93,7 @@
     """Print results as tables, with the fitted slopes."""
     for path in paths:
         try:
-            result = json.loads(path.read_text(encoding="utf-8"))
-            print(results.table(result) + "\n")
+            stored = json.loads(path.read_text(encoding="utf-8"))
+            print(results.table(stored) + "\n")
         except (OSError, ValueError, KeyError, TypeError) as error:
             raise _fail(f"{path}: no result: {' '.join(str(error).split())}") from None
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -11,7 +11,7 @@
 from pydantic import AliasChoices, BaseModel, ConfigDict, Field, ValidationError
 from structlog.typing import FilteringBoundLogger
 
-from testbed.results import Findings
+from testbed.results import RunResult
 
 FOLDER = Path(__file__).parent / "experiments"
 
@@ -53,7 +53,7 @@
     """A kind of experiment: the form of its file, and what plays it."""
 
     plan: type[Plan]
-    play: Callable[[Any, FilteringBoundLogger], Findings[Any]]
+    play: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
 
 
 def read_plan(path: Path, runs: dict[str, Run]) -> Plan:
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -112,25 +112,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Measured(Generic[RowT]):
-    """One row, and why its figures say nothing, if so."""
+    """One row, and why its figures are invalid, if they are."""
 
     row: RowT
-    doubts: list[str]
+    invalid_reasons: list[str]
 
 
 @dataclass(slots=True)
-class Findings(Generic[RowT]):
-    """What a run hands in; figures of a run with `doubts` are withheld when it is written."""
+class RunResult(Generic[RowT]):
+    """What a run measured; the figures of an invalid run are withheld when its result is written."""
 
     rows: list[RowT] = field(default_factory=list)
     fits: list[Fit] = field(default_factory=list)
-    doubts: list[str] = field(default_factory=list)
-    """Why the figures say nothing: the load was late, the cores were full."""
+    invalid_reasons: list[str] = field(default_factory=list)
+    """Why the figures are invalid, if they are: the load was late, the cores were full."""
+
+    @property
+    def is_valid(self) -> bool:
+        """Whether the figures say what they are meant to."""
+        return not self.invalid_reasons
 
     def add(self, measured: Measured[RowT]) -> None:
-        """Take in a row and its doubts."""
+        """Take in a row, and why its figures are invalid."""
         self.rows.append(measured.row)
-        self.doubts += measured.doubts
+        self.invalid_reasons += measured.invalid_reasons
 
 
 def machine() -> dict[str, Any]:
@@ -167,29 +172,41 @@
     }
 
 
-def write(path: Path, name: str, plan: dict[str, Any], findings: Findings[Any]) -> None:
-    """Write one result as a JSON file: experiment, machine, versions and figures, or why there are none."""
-    valid = not findings.doubts
-    result = {
+def write(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
+    """Write one result as a JSON file: experiment, machine, versions and figures, or why there are none.
+
+    Args:
+        path: The file; missing folders are made.
+        name: The experiment's name.
+        plan: The experiment's plan as a JSON object.
+        result: What the run measured.
+    """
+    valid = result.is_valid
+    stored = {
         "experiment": name,
         "plan": plan,
         "machine": machine(),
         "versions": versions(),
         "valid": valid,
-        "doubts": findings.doubts,
-        "rows": [row.columns() for row in findings.rows] if valid else [],
-        "fits": [asdict(fit) for fit in findings.fits] if valid else [],
+        "doubts": result.invalid_reasons,
+        "rows": [row.columns() for row in result.rows] if valid else [],
+        "fits": [asdict(fit) for fit in result.fits] if valid else [],
     }
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
+    path.write_text(json.dumps(stored, indent=1) + "\n", encoding="utf-8")
 
 
-def table(result: dict[str, Any]) -> str:
-    """A stored result's rows and fits as plain text."""
-    lines = [f"{result['experiment']}: {result['plan']['about']}"]
-    lines += [f"no figures: {doubt}" for doubt in result["doubts"]]
-    lines += _aligned(result["rows"])
-    for fit in result["fits"]:
+def table(stored: dict[str, Any]) -> str:
+    """Format a stored result's rows and fits as plain text.
+
+    Raises:
+        KeyError: A part is missing.
+        TypeError: A part has another form.
+    """
+    lines = [f"{stored['experiment']}: {stored['plan']['about']}"]
+    lines += [f"no figures: {reason}" for reason in stored["doubts"]]
+    lines += _aligned(stored["rows"])
+    for fit in stored["fits"]:
         lines.append(
             f"{fit['y']} = {fit['slope']:.4g} (+- {fit['slope_error']:.2g}) x {fit['x']}"
             f" + {fit['intercept']:.4g} (+- {fit['intercept_error']:.2g}), {fit['points']} points"
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -17,7 +17,7 @@
 from testbed.discovery import Discovery
 from testbed.meter import CoresWatch, Usage, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
-from testbed.results import Findings, Measured, Row, fit_columns
+from testbed.results import Measured, Row, RunResult, fit_columns
 from testbed.runs import loaded
 from testbed.upstream_behaviour import UpstreamCounts
 from testbed.upstream_group import UpstreamProcess
@@ -84,17 +84,17 @@
     """The busy part of all cores' time, from 0 to 1."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings[AddedTimeRow]:
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
     """Measure each size, and fit lines over all of them."""
-    findings: Findings[AddedTimeRow] = Findings()
+    result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             measured = runner.run(_play_size(plan, size))
-        findings.add(measured)
-        log.info("measured", **measured.row.columns(), doubts=measured.doubts)
+        result.add(measured)
+        log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
     if len(plan.sizes) > 1:
-        findings.fits = [fit_columns(findings.rows, y, "entries") for y in _FITTED]
-    return findings
+        result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED]
+    return result
 
 
 async def _play_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
@@ -166,13 +166,13 @@
         usage_after = self._usage()
         counts_after = self._upstreams.counts()
         gc.unfreeze()
-        busy, doubts = cores.busy(), cores.doubts(f"{self._size} entries")
+        busy, reasons = cores.busy(), cores.doubts(f"{self._size} entries")
         for name, report in reports.items():
-            doubts += report.doubts(f"{self._size} entries, {name}", plan.late_ms)
+            reasons += report.doubts(f"{self._size} entries, {name}", plan.late_ms)
         readings = _Readings(
             rest_us_a_s, usage_before, usage_after, counts_before, counts_after, busy, reports
         )
-        return Measured(self._row(readings), doubts)
+        return Measured(self._row(readings), reasons)
 
     async def _rest(self) -> float:
         """The balancer's processor time in a second without load, in microseconds."""
--- a/testbed/runs/control_change.py
+++ b/testbed/runs/control_change.py
@@ -18,7 +18,7 @@
 from testbed import experiment, settings
 from testbed.arrivals import arrival_times
 from testbed.churn import play_changes, single_changes
-from testbed.results import Findings, Measured, fit_columns
+from testbed.results import Measured, RunResult, fit_columns
 from testbed.runs.control_change_measurement import ChangeMeasurement, ChangeRow
 from testbed.runs.control_delays import VersionSeen
 from testbed.runs.control_group import (
@@ -56,21 +56,21 @@
     """Whether lists are pushed or asked for."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings[ChangeRow]:
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
     """Measure every number of balancers at every rate of change."""
     return run_scenario(_play(plan, log))
 
 
-async def _play(plan: Plan, log: FilteringBoundLogger) -> Findings[ChangeRow]:
-    findings: Findings[ChangeRow] = Findings()
+async def _play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
+    result: RunResult[ChangeRow] = RunResult()
     for balancers in plan.sizes:
-        await _play_size(plan, balancers, findings, log)
-    _add_fits(plan, findings)
-    return findings
+        await _play_size(plan, balancers, result, log)
+    _add_fits(plan, result)
+    return result
 
 
 async def _play_size(
-    plan: Plan, balancers: int, findings: Findings[ChangeRow], log: FilteringBoundLogger
+    plan: Plan, balancers: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
     """Start so many hollow balancers and play every rate, one after another."""
     watch_calls: list[VersionSeen] = []
@@ -94,7 +94,7 @@
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
         for multiple, span_s in zip(plan.multiples, plan.spans_s, strict=True):
             measured = await _play_rate(plan, group, multiple, span_s, changes, watch_calls)
-            findings.add(measured)
+            result.add(measured)
             log.info("under change", **measured.row.columns())
 
 
@@ -117,15 +117,15 @@
     return measurement.finish(multiple, played_late_s, watch_calls)
 
 
-def _add_fits(plan: Plan, findings: Findings[ChangeRow]) -> None:
+def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
     """Fit delays over the number of balancers at each rate, and costs over the rate, in all and by number."""
     for multiple in plan.multiples:
-        rows = [row for row in findings.rows if row.multiple == multiple]
+        rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAYS:
-            findings.fits.append(fit_columns(rows, y, "balancers", label=f"{y} ({multiple:g} times)"))
+            result.fits.append(fit_columns(rows, y, "balancers", label=f"{y} ({multiple:g} times)"))
     for y in (*_COSTS, *_REAL_COSTS) if plan.real else _COSTS:
-        findings.fits.append(fit_columns(findings.rows, y, "changes_per_s"))
+        result.fits.append(fit_columns(result.rows, y, "changes_per_s"))
         for balancers in plan.sizes:
-            rows = [row for row in findings.rows if row.balancers == balancers]
+            rows = [row for row in result.rows if row.balancers == balancers]
             label = f"{y} ({balancers} balancers)"
-            findings.fits.append(fit_columns(rows, y, "changes_per_s", label=label))
+            result.fits.append(fit_columns(rows, y, "changes_per_s", label=label))
--- a/testbed/runs/control_change_measurement.py
+++ b/testbed/runs/control_change_measurement.py
@@ -130,14 +130,14 @@
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
         counts = sum_counts(self._group.discovery, self._group.hollow_agents) - self._counts
-        doubts = self._cores.doubts(name)
+        reasons = self._cores.doubts(name)
         lag_99_s, _ = self._lag.take()
         self._lag.stop()
         reports = [process.report() for process in self._group.processes]
         lag_99_s = max([lag_99_s, *(report.lag_99_s for report in reports)])
         readings = _Readings(elapsed_s, processor_s, counts, reports, lag_99_s)
-        doubts += _doubts(name, readings, played_late_s)
-        return Measured(self._row(multiple, readings, watch_calls), doubts)
+        reasons += _invalid_reasons(name, readings, played_late_s)
+        return Measured(self._row(multiple, readings, watch_calls), reasons)
 
     def _row(self, multiple: float, readings: _Readings, watch_calls: Sequence[VersionSeen]) -> ChangeRow:
         group, elapsed_s, counts = self._group, readings.elapsed_s, readings.counts
@@ -184,17 +184,17 @@
         )
 
 
-def _doubts(name: str, readings: _Readings, played_late_s: float) -> list[str]:
+def _invalid_reasons(name: str, readings: _Readings, played_late_s: float) -> list[str]:
     """Why the figures say nothing, but for full cores."""
-    doubts = []
+    reasons = []
     if readings.lag_99_s >= LATE_S:
-        doubts.append(f"{name}: a loop was {readings.lag_99_s * 1000:.0f} ms late")
+        reasons.append(f"{name}: a loop was {readings.lag_99_s * 1000:.0f} ms late")
     if played_late_s >= LATE_S:
-        doubts.append(f"{name}: a change was played {played_late_s * 1000:.0f} ms late")
+        reasons.append(f"{name}: a change was played {played_late_s * 1000:.0f} ms late")
     busiest = max(readings.processor_s) / readings.elapsed_s
     if busiest >= PROCESS_FULL:
-        doubts.append(f"{name}: a process took {busiest:.0%} of a core")
-    return doubts
+        reasons.append(f"{name}: a process took {busiest:.0%} of a core")
+    return reasons
 
 
 def _versions_in_force(reports: list[Report]) -> Iterator[VersionSeen]:
--- a/testbed/runs/control_group.py
+++ b/testbed/runs/control_group.py
@@ -19,7 +19,7 @@
 from testbed.discovery import Discovery
 from testbed.hollow import HollowProcess
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
-from testbed.results import Findings, RowT
+from testbed.results import RowT, RunResult
 
 LATE_S = 0.1
 """An event loop whose 99th percentile of lateness reaches this measures itself."""
@@ -32,7 +32,7 @@
 _REAL_HOST = "127.30.0.{}"
 
 
-def run_scenario(scenario: Coroutine[Any, Any, Findings[RowT]]) -> Findings[RowT]:
+def run_scenario(scenario: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
     """Run a scenario to its end on a uvloop event loop of its own."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(scenario)
--- a/testbed/runs/control_rest.py
+++ b/testbed/runs/control_rest.py
@@ -14,7 +14,7 @@
 from testbed import experiment, settings
 from testbed.agent_state import RequestCounts
 from testbed.meter import CoresWatch, LoopLag, usage
-from testbed.results import Findings, Row, fit_columns
+from testbed.results import Row, RunResult, fit_columns
 from testbed.runs.control_group import (
     LATE_S,
     BalancerGroup,
@@ -72,27 +72,27 @@
     hollow: RequestCounts
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings[RestRow]:
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
     """Measure a real balancer of each size at rest, all sizes side by side; first pushed, then polling."""
     return run_scenario(_play(plan, log))
 
 
-async def _play(plan: Plan, log: FilteringBoundLogger) -> Findings[RestRow]:
-    findings: Findings[RestRow] = Findings()
+async def _play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+    result: RunResult[RestRow] = RunResult()
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
             groups = [
                 await _start(stack, plan, place, entries, pushed) for place, entries in enumerate(plan.sizes)
             ]
             await asyncio.sleep(plan.settle_s)
-            await _measure(plan, pushed, groups, findings)
-        for row in findings.rows[-len(plan.sizes) :]:
+            await _measure(plan, pushed, groups, result)
+        for row in result.rows[-len(plan.sizes) :]:
             log.info("at rest", **row.columns())
     for mode in ("push", "ask"):
-        rows = [row for row in findings.rows if row.mode == mode]
+        rows = [row for row in result.rows if row.mode == mode]
         for y in ("core_percent", "resident_mib", "bytes_per_s", "hollow_bytes_per_s"):
-            findings.fits.append(fit_columns(rows, y, "entries", label=f"{y} ({mode})"))
-    return findings
+            result.fits.append(fit_columns(rows, y, "entries", label=f"{y} ({mode})"))
+    return result
 
 
 async def _start(stack: AsyncExitStack, plan: Plan, place: int, entries: int, pushed: bool) -> BalancerGroup:
@@ -106,9 +106,7 @@
     )
 
 
-async def _measure(
-    plan: Plan, pushed: bool, groups: list[BalancerGroup], findings: Findings[RestRow]
-) -> None:
+async def _measure(plan: Plan, pushed: bool, groups: list[BalancerGroup], result: RunResult[RestRow]) -> None:
     """Watch all sizes over the span and add a row for each."""
     lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
     began = time.monotonic()
@@ -116,13 +114,13 @@
     await asyncio.sleep(plan.span_s)
     span_s = time.monotonic() - began
     for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
-        findings.rows.append(_row(entries, pushed, group, reading, span_s))
+        result.rows.append(_row(entries, pushed, group, reading, span_s))
     late_s, _ = lag.take()
     lag.stop()
     phase = f"at rest, {'pushed' if pushed else 'asked for'}"
-    findings.doubts += cores.doubts(phase)
+    result.invalid_reasons += cores.doubts(phase)
     if late_s >= LATE_S:
-        findings.doubts.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
+        result.invalid_reasons.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
 
 
 def _read(group: BalancerGroup) -> _Reading:
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth.py
@@ -13,7 +13,7 @@
 
 from structlog.typing import FilteringBoundLogger
 
-from testbed.results import Findings, Fit, fit_line
+from testbed.results import Fit, RunResult, fit_line
 from testbed.runs.depth_plan import Fault, Plan
 from testbed.runs.depth_simulation import DepthRow, Simulation
 
@@ -22,13 +22,13 @@
 _FITTED = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings[DepthRow]:
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[DepthRow]:
     """Simulate each fault at each depth."""
-    findings: Findings[DepthRow] = Findings()
+    result: RunResult[DepthRow] = RunResult()
     for fault in plan.faults:
         for depth in plan.sizes:
             row = Simulation(plan, depth, fault).run()
-            findings.rows.append(row)
+            result.rows.append(row)
             log.info(
                 "played",
                 depth=depth,
@@ -40,8 +40,8 @@
                 machine_s=round(row.work.machine_s, 2),
             )
         for column in _FITTED:
-            findings.fits += _fits(findings.rows, fault.name, column)
-    return findings
+            result.fits += _fits(result.rows, fault.name, column)
+    return result
 
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -10,7 +10,7 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed.meter import CoresWatch
-from testbed.results import Findings, Fit, fit_columns
+from testbed.results import Fit, RunResult, fit_columns
 from testbed.runs.list_size_decisions import DecisionCell
 from testbed.runs.list_size_lists import ListCell
 from testbed.runs.list_size_plan import Plan
@@ -40,7 +40,7 @@
 )
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings[ListSizeRow]:
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
     """Measure every size, kept in part and in all, at every tier."""
     cores = CoresWatch()
     rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
@@ -50,15 +50,15 @@
                 rounds.play(DecisionCell(plan, entries, keep, tier))
             rounds.play(ListCell(plan, entries, keep))
             log.info("measured", entries=entries, keeps=keep)
-    findings = rounds.findings()
-    missing_rows = bool(findings.doubts)
-    findings.doubts = cores.doubts("whole run") + findings.doubts
+    result = rounds.result()
+    missing_rows = bool(result.invalid_reasons)
+    result.invalid_reasons = cores.doubts("whole run") + result.invalid_reasons
     if missing_rows:
-        return findings
-    findings.rows = with_growth(findings.rows)
+        return result
+    result.rows = with_growth(result.rows)
     for keep in KEEPS:
-        findings.fits += _fits(plan, findings.rows, keep)
-    return findings
+        result.fits += _fits(plan, result.rows, keep)
+    return result
 
 
 def _fits(plan: Plan, rows: list[ListSizeRow], keep: str) -> list[Fit]:
--- a/testbed/runs/list_size_rounds.py
+++ b/testbed/runs/list_size_rounds.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from testbed.results import Findings, Row
+from testbed.results import Row, RunResult
 
 REFERENCE_TIMES = 20
 """Pieces of work in one reading of the reference, which is their median."""
@@ -102,18 +102,20 @@
             before = after
         self._played.append((cell, rounds))
 
-    def findings(self) -> Findings[RowT]:
-        """The rows of the quick rounds, and a doubt for each cell that has none."""
-        findings: Findings[RowT] = Findings()
+    def result(self) -> RunResult[RowT]:
+        """The rows of the quick rounds, and a reason for each cell that has none."""
+        result: RunResult[RowT] = RunResult()
         for cell, rounds in self._played:
             quick = list(filter(self._is_quick, rounds))
             if not quick:
-                findings.doubts.append(f"{cell.name.columns()}: none of {len(rounds)} rounds was quick")
+                result.invalid_reasons.append(
+                    f"{cell.name.columns()}: none of {len(rounds)} rounds was quick"
+                )
                 continue
             columns = RoundColumns(
                 rounds=len(quick),
                 rounds_played=len(rounds),
                 reference_us=max(played.reference_us for played in quick),
             )
-            findings.rows.append(cell.row([played.measured for played in quick], columns))
-        return findings
+            result.rows.append(cell.row([played.measured for played in quick], columns))
+        return result
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth.py
@@ -16,7 +16,7 @@
 from testbed import load
 from testbed.latency import Latencies
 from testbed.meter import CoresWatch, Usage, usage
-from testbed.results import OMITTED_IF_NONE, Findings, Measured, Row, fit_columns
+from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns
 from testbed.runs import loaded
 from testbed.runs.real_depth_chain import Chain
 from testbed.upstream_behaviour import Behaviour, UpstreamMode
@@ -102,20 +102,20 @@
     """The busy part of all cores' time, from 0 to 1."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> Findings[RealDepthRow]:
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
     """Measure each size and phase, and fit lines over the calm phases."""
-    findings: Findings[RealDepthRow] = Findings()
+    result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_play_depth(plan, depth, findings, log))
-    calm = [row for row in findings.rows if row.phase == _CALM_PHASE]
+            runner.run(_play_depth(plan, depth, result, log))
+    calm = [row for row in result.rows if row.phase == _CALM_PHASE]
     if len(calm) > 1:
-        findings.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
-    return findings
+        result.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
+    return result
 
 
 async def _play_depth(
-    plan: Plan, depth: int, findings: Findings[RealDepthRow], log: FilteringBoundLogger
+    plan: Plan, depth: int, result: RunResult[RealDepthRow], log: FilteringBoundLogger
 ) -> None:
     """Start a chain and play its phases."""
     chain = Chain(plan.seed, depth)
@@ -126,9 +126,11 @@
             for upstream in chain.tiers[-1]:
                 await upstream.set_behaviour(behaviour)
             measured = await _play_phase(plan, chain, phase, plan.seed + 1 + number)
-            findings.rows.append(measured.row)
-            findings.doubts += [f"depth {depth}, {phase}: {doubt}" for doubt in measured.doubts]
-            log.info("measured", **measured.row.columns(), doubts=measured.doubts)
+            result.rows.append(measured.row)
+            result.invalid_reasons += [
+                f"depth {depth}, {phase}: {reason}" for reason in measured.invalid_reasons
+            ]
+            log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
     finally:
         await chain.stop()
 
@@ -164,11 +166,11 @@
     usage_after = usage(pids)
     busy = cores.busy()
     attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
-    doubts = cores.doubts("the phase")
+    reasons = cores.doubts("the phase")
     for name, report in reports.items():
-        doubts += report.doubts(name, plan.late_ms)
+        reasons += report.doubts(name, plan.late_ms)
     readings = _Readings(usage_before, usage_after, busy, attempts, reports)
-    return Measured(_row(chain, phase, readings), doubts)
+    return Measured(_row(chain, phase, readings), reasons)
 
 
 def _row(chain: Chain, phase: str, readings: _Readings) -> RealDepthRow:
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -27,8 +27,8 @@
         "troubles": troubles,
     }
     with capture_logs():
-        findings = depth.play(depth.Plan.model_validate(base | changes), structlog.get_logger())
-    return [row.columns() for row in findings.rows]
+        result = depth.play(depth.Plan.model_validate(base | changes), structlog.get_logger())
+    return [row.columns() for row in result.rows]
 
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/test_chain.py
@@ -24,7 +24,7 @@
 from testbed.chain import Chain
 from testbed.chain_server import Behaviour
 from testbed.chain_settings import ChainSettings
-from testbed.results import Findings
+from testbed.results import RunResult
 from testbed.runs import depth as depth_run
 
 HOP, SERVICE = 0.25, 1.0  # binary fractions: sums of them are exact
@@ -88,7 +88,7 @@
     return depth_run.Plan.model_validate(base | changes)
 
 
-def found(**changes: Any) -> Findings[Any]:
+def found(**changes: Any) -> RunResult[Any]:
     with capture_logs():  # the command line's tests leave a log on a stream of theirs
         return depth_run.play(plan(**changes), structlog.get_logger())
 
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -10,11 +10,11 @@
 
 from testbed.cli import app
 from testbed.experiment import FOLDER, ExperimentError, Plan, Run, formerly, read_plan
-from testbed.results import OMITTED_IF_NONE, Findings, Row, fit_columns, fit_line, table, write
+from testbed.results import OMITTED_IF_NONE, Row, RunResult, fit_columns, fit_line, table, write
 from testbed.runs import RUNS
 
 GOOD = 'run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n'
-NONE = {"none": Run(Plan, lambda plan, log: Findings())}
+NONE = {"none": Run(Plan, lambda plan, log: RunResult())}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -81,9 +81,9 @@
 
 
 def test_a_run_that_doubts_itself_gives_no_figures(tmp_path: Path) -> None:
-    findings = Findings(points((1, 2.0), (2, 4.0)))
-    findings.fits.append(fit_columns(findings.rows, "ms", "n"))
-    write(tmp_path / "good.json", "good", {"about": "A line."}, findings)
+    result = RunResult(points((1, 2.0), (2, 4.0)))
+    result.fits.append(fit_columns(result.rows, "ms", "n"))
+    write(tmp_path / "good.json", "good", {"about": "A line."}, result)
     good = json.loads((tmp_path / "good.json").read_text())
     assert good["valid"]
     assert good["rows"] == [{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}]
@@ -91,8 +91,8 @@
     assert {"program", "python", "numpy"} <= good["versions"].keys()
     assert good["machine"]["cores"] > 0
     assert "2 (+- 0) x n" in table(good)
-    findings.doubts.append("the load was late")
-    write(tmp_path / "late.json", "late", {"about": "A line."}, findings)
+    result.invalid_reasons.append("the load was late")
+    write(tmp_path / "late.json", "late", {"about": "A line."}, result)
     late = json.loads((tmp_path / "late.json").read_text())
     assert not late["valid"]
     assert late["rows"] == []
@@ -117,7 +117,7 @@
     class RenamedPlan(Plan):
         new_s: Annotated[float, formerly("new_s", "old_s")] = 0.0
 
-    runs = {"none": Run(RenamedPlan, lambda plan, log: Findings())}
+    runs = {"none": Run(RenamedPlan, lambda plan, log: RunResult())}
     path = tmp_path / "renamed.toml"
     for name in ("new_s", "old_s"):
         path.write_text(f"{GOOD}{name} = 2.5\n")
--- a/tests/testbed/test_control_run.py
+++ b/tests/testbed/test_control_run.py
@@ -33,8 +33,8 @@
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
-    findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    rows = [row.columns() for row in findings.rows]
+    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    rows = [row.columns() for row in result.rows]
     assert [(row["balancers"], row["multiple"]) for row in rows] == [
         (balancers, multiple) for balancers in (1, 3) for multiple in (200.0, 400.0)
     ]
@@ -46,17 +46,17 @@
         assert row["core_percent"] > 0
         assert row["real_core_percent"] > 0
         assert row["bytes_per_s"] > 0
-    assert {row.whole_lists for row in findings.rows} == {0}  # all followed the list from the start
-    assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in findings.fits}
+    assert {row.whole_lists for row in result.rows} == {0}  # all followed the list from the start
+    assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in result.fits}
 
 
 def test_the_run_under_change_waits_until_its_balancers_follow() -> None:
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
-    findings = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [row.whole_lists for row in findings.rows] == [0] * 4
-    assert {row.real_core_percent for row in findings.rows} == {None}
+    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    assert [row.whole_lists for row in result.rows] == [0] * 4
+    assert {row.real_core_percent for row in result.rows} == {None}
 
 
 def test_the_run_at_rest_watches_a_real_balancer_of_each_size(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -69,10 +69,10 @@
     monkeypatch.setattr("testbed.runs.control_rest.settings.balancer_settings", noted)
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
-    findings = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [(row.entries, row.mode) for row in findings.rows] == [
+    result = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    assert [(row.entries, row.mode) for row in result.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
     ]
     assert modes == [(entries, pushed) for pushed in (True, False) for entries in (3, 30)]
-    assert all(row.resident_mib > 5 and row.descriptors > 5 for row in findings.rows)
-    assert {"resident_mib (push)", "bytes_per_s (ask)"} <= {fit.y for fit in findings.fits}
+    assert all(row.resident_mib > 5 and row.descriptors > 5 for row in result.rows)
+    assert {"resident_mib (push)", "bytes_per_s (ask)"} <= {fit.y for fit in result.fits}
--- a/tests/testbed/test_list_size_run.py
+++ b/tests/testbed/test_list_size_run.py
@@ -35,8 +35,8 @@
         "rounds": 1,
         "rounds_max": 1,
     }
-    findings = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    rows = [row.columns() for row in findings.rows]
+    result = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    rows = [row.columns() for row in result.rows]
     lists = [row for row in rows if row["measured"] == "list"]
     decisions = [row for row in rows if row["measured"] == "decision"]
     assert [(row["entries"], row["keeps"]) for row in lists] == [
@@ -53,7 +53,7 @@
         assert 0 < row["list_module_ms"] < parts
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
         assert row["memory_kib"] > row["entries"]  # the list alone takes less than 1 KiB an entry
-    slopes = {fit.y: fit for fit in findings.fits}
+    slopes = {fit.y: fit for fit in result.fits}
     assert slopes["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
     )
@@ -111,8 +111,8 @@
         rounds: Rounds[RoundsRow] = Rounds(enough, most, lambda: next(coming))
         rounds.play(CountedCell())
         assert next(coming, None) is None
-        findings = rounds.findings()
-        return [row.columns() for row in findings.rows], findings.doubts
+        result = rounds.result()
+        return [row.columns() for row in result.rows], result.invalid_reasons
 
     # A slow reference before or after a round leaves it out; enough quick ones end the play.
     rows, doubts = played(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
--- a/tests/testbed/test_load.py
+++ b/tests/testbed/test_load.py
@@ -94,14 +94,14 @@
         measure_s=0.1,
         late_ms=0.0,
     )
-    findings = added_time.play(plan, LOG)
-    (row,) = [row.columns() for row in findings.rows]
+    result = added_time.play(plan, LOG)
+    (row,) = [row.columns() for row in result.rows]
     assert row["entries"] == 3
     assert row["calls"] == len(list(arrival_times(200.0, 0.1, random.Random("5/through"))))
     assert row["served"] == row["calls"] <= row["calls"] * row["attempts_a_call"]
     assert row["processor_us_a_call"] > 0
     assert row["direct_50_ms"] > 0
-    assert [doubt.partition(": ")[0] for doubt in findings.doubts if "late" in doubt] == [
+    assert [doubt.partition(": ")[0] for doubt in result.invalid_reasons if "late" in doubt] == [
         "3 entries, direct",
         "3 entries, through",
     ]
