--- /dev/null
+++ b/tests/testbed/test_results.py
@@ -0,0 +1,73 @@
+"""The testbed's rows, fits and result files."""
+
+import json
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import pytest
+
+from testbed.results import OMITTED_IF_NONE, Row, RunResult, fit_columns, fit_line, table, write
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Point(Row):
+    n: int
+    ms: float
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class PartRow(Row):
+    a: int | None = None
+    b: int | None = field(default=None, metadata=OMITTED_IF_NONE)
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class WholeRow(Row):
+    first: int
+    part: PartRow | None = field(default=None, metadata=OMITTED_IF_NONE)
+    last: int
+
+
+def points(*pairs: tuple[int, float]) -> list[Point]:
+    return [Point(n=n, ms=ms) for n, ms in pairs]
+
+
+def test_a_row_s_columns_are_its_fields_and_those_of_its_parts_in_their_order() -> None:
+    whole = WholeRow(first=1, part=PartRow(a=2, b=3), last=4)
+    assert list(whole.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
+    assert WholeRow(first=1, part=PartRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
+    assert WholeRow(first=1, last=4).columns() == {"first": 1, "last": 4}
+
+
+def test_a_fit_gives_the_slope_and_its_error() -> None:
+    exact = fit_columns(points(*((n, 3.0 * n + 2.0) for n in (1, 2, 4, 8))), "ms", "n")
+    assert (exact.y, exact.x, exact.points) == ("ms", "n", 4)
+    assert (exact.slope, exact.intercept) == pytest.approx((3.0, 2.0))
+    assert exact.slope_error == pytest.approx(0.0, abs=1e-9)
+    # By hand: residuals -0.5, 1, -0.5 of one degree of freedom, over a spread of 2.
+    noisy = fit_columns(points((0, 0.0), (1, 2.0), (2, 1.0)), "ms", "n", label="ms (noisy)")
+    assert noisy == fit_line([0, 1, 2], [0.0, 2.0, 1.0], x="n", y="ms (noisy)")
+    assert (noisy.slope, noisy.intercept) == pytest.approx((0.5, 0.5))
+    assert noisy.slope_error == pytest.approx((1.5 / 2) ** 0.5)
+    with pytest.raises(ValueError, match="two sizes"):
+        fit_columns(points((1, 1.0)), "ms", "n")
+
+
+def test_a_run_that_doubts_itself_gives_no_figures(tmp_path: Path) -> None:
+    result = RunResult(points((1, 2.0), (2, 4.0)))
+    result.fits.append(fit_columns(result.rows, "ms", "n"))
+    write(tmp_path / "good.json", "good", {"about": "A line."}, result)
+    good = json.loads((tmp_path / "good.json").read_text())
+    assert good["valid"]
+    assert good["rows"] == [{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}]
+    assert good["fits"][0]["slope"] == pytest.approx(2.0)
+    assert {"program", "python", "numpy"} <= good["versions"].keys()
+    assert good["machine"]["cores"] > 0
+    assert "2 (+- 0) x n" in table(good)
+    result.invalid_reasons.append("the load was late")
+    write(tmp_path / "late.json", "late", {"about": "A line."}, result)
+    late = json.loads((tmp_path / "late.json").read_text())
+    assert not late["valid"]
+    assert late["rows"] == []
+    assert late["fits"] == []
+    assert "no figures: the load was late" in table(late)
