--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -21,7 +21,7 @@
 
 
 def formerly(name: str, old_name: str) -> Any:
-    """The definition of a field that has been renamed, for use within `Annotated`.
+    """Define a field that has been renamed, for use within `Annotated`.
 
     Args:
         name: The field's present name.
--- a/testbed/runs/control_change.py
+++ b/testbed/runs/control_change.py
@@ -53,7 +53,7 @@
     real: Annotated[int, Field(ge=0)]
     """Real balancers beside them."""
     pushed: bool = True
-    """Whether lists are pushed or asked for."""
+    """Whether discovery pushes lists; else balancers poll it."""
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
--- a/testbed/runs/depth_simulation.py
+++ b/testbed/runs/depth_simulation.py
@@ -31,7 +31,7 @@
 
     BEFORE = 0
     """Before the fault."""
-    WHILE = 1
+    DURING = 1
     """While it lasted."""
     AFTER = 2
     """After its end."""
@@ -123,7 +123,7 @@
         if plan.after_s:
             clock.schedule(self._ends, self._behave, Behaviour.SERVES)
         if plan.single_call:
-            clock.schedule(self._begins, self._chain.send_request, Phase.WHILE)
+            clock.schedule(self._begins, self._chain.send_request, Phase.DURING)
         self._schedule_call(0.0)
 
     def _behave(self, behaviour: Behaviour) -> None:
@@ -147,7 +147,7 @@
     def _phase_at(self, at: float) -> Phase:
         if at < self._begins:
             return Phase.BEFORE
-        return Phase.WHILE if at < self._ends else Phase.AFTER
+        return Phase.DURING if at < self._ends else Phase.AFTER
 
     def run(self) -> DepthRow:
         """Run the simulation to its end, or until it has had too many events, and make the row of it."""
@@ -190,9 +190,9 @@
 
     def _attempts(self) -> AttemptColumns:
         chain = self._chain
-        during = [call for call in chain.client_requests if call.phase == Phase.WHILE]
+        during = [call for call in chain.client_requests if call.phase == Phase.DURING]
         admitted = sum(call.was_attempted for call in during)
-        by_tier = chain.statistics.attempts_by_phase.get(Phase.WHILE, [0] * chain.settings.depth)
+        by_tier = chain.statistics.attempts_by_phase.get(Phase.DURING, [0] * chain.settings.depth)
         return AttemptColumns(
             bottom_attempts_a_call=by_tier[-1] / len(during) if during else None,
             bottom_attempts_an_admitted=by_tier[-1] / admitted if admitted else None,
--- a/testbed/runs/list_size_plan.py
+++ b/testbed/runs/list_size_plan.py
@@ -29,18 +29,25 @@
     lists: Annotated[int, Field(gt=0)]
     """Whole lists in a round."""
     rounds: Annotated[int, Field(gt=0)]
-    """Rounds of each cell that have to be quick."""
+    """Rounds of each cell that have to be beside a quick reference."""
     rounds_max: Annotated[int, Field(gt=0), experiment.formerly("rounds_max", "rounds_most")]
     """Rounds of each cell that are played at the most to get them."""
 
 
 def configuration(plan: Plan, entries: int, keep: str, tier: int) -> Configuration:
-    """The configuration of a balancer in a cell of that size, as the program reads it."""
+    """Read the configuration of a balancer in one cell, as the program does.
+
+    Args:
+        plan: The plan of the run.
+        entries: The length of the list.
+        keep: Whether the balancer keeps to a `part` of the endpoints or to `all` of them.
+        tier: The tier that it sends to.
+    """
     return read_configuration(configuration_text(plan, entries, keep, tier), ignore_message)
 
 
 def configuration_text(plan: Plan, entries: int, keep: str, tier: int) -> str:
-    """The text of the file that `LB_CONFIG` would name for a balancer in a cell of that size."""
+    """Write the text of the file that `LB_CONFIG` would name; the arguments are those of `configuration`."""
     known = settings.endpoint_entries(entries, seed=plan.seed)
     balancers = entries if keep == "part" else 1
     site = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
@@ -50,11 +57,11 @@
 
 
 def ignore_message(text: str) -> None:
-    """Settings are made here: what the program says of them is of no use."""
+    """Drop what the program says of settings, which are generated here."""
 
 
 def freeze_collector() -> None:
-    """Exempt what is there from further collections, as the program does after its start."""
+    """Exempt all present objects from later garbage collections, as the program does after its start."""
     gc.unfreeze()
     gc.collect()
     gc.freeze()
--- a/testbed/runs/loaded.py
+++ b/testbed/runs/loaded.py
@@ -1,4 +1,4 @@
-"""What runs share that put a load beside a direct one on real balancers."""
+"""The plan of runs that load real balancers, and upstreams directly beside them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     """The load; each run says what its sizes count."""
 
     per_s: float
-    """Calls a second through the balancers' fronts together; as many go direct."""
+    """Calls a second through all front balancers together; as many go direct."""
     class_name: str
     """A class of the made-up settings that is safe to repeat."""
     deadline_ms: float
-    """What clients say they wait."""
+    """The deadline of each call, as clients say it in the request."""
     warm_s: float
-    """Load that is not measured, before what is."""
+    """How long the load runs before it is measured."""
     late_ms: float
-    """A load whose sends are later than that, 1 in 100, gives no figures."""
+    """The figures are invalid where the 99th percentile of how late calls were sent is above this."""
