--- a/testbed/runs/control.py
+++ b/testbed/runs/control.py
@@ -25,7 +25,7 @@
 from testbed.arrivals import arrival_times
 from testbed.churn import play_changes, single_changes
 from testbed.discovery import Discovery
-from testbed.hollow import HollowProcess
+from testbed.hollow_process import HollowProcess
 from testbed.meter import CoresWatch, LoopLag, usage
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.results import Findings, fit_line
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -10,7 +10,8 @@
 from loadbalancer.network import endpoint_watch as client
 from testbed.agent_state import AgentMode, AgentState
 from testbed.discovery import Discovery
-from testbed.hollow import Hollow, HollowProcess
+from testbed.hollow import Hollow
+from testbed.hollow_process import HollowProcess
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 from tests.network.loopback import run
 from tests.testbed.stand_ins import three, until
