--- a/testbed/latency.py
+++ b/testbed/latency.py
@@ -1,51 +1,75 @@
-"""Latencies as HdrHistograms: nothing is averaged away, and quantiles are right to three digits."""
+"""Latencies as HdrHistograms: every value counts, and quantiles are right to three digits."""
 
 from __future__ import annotations
 
+from typing import TypedDict
+
 from hdrh.histogram import HdrHistogram
 
-_LONGEST_US = 120_000_000
-_DIGITS = 3
+_MAX_US = 120_000_000
+"""Longer latencies count as this one."""
+
+_SIGNIFICANT_DIGITS = 3
+_US_PER_S = 1e6
+_US_PER_MS = 1000
 
 
 class Latencies:
-    """Spans of time, kept in microseconds and told in milliseconds."""
+    """Spans of time, stored in microseconds and reported in milliseconds."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, _LONGEST_US, _DIGITS)
+        self._histogram = HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
-        """Add a span in seconds; what is below a microsecond counts as one, what is above 120 s as that."""
-        self._histogram.record_value(min(max(round(seconds * 1e6), 1), _LONGEST_US))
+        """Add a span; one below a microsecond counts as one, one above 120 s as 120 s."""
+        self._histogram.record_value(min(max(round(seconds * _US_PER_S), 1), _MAX_US))
 
     @property
     def count(self) -> int:
-        """How many there are."""
+        """The number of spans."""
         return int(self._histogram.get_total_count())
 
-    def quantile_ms(self, part: float) -> float:
-        """The milliseconds that `part` (0 to 1) of them do not exceed; ValueError if there are none."""
+    def quantile_ms(self, fraction: float) -> float:
+        """Return the milliseconds that a fraction (0 to 1) of the spans does not exceed.
+
+        Raises:
+            ValueError: There are no spans.
+        """
         if not self.count:
             raise ValueError("no latencies")
-        return float(self._histogram.get_value_at_percentile(part * 100)) / 1000
+        return float(self._histogram.get_value_at_percentile(fraction * 100)) / _US_PER_MS
 
 
-def added(direct: Latencies, through: Latencies) -> dict[str, float]:
-    """What the way through a balancer adds, in milliseconds; both must come from one run.
+class AddedTime(TypedDict):
+    """Columns of a result, all in milliseconds.
 
-    `added_50_ms` and `added_99_ms` are the quantile through less the same quantile direct. The columns
-    `over_median_..._ms` are quantiles of the way through less the median direct: the whole tail counts
-    against the balancer there.
+    `added_50_ms` and `added_99_ms` are the quantile through the balancer less the same quantile direct. The
+    columns `over_median_..._ms` are quantiles through the balancer less the median direct: the whole tail
+    counts against the balancer there.
     """
-    median = direct.quantile_ms(0.5)
+
+    direct_50_ms: float
+    direct_99_ms: float
+    through_50_ms: float
+    through_99_ms: float
+    added_50_ms: float
+    added_99_ms: float
+    over_median_90_ms: float
+    over_median_99_ms: float
+    over_median_999_ms: float
+
+
+def added(direct: Latencies, through: Latencies) -> AddedTime:
+    """Return what a balancer adds to latencies; both have to come from one run."""
+    median_ms = direct.quantile_ms(0.5)
     return {
-        "direct_50_ms": median,
+        "direct_50_ms": median_ms,
         "direct_99_ms": direct.quantile_ms(0.99),
         "through_50_ms": through.quantile_ms(0.5),
         "through_99_ms": through.quantile_ms(0.99),
-        "added_50_ms": through.quantile_ms(0.5) - median,
+        "added_50_ms": through.quantile_ms(0.5) - median_ms,
         "added_99_ms": through.quantile_ms(0.99) - direct.quantile_ms(0.99),
-        "over_median_90_ms": through.quantile_ms(0.9) - median,
-        "over_median_99_ms": through.quantile_ms(0.99) - median,
-        "over_median_999_ms": through.quantile_ms(0.999) - median,
+        "over_median_90_ms": through.quantile_ms(0.9) - median_ms,
+        "over_median_99_ms": through.quantile_ms(0.99) - median_ms,
+        "over_median_999_ms": through.quantile_ms(0.999) - median_ms,
     }
