--- /dev/null
+++ b/testbed/runs/control_change.py
@@ -0,0 +1,131 @@
+"""How fast a change of the list is in force at every balancer, and what it costs them.
+
+Hollow balancers by the hundred, and a few real ones beside them, follow the list while it changes.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+from collections.abc import Iterator
+from contextlib import AsyncExitStack
+from typing import Annotated
+
+from pydantic import Field
+from structlog.typing import FilteringBoundLogger
+
+from testbed import experiment, settings
+from testbed.arrivals import arrival_times
+from testbed.churn import play_changes, single_changes
+from testbed.results import Findings, Measured, fit_columns
+from testbed.runs.control_change_measurement import ChangeMeasurement, ChangeRow
+from testbed.runs.control_delays import VersionSeen
+from testbed.runs.control_group import (
+    FOLLOW_S,
+    BalancerGroup,
+    all_follow,
+    run_scenario,
+    start_discovery,
+    start_group,
+    wait_until,
+)
+
+DAY_S = 86_400
+_DELAYS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
+_COSTS = ("core_percent", "bytes_per_s", "calls_per_s")
+_REAL_COSTS = ("real_core_percent",)
+
+
+class Plan(experiment.Plan):
+    """Sizes count the hollow balancers."""
+
+    entries: Annotated[int, Field(gt=0)]
+    """The length of the list."""
+    changes_per_day: Annotated[float, Field(gt=0)]
+    """Changes of one entry on an ordinary day."""
+    multiples: tuple[float, ...]
+    """The rates that are played, as multiples of the ordinary one."""
+    spans_s: tuple[float, ...]
+    """How long each of them is played, in seconds."""
+    processes: Annotated[int, Field(gt=0)]
+    """Processes that the hollow balancers are spread over."""
+    real: Annotated[int, Field(ge=0)]
+    """Real balancers beside them."""
+    pushed: bool = True
+    """Whether lists are pushed or asked for."""
+
+
+def play(plan: Plan, log: FilteringBoundLogger) -> Findings[ChangeRow]:
+    """Measure every number of balancers at every rate of change."""
+    return run_scenario(_play(plan, log))
+
+
+async def _play(plan: Plan, log: FilteringBoundLogger) -> Findings[ChangeRow]:
+    findings: Findings[ChangeRow] = Findings()
+    for balancers in plan.sizes:
+        await _play_size(plan, balancers, findings, log)
+    _add_fits(plan, findings)
+    return findings
+
+
+async def _play_size(
+    plan: Plan, balancers: int, findings: Findings[ChangeRow], log: FilteringBoundLogger
+) -> None:
+    """Start so many hollow balancers and play every rate, one after another."""
+    watch_calls: list[VersionSeen] = []
+
+    def on_watch(agent: int, after: int, at_s: float) -> None:
+        watch_calls.append(VersionSeen(agent, after, at_s))
+
+    async with AsyncExitStack() as stack:
+        discovery = start_discovery(stack, time.monotonic, on_watch)
+        await discovery.start("127.33.0.1")
+        discovery.replace_entries(settings.endpoint_entries(plan.entries, seed=plan.seed))
+        group = await start_group(
+            stack,
+            discovery,
+            hollow=balancers,
+            processes=plan.processes,
+            real=plan.real,
+            site=settings.balancer_settings(balancers=max(balancers, plan.entries), pushed=plan.pushed),
+            seed=plan.seed,
+        )
+        changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
+        for multiple, span_s in zip(plan.multiples, plan.spans_s, strict=True):
+            measured = await _play_rate(plan, group, multiple, span_s, changes, watch_calls)
+            findings.add(measured)
+            log.info("under change", **measured.row.columns())
+
+
+async def _play_rate(
+    plan: Plan,
+    group: BalancerGroup,
+    multiple: float,
+    span_s: float,
+    changes: Iterator[tuple[settings.EndpointEntry, ...]],
+    watch_calls: list[VersionSeen],
+) -> Measured[ChangeRow]:
+    """Play changes at one rate until every balancer has the last one."""
+    measurement = ChangeMeasurement(group)
+    rate_per_s = multiple * plan.changes_per_day / DAY_S
+    seed = plan.seed + round(1000 * multiple) + group.hollow
+    moments_s = arrival_times(rate_per_s, span_s, random.Random(seed))
+    played_late_s = await play_changes(group.discovery, changes, moments_s)
+    await asyncio.sleep(max(span_s - measurement.elapsed_s, 0.0))
+    await wait_until(lambda: all_follow(group.discovery), FOLLOW_S, "every balancer has the last change")
+    return measurement.finish(multiple, played_late_s, watch_calls)
+
+
+def _add_fits(plan: Plan, findings: Findings[ChangeRow]) -> None:
+    """Fit delays over the number of balancers at each rate, and costs over the rate, in all and by number."""
+    for multiple in plan.multiples:
+        rows = [row for row in findings.rows if row.multiple == multiple]
+        for y in _DELAYS:
+            findings.fits.append(fit_columns(rows, y, "balancers", label=f"{y} ({multiple:g} times)"))
+    for y in (*_COSTS, *_REAL_COSTS) if plan.real else _COSTS:
+        findings.fits.append(fit_columns(findings.rows, y, "changes_per_s"))
+        for balancers in plan.sizes:
+            rows = [row for row in findings.rows if row.balancers == balancers]
+            label = f"{y} ({balancers} balancers)"
+            findings.fits.append(fit_columns(rows, y, "changes_per_s", label=label))
