--- a/testbed/runs/control_change_measurement.py
+++ b/testbed/runs/control_change_measurement.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from testbed.agent_state import RequestCounts
-from testbed.hollow import Report
+from testbed.hollow_process import HollowReport
 from testbed.meter import CoresWatch, LoopLag, usage
 from testbed.results import Measured, Row
 from testbed.runs.control_delays import VersionSeen, delays_ms, spread
@@ -87,7 +87,7 @@
     """Processor time by process, hollow balancers' first."""
     counts: RequestCounts
     """What hollow balancers and discovery exchanged."""
-    reports: list[Report]
+    reports: list[HollowReport]
     lag_99_s: float
     """The 99th percentile of how late an event loop ran what was due; the largest of all loops."""
 
@@ -160,7 +160,7 @@
             process_percent_most=float(core_percent.max()),
         )
 
-    def _delays(self, reports: list[Report], watch_calls: Sequence[VersionSeen]) -> DelayColumns:
+    def _delays(self, reports: list[HollowReport], watch_calls: Sequence[VersionSeen]) -> DelayColumns:
         group, first = self._group, self._first_version
         changed_at = np.array(group.discovery.changed_at[first:])
         in_force = delays_ms(_versions_in_force(reports), group.hollow_agents, first, changed_at)
@@ -197,7 +197,7 @@
     return reasons
 
 
-def _versions_in_force(reports: list[Report]) -> Iterator[VersionSeen]:
+def _versions_in_force(reports: list[HollowReport]) -> Iterator[VersionSeen]:
     """The versions that hollow balancers had in force, by process and then by time."""
     for report in reports:
         yield from map(VersionSeen, report.balancers, report.indexes, report.times)
--- a/testbed/runs/control_group.py
+++ b/testbed/runs/control_group.py
@@ -17,7 +17,7 @@
 from testbed import settings
 from testbed.agent_state import RequestCounts
 from testbed.discovery import Discovery
-from testbed.hollow import HollowProcess
+from testbed.hollow_process import HollowProcess
 from testbed.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.results import RowT, RunResult
 
