--- a/testbed/runs/control_change_measurement.py
+++ b/testbed/runs/control_change_measurement.py
@@ -164,19 +164,19 @@
         group, first = self._group, self._first_version
         changed_at = np.array(group.discovery.changed_at[first:])
         in_force = delays_ms(_versions_in_force(reports), group.hollow_agents, first, changed_at)
-        taken_up = delays_ms(watch_calls, group.hollow_agents, first, changed_at)
-        real_taken_up = delays_ms(watch_calls, group.real_agents, first, changed_at)
+        watched = delays_ms(watch_calls, group.hollow_agents, first, changed_at)
+        real_watched = delays_ms(watch_calls, group.real_agents, first, changed_at)
         written_s = np.array(group.discovery.written_at[first:]) - changed_at
-        in_force_spread, taken_up_spread = spread(in_force), spread(taken_up)
-        real_spread = spread(real_taken_up)
+        in_force_spread, watched_spread = spread(in_force), spread(watched)
+        real_spread = spread(real_watched)
         return DelayColumns(
             in_force_ms_median=in_force_spread.median,
             in_force_ms_99=in_force_spread.p99,
             in_force_ms_longest=in_force_spread.longest,
             everywhere_ms_median=float(np.median(in_force.max(axis=0))) if in_force.size else None,
-            taken_up_ms_median=taken_up_spread.median,
-            taken_up_ms_99=taken_up_spread.p99,
-            taken_up_ms_longest=taken_up_spread.longest,
+            taken_up_ms_median=watched_spread.median,
+            taken_up_ms_99=watched_spread.p99,
+            taken_up_ms_longest=watched_spread.longest,
             real_taken_up_ms_median=real_spread.median,
             real_taken_up_ms_99=real_spread.p99,
             real_taken_up_ms_longest=real_spread.longest,
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size.py
@@ -13,14 +13,13 @@
 from testbed.results import Fit, RunResult, fit_columns
 from testbed.runs.list_size_decisions import DecisionCell
 from testbed.runs.list_size_lists import ListCell
-from testbed.runs.list_size_plan import Plan
+from testbed.runs.list_size_plan import Keeps, Plan
 from testbed.runs.list_size_rounds import Rounds, reference_us
 from testbed.runs.list_size_rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
-__all__ = ["KEEPS", "Plan", "play"]
+__all__ = ["Plan", "play"]
 
-KEEPS = {"part": "as many balancers as servers", "all": "one balancer"}
-"""What the values of the column `keeps` say of the balancers."""
+_KEEPS: tuple[Keeps, ...] = ("part", "all")
 _DECISION_COSTS = ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean")
 _LIST_COSTS = (
     "list_bytes",
@@ -45,31 +44,31 @@
     cores = CoresWatch()
     rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
-        for keep in KEEPS:
+        for keeps in _KEEPS:
             for tier in plan.tiers:
-                rounds.play(DecisionCell(plan, entries, keep, tier))
-            rounds.play(ListCell(plan, entries, keep))
-            log.info("measured", entries=entries, keeps=keep)
+                rounds.play(DecisionCell(plan, entries, keeps, tier))
+            rounds.play(ListCell(plan, entries, keeps))
+            log.info("measured", entries=entries, keeps=keeps)
     result = rounds.result()
     missing_rows = bool(result.invalid_reasons)
     result.invalid_reasons = cores.doubts("whole run") + result.invalid_reasons
     if missing_rows:
         return result
     result.rows = with_growth(result.rows)
-    for keep in KEEPS:
-        result.fits += _fits(plan, result.rows, keep)
+    for keeps in _KEEPS:
+        result.fits += _fits(plan, result.rows, keeps)
     return result
 
 
-def _fits(plan: Plan, rows: list[ListSizeRow], keep: str) -> list[Fit]:
+def _fits(plan: Plan, rows: list[ListSizeRow], keeps: Keeps) -> list[Fit]:
     """Fit the costs of balancers that keep to so much of the list over its length."""
     fits = []
-    kept = [row for row in rows if row.cell.keeps == keep]
+    matching = [row for row in rows if row.cell.keeps == keeps]
     for tier in plan.tiers:
-        decisions = [row for row in kept if isinstance(row, DecisionRow) and row.cell.tier == tier]
+        decisions = [row for row in matching if isinstance(row, DecisionRow) and row.cell.tier == tier]
         fits += [
-            fit_columns(decisions, y, "entries", label=f"{y} ({keep}, tier {tier})") for y in _DECISION_COSTS
+            fit_columns(decisions, y, "entries", label=f"{y} ({keeps}, tier {tier})") for y in _DECISION_COSTS
         ]
-    lists = [row for row in kept if isinstance(row, ListRow)]
-    fits += [fit_columns(lists, y, "entries", label=f"{y} ({keep})") for y in _LIST_COSTS]
+    lists = [row for row in matching if isinstance(row, ListRow)]
+    fits += [fit_columns(lists, y, "entries", label=f"{y} ({keeps})") for y in _LIST_COSTS]
     return fits
--- a/testbed/runs/list_size_decisions.py
+++ b/testbed/runs/list_size_decisions.py
@@ -21,7 +21,7 @@
     RequestReceived,
 )
 from loadbalancer.policy.balancer import LoadBalancer
-from testbed.runs.list_size_plan import Plan, configuration, freeze_collector
+from testbed.runs.list_size_plan import Keeps, Plan, configuration, freeze_collector
 from testbed.runs.list_size_rounds import RoundColumns
 from testbed.runs.list_size_rows import CellName, DecisionRow
 
@@ -53,10 +53,10 @@
 class DecisionCell:
     """Arrivals and ends of attempts that succeed, at a warm policy under a steady light load."""
 
-    def __init__(self, plan: Plan, entries: int, keep: str, tier: int) -> None:
+    def __init__(self, plan: Plan, entries: int, keeps: Keeps, tier: int) -> None:
         self._plan = plan
-        self.name = CellName(measured="decision", entries=entries, keeps=keep, tier=tier)
-        config = configuration(plan, entries, keep, tier)
+        self.name = CellName(measured="decision", entries=entries, keeps=keeps, tier=tier)
+        config = configuration(plan, entries, keeps, tier)
         self._classes = config.settings.classes
         self._balancer = LoadBalancer(config.settings, config.seed)
         self._random = random.Random(plan.seed)
--- a/testbed/runs/list_size_lists.py
+++ b/testbed/runs/list_size_lists.py
@@ -19,7 +19,7 @@
 from testbed import settings
 from testbed.discovery import Discovery
 from testbed.hollow import Hollow
-from testbed.runs.list_size_plan import Plan, configuration_text, freeze_collector, ignore_message
+from testbed.runs.list_size_plan import Keeps, Plan, configuration_text, freeze_collector, ignore_message
 from testbed.runs.list_size_rounds import RoundColumns
 from testbed.runs.list_size_rows import CellName, ListRow
 
@@ -40,7 +40,7 @@
     policy: int
 
     @property
-    def whole(self) -> int:
+    def total(self) -> int:
         """All parts together."""
         return self.parse + self.read + self.pools + self.policy
 
@@ -58,10 +58,10 @@
 class ListCell:
     """Whole lists and changes of one entry: JSON, `read_endpoint_list`, the pools' part and the policy's."""
 
-    def __init__(self, plan: Plan, entries: int, keep: str) -> None:
+    def __init__(self, plan: Plan, entries: int, keeps: Keeps) -> None:
         self._plan = plan
-        self.name = CellName(measured="list", entries=entries, keeps=keep, tier=0)
-        self._text = configuration_text(plan, entries, keep, 0)
+        self.name = CellName(measured="list", entries=entries, keeps=keeps, tier=0)
+        self._text = configuration_text(plan, entries, keeps, 0)
         config = read_configuration(self._text, ignore_message)
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(config.settings, config.seed)
@@ -128,9 +128,9 @@
             delta_pools_us=_median(spans.pools for spans in deltas) / _US_NS,
             list_module_ms=_median(spans.policy for spans in lists) / _MS_NS,
             delta_module_us=_median(spans.policy for spans in deltas) / _US_NS,
-            list_whole_ms=_median(spans.whole for spans in lists) / _MS_NS,
-            delta_whole_us=_median(spans.whole for spans in deltas) / _US_NS,
-            delta_whole_us_99=float(np.percentile([spans.whole for spans in deltas], 99)) / _US_NS,
+            list_whole_ms=_median(spans.total for spans in lists) / _MS_NS,
+            delta_whole_us=_median(spans.total for spans in deltas) / _US_NS,
+            delta_whole_us_99=float(np.percentile([spans.total for spans in deltas], 99)) / _US_NS,
             memory_kib=_memory_bytes(self._text) / _KIB,
             rounds=columns,
         )
@@ -153,8 +153,8 @@
         )
         hollow.start()
         gc.collect()
-        held, _ = tracemalloc.get_traced_memory()
-        return held - before
+        after, _ = tracemalloc.get_traced_memory()
+        return after - before
 
     try:
         return asyncio.run(start())
--- a/testbed/runs/list_size_plan.py
+++ b/testbed/runs/list_size_plan.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 import gc
-from typing import Annotated
+from typing import Annotated, Literal
 
 from pydantic import Field
 
 from loadbalancer.configuration import Configuration, read_configuration
 from testbed import experiment, settings
 
+Keeps = Literal["part", "all"]
+"""Whether a balancer keeps to a part of the endpoints, as one of many, or to all, as the only balancer."""
+
 
 class Plan(experiment.Plan):
     """Sizes count the entries of the list."""
@@ -34,22 +37,22 @@
     """Rounds of each cell that are played at the most to get them."""
 
 
-def configuration(plan: Plan, entries: int, keep: str, tier: int) -> Configuration:
+def configuration(plan: Plan, entries: int, keeps: Keeps, tier: int) -> Configuration:
     """Read the configuration of a balancer in one cell, as the program does.
 
     Args:
         plan: The plan of the run.
         entries: The length of the list.
-        keep: Whether the balancer keeps to a `part` of the endpoints or to `all` of them.
+        keeps: Whether it keeps to a part of the endpoints or to all of them.
         tier: The tier that it sends to.
     """
-    return read_configuration(configuration_text(plan, entries, keep, tier), ignore_message)
+    return read_configuration(configuration_text(plan, entries, keeps, tier), ignore_message)
 
 
-def configuration_text(plan: Plan, entries: int, keep: str, tier: int) -> str:
+def configuration_text(plan: Plan, entries: int, keeps: Keeps, tier: int) -> str:
     """Write the text of the file that `LB_CONFIG` would name; the arguments are those of `configuration`."""
     known = settings.endpoint_entries(entries, seed=plan.seed)
-    balancers = entries if keep == "part" else 1
+    balancers = entries if keeps == "part" else 1
     site = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
     return settings.configuration_text(
         "n0", "127.0.0.1:0", "127.0.0.1:1", known, site, seed=plan.seed, index=1
--- a/testbed/runs/list_size_rounds.py
+++ b/testbed/runs/list_size_rounds.py
@@ -77,33 +77,33 @@
     """Plays cells in rounds, and counts those beside a quick reference.
 
     Args:
-        enough: So many quick rounds of a cell end its play.
-        most: So many rounds of a cell are played at the most.
+        quick_rounds: So many quick rounds of a cell end its play.
+        max_rounds: So many rounds of a cell are played at most.
         reference: Takes a reading of the reference, in microseconds.
     """
 
-    def __init__(self, enough: int, most: int, reference: Callable[[], float]) -> None:
-        self._enough, self._most, self._reference = enough, most, reference
+    def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
+        self._quick_rounds, self._max_rounds, self._reference = quick_rounds, max_rounds, reference
         self._played: list[tuple[Cell[Any, RowT], list[_Played]]] = []
-        self._least_us = min([reference() for _ in range(REFERENCES)])
+        self._min_reference_us = min([reference() for _ in range(REFERENCES)])
 
     def _is_quick(self, played: _Played) -> bool:
-        return played.reference_us <= QUICK * self._least_us
+        return played.reference_us <= QUICK * self._min_reference_us
 
     def play(self, cell: Cell[Any, RowT]) -> None:
-        """Play rounds until enough were quick, as far as is known by now, or the most were played."""
+        """Play rounds until enough were quick, as far as is known by now, or there were too many."""
         rounds: list[_Played] = []
         before = self._reference()
-        while len(rounds) < self._most and sum(map(self._is_quick, rounds)) < self._enough:
+        while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
             measured = cell.play()
             after = self._reference()
-            self._least_us = min(self._least_us, after)
+            self._min_reference_us = min(self._min_reference_us, after)
             rounds.append(_Played(max(before, after), measured))
             before = after
         self._played.append((cell, rounds))
 
     def result(self) -> RunResult[RowT]:
-        """The rows of the quick rounds, and a reason for each cell that has none."""
+        """Make the rows of the quick rounds; the result is invalid where a cell has none."""
         result: RunResult[RowT] = RunResult()
         for cell, rounds in self._played:
             quick = list(filter(self._is_quick, rounds))
--- a/testbed/runs/list_size_rows.py
+++ b/testbed/runs/list_size_rows.py
@@ -8,6 +8,7 @@
 from typing import Any, Literal
 
 from testbed.results import OMITTED_IF_NONE, Row
+from testbed.runs.list_size_plan import Keeps
 from testbed.runs.list_size_rounds import RoundColumns
 
 
@@ -18,8 +19,7 @@
     measured: Literal["decision", "list"]
     entries: int
     """The length of the list."""
-    keeps: str
-    """Whether the balancer keeps to a `part` of the endpoints or to `all` of them."""
+    keeps: Keeps
     tier: int
     """The tier sent to."""
 
