--- a/tests/testbed/loads.py
+++ b/tests/testbed/loads.py
@@ -25,7 +25,7 @@
         self._stall = 0.0  # it happens once
 
 
-async def ask(client: Client, deadline_ms: float = 5_000.0, key: str = "") -> int:
-    return (
-        await client.send(compose_request("read", next(IDS), deadline_ms, key), deadline_ms / 1000)
-    ).status
+async def send_request(client: Client, deadline_ms: float = 5_000.0, key: str = "") -> int:
+    request = compose_request("read", next(IDS), deadline_ms, key)
+    response = await client.send(request, deadline_ms / 1000)
+    return response.status
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/test_chain.py
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize(("sends", "status"), [(False, 503), (True, 502)])
-def test_the_safety_net_answers_before_the_deadline(
+def test_the_host_responds_before_the_deadline(
     monkeypatch: pytest.MonkeyPatch, sends: bool, status: int
 ) -> None:
     def lazy(event: Event, now: float) -> list[Action]:
@@ -275,7 +275,7 @@
     assert [now for now, _ in recorded.by(0, ClientDisconnected)] == [2995.0]
 
 
-def test_a_full_server_turns_calls_away() -> None:
+def test_a_full_server_rejects() -> None:
     chain = Chain(chain_settings(1, servers_per_tier=1, workers=1, queue=2, max_attempts=1), 1)
     for _ in range(4):
         chain.send_request(0)
--- a/tests/testbed/test_churn.py
+++ b/tests/testbed/test_churn.py
@@ -23,15 +23,15 @@
     assert 30 <= len(list(arrival_times(5.0, 10.0, random.Random(1)))) <= 70
     assert max(arrival_times(5.0, 10.0, random.Random(1))) < 10.0
     status = {e["name"]: "in_service" for e in endpoint_entries(60)}
-    seen, gone = set(), set()
+    seen, removed = set(), set()
     for (changed,) in played(1):
-        assert changed["name"] not in gone  # a new process bears a new name
+        assert changed["name"] not in removed  # a new process bears a new name
         before = status.pop(changed["name"], "new")
         seen.add((before, changed["status"], changed["since_ms"]))
         if changed["status"] != "terminated":
             status[changed["name"]] = changed["status"]
         else:
-            gone.add(changed["name"])
+            removed.add(changed["name"])
         assert 57 <= len(status) <= 60
         assert list(status.values()).count("in_service") >= 57
     assert {(before, after) for before, after, since in seen} == {
--- a/tests/testbed/test_discovery.py
+++ b/tests/testbed/test_discovery.py
@@ -29,16 +29,16 @@
         self.writer.close()
 
     def send(self, query: str = "", path: str = "/v1/servers") -> int:
-        request = f"GET {path}{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode()
-        self.writer.write(request)
-        return len(request)
+        message = f"GET {path}{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode()
+        self.writer.write(message)
+        return len(message)
 
-    async def ask(self, query: str = "", path: str = "/v1/servers") -> ReceivedMessage:
+    async def request(self, query: str = "", path: str = "/v1/servers") -> ReceivedMessage:
         self.send(query, path)
         return await read_message(self.reader)
 
     async def request_list(self, query: str = "") -> tuple[int, bool, Known]:
-        return read_list(await self.ask(query))
+        return read_list(await self.request(query))
 
 
 def read_list(response: ReceivedMessage) -> tuple[int, bool, Known]:
@@ -47,30 +47,34 @@
     return content["index"], content["snapshot"], {e["name"]: e for e in content["endpoints"]}
 
 
-def test_discovery_tells_the_whole_list_and_then_what_changed() -> None:
+def test_discovery_sends_a_snapshot_and_then_the_changes() -> None:
     async def scenario() -> None:
         discovery = Discovery()
         await discovery.start()
         first = discovery.replace_entries(three())
         async with WatchClient(discovery.agent_address(0)) as watcher:
             assert await watcher.request_list() == (first, True, {e["name"]: e for e in three()})
-            drains, gone = (three()[0] | {"status": s} for s in ("terminating", "terminated"))
-            weighs = three()[1] | {"weight": 2.0}
-            discovery.apply_changes([drains])
-            second = discovery.apply_changes([weighs])
-            both = {"s0": drains, "s1": weighs}
+            draining, removed = (three()[0] | {"status": s} for s in ("terminating", "terminated"))
+            weighted = three()[1] | {"weight": 2.0}
+            discovery.apply_changes([draining])
+            second = discovery.apply_changes([weighted])
+            both = {"s0": draining, "s1": weighted}
             assert await watcher.request_list(f"?after={first}&wait_ms=60000") == (second, False, both)
             assert (await watcher.request_list())[2]["s0"]["status"] == "terminating"
-            third = discovery.apply_changes([gone])
-            # Gone is told among changes only; of two changes of one entry, the later.
+            third = discovery.apply_changes([removed])
+            # A removed entry is sent among changes only; of two changes of one entry, the later.
             assert await watcher.request_list(f"?after={second}&wait_ms=60000") == (
                 third,
                 False,
-                {"s0": gone},
+                {"s0": removed},
             )
-            assert await watcher.request_list(f"?after={first}") == (third, False, {"s0": gone, "s1": weighs})
-            assert await watcher.request_list() == (third, True, {"s1": weighs, "s2": three()[2]})
-            # Versions that it does not know, or knows no longer, get the whole list.
+            assert await watcher.request_list(f"?after={first}") == (
+                third,
+                False,
+                {"s0": removed, "s1": weighted},
+            )
+            assert await watcher.request_list() == (third, True, {"s1": weighted, "s2": three()[2]})
+            # Versions that it does not know, or knows no longer, get a snapshot.
             assert (await watcher.request_list(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
             fourth = discovery.replace_entries(three())
             assert (await watcher.request_list(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
@@ -80,7 +84,7 @@
     run(scenario())
 
 
-def test_discovery_forgets_old_changes_and_then_tells_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_discovery_forgets_old_changes_and_then_sends_a_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("testbed.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
 
     async def scenario() -> None:
@@ -95,7 +99,7 @@
     run(scenario())
 
 
-def test_a_watch_ends_with_news_or_with_its_wait() -> None:
+def test_a_watch_ends_with_a_change_or_with_its_wait() -> None:
     async def scenario() -> None:
         discovery = Discovery()
         await discovery.start()
@@ -114,7 +118,7 @@
                 ("?after=x", "/v1/servers", "400"),
                 ("", "/v1/others", "404"),
             ):
-                assert (await watcher.ask(query, path)).line.split(" ")[1] == status
+                assert (await watcher.request(query, path)).line.split(" ")[1] == status
         await discovery.stop()
 
     run(scenario())
@@ -138,7 +142,7 @@
     run(scenario())
 
 
-def test_discovery_counts_what_is_asked_and_told() -> None:
+def test_discovery_counts_requests_and_responses() -> None:
     seen: list[tuple[int, int]] = []
 
     async def scenario() -> None:
@@ -166,15 +170,15 @@
     run(scenario())
 
 
-def test_agents_go_down_fall_silent_and_come_late_alone_or_as_a_group() -> None:
+def test_a_silent_group_of_agents_responds_once_it_is_up_again() -> None:
     async def scenario() -> None:
         discovery = Discovery()
         await discovery.start("127.32.0.9")
         index = discovery.replace_entries(three())
-        near, far = discovery.agent_address(0, "r0", "r0-z0"), discovery.agent_address(1, "r1", "r1-z1")
-        assert near[0] != far[0]
-        assert discovery.agent_address(0) == near
-        async with WatchClient(near) as one, WatchClient(far) as other:
+        healthy, silent = discovery.agent_address(0, "r0", "r0-z0"), discovery.agent_address(1, "r1", "r1-z1")
+        assert healthy[0] != silent[0]
+        assert discovery.agent_address(0) == healthy
+        async with WatchClient(healthy) as one, WatchClient(silent) as other:
             for watcher in (one, other):
                 watcher.send(f"?after={index}&wait_ms=60000")
             await until(lambda: discovery.counts().requests == 2)
@@ -182,33 +186,54 @@
             index = discovery.apply_changes([three()[0] | {"weight": 2.0}])
             assert read_list(await read_message(one.reader))[0] == index
             assert discovery.agents[1].written_index == -1
-            async with WatchClient(far) as third:  # it accepts, though
+            async with WatchClient(silent) as third:  # it accepts, though
                 third.send()
                 await until(lambda: discovery.counts().requests == 3)
                 assert discovery.agents[1].written_index == -1
                 discovery.set_state(AgentState(), group="r1")
                 assert read_list(await read_message(third.reader))[1]
                 assert read_list(await read_message(other.reader))[0] == index
+        await discovery.stop()
+
+    run(scenario())
+
+
+def test_one_agent_goes_down_and_all_are_late() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        index = discovery.replace_entries(three())
+        up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
+        discovery.set_state(AgentState(), group="r1")
+        async with WatchClient(up) as one, WatchClient(down) as other:
+            assert (await one.request_list())[0] == (await other.request_list())[0] == index
             discovery.set_state(AgentState(AgentMode.DOWN), agent=1)
             discovery.set_state(AgentState(delay_ms=50.0))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await other.request_list()
             with pytest.raises(ConnectionError):
-                await asyncio.open_connection(*far)
+                await asyncio.open_connection(*down)
             loop = asyncio.get_running_loop()
-            asked_at = loop.time()
+            sent_at = loop.time()
             assert (await one.request_list())[0] == index
-            assert loop.time() >= asked_at + 0.045  # the loop's timers round to milliseconds
+            assert loop.time() >= sent_at + 0.045  # the loop's timers round to milliseconds
             discovery.set_state(AgentState(), agent=1)
-        async with WatchClient(far) as again:
+        async with WatchClient(down) as again:
             assert (await again.request_list())[0] == index
-        soon = discovery.agent_address(2)
-        discovery.set_state(AgentState(AgentMode.DOWN), agent=2)  # before its loop could accept
-        with pytest.raises(ConnectionError):
-            await asyncio.open_connection(*soon)
         await discovery.stop()
         with pytest.raises(ConnectionError):
-            await asyncio.open_connection(*near)
+            await asyncio.open_connection(*up)
+
+    run(scenario())
+
+
+def test_an_agent_goes_down_before_its_loop_accepts() -> None:
+    async def scenario() -> None:
+        discovery = Discovery()
+        address = discovery.agent_address(0)
+        discovery.set_state(AgentState(AgentMode.DOWN), agent=0)
+        with pytest.raises(ConnectionError):
+            await asyncio.open_connection(*address)
+        await discovery.stop()
 
     run(scenario())
 
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -21,7 +21,7 @@
 def test_hollow_balancers_take_up_changes_through_the_real_watch(pushed: bool) -> None:
     async def scenario() -> None:
         discovery = Discovery()
-        forced: list[list[int]] = [[], []]
+        in_force: list[list[int]] = [[], []]
         first = discovery.replace_entries(endpoint_entries(20))
         settings = balancer_settings(balancers=2, pushed=pushed)
         hollows = []
@@ -32,7 +32,7 @@
             hollow = Hollow(
                 read_configuration(text, lambda note: None),
                 asyncio.get_running_loop(),
-                partial(lambda book, index, at: book.append(index), forced[i]),
+                partial(lambda versions, index, at: versions.append(index), in_force[i]),
             )
             hollow.start()
             hollows.append(hollow)
@@ -40,7 +40,7 @@
         draining = endpoint_entries(20)[3] | {"status": "terminating"}
         second = discovery.apply_changes([draining])
         await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
-        assert forced == [[0, first, second]] * 2
+        assert in_force == [[0, first, second]] * 2
         assert discovery.counts().snapshots == 2
         for hollow in hollows:
             assert len(hollow.balancer._ready) == 19
@@ -58,7 +58,7 @@
 
     async def scenario() -> None:
         discovery = Discovery()
-        forced: list[int] = []
+        in_force: list[int] = []
         first = discovery.replace_entries(three())
         address = discovery.agent_address(0)
         discovery.set_state(AgentState(AgentMode.SILENT))
@@ -68,12 +68,12 @@
         Hollow(
             read_configuration(text, lambda note: None),
             asyncio.get_running_loop(),
-            lambda index, at: forced.append(index),
+            lambda index, at: in_force.append(index),
         ).start()
         # The first request was given up; a timer starts the next one.
         await until(lambda: discovery.counts().requests == 2)
         discovery.set_state(AgentState())
-        await until(lambda: first in forced)
+        await until(lambda: first in in_force)
 
     run(scenario())
 
--- a/tests/testbed/test_http_client.py
+++ b/tests/testbed/test_http_client.py
@@ -6,7 +6,7 @@
 from testbed.http_client import Client
 from tests.network.loopback import Upstream as Scripted
 from tests.network.loopback import response, run
-from tests.testbed.loads import ask
+from tests.testbed.loads import send_request
 
 
 def test_a_client_opens_more_when_busy_and_sends_once_more_where_a_close_crossed() -> None:
@@ -24,9 +24,9 @@
 
         server = Scripted(wait, wait, drop, response())
         client = Client(read_address(await server.start()))
-        assert tuple(await asyncio.gather(ask(client), ask(client))) == (200, 200)
+        assert tuple(await asyncio.gather(send_request(client), send_request(client))) == (200, 200)
         assert client.opened_connections == server.connections == 2
-        assert await ask(client) == 200
+        assert await send_request(client) == 200
         assert (client.opened_connections, len(server.asked)) == (3, 4)
         assert server.asked[2].headers["x-request-id"] == server.asked[3].headers["x-request-id"]
         client.close()
--- a/tests/testbed/test_latency.py
+++ b/tests/testbed/test_latency.py
@@ -5,7 +5,7 @@
 from testbed.latency import Latencies, added
 
 
-def test_added_time_is_told_by_quantiles_and_over_the_direct_median() -> None:
+def test_added_time_is_given_by_quantiles_and_over_the_direct_median() -> None:
     direct, through = Latencies(), Latencies()
     for number in range(1, 1_001):
         direct.record(number / 1e6)
--- a/tests/testbed/test_load.py
+++ b/tests/testbed/test_load.py
@@ -31,13 +31,13 @@
         assert planned > 20
         all_came = asyncio.Event()
 
-        async def stall(request: ReceivedRequest, left_ms: float) -> int:
+        async def stall(request: ReceivedRequest, remaining_ms: float) -> int:
             if upstream.counts.requests == planned:
                 all_came.set()
             await all_came.wait()
             return 200
 
-        upstream.forward = stall  # nothing is answered before the last call has come
+        upstream.forward = stall  # nothing gets a response before the last request has come
         stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
         report = (await play_streams([stream], 0.01, seed=7))["calls"]
         assert report.sends == report.opened == planned
--- a/tests/testbed/test_meter.py
+++ b/tests/testbed/test_meter.py
@@ -15,8 +15,8 @@
 
 def test_the_meter_counts_a_childs_processor_time_and_descriptors() -> None:
     work = "while time.process_time() < 0.15: pass"
-    held = "kept = [open('/dev/null') for _ in range(20)]"
-    code = "\n".join(("import sys, time", held, work, "print(1, flush=True)", "sys.stdin.read()"))
+    opened = "kept = [open('/dev/null') for _ in range(20)]"
+    code = "\n".join(("import sys, time", opened, work, "print(1, flush=True)", "sys.stdin.read()"))
     child = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert child.stdout is not None
     assert child.stdin is not None
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -1,21 +1,21 @@
-"""The testbed's made-up settings and lists."""
+"""The testbed's generated settings and endpoint lists."""
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.settings import Idempotency
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 
 
-def test_settings_are_read_by_the_program_without_a_note() -> None:
-    notes: list[str] = []
+def test_settings_are_read_by_the_program_without_a_warning() -> None:
+    warnings: list[str] = []
     entries = endpoint_entries(60)
     settings = balancer_settings(
         balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True}
     )
     read = read_configuration(
         configuration_text("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41),
-        notes.append,
+        warnings.append,
     )
-    assert notes == []
+    assert warnings == []
     assert (read.settings.balancers, read.settings.tier, read.settings.polls_discovery) == (7, 1, True)
     assert {c.idempotency for c in read.settings.classes} == set(Idempotency)
     assert read.settings.may_hedge
@@ -30,7 +30,7 @@
     assert [e.endpoint.name for e in read.known_endpoints.endpoints] == [e["name"] for e in entries]
 
 
-def test_a_fleet_is_spread_over_its_zones_and_regions() -> None:
+def test_entries_are_spread_over_zones_and_regions() -> None:
     entries = endpoint_entries(290, seed=3)
     assert entries == endpoint_entries(290, seed=3) != endpoint_entries(290, seed=4)
     zones = [e["zone"] for e in entries]
--- a/tests/testbed/test_upstream.py
+++ b/tests/testbed/test_upstream.py
@@ -13,7 +13,7 @@
 from testbed.upstream_connection import ReceivedRequest
 from testbed.upstream_group import UpstreamGroup, UpstreamProcess
 from tests.network.loopback import run
-from tests.testbed.loads import IDS, VirtualClock, ask
+from tests.testbed.loads import IDS, VirtualClock, send_request
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
         ),
     ],
 )
-def test_an_upstream_does_as_it_is_told(
+def test_an_upstream_does_what_its_mode_says(
     mode: UpstreamMode, status: int, health: int, counted: dict[str, int]
 ) -> None:
     async def scenario() -> None:
@@ -42,7 +42,7 @@
         await upstream.set_behaviour(Behaviour(mode))
         patience_ms = 20.0 if mode is UpstreamMode.HANG else 5_000.0
         client = Client(upstream.address)
-        assert await ask(client, patience_ms) == status
+        assert await send_request(client, patience_ms) == status
         probe = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
         assert (await client.send(probe, patience_ms / 1000)).status == health
         # A call that found its kept connection broken is sent again: a reset one is requested only once.
@@ -52,14 +52,14 @@
             await asyncio.sleep(0)
         assert {name: getattr(upstream.counts, name) for name in expected} == expected
         await upstream.set_behaviour(Behaviour())
-        assert await ask(client) == 200  # at the same address
+        assert await send_request(client) == 200  # at the same address
         assert (await client.send(b"GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)).status == 404
         upstreams.close()
 
     run(scenario())
 
 
-def test_a_turned_away_call_is_marked_as_never_run() -> None:
+def test_a_rejected_request_is_marked_as_never_run() -> None:
     async def scenario() -> None:
         upstreams = UpstreamGroup(seed=1)
         (upstream,) = await upstreams.start(1, first_octet=82)
@@ -75,13 +75,13 @@
     run(scenario())
 
 
-def test_a_part_of_the_calls_fails_as_the_seed_says() -> None:
+def test_a_fraction_of_the_requests_fails_as_the_seed_says() -> None:
     async def scenario(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, first_octet=82)
         await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL, fraction=0.5))
         client = Client(upstream.address)
-        statuses = [await ask(client) for _ in range(64)]
+        statuses = [await send_request(client) for _ in range(64)]
         assert upstream.counts.failed == statuses.count(500)
         upstreams.close()
         return statuses
@@ -103,28 +103,28 @@
                 ids = request_ids(seed=10 + number)
                 upstream.forward = forward_through(Client(chain[number + 1].address), ids)
         client = Client(chain[0].address)
-        assert await ask(client, 4_000.0, key="k1") == 200
+        assert await send_request(client, 4_000.0, key="k1") == 200
         # The clock goes on by 0.1 s between a request's arrival and the call that it causes.
         assert [request.deadline_ms for request in received] == pytest.approx([4_000.0, 3_900.0, 3_800.0])
         assert len({request.request_id for request in received}) == 3
         assert {(request.class_name, request.key) for request in received} == {("read", "k1")}
         await chain[2].set_behaviour(Behaviour(UpstreamMode.REJECT))
-        assert await ask(client) == 500  # it fails if a call fails
+        assert await send_request(client) == 500  # it fails if a call fails
         assert [upstream.counts.failed for upstream in chain] == [1, 1, 0]
-        assert await ask(client, 50.0) == 500  # no time is left for a call: none is made
+        assert await send_request(client, 50.0) == 500  # no time is left for a call: none is made
         assert [upstream.counts.requests for upstream in chain] == [3, 2, 2]
         upstreams.close()
 
     run(scenario())
 
 
-def test_a_caller_that_gives_up_is_followed_down_the_chain() -> None:
+def test_an_abandoned_request_is_cancelled_down_the_chain() -> None:
     async def scenario() -> None:
         upstreams = UpstreamGroup(seed=1)
         top, bottom = await upstreams.start(2, first_octet=82)
         top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
         await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
-        call = asyncio.ensure_future(ask(Client(top.address)))
+        call = asyncio.ensure_future(send_request(Client(top.address)))
         while not bottom.counts.hung:
             await asyncio.sleep(0)
         call.cancel()
@@ -140,7 +140,7 @@
     async def scenario() -> None:
         process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
         try:
-            assert [await ask(Client(address)) for address in process.addresses] == [200] * 3
+            assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
             counts = process.counts()
             assert (counts.served, counts.connections) == (3, 3)
         finally:
