--- /dev/null
+++ b/testbed/runs/control_rest.py
@@ -0,0 +1,148 @@
+"""What following the list costs a real balancer at rest, by the length of the list."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from contextlib import AsyncExitStack
+from dataclasses import dataclass
+from typing import Annotated, Literal
+
+from pydantic import Field
+from structlog.typing import FilteringBoundLogger
+
+from testbed import experiment, settings
+from testbed.agent_state import RequestCounts
+from testbed.meter import CoresWatch, LoopLag, usage
+from testbed.results import Row, RunResult, fit_columns
+from testbed.runs.control_group import (
+    LATE_S,
+    BalancerGroup,
+    run_scenario,
+    start_discovery,
+    start_group,
+    sum_counts,
+)
+
+_MIB = 1 << 20
+
+
+class Plan(experiment.Plan):
+    """Sizes count the entries of the list; there are as many balancers as entries, as the settings say."""
+
+    span_s: Annotated[float, Field(gt=0)]
+    """How long each is watched, in seconds."""
+    settle_s: Annotated[float, Field(ge=0)]
+    """From when all follow the list to the start of the watch, in seconds."""
+    hollow: Annotated[int, Field(gt=0)]
+    """Hollow balancers of each size, whose calls and bytes are counted."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RestRow(Row):
+    """A real balancer at rest under a list of one length, beside hollow balancers under the same list."""
+
+    entries: int
+    """The length of the list."""
+    mode: Literal["push", "ask"]
+    """Whether discovery pushes the list or the balancer polls it."""
+    core_percent: float
+    """Processor time of the real balancer, in hundredths of a core."""
+    resident_mib: float
+    """Resident memory of the real balancer, in MiB."""
+    descriptors: int
+    """Open descriptors of the real balancer."""
+    calls_per_s: float
+    """Calls of the real balancer at discovery."""
+    bytes_per_s: float
+    """Bytes of those calls, both ways."""
+    hollow_calls_per_s: float
+    """Calls of a hollow balancer at discovery, the mean of all."""
+    hollow_bytes_per_s: float
+    """Bytes of those calls, both ways."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Reading:
+    """What the balancers of a group have used and exchanged with discovery up to a moment."""
+
+    processor_s: float
+    """Processor time of the real balancer."""
+    real: RequestCounts
+    hollow: RequestCounts
+
+
+def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+    """Measure a real balancer of each size at rest, all sizes side by side; first pushed, then polling."""
+    return run_scenario(_play(plan, log))
+
+
+async def _play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+    result: RunResult[RestRow] = RunResult()
+    for pushed in (True, False):
+        async with AsyncExitStack() as stack:
+            groups = [
+                await _start(stack, plan, place, entries, pushed) for place, entries in enumerate(plan.sizes)
+            ]
+            await asyncio.sleep(plan.settle_s)
+            await _measure(plan, pushed, groups, result)
+        for row in result.rows[-len(plan.sizes) :]:
+            log.info("at rest", **row.columns())
+    for mode in ("push", "ask"):
+        rows = [row for row in result.rows if row.mode == mode]
+        for y in ("core_percent", "resident_mib", "bytes_per_s", "hollow_bytes_per_s"):
+            result.fits.append(fit_columns(rows, y, "entries", label=f"{y} ({mode})"))
+    return result
+
+
+async def _start(stack: AsyncExitStack, plan: Plan, place: int, entries: int, pushed: bool) -> BalancerGroup:
+    """Start the balancers of one size under a discovery of their own; `place` numbers the sizes."""
+    discovery = start_discovery(stack)
+    await discovery.start(f"127.32.{place}.1")
+    discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
+    site = settings.balancer_settings(balancers=entries, pushed=pushed)
+    return await start_group(
+        stack, discovery, hollow=plan.hollow, processes=1, real=1, site=site, seed=plan.seed
+    )
+
+
+async def _measure(plan: Plan, pushed: bool, groups: list[BalancerGroup], result: RunResult[RestRow]) -> None:
+    """Watch all sizes over the span and add a row for each."""
+    lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
+    began = time.monotonic()
+    before = [_read(group) for group in groups]
+    await asyncio.sleep(plan.span_s)
+    span_s = time.monotonic() - began
+    for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
+        result.rows.append(_row(entries, pushed, group, reading, span_s))
+    late_s, _ = lag.take()
+    lag.stop()
+    phase = f"at rest, {'pushed' if pushed else 'asked for'}"
+    result.invalid_reasons += cores.doubts(phase)
+    if late_s >= LATE_S:
+        result.invalid_reasons.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
+
+
+def _read(group: BalancerGroup) -> _Reading:
+    processor_s = usage([group.real[0].pid]).processor_s
+    real = sum_counts(group.discovery, group.real_agents)
+    hollow = sum_counts(group.discovery, group.hollow_agents)
+    return _Reading(processor_s, real, hollow)
+
+
+def _row(entries: int, pushed: bool, group: BalancerGroup, before: _Reading, span_s: float) -> RestRow:
+    now = _read(group)
+    real = now.real - before.real
+    hollow = now.hollow - before.hollow
+    used = usage([group.real[0].pid])
+    return RestRow(
+        entries=entries,
+        mode="push" if pushed else "ask",
+        core_percent=(now.processor_s - before.processor_s) / span_s * 100,
+        resident_mib=used.resident / _MIB,
+        descriptors=used.descriptors,
+        calls_per_s=real.requests / span_s,
+        bytes_per_s=(real.bytes_in + real.bytes_out) / span_s,
+        hollow_calls_per_s=hollow.requests / span_s / group.hollow,
+        hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / span_s / group.hollow,
+    )
