--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -33,7 +33,7 @@
         self._balancers: dict[str, LoadBalancer | None] = {}  # None: its policy has raised an error
 
     def run(self, source: TextIO, target: TextIO) -> int:
-        """Answer batches until the input ends.
+        """Reply to batches until the input ends.
 
         Returns:
             The exit status: 0 if the input ended between two batches, 1 if it broke off or was invalid.
