--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -14,4 +14,4 @@
     code = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.S)
     assert len(code) == 1
     done = subprocess.run([sys.executable, "-c", code[0]], text=True, capture_output=True, check=True)
-    assert done.stdout == "".join(f"request {n} goes to a server for at most 250 ms\n" for n in (1, 2))
+    assert done.stdout == "".join(f"request {n} goes to an endpoint for at most 250 ms\n" for n in (1, 2))
