--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -1,4 +1,6 @@
-"""Build what deploy/balancer.toml says, start it, let it answer an empty batch and a health check."""
+"""Builds what deploy/balancer.toml says, starts it, and checks its replies to a batch and a health check."""
+
+from __future__ import annotations
 
 import http.client
 import json
@@ -10,32 +12,82 @@
 import time
 import tomllib
 from pathlib import Path
+from typing import Any
 
-deploy = tomllib.loads(Path("deploy/balancer.toml").read_text(encoding="utf-8"))
-subprocess.run(["/bin/sh", "-c", deploy["build"]], check=True)
-missing = [name for name in deploy["policy"] + deploy["node"] if not Path(name).exists()]
-assert not missing, f"the deploy file names files that are not there: {missing}"
-done = subprocess.run(
-    ["/bin/sh", "-c", deploy["sim"]],
-    input="sync time=1.0 batch=1\neob\n",
-    text=True,
-    capture_output=True,
-    check=True,
-    timeout=60,
-)
-assert done.stdout == "yield batch=1\n", f"an empty batch was answered by {done.stdout!r}"
+DEPLOY_FILE = Path("deploy/balancer.toml")
+SIMULATOR_TIMEOUT_S = 60.0
+READY_TIMEOUT_S = 60.0
+SHUTDOWN_TIMEOUT_S = 30.0
+HEALTH_CHECK_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.05
 
 
-def free_port() -> int:
-    """A port that nobody listens on just now."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
+def read_deploy_file() -> dict[str, Any]:
+    """The deploy file; every file that it names must exist."""
+    deploy = tomllib.loads(DEPLOY_FILE.read_text(encoding="utf-8"))
+    missing = [name for name in deploy["policy"] + deploy["node"] if not Path(name).exists()]
+    assert not missing, f"the deploy file names files that are not there: {missing}"
+    return deploy
+
+
+def build(command: str) -> None:
+    """Run the build command as the platform does."""
+    subprocess.run(["/bin/sh", "-c", command], check=True)
+
+
+def check_simulator(command: str) -> None:
+    """Send an empty batch on the simulator's wire; it must be answered by an empty reply."""
+    done = subprocess.run(
+        ["/bin/sh", "-c", command],
+        input="sync time=1.0 batch=1\neob\n",
+        text=True,
+        capture_output=True,
+        check=True,
+        timeout=SIMULATOR_TIMEOUT_S,
+    )
+    assert done.stdout == "yield batch=1\n", f"an empty batch was answered by {done.stdout!r}"
+
+
+def check_balancer(command: str) -> None:
+    """Start a balancer, wait until its health check succeeds, and end it by SIGTERM."""
+    port = free_port()
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder, "config.json")
+        path.write_text(json.dumps(configuration(port)), encoding="utf-8")
+        balancer = subprocess.Popen(["/bin/sh", "-c", command], env=os.environ | {"LB_CONFIG": str(path)})
+        try:
+            wait_until_ready(balancer, port)
+            balancer.send_signal(signal.SIGTERM)
+            status = balancer.wait(timeout=SHUTDOWN_TIMEOUT_S)
+            assert status == 0, f"after SIGTERM run ended with {status}"
+        finally:
+            balancer.kill()
+
+
+def configuration(port: int) -> dict[str, Any]:
+    """A configuration with one class, no endpoints, and a discovery address at which nobody listens."""
+    request_class = {"name": "read", "target": 100.0, "deadline": 500.0, "effect": "retryable"}
+    return {
+        "name": "n1",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{free_port()}",
+        "seed": "1f",
+        "settings": {"classes": [request_class], "discovery": "ask"},
+    }
 
 
-def health(port: int) -> int:
-    """The status that the balancer's health check gives; 0 while nothing listens."""
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=5)
+def wait_until_ready(balancer: subprocess.Popen[bytes], port: int) -> None:
+    """Wait until the health check succeeds."""
+    deadline = time.monotonic() + READY_TIMEOUT_S
+    while (status := health_status(port)) != http.HTTPStatus.OK:
+        assert balancer.poll() is None, f"run ended with {balancer.returncode}"
+        assert time.monotonic() < deadline, f"/healthz responds {status}"
+        time.sleep(POLL_INTERVAL_S)
+
+
+def health_status(port: int) -> int:
+    """The status of the balancer's response to a health check; 0 while nothing listens."""
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=HEALTH_CHECK_TIMEOUT_S)
     try:
         connection.request("GET", "/healthz")
         return connection.getresponse().status
@@ -45,27 +97,21 @@
         connection.close()
 
 
-port = free_port()
-read = {"name": "read", "target": 100.0, "deadline": 500.0, "effect": "retryable"}
-config = {
-    "name": "n1",
-    "listen": f"127.0.0.1:{port}",
-    "discovery": f"127.0.0.1:{free_port()}",
-    "seed": "1f",
-    "settings": {"classes": [read], "discovery": "ask"},
-}
-with tempfile.TemporaryDirectory() as folder:
-    path = Path(folder, "config.json")
-    path.write_text(json.dumps(config), encoding="utf-8")
-    node = subprocess.Popen(["/bin/sh", "-c", deploy["run"]], env=os.environ | {"LB_CONFIG": str(path)})
-    try:
-        until = time.monotonic() + 60
-        while (status := health(port)) != 200:
-            assert node.poll() is None, f"run ended with {node.returncode}"
-            assert time.monotonic() < until, f"/healthz answers {status}"
-            time.sleep(0.05)
-        node.send_signal(signal.SIGTERM)
-        assert node.wait(timeout=30) == 0, f"after SIGTERM run ended with {node.returncode}"
-    finally:
-        node.kill()
-print("the deploy file builds, and what it starts answers")
+def free_port() -> int:
+    """A port on which nothing listens at this moment."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
+def main() -> None:
+    """Check everything that the deploy file names."""
+    deploy = read_deploy_file()
+    build(deploy["build"])
+    check_simulator(deploy["sim"])
+    check_balancer(deploy["run"])
+    print("the deploy file builds, and what it starts answers")
+
+
+if __name__ == "__main__":
+    main()
