--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -72,7 +72,7 @@
     try:
         proxy.reconfigure(load(path, proxy.log.write))
     except (OSError, ValueError) as error:
-        proxy.log.write(f"configuration not taken up: {_one_line(error)}")
+        proxy.log.write(f"configuration not reloaded: {_one_line(error)}")
 
 
 def _log_unhandled_exceptions(loop: asyncio.AbstractEventLoop, proxy: Proxy) -> None:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -93,7 +93,7 @@
 
     def reconfigure(self, config: Configuration) -> None:
         """Use discovery's address of a new configuration; open requests and connections go on."""
-        self.log.write(f"configuration read again: discovery at {config.discovery[0]}:{config.discovery[1]}")
+        self.log.write(f"configuration reloaded: discovery at {config.discovery[0]}:{config.discovery[1]}")
         self._endpoint_watch.move_to(config.discovery)
 
     def _close_expired_connections(self) -> None:
@@ -198,7 +198,7 @@
             try:
                 self._perform(action)
             except Exception:
-                self.log.exception(f"could not carry out {action!r}")
+                self.log.exception(f"could not perform {action!r}")
                 self._respond_fail_safe(_request_number(action))
         if request is not None:
             request.queued_events -= 1
@@ -209,7 +209,7 @@
             return self.balancer.handle(event, self.clock.now())
         except Exception:
             # Guards against a fault in the policy: it costs this request, never the process.
-            self.log.exception(f"the module failed at {event!r}"[:MAX_LOGGED_EVENT_CHARS])
+            self.log.exception(f"the policy failed at {event!r}"[:MAX_LOGGED_EVENT_CHARS])
             self._respond_fail_safe(request.number if request is not None else None)
             return []
 
--- a/loadbalancer/network/request_pipeline.py
+++ b/loadbalancer/network/request_pipeline.py
@@ -135,7 +135,7 @@
         try:
             self._context.handler.handle_request(request)
         except Exception:  # whatever happens, the client must get a response
-            self._context.report("a request could not be taken up")
+            self._context.report("a request could not be handled")
             request.respond(500)
 
     def _write_response(self, status: int, headers: Headers, body: bytes, *, is_final: bool) -> None:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -119,7 +119,7 @@
             return
         if self._poll_backoff.is_failing and event.kind is not EndpointListKind.CACHED:
             self._poll_backoff.reset()
-            self._actions.append(LogMessage("server list is back"))
+            self._actions.append(LogMessage("endpoint list is reachable again"))
         self._arrivals.start(now)
         self._endpoints.update(event, now)
         self._available.invalidate(now)
@@ -128,7 +128,7 @@
     def _poll_again(self, now: float) -> None:
         """The endpoint list is out of reach: the last one stands."""
         if not self._poll_backoff.is_failing:
-            self._actions.append(LogMessage("server list out of reach; keeping the last one"))
+            self._actions.append(LogMessage("endpoint list is unreachable; keeping the last one"))
         self._actions.append(SetTimer(self._poll_backoff.record_failure(now), EndpointListTimer()))
 
     def _receive(self, event: RequestReceived, now: float) -> None:
@@ -145,9 +145,9 @@
         self._requests[request.id] = request
         self._arrivals.record(now)
         if not self._admission.admits(request_class, event.tenant, event.remaining_ms, now):
-            self._shed(request, "too many calls are out: shedding the least worth first", now)
+            self._shed(request, "overloaded: shedding the requests of the lowest priority weight first", now)
         elif not self._try_start_attempt(request, now):
-            self._shed(request, "no server may take a call: refusing", now)
+            self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
         """Give up a request that was never sent; one line in the log for a whole spell."""
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -74,7 +74,7 @@
             port = free_port()
             write_configuration(path, port, down.getsockname()[1])
             async with running_program(path, DESCRIPTORS) as process:
-                assert b"list out of reach" in await read_log_line(process)
+                assert b"list is unreachable" in await read_log_line(process)
                 clients.extend(asyncio.ensure_future(connect_and_stay_idle(port)) for _ in range(CLIENTS))
                 # The clients go on connecting: over three times as many as are accepted.
                 clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -49,7 +49,7 @@
             program.path.write_text(config_text(await new.start(), program.entries))
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 program.process.send_signal(number)
-            assert b"configuration read again" in await read_log_line(program.process)
+            assert b"configuration reloaded" in await read_log_line(program.process)
             with pytest.raises(ConnectionRefusedError):
                 await connect_until_refused(program.port)
             await program.respond_and_check()
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -52,7 +52,7 @@
             new = DiscoveryServer()
             program.path.write_text("{ not whole")
             program.process.send_signal(signal.SIGHUP)
-            assert b"configuration not taken up" in await read_log_line(program.process)
+            assert b"configuration not reloaded" in await read_log_line(program.process)
             program.path.write_text(config_text(await new.start(), program.entries))
             program.process.send_signal(signal.SIGHUP)
             assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
