--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -74,8 +74,8 @@
         not passed. A retry gets less than a first try only where little is left of the deadline.
         """
         known = self._max_client_timeout_ms[request_class.name]
-        longest = max(remaining_ms, known * (1 - 1 / TIMEOUT_MEMORY_REQUESTS))
-        self._max_client_timeout_ms[request_class.name] = longest
+        max_timeout_ms = max(remaining_ms, known * (1 - 1 / TIMEOUT_MEMORY_REQUESTS))
+        self._max_client_timeout_ms[request_class.name] = max_timeout_ms
         passed_ms = request_class.deadline_ms - remaining_ms
-        is_retry = remaining_ms < FULL_TIMEOUT_FRACTION * longest
+        is_retry = remaining_ms < FULL_TIMEOUT_FRACTION * max_timeout_ms
         return is_retry and passed_ms > request_class.latency_objective_ms
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -209,9 +209,9 @@
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
         """The client has its response: what else is open was waited for in vain."""
-        if request.is_response_owed and outcome is Outcome.SUCCEEDED:
+        if request.is_response_pending and outcome is Outcome.SUCCEEDED:
             self._retry_budgets.earn()
-        request.is_response_owed = False
+        request.is_response_pending = False
         for attempt in request.attempts:
             if attempt.is_open:
                 self._recorder.record_abandoned(attempt, request, now)
@@ -226,7 +226,7 @@
         return True
 
     def _respond_with_failure(self, request: Request) -> None:
-        request.is_response_owed = False
+        request.is_response_pending = False
         if request.request_class.idempotency is Idempotency.SAFE or not request.may_have_run():
             # By the time that a mean request takes there is room again, of attempts that are open now.
             service_time = self._service_times.mean_ms(request.request_class.name)
@@ -244,10 +244,10 @@
 
     def _disconnect_client(self, request_id: int) -> None:
         if request := self._requests.get(request_id):
-            request.is_response_owed = False
+            request.is_response_pending = False
             self._cancel_open_attempts(request)
             self._forget_if_finished(request)
 
     def _forget_if_finished(self, request: Request) -> None:
-        if not request.is_response_owed and not request.has_open_attempt():
+        if not request.is_response_pending and not request.has_open_attempt():
             self._requests.pop(request.id, None)
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -88,8 +88,8 @@
         return min(open_attempts, self._mean_open) >= bound or _is_burst(open_attempts, bound)
 
     def _update_mean(self, open_attempts: int, now: float) -> None:
-        share = 1 - math.exp((self._updated_at - now) / OVERLOAD_MEMORY_MS)
-        self._mean_open += (open_attempts - self._mean_open) * share
+        new_fraction = 1 - math.exp((self._updated_at - now) / OVERLOAD_MEMORY_MS)
+        self._mean_open += (open_attempts - self._mean_open) * new_fraction
         self._updated_at = now
 
 
--- a/loadbalancer/policy/peers.py
+++ b/loadbalancer/policy/peers.py
@@ -14,7 +14,7 @@
     def __init__(self, settings: Settings, arrivals: ArrivalRate) -> None:
         self._configured = settings.balancers
         self._arrivals = arrivals
-        self._usual_weight = 0.0
+        self._baseline_weight = 0.0
         self.count = float(settings.balancers)  # at least 1
 
     def update(self, weight: float, updated_at: float, now: float) -> None:
@@ -25,8 +25,8 @@
 
         `weight` is that of the endpoints that can take requests, `updated_at` when it was last taken.
         """
-        faded = self._usual_weight * math.exp((updated_at - now) / PEERS_MEMORY_MS)
-        self._usual_weight = max(weight, faded)
-        weight_left = weight / (self._usual_weight or 1.0)
-        pause_left = self._arrivals.recent_pause_ms / (self._arrivals.usual_pause_ms or 1.0)
-        self.count = max(self._configured * min(max(weight_left, pause_left), 1.0), 1.0)
+        faded = self._baseline_weight * math.exp((updated_at - now) / PEERS_MEMORY_MS)
+        self._baseline_weight = max(weight, faded)
+        weight_ratio = weight / (self._baseline_weight or 1.0)
+        pause_ratio = self._arrivals.recent_pause_ms / (self._arrivals.usual_pause_ms or 1.0)
+        self.count = max(self._configured * min(max(weight_ratio, pause_ratio), 1.0), 1.0)
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -35,8 +35,8 @@
 
         What grows is the time from poll to poll: one that was slow to fail has been pause enough.
         """
-        longest = min(MAX_POLL_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
-        pause = min(POLL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), longest)
+        max_pause_ms = min(MAX_POLL_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
+        pause = min(POLL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_pause_ms)
         jitter = 0.5 + self._random.random()
         self._failures += 1
         earliest = now + min(MIN_POLL_PAUSE_MS, pause) * jitter
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -28,7 +28,7 @@
     useful_until: float  # after this a response has no value for the client
     work: float = 1.0  # its work over that of the mean request, where a cost hint tells
     attempts: list[Attempt] = field(default_factory=list)
-    is_response_owed: bool = True
+    is_response_pending: bool = True
     is_streaming: bool = False
 
     @property
@@ -42,7 +42,7 @@
 
     def needs_attempt(self) -> bool:
         """Whether a response is owed that no open attempt can bring."""
-        return self.is_response_owed and not self.has_open_attempt()
+        return self.is_response_pending and not self.has_open_attempt()
 
     def may_have_run(self) -> bool:
         """Whether an attempt may have had an effect."""
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -87,4 +87,4 @@
 
     def allows(self, request: Request) -> bool:
         """Whether the time for a hedged attempt has come to a request that still waits for its first one."""
-        return self._is_enabled and request.is_response_owed and len(request.attempts) == 1
+        return self._is_enabled and request.is_response_pending and len(request.attempts) == 1
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -39,8 +39,8 @@
         eligible = self._idempotency.eligible(request, now)
         eligible = self._slow_start.with_capacity(eligible, not request.attempts, now)
         if request.attempts:
-            tried = [a.endpoint for a in request.attempts]
-            eligible = [e for e in eligible if e not in tried] or eligible
+            attempted = [a.endpoint for a in request.attempts]
+            eligible = [e for e in eligible if e not in attempted] or eligible
         if not eligible:
             return None
         eligible = without_outliers(eligible, request.request_class.name, now)
