--- /dev/null
+++ b/tests/test_documentation.py
@@ -0,0 +1,80 @@
+"""The pages agree with the tree: links, log lines, and the withdrawn package name."""
+
+from __future__ import annotations
+
+import ast
+import os
+import re
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
+RECORDS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
+OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
+NAME_MAY_STAND_IN = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
+NOT_OF_THE_TREE = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
+NOT_OF_THE_TREE_PREFIXES = (".venv-", ".mypy_cache", ".ruff_cache", ".pytest_cache", ".hypothesis")
+LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
+MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
+
+
+def page_name(path: Path) -> str:
+    return str(path.relative_to(ROOT))
+
+
+def tree_files() -> Iterator[Path]:
+    """The files of the tree, without what tools leave behind."""
+    for folder, folders, names in os.walk(ROOT):
+        folders[:] = [
+            name
+            for name in folders
+            if name not in NOT_OF_THE_TREE
+            and not name.startswith(NOT_OF_THE_TREE_PREFIXES)
+            and not name.endswith(".egg-info")
+        ]
+        yield from (Path(folder, name) for name in names)
+
+
+def test_the_old_package_name_is_withdrawn() -> None:
+    found = [
+        page_name(path)
+        for path in tree_files()
+        if not page_name(path).startswith(NAME_MAY_STAND_IN)
+        and (OLD_PACKAGE_NAME in page_name(path) or OLD_PACKAGE_NAME.encode() in path.read_bytes())
+    ]
+    assert found == []
+
+
+@pytest.mark.parametrize("page", PAGES + RECORDS, ids=page_name)
+def test_links_lead_somewhere(page: Path) -> None:
+    targets = re.findall(r"\]\(([^)#\s]+)[^)]*\)", page.read_text(encoding="utf-8"))
+    missing = [t for t in targets if "://" not in t and not (page.parent / t).exists()]
+    assert missing == []
+
+
+def message_texts(path: Path) -> Iterator[str]:
+    """The constant texts that a module passes to a function that writes a line."""
+    for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        if isinstance(node, ast.Call) and node.args:
+            function = node.func
+            name = function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
+            if name in LOGGING_FUNCTIONS:
+                yield from constants(node.args[0])
+
+
+def constants(node: ast.AST) -> Iterator[str]:
+    """The texts of a string or of the fixed parts of an f-string."""
+    for part in node.values if isinstance(node, ast.JoinedStr) else [node]:
+        if isinstance(part, ast.Constant) and isinstance(part.value, str):
+            yield part.value.strip()
+
+
+def test_the_on_call_page_has_every_line() -> None:
+    page = (ROOT / "docs" / "ONCALL.md").read_text(encoding="utf-8")
+    texts = [text for path in (ROOT / "loadbalancer").rglob("*.py") for text in message_texts(path)]
+    long_texts = {text for text in texts if len(text) >= MIN_TEXT_LENGTH}
+    assert long_texts, "no message found: LOGGING_FUNCTIONS must name the functions that write lines"
+    assert {text for text in long_texts if text not in page} == set()
