--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages agree with the tree: links, log lines, and the withdrawn package name."""
+"""The pages agree with the tree: links, paths, module list, log lines, and the withdrawn package name."""
 
 from __future__ import annotations
 
@@ -55,6 +55,27 @@
     assert missing == []
 
 
+@pytest.mark.parametrize("page", PAGES, ids=page_name)
+def test_paths_exist(page: Path) -> None:
+    paths = re.findall(
+        r"`((?:loadbalancer|testbed|tests|docs|deploy|\.ci)/[\w./-]*)`", page.read_text(encoding="utf-8")
+    )
+    missing = [path for path in paths if not (ROOT / path).exists()]
+    assert missing == []
+
+
+def test_the_architecture_page_names_every_module() -> None:
+    page = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
+    modules = [
+        path
+        for package in ("loadbalancer", "testbed")
+        for path in sorted((ROOT / package).rglob("*.py"))
+        if path.name not in ("__init__.py", "__main__.py")
+    ]
+    missing = [page_name(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", page)]
+    assert missing == []
+
+
 def message_texts(path: Path) -> Iterator[str]:
     """The constant texts that a module passes to a function that writes a line."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
