--- a/loadbalancer/network/response_reader.py
+++ b/loadbalancer/network/response_reader.py
@@ -47,11 +47,6 @@
         """Whether the connection may carry a further request."""
         return self._may_reuse
 
-    @property
-    def bytes_since_response(self) -> int:
-        """How many bytes have been read since the last complete response, whatever they were."""
-        return self._bytes_since_response
-
     def feed(self, data: bytes) -> Response | None:
         """Parse further bytes of the connection.
 
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Iterator
 
 from loadbalancer.endpoints import Endpoint
-from loadbalancer.events import EndpointListUpdate, Event
+from loadbalancer.events import Event
 from loadbalancer.settings_reader import Fields, Warn, integer, number, required
 from loadbalancer.simulator.codec import (
     read_endpoint,
-    read_endpoint_list_reference,
+    read_endpoint_list_update,
     read_event,
     read_fields,
     read_instance_started,
@@ -108,13 +108,5 @@
 
     def _read_event(self, kind: str, fields: Fields) -> Event | None:
         if kind == _ENDPOINT_LIST:
-            return self._read_endpoint_list_update(fields)
+            return read_endpoint_list_update(fields, self._shared_lists)
         return read_event(kind, fields, self._warn)
-
-    def _read_endpoint_list_update(self, fields: Fields) -> EndpointListUpdate:
-        reference = read_endpoint_list_reference(fields)
-        if reference.list_id is None:
-            return EndpointListUpdate(reference.kind)
-        if reference.list_id not in self._shared_lists:
-            raise WireError(f"ledger {reference.list_id} was never sent")
-        return EndpointListUpdate(reference.kind, self._shared_lists[reference.list_id])
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -7,8 +7,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Callable, Mapping
 
 from loadbalancer.actions import (
     Action,
@@ -27,6 +26,7 @@
     AttemptFinished,
     ClientDisconnected,
     EndpointListKind,
+    EndpointListUpdate,
     Event,
     HealthCheckFinished,
     Outcome,
@@ -59,21 +59,6 @@
 _HEDGE_TIMER = "hedge"
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointListReference:
-    """An endpoint list event as it stands on the wire: it names a list that was sent earlier in full.
-
-    A list travels once for all instances; `BatchReader` puts its entries in the place of the reference.
-
-    Attributes:
-        kind: What the list is to the instance.
-        list_id: The number that the list was sent with; None for a kind that carries no entries.
-    """
-
-    kind: EndpointListKind
-    list_id: int | None
-
-
 def read_fields(parts: list[str]) -> Fields:
     """Read the `name=value` parts of a line.
 
@@ -99,11 +84,25 @@
     )
 
 
-def read_endpoint_list_reference(fields: Fields) -> EndpointListReference:
-    """Read the endpoint list event of one line."""
+def read_endpoint_list_update(
+    fields: Fields, shared_lists: Mapping[int, tuple[Endpoint, ...]]
+) -> EndpointListUpdate:
+    """Read the endpoint list event of one line.
+
+    Args:
+        fields: The line; it names its list by a number.
+        shared_lists: The lists that were sent before, by their numbers.
+
+    Raises:
+        SettingsError: A field is missing or malformed, or the list was never sent.
+    """
     kind = lookup(_LIST_KIND_BY_CODE, fields, "mode")
-    list_id = None if kind is EndpointListKind.FAILED else integer(fields, "list")
-    return EndpointListReference(kind, list_id)
+    if kind is EndpointListKind.FAILED:
+        return EndpointListUpdate(kind)
+    list_id = integer(fields, "list")
+    if list_id not in shared_lists:
+        raise WireError(f"ledger {list_id} was never sent")
+    return EndpointListUpdate(kind, shared_lists[list_id])
 
 
 def read_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
