--- a/loadbalancer/network/client_connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import cast
 
-from loadbalancer.network.client_transport import ClientTransport
-from loadbalancer.network.connection_context import ConnectionContext
-from loadbalancer.network.incoming_request import Rejection
-from loadbalancer.network.request_pipeline import LINGER_TIMEOUT_S, RequestPipeline
-from loadbalancer.network.request_reader import RequestReader
+from loadbalancer.network.client.context import ConnectionContext
+from loadbalancer.network.client.incoming_request import Rejection
+from loadbalancer.network.client.pipeline import LINGER_TIMEOUT_S, RequestPipeline
+from loadbalancer.network.client.request_reader import RequestReader
+from loadbalancer.network.client.transport import ClientTransport
 
 # For a whole request, counted from connecting or from the request's first byte.
 REQUEST_TIMEOUT_S = 1.8
--- a/loadbalancer/network/connection_context.py
+++ b/loadbalancer/network/client/context.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loadbalancer.network.incoming_request import RequestHandler
+from loadbalancer.network.client.incoming_request import RequestHandler
 from loadbalancer.settings import RequestClass
 
 
--- a/loadbalancer/network/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -7,8 +7,8 @@
 from collections.abc import Set as AbstractSet
 from typing import Protocol
 
-from loadbalancer.network.client_connection import ClientConnection
-from loadbalancer.network.connection_context import ConnectionContext
+from loadbalancer.network.client.connection import ClientConnection
+from loadbalancer.network.client.context import ConnectionContext
 
 # The platform waits no longer than this, whatever the deadlines are.
 SHUTDOWN_MAX_DEADLINE_S = 3.0
--- a/loadbalancer/network/listener.py
+++ b/loadbalancer/network/client/listener.py
@@ -13,11 +13,11 @@
 from typing import NamedTuple
 
 from loadbalancer.configuration import Configuration
-from loadbalancer.network import client_connection
-from loadbalancer.network.client_connection import ClientConnection
-from loadbalancer.network.connection_context import BufferAccount, ConnectionContext
-from loadbalancer.network.graceful_shutdown import GracefulShutdown
-from loadbalancer.network.incoming_request import RequestHandler
+from loadbalancer.network.client import connection as client_connection
+from loadbalancer.network.client.connection import ClientConnection
+from loadbalancer.network.client.context import BufferAccount, ConnectionContext
+from loadbalancer.network.client.graceful_shutdown import GracefulShutdown
+from loadbalancer.network.client.incoming_request import RequestHandler
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
 
 # Clients queue in the kernel while the loop is busy, instead of being refused.
--- a/loadbalancer/network/request_pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -4,12 +4,12 @@
 
 import time
 
-from loadbalancer.network.client_transport import ClientTransport
-from loadbalancer.network.connection_context import ConnectionContext
+from loadbalancer.network.client.context import ConnectionContext
+from loadbalancer.network.client.incoming_request import IncomingRequest, Rejection
+from loadbalancer.network.client.request_reader import RequestReader
+from loadbalancer.network.client.response_writer import serialize_response
+from loadbalancer.network.client.transport import ClientTransport
 from loadbalancer.network.headers import Headers
-from loadbalancer.network.incoming_request import IncomingRequest, Rejection
-from loadbalancer.network.request_reader import RequestReader
-from loadbalancer.network.response_writer import serialize_response
 
 # A connection that buffers no more than this is not rejected for want of memory.
 UNCONDITIONAL_BUFFER_BYTES = 16_384
--- a/loadbalancer/network/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -8,8 +8,8 @@
 
 import httptools
 
+from loadbalancer.network.client.incoming_request import IncomingRequest, Rejection, RequestRejectedError
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
-from loadbalancer.network.incoming_request import IncomingRequest, Rejection, RequestRejectedError
 from loadbalancer.settings import RequestClass
 
 MAX_PIPELINED_REQUESTS = 16  # whole requests read ahead on one connection; beyond that, parsing waits
--- /dev/null
+++ b/loadbalancer/network/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The side of discovery: the watch on the endpoint list."""
--- a/loadbalancer/network/discovery_connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from loadbalancer.network.errors import ProtocolError
-from loadbalancer.network.response_reader import Response, ResponseReader
+from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
 # From a response's first byte to its last: one that stops short is not waited for until the call's timeout.
 BODY_TIMEOUT_S = 0.5
--- a/loadbalancer/network/endpoint_watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from loadbalancer.configuration import Address, Configuration, EndpointList, read_endpoint_list
-from loadbalancer.network.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+from loadbalancer.network.discovery.connection import DiscoveryConnection, DiscoveryStatusError
 
 # The wait of one watch call; a change ends it at once.
 # Guards against a watch that went silent without a sign of it, as one does that was open while discovery was
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Iterator
 
+from loadbalancer.network.client.incoming_request import IncomingRequest
 from loadbalancer.network.headers import Headers
-from loadbalancer.network.incoming_request import IncomingRequest
 from loadbalancer.network.request_ids import RequestIds
-from loadbalancer.network.upstream_attempt import UpstreamAttempt
+from loadbalancer.network.upstream.attempt import UpstreamAttempt
 
 
 class ProxiedRequest:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -32,16 +32,16 @@
     RequestReceived,
     TimerFired,
 )
-from loadbalancer.network.attempt_runner import AttemptRunner
+from loadbalancer.network.client.incoming_request import IncomingRequest
+from loadbalancer.network.client.listener import Listener
 from loadbalancer.network.clock import Clock
-from loadbalancer.network.endpoint_watch import EndpointWatch
+from loadbalancer.network.discovery.watch import EndpointWatch
 from loadbalancer.network.headers import Headers
-from loadbalancer.network.health_checks import HealthChecks
-from loadbalancer.network.incoming_request import IncomingRequest
-from loadbalancer.network.listener import Listener
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
-from loadbalancer.network.upstream_pool import UpstreamPools
+from loadbalancer.network.upstream.attempt_runner import AttemptRunner
+from loadbalancer.network.upstream.health_checks import HealthChecks
+from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 
 # The policy gets a deadline this much before the client's: the response still has to reach the client.
--- a/loadbalancer/network/upstream_attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -13,8 +13,8 @@
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.errors import ConnectionLimitError
-from loadbalancer.network.response_reader import Response
-from loadbalancer.network.upstream_connection import UpstreamConnection
+from loadbalancer.network.upstream.connection import UpstreamConnection
+from loadbalancer.network.upstream.response_reader import Response
 
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
--- a/loadbalancer/network/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -7,14 +7,14 @@
 
 from loadbalancer.actions import CancelAttempt, StartAttempt
 from loadbalancer.events import NEVER_RAN, AttemptFinished, Event, Outcome
+from loadbalancer.network.client.incoming_request import IncomingRequest
 from loadbalancer.network.clock import Clock
 from loadbalancer.network.headers import end_to_end_headers
-from loadbalancer.network.incoming_request import IncomingRequest
 from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
-from loadbalancer.network.response_reader import Response
-from loadbalancer.network.upstream_attempt import UpstreamAttempt
-from loadbalancer.network.upstream_pool import UpstreamPools
-from loadbalancer.network.upstream_request import UpstreamRequest
+from loadbalancer.network.upstream.attempt import UpstreamAttempt
+from loadbalancer.network.upstream.pool import UpstreamPools
+from loadbalancer.network.upstream.request_bytes import UpstreamRequest
+from loadbalancer.network.upstream.response_reader import Response
 
 
 class AttemptRunner:
--- a/loadbalancer/network/upstream_connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -8,8 +8,8 @@
 from typing import Protocol, cast
 
 from loadbalancer.network.errors import InvalidResponseError
-from loadbalancer.network.response_reader import Response, ResponseReader
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
+from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
 
 class ResponseHandler(Protocol):
--- a/loadbalancer/network/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -6,8 +6,8 @@
 from functools import partial
 
 from loadbalancer.events import Event, HealthCheckFinished, Outcome
-from loadbalancer.network.response_reader import Response
-from loadbalancer.network.upstream_pool import UpstreamPools
+from loadbalancer.network.upstream.pool import UpstreamPools
+from loadbalancer.network.upstream.response_reader import Response
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
 _REQUEST = b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
--- a/loadbalancer/network/upstream_pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -12,8 +12,8 @@
 from loadbalancer.endpoints import EndpointState
 from loadbalancer.network.errors import ConnectionLimitError
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
-from loadbalancer.network.upstream_attempt import OnAttemptEnd, UpstreamAttempt
-from loadbalancer.network.upstream_connection import UpstreamConnection
+from loadbalancer.network.upstream.attempt import OnAttemptEnd, UpstreamAttempt
+from loadbalancer.network.upstream.connection import UpstreamConnection
 
 IDLE_TIMEOUT_FRACTION = 0.8
 """Part of the upstream's idle timeout that is used: a request that crosses its closing ends as a reset."""
--- a/loadbalancer/network/upstream_request.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -4,7 +4,7 @@
 
 import time
 
-from loadbalancer.network.incoming_request import IncomingRequest
+from loadbalancer.network.client.incoming_request import IncomingRequest
 
 MIN_DEADLINE_US = 1.0  # X-Deadline has to be above 0
 
--- a/testbed/runs/list_size_lists.py
+++ b/testbed/runs/list_size_lists.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.configuration import read_configuration, read_endpoint_list
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
-from loadbalancer.network.upstream_pool import UpstreamPools
+from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed import settings
 from testbed.discovery import Discovery
--- a/tests/network/disconnecting_clients.py
+++ b/tests/network/disconnecting_clients.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from loadbalancer.network.upstream_connection import UpstreamConnection
-from loadbalancer.network.upstream_pool import UpstreamPool
+from loadbalancer.network.upstream.connection import UpstreamConnection
+from loadbalancer.network.upstream.pool import UpstreamPool
 from tests.network.loopback import Rig
 
 HEDGING_LIMITS = {
--- a/tests/network/simulated_discovery.py
+++ b/tests/network/simulated_discovery.py
@@ -15,7 +15,7 @@
 from loadbalancer.actions import Action
 from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import EndpointListUpdate, Event
-from loadbalancer.network import endpoint_watch
+from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.network.proxy import Proxy
 from tests.network.configurations import DEFAULT_SEED, config_text, configuration
 from tests.network.loopback import entry, list_response, response
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import request_reader
+from loadbalancer.network.client import request_reader
 from loadbalancer.timers import HedgeTimer
 from tests.network.disconnecting_clients import (
     HEDGING_LIMITS,
--- a/tests/network/test_busy_event_loop.py
+++ b/tests/network/test_busy_event_loop.py
@@ -10,10 +10,11 @@
 
 import pytest
 
-from loadbalancer.network import client_connection, graceful_shutdown
-from loadbalancer.network import listener as listener_module
-from loadbalancer.network.client_connection import ClientConnection
-from loadbalancer.network.listener import Listener
+from loadbalancer.network.client import connection as client_connection
+from loadbalancer.network.client import graceful_shutdown
+from loadbalancer.network.client import listener as listener_module
+from loadbalancer.network.client.connection import ClientConnection
+from loadbalancer.network.client.listener import Listener
 from tests.network.disconnecting_clients import connect_client, request_bytes
 from tests.network.loopback import Rig, Upstream, run, status
 
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -16,9 +16,10 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network import client_connection, request_reader
+from loadbalancer.network.client import connection as client_connection
+from loadbalancer.network.client import request_reader
 from loadbalancer.network.headers import MAX_BODY_BYTES
-from loadbalancer.network.upstream_connection import UpstreamConnection
+from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
 from tests.network.disconnecting_clients import (
     HEDGING_LIMITS,
--- a/tests/network/test_connection_limit.py
+++ b/tests/network/test_connection_limit.py
@@ -11,7 +11,7 @@
 import time
 from typing import Any
 
-from loadbalancer.network import listener
+from loadbalancer.network.client import listener
 from tests.network.loopback import TIMEOUT_S, Rig, Upstream, config_text, free_port, run, status
 
 
--- a/tests/network/test_connection_timeouts.py
+++ b/tests/network/test_connection_timeouts.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from loadbalancer.network import client_connection, listener, request_pipeline
+from loadbalancer.network.client import connection as client_connection
+from loadbalancer.network.client import listener
+from loadbalancer.network.client import pipeline as request_pipeline
 from tests.network.loopback import Rig, Upstream, never_respond, response, run, status
 
 
--- a/tests/network/test_endpoint_list_updates.py
+++ b/tests/network/test_endpoint_list_updates.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.events import EndpointListKind
-from loadbalancer.network import endpoint_watch
+from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.network.event_recorder import list_kinds, record_events
 from tests.network.loopback import TIMEOUT_S, Rig, Upstream, entry, reset, response, run, status
 
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -16,7 +16,8 @@
 
 from loadbalancer.actions import SetTimer
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
-from loadbalancer.network import discovery_connection, endpoint_watch
+from loadbalancer.network.discovery import connection as discovery_connection
+from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.policy import poll_backoff
 from tests.network.configurations import config_text, configuration
 from tests.network.loopback import Rig, Upstream, entry, read_message, response, run
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -15,8 +15,8 @@
 from loadbalancer.actions import Action, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, Outcome, RequestReceived
 from loadbalancer.network.proxy import Proxy
-from loadbalancer.network.upstream_connection import UpstreamConnection
-from loadbalancer.network.upstream_pool import UpstreamPool
+from loadbalancer.network.upstream.connection import UpstreamConnection
+from loadbalancer.network.upstream.pool import UpstreamPool
 from tests.network.configurations import configuration
 from tests.network.loopback import (
     DiscoveryServer,
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from loadbalancer.events import Outcome
-from loadbalancer.network import graceful_shutdown
+from loadbalancer.network.client import graceful_shutdown
 from tests.network.event_recorder import outcomes, record_events
 from tests.network.loopback import Client, Rig, Upstream, never_respond, response, run, status
 
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
-from loadbalancer.network import endpoint_watch
+from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.network.configurations import configuration
 from tests.network.loopback import (
     DiscoveryServer,
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -38,7 +38,7 @@
 PROGRAM_WITH_EARLY_CLIENT = """if True:
     import os, signal, socket
     from loadbalancer import __main__ as program
-    from loadbalancer.network.listener import Listener
+    from loadbalancer.network.client.listener import Listener
     start, clients = Listener.start, []
     def start_with_client(listener):
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -11,7 +11,7 @@
 from loadbalancer.actions import Action, RejectRequest, StartAttempt
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.sockets import peek
-from loadbalancer.network.upstream_pool import REUSE_DELAY_S, UpstreamPool
+from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
 from tests.network.loopback import (
     ReceivedMessage,
     Rig,
--- a/tests/network/upstream_attempts.py
+++ b/tests/network/upstream_attempts.py
@@ -10,9 +10,9 @@
 
 from loadbalancer.configuration import EndpointList, read_configuration, read_endpoint_list
 from loadbalancer.events import Outcome
-from loadbalancer.network.response_reader import Response
-from loadbalancer.network.upstream_attempt import UpstreamAttempt
-from loadbalancer.network.upstream_pool import UpstreamPools
+from loadbalancer.network.upstream.attempt import UpstreamAttempt
+from loadbalancer.network.upstream.pool import UpstreamPools
+from loadbalancer.network.upstream.response_reader import Response
 from tests.network.loopback import config_text, entry
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.configuration import read_configuration
-from loadbalancer.network import endpoint_watch as client
+from loadbalancer.network.discovery import watch as client
 from testbed.agent_state import AgentMode, AgentState
 from testbed.discovery import Discovery
 from testbed.hollow import Hollow
