--- a/testbed/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -13,9 +13,9 @@
 from numpy.typing import NDArray
 
 from loadbalancer.configuration import read_configuration
+from testbed.balancer.hollow import Hollow
 from testbed.child_process import ChildProcess, run_child, serve_pipe
-from testbed.hollow import Hollow
-from testbed.meter import LoopLag
+from testbed.measurement.meter import LoopLag
 
 
 @dataclass(frozen=True, slots=True)
--- a/testbed/real.py
+++ b/testbed/balancer/real.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.configuration import Address, read_address
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
 """A command that runs the balancer of this tree on the running Python, without the deploy file's build."""
 
--- /dev/null
+++ b/testbed/chain/__init__.py
@@ -0,0 +1,1 @@
+"""Chains of tiers that are simulated on a virtual clock."""
--- a/testbed/chain.py
+++ b/testbed/chain/chain.py
@@ -9,10 +9,10 @@
 
 import random
 
-from testbed.chain_host import BalancerHost
-from testbed.chain_request import ChainStatistics, ClientRequest
-from testbed.chain_server import Behaviour, Server
-from testbed.chain_settings import ChainSettings, ServiceModel
+from testbed.chain.host import BalancerHost
+from testbed.chain.request import ChainStatistics, ClientRequest
+from testbed.chain.server import Behaviour, Server
+from testbed.chain.settings import ChainSettings, ServiceModel
 from testbed.virtual_clock import VirtualClock
 
 
--- a/testbed/chain_host.py
+++ b/testbed/chain/host.py
@@ -36,9 +36,9 @@
 )
 from loadbalancer.network.proxy import FAIL_SAFE_MARGIN_MS, RESPONSE_MARGIN_MS
 from loadbalancer.policy.balancer import LoadBalancer
-from testbed.chain_request import ChainStatistics, ClientRequest, Responder
-from testbed.chain_server import Attempt, Server
-from testbed.chain_settings import ChainSettings
+from testbed.chain.request import ChainStatistics, ClientRequest, Responder
+from testbed.chain.server import Attempt, Server
+from testbed.chain.settings import ChainSettings
 from testbed.virtual_clock import VirtualClock
 
 
--- a/testbed/chain_server.py
+++ b/testbed/chain/server.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from loadbalancer.events import Outcome
-from testbed.chain_request import ClientRequest, Responder
-from testbed.chain_settings import ChainSettings, ServiceModel
+from testbed.chain.request import ClientRequest, Responder
+from testbed.chain.settings import ChainSettings, ServiceModel
 from testbed.virtual_clock import VirtualClock
 
 
--- /dev/null
+++ b/testbed/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-in for the discovery service: agents that serve the endpoint list."""
--- a/testbed/discovery_agent.py
+++ b/testbed/discovery/agent.py
@@ -10,9 +10,9 @@
 from urllib.parse import parse_qs, urlsplit
 
 from loadbalancer.configuration import Address
-from testbed.agent_state import AgentMode, AgentState, RequestCounts
-from testbed.endpoint_history import NO_VERSION, EndpointHistory, ListResponse
-from testbed.http_reader import HttpRequest, MalformedRequestError, RequestReader
+from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
+from testbed.discovery.endpoint_history import NO_VERSION, EndpointHistory, ListResponse
+from testbed.http.reader import HttpRequest, MalformedRequestError, RequestReader
 
 LIST_PATH = "/v1/servers"
 MAX_WAIT_MS = 60_000
--- a/testbed/churn.py
+++ b/testbed/discovery/churn.py
@@ -7,8 +7,8 @@
 import random
 from collections.abc import Callable, Iterable, Iterator
 
-from testbed.discovery import Discovery
-from testbed.endpoint_history import REMOVED
+from testbed.discovery.endpoint_history import REMOVED
+from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
 
 IN_SERVICE = "in_service"
--- a/testbed/discovery.py
+++ b/testbed/discovery/service.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Hashable, Iterable
 
 from loadbalancer.configuration import Address
-from testbed.agent_state import AgentMode, AgentState, RequestCounts
-from testbed.discovery_agent import Agent, WatchObserver
-from testbed.endpoint_history import EndpointHistory, ListResponse
+from testbed.discovery.agent import Agent, WatchObserver
+from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
+from testbed.discovery.endpoint_history import EndpointHistory, ListResponse
 from testbed.settings import EndpointEntry
 
 ALL_AGENTS = "all"
--- /dev/null
+++ b/testbed/load/__init__.py
@@ -0,0 +1,1 @@
+"""Load: arrival times and the streams of requests that are sent at them."""
--- a/testbed/load.py
+++ b/testbed/load/streams.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from testbed.arrivals import arrival_times
-from testbed.http_client import Client, Clock, compose_request, request_ids
-from testbed.kernel_timer import KernelTimer
-from testbed.latency import Latencies
+from testbed.http.client import Client, Clock, compose_request, request_ids
+from testbed.load.arrivals import arrival_times
+from testbed.load.kernel_timer import KernelTimer
+from testbed.measurement.latency import Latencies
 
 Sleep = Callable[[float], Awaitable[None]]
 """Waits for some seconds of the load's clock."""
--- /dev/null
+++ b/testbed/measurement/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements: latency histograms, processor time and memory."""
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -13,14 +13,17 @@
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
-from testbed import http_client, latency, load, settings
-from testbed.discovery import Discovery
-from testbed.meter import CoresWatch, Usage, usage
-from testbed.real import SAME_PYTHON, RealBalancer, free_address
+from testbed import settings
+from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.discovery.service import Discovery
+from testbed.http import client as http_client
+from testbed.load import streams as load
+from testbed.measurement import latency
+from testbed.measurement.meter import CoresWatch, Usage, usage
 from testbed.results import Measured, Row, RunResult, fit_columns
 from testbed.runs import loaded
-from testbed.upstream_behaviour import UpstreamCounts
-from testbed.upstream_group import UpstreamProcess
+from testbed.upstream.behaviour import UpstreamCounts
+from testbed.upstream.group import UpstreamProcess
 
 _AGENTS = "127.79.0.1"
 _BALANCER = "127.78.0.1"
--- /dev/null
+++ b/testbed/runs/control/__init__.py
@@ -0,0 +1,1 @@
+"""Runs that measure how balancers follow changes of the endpoint list."""
--- a/testbed/runs/control_change.py
+++ b/testbed/runs/control/change.py
@@ -16,12 +16,12 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.arrivals import arrival_times
-from testbed.churn import play_changes, single_changes
+from testbed.discovery.churn import play_changes, single_changes
+from testbed.load.arrivals import arrival_times
 from testbed.results import Measured, RunResult, fit_columns
-from testbed.runs.control_change_measurement import ChangeMeasurement, ChangeRow
-from testbed.runs.control_delays import VersionSeen
-from testbed.runs.control_group import (
+from testbed.runs.control.change_measurement import ChangeMeasurement, ChangeRow
+from testbed.runs.control.delays import VersionSeen
+from testbed.runs.control.group import (
     FOLLOW_S,
     BalancerGroup,
     all_follow,
--- a/testbed/runs/control_change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -9,12 +9,12 @@
 
 import numpy as np
 
-from testbed.agent_state import RequestCounts
-from testbed.hollow_process import HollowReport
-from testbed.meter import CoresWatch, LoopLag, usage
+from testbed.balancer.hollow_process import HollowReport
+from testbed.discovery.agent_state import RequestCounts
+from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Measured, Row
-from testbed.runs.control_delays import VersionSeen, delays_ms, spread
-from testbed.runs.control_group import LATE_S, BalancerGroup, sum_counts
+from testbed.runs.control.delays import VersionSeen, delays_ms, spread
+from testbed.runs.control.group import LATE_S, BalancerGroup, sum_counts
 
 PROCESS_FULL = 0.8
 """A process that uses this much of a core, as a fraction, measures how its balancers wait for one another."""
--- a/testbed/runs/control_group.py
+++ b/testbed/runs/control/group.py
@@ -15,10 +15,10 @@
 import uvloop
 
 from testbed import settings
-from testbed.agent_state import RequestCounts
-from testbed.discovery import Discovery
-from testbed.hollow_process import HollowProcess
-from testbed.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.balancer.hollow_process import HollowProcess
+from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.discovery.agent_state import RequestCounts
+from testbed.discovery.service import Discovery
 from testbed.results import RowT, RunResult
 
 LATE_S = 0.1
--- a/testbed/runs/control_rest.py
+++ b/testbed/runs/control/rest.py
@@ -12,10 +12,10 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.agent_state import RequestCounts
-from testbed.meter import CoresWatch, LoopLag, usage
+from testbed.discovery.agent_state import RequestCounts
+from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Row, RunResult, fit_columns
-from testbed.runs.control_group import (
+from testbed.runs.control.group import (
     LATE_S,
     BalancerGroup,
     run_scenario,
--- /dev/null
+++ b/testbed/runs/depth/__init__.py
@@ -0,0 +1,1 @@
+"""The run that simulates chains of many tiers."""
--- a/testbed/runs/depth_plan.py
+++ b/testbed/runs/depth/plan.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass
 from testbed import experiment
-from testbed.chain_server import Behaviour
-from testbed.chain_settings import ChainSettings
+from testbed.chain.server import Behaviour
+from testbed.chain.settings import ChainSettings
 from testbed.experiment import formerly
 
 Positive = Annotated[float, Field(gt=0)]
--- a/testbed/runs/depth.py
+++ b/testbed/runs/depth/run.py
@@ -14,8 +14,8 @@
 from structlog.typing import FilteringBoundLogger
 
 from testbed.results import Fit, RunResult, fit_line
-from testbed.runs.depth_plan import Fault, Plan
-from testbed.runs.depth_simulation import DepthRow, Simulation
+from testbed.runs.depth.plan import Fault, Plan
+from testbed.runs.depth.simulation import DepthRow, Simulation
 
 __all__ = ["Fault", "Plan", "play"]
 
--- a/testbed/runs/depth_simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -12,11 +12,11 @@
 
 import numpy as np
 
-from testbed.chain import Chain
-from testbed.chain_request import ClientRequest
-from testbed.chain_server import Behaviour
+from testbed.chain.chain import Chain
+from testbed.chain.request import ClientRequest
+from testbed.chain.server import Behaviour
 from testbed.results import Row
-from testbed.runs.depth_plan import Fault, Plan
+from testbed.runs.depth.plan import Fault, Plan
 
 WINDOW_MS = 500.0
 """The length of a window in which calls after the fault's end are counted."""
--- /dev/null
+++ b/testbed/runs/list_size/__init__.py
@@ -0,0 +1,1 @@
+"""The run that measures costs over the length of the endpoint list."""
--- a/testbed/runs/list_size_decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -21,9 +21,9 @@
     RequestReceived,
 )
 from loadbalancer.policy.balancer import LoadBalancer
-from testbed.runs.list_size_plan import Keeps, Plan, configuration, freeze_collector
-from testbed.runs.list_size_rounds import RoundColumns
-from testbed.runs.list_size_rows import CellName, DecisionRow
+from testbed.runs.list_size.plan import Keeps, Plan, configuration, freeze_collector
+from testbed.runs.list_size.rounds import RoundColumns
+from testbed.runs.list_size.rows import CellName, DecisionRow
 
 _BEGIN_MS = 1_000_000.0
 _ATTEMPT = 0
--- a/testbed/runs/list_size_lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -17,11 +17,11 @@
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed import settings
-from testbed.discovery import Discovery
-from testbed.hollow import Hollow
-from testbed.runs.list_size_plan import Keeps, Plan, configuration_text, freeze_collector, ignore_message
-from testbed.runs.list_size_rounds import RoundColumns
-from testbed.runs.list_size_rows import CellName, ListRow
+from testbed.balancer.hollow import Hollow
+from testbed.discovery.service import Discovery
+from testbed.runs.list_size.plan import Keeps, Plan, configuration_text, freeze_collector, ignore_message
+from testbed.runs.list_size.rounds import RoundColumns
+from testbed.runs.list_size.rows import CellName, ListRow
 
 _BEGIN_MS = 1_000_000.0
 _UPDATE_INTERVAL_MS = 1000.0
--- a/testbed/runs/list_size_rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -8,8 +8,8 @@
 from typing import Any, Literal
 
 from testbed.results import OMITTED_IF_NONE, Row
-from testbed.runs.list_size_plan import Keeps
-from testbed.runs.list_size_rounds import RoundColumns
+from testbed.runs.list_size.plan import Keeps
+from testbed.runs.list_size.rounds import RoundColumns
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/testbed/runs/list_size.py
+++ b/testbed/runs/list_size/run.py
@@ -9,13 +9,13 @@
 
 from structlog.typing import FilteringBoundLogger
 
-from testbed.meter import CoresWatch
+from testbed.measurement.meter import CoresWatch
 from testbed.results import Fit, RunResult, fit_columns
-from testbed.runs.list_size_decisions import DecisionCell
-from testbed.runs.list_size_lists import ListCell
-from testbed.runs.list_size_plan import Keeps, Plan
-from testbed.runs.list_size_rounds import Rounds, reference_us
-from testbed.runs.list_size_rows import DecisionRow, ListRow, ListSizeRow, with_growth
+from testbed.runs.list_size.decisions import DecisionCell
+from testbed.runs.list_size.lists import ListCell
+from testbed.runs.list_size.plan import Keeps, Plan
+from testbed.runs.list_size.rounds import Rounds, reference_us
+from testbed.runs.list_size.rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
 __all__ = ["Plan", "play"]
 
--- /dev/null
+++ b/testbed/runs/real_depth/__init__.py
@@ -0,0 +1,1 @@
+"""The run that measures chains of real balancers."""
--- a/testbed/runs/real_depth_chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -5,12 +5,13 @@
 import asyncio
 import itertools
 
-from testbed import http_client, settings
-from testbed.discovery import Discovery
-from testbed.real import SAME_PYTHON, RealBalancer, free_address
-from testbed.upstream import Upstream, forward_through
-from testbed.upstream_connection import ReceivedRequest
-from testbed.upstream_group import UpstreamGroup
+from testbed import settings
+from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.discovery.service import Discovery
+from testbed.http import client as http_client
+from testbed.upstream.connection import ReceivedRequest
+from testbed.upstream.group import UpstreamGroup
+from testbed.upstream.upstream import Upstream, forward_through
 
 _WIDTH = 2  # upstreams of a tier, and balancers in front of it
 _STARTED_TOGETHER = 8
--- a/testbed/runs/real_depth.py
+++ b/testbed/runs/real_depth/run.py
@@ -13,13 +13,13 @@
 import uvloop
 from structlog.typing import FilteringBoundLogger
 
-from testbed import load
-from testbed.latency import Latencies
-from testbed.meter import CoresWatch, Usage, usage
+from testbed.load import streams as load
+from testbed.measurement.latency import Latencies
+from testbed.measurement.meter import CoresWatch, Usage, usage
 from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns
 from testbed.runs import loaded
-from testbed.runs.real_depth_chain import Chain
-from testbed.upstream_behaviour import Behaviour, UpstreamMode
+from testbed.runs.real_depth.chain import Chain
+from testbed.upstream.behaviour import Behaviour, UpstreamMode
 
 _CALM = Behaviour()
 _CALM_PHASE = "calm"
--- a/testbed/upstream_connection.py
+++ b/testbed/upstream/connection.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol, cast
 
-from testbed.http_client import Clock
-from testbed.http_reader import HttpRequest, MalformedRequestError, RequestReader
-from testbed.upstream_behaviour import Behaviour, UpstreamCounts, UpstreamMode
+from testbed.http.client import Clock
+from testbed.http.reader import HttpRequest, MalformedRequestError, RequestReader
+from testbed.upstream.behaviour import Behaviour, UpstreamCounts, UpstreamMode
 
 HEALTH_PATH = "/healthz"
 _REASONS = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
--- a/testbed/upstream_group.py
+++ b/testbed/upstream/group.py
@@ -9,10 +9,10 @@
 
 from loadbalancer.configuration import Address
 from testbed.child_process import ChildProcess, run_child, serve_pipe
-from testbed.http_client import Clock
+from testbed.http.client import Clock
 from testbed.settings import loopback_host
-from testbed.upstream import Upstream
-from testbed.upstream_behaviour import Behaviour, UpstreamCounts
+from testbed.upstream.behaviour import Behaviour, UpstreamCounts
+from testbed.upstream.upstream import Upstream
 
 FIRST_OCTET = 72
 """Upstreams listen on 127.72.x.y and on, if not said otherwise."""
--- a/testbed/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -12,9 +12,9 @@
 from collections.abc import Awaitable, Callable, Iterator
 
 from loadbalancer.configuration import Address
-from testbed.http_client import Client, Clock, compose_request
-from testbed.upstream_behaviour import Behaviour, UpstreamCounts, UpstreamMode
-from testbed.upstream_connection import ReceivedRequest, UpstreamConnection
+from testbed.http.client import Client, Clock, compose_request
+from testbed.upstream.behaviour import Behaviour, UpstreamCounts, UpstreamMode
+from testbed.upstream.connection import ReceivedRequest, UpstreamConnection
 
 LISTEN_BACKLOG = 512
 NOT_RUN_HEADERS = ("X-Not-Run: 1",)
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -9,7 +9,7 @@
 from structlog.testing import capture_logs
 
 from loadbalancer.policy import retry as policy
-from testbed.runs import depth
+from testbed.runs.depth import run as depth
 
 ENDPOINTS = 6  # a tier; as many balancers before the first one, too
 
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -8,13 +8,13 @@
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network.discovery import watch as client
-from testbed.agent_state import AgentMode, AgentState
-from testbed.discovery import Discovery
-from testbed.hollow import Hollow
-from testbed.hollow_process import HollowProcess
+from testbed.balancer.hollow import Hollow
+from testbed.balancer.hollow_process import HollowProcess
+from testbed.discovery.agent_state import AgentMode, AgentState
+from testbed.discovery.service import Discovery
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 from tests.network.loopback import run
-from tests.testbed.stand_ins import three, until
+from tests.testbed.support.stand_ins import three, until
 
 
 @pytest.mark.parametrize("pushed", [True, False])
--- a/tests/testbed/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -10,8 +10,8 @@
 import psutil
 import pytest
 
-from testbed import real
-from testbed.real import RealBalancer, RealError
+from testbed.balancer import real
+from testbed.balancer.real import RealBalancer, RealError
 from tests.network.loopback import config_text, run
 
 
--- a/tests/testbed/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -19,9 +19,9 @@
 from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.settings import Idempotency, RequestClass, Settings
 from loadbalancer.timers import HedgeTimer
-from testbed.chain import Chain
-from testbed.chain_server import Behaviour
-from testbed.chain_settings import ChainSettings
+from testbed.chain.chain import Chain
+from testbed.chain.server import Behaviour
+from testbed.chain.settings import ChainSettings
 
 HOP, SERVICE = 0.25, 1.0  # binary fractions: sums of them are exact
 Script = Callable[[Event, float], list[Action]]
@@ -60,7 +60,7 @@
                 recorded.events.append((self.tier, now, event))
                 return front(event, now) if front and self.tier == 0 else super().handle(event, now)
 
-        monkeypatch.setattr("testbed.chain_host.LoadBalancer", RecordingBalancer)
+        monkeypatch.setattr("testbed.chain.host.LoadBalancer", RecordingBalancer)
 
     def by(self, tier: int, *kinds: type) -> list[tuple[float, Any]]:
         return [(now, event) for at, now, event in self.events if at == tier and isinstance(event, kinds)]
--- a/tests/testbed/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -3,9 +3,9 @@
 import random
 from itertools import islice
 
-from testbed.arrivals import arrival_times
-from testbed.churn import play_changes, restarts, single_changes
-from testbed.discovery import Discovery
+from testbed.discovery.churn import play_changes, restarts, single_changes
+from testbed.discovery.service import Discovery
+from testbed.load.arrivals import arrival_times
 from testbed.settings import EndpointEntry, endpoint_entries
 from tests.network.loopback import run
 
--- a/tests/testbed/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -6,11 +6,11 @@
 import pytest
 
 from loadbalancer.configuration import Address
-from testbed.agent_state import AgentMode, AgentState, RequestCounts
-from testbed.discovery import Discovery
+from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
+from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
 from tests.network.loopback import ReceivedMessage, read_message, run
-from tests.testbed.stand_ins import three, until
+from tests.testbed.support.stand_ins import three, until
 
 Known = dict[str, EndpointEntry]
 
@@ -85,7 +85,7 @@
 
 
 def test_discovery_forgets_old_changes_and_then_sends_a_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("testbed.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
+    monkeypatch.setattr("testbed.discovery.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
 
     async def scenario() -> None:
         discovery = Discovery()
--- a/tests/testbed/test_http_client.py
+++ b/tests/testbed/http/test_http_client.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from loadbalancer.configuration import read_address
-from testbed.http_client import Client
+from testbed.http.client import Client
 from tests.network.loopback import Upstream as Scripted
 from tests.network.loopback import response, run
-from tests.testbed.loads import send_request
+from tests.testbed.support.loads import send_request
 
 
 def test_a_client_opens_more_when_busy_and_sends_once_more_where_a_close_crossed() -> None:
--- a/tests/testbed/test_arrivals.py
+++ b/tests/testbed/load/test_arrivals.py
@@ -2,7 +2,7 @@
 
 import random
 
-from testbed.arrivals import arrival_times
+from testbed.load.arrivals import arrival_times
 
 
 def test_arrivals_come_from_the_seed_at_the_given_rate() -> None:
--- a/tests/testbed/test_kernel_timer.py
+++ b/tests/testbed/load/test_kernel_timer.py
@@ -2,7 +2,7 @@
 
 import time
 
-from testbed.kernel_timer import KernelTimer
+from testbed.load.kernel_timer import KernelTimer
 from tests.network.loopback import run
 
 
--- a/tests/testbed/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -8,15 +8,16 @@
 import pytest
 import structlog
 
-from testbed.arrivals import arrival_times
-from testbed.http_client import Client
-from testbed.load import Stream, StreamReport, play_streams
-from testbed.runs import added_time, real_depth
-from testbed.upstream_behaviour import Behaviour, UpstreamMode
-from testbed.upstream_connection import ReceivedRequest
-from testbed.upstream_group import UpstreamGroup
+from testbed.http.client import Client
+from testbed.load.arrivals import arrival_times
+from testbed.load.streams import Stream, StreamReport, play_streams
+from testbed.runs import added_time
+from testbed.runs.real_depth import run as real_depth
+from testbed.upstream.behaviour import Behaviour, UpstreamMode
+from testbed.upstream.connection import ReceivedRequest
+from testbed.upstream.group import UpstreamGroup
 from tests.network.loopback import run
-from tests.testbed.loads import VirtualClock
+from tests.testbed.support.loads import VirtualClock
 
 LOG = structlog.wrap_logger(
     structlog.testing.CapturingLogger(), processors=[]
--- a/tests/testbed/test_latency.py
+++ b/tests/testbed/measurement/test_latency.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from testbed.latency import Latencies, added
+from testbed.measurement.latency import Latencies, added
 
 
 def test_added_time_is_given_by_quantiles_and_over_the_direct_median() -> None:
--- a/tests/testbed/test_meter.py
+++ b/tests/testbed/measurement/test_meter.py
@@ -10,7 +10,7 @@
 import psutil
 import pytest
 
-from testbed.meter import CoresWatch, LoopLag, processor_s, usage
+from testbed.measurement.meter import CoresWatch, LoopLag, processor_s, usage
 
 
 def test_the_meter_counts_a_childs_processor_time_and_descriptors() -> None:
--- a/tests/testbed/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -9,8 +9,10 @@
 import structlog
 
 from testbed.experiment import FOLDER, read_plan
-from testbed.runs import RUNS, control_change, control_rest
-from testbed.runs.control_delays import Spread, VersionSeen, delays_ms, spread
+from testbed.runs import RUNS
+from testbed.runs.control import change as control_change
+from testbed.runs.control import rest as control_rest
+from testbed.runs.control.delays import Spread, VersionSeen, delays_ms, spread
 from testbed.settings import balancer_settings
 
 # Of its own: a test of the command line leaves the shared one with an output that is closed.
@@ -66,7 +68,7 @@
         modes.append((more["balancers"], more["pushed"]))
         return balancer_settings(**more)
 
-    monkeypatch.setattr("testbed.runs.control_rest.settings.balancer_settings", noted)
+    monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", noted)
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
     result = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
--- a/tests/testbed/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -7,7 +7,7 @@
 from structlog.testing import capture_logs
 
 from testbed.results import RunResult
-from testbed.runs import depth as depth_run
+from testbed.runs.depth import run as depth_run
 
 
 def plan(**changes: Any) -> depth_run.Plan:
--- a/tests/testbed/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -9,12 +9,13 @@
 import structlog
 
 from loadbalancer.policy.endpoint_set import BALANCERS_PER_ENDPOINT
-from testbed.discovery import Discovery
+from testbed.discovery.service import Discovery
 from testbed.experiment import FOLDER, read_plan
 from testbed.results import Row
-from testbed.runs import RUNS, list_size
-from testbed.runs.list_size_rounds import REFERENCES, RoundColumns, Rounds
-from testbed.runs.list_size_rows import CellName, ListRow, with_growth
+from testbed.runs import RUNS
+from testbed.runs.list_size import run as list_size
+from testbed.runs.list_size.rounds import REFERENCES, RoundColumns, Rounds
+from testbed.runs.list_size.rows import CellName, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
 # Of its own: a test of the command line leaves the shared one with an output that is closed.
--- a/tests/testbed/loads.py
+++ b/tests/testbed/support/loads.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from testbed.http_client import Client, compose_request, request_ids
+from testbed.http.client import Client, compose_request, request_ids
 
 IDS = request_ids(1)
 
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -13,11 +13,11 @@
 from testbed.results import Row
 from testbed.runs import RUNS
 from testbed.runs.added_time import AddedTimeRow
-from testbed.runs.control_change_measurement import ChangeRow
-from testbed.runs.control_rest import RestRow
-from testbed.runs.depth_simulation import DepthRow
-from testbed.runs.list_size_rows import DecisionRow, ListRow
-from testbed.runs.real_depth import RealDepthRow
+from testbed.runs.control.change_measurement import ChangeRow
+from testbed.runs.control.rest import RestRow
+from testbed.runs.depth.simulation import DepthRow
+from testbed.runs.list_size.rows import DecisionRow, ListRow
+from testbed.runs.real_depth.run import RealDepthRow
 
 FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
 PATHS = sorted(FOLDER.glob("*.json"))
--- a/tests/testbed/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -7,13 +7,13 @@
 import psutil
 import pytest
 
-from testbed.http_client import NO_RESPONSE, Client, compose_request, request_ids
-from testbed.upstream import forward_through
-from testbed.upstream_behaviour import Behaviour, UpstreamMode
-from testbed.upstream_connection import ReceivedRequest
-from testbed.upstream_group import UpstreamGroup, UpstreamProcess
+from testbed.http.client import NO_RESPONSE, Client, compose_request, request_ids
+from testbed.upstream.behaviour import Behaviour, UpstreamMode
+from testbed.upstream.connection import ReceivedRequest
+from testbed.upstream.group import UpstreamGroup, UpstreamProcess
+from testbed.upstream.upstream import forward_through
 from tests.network.loopback import run
-from tests.testbed.loads import IDS, VirtualClock, send_request
+from tests.testbed.support.loads import IDS, VirtualClock, send_request
 
 
 @pytest.mark.parametrize(
