--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -20,8 +20,10 @@
 class Hollow(Proxy):
     """A balancer without clients; `on_force(index, at)` is called once the policy has applied a list."""
 
-    def __init__(self, config: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce) -> None:
-        super().__init__(config, loop)
+    def __init__(
+        self, configuration: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce
+    ) -> None:
+        super().__init__(configuration, loop)
         self._on_force = on_force
         self.listener.close()  # bound and not listening yet: no client is to connect
 
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from loadbalancer.configuration import Address, read_address
+from testbed.errors import TestbedError
 
 ROOT = Path(__file__).parents[2]
 SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
@@ -32,8 +33,29 @@
 _running: set[int] = set()
 
 
-class RealError(RuntimeError):
-    """A balancer could not be started, or ended early; the text holds the end of its log."""
+class BalancerProcessError(TestbedError, RuntimeError):
+    """Base class of the errors of balancer processes."""
+
+
+class TooManyBalancersError(BalancerProcessError):
+    """`MAX_RUNNING` balancers are running."""
+
+    def __init__(self) -> None:
+        super().__init__(f"{MAX_RUNNING} balancers run already")
+
+
+class BalancerEndedError(BalancerProcessError):
+    """A balancer ended before it was ready; the text holds the end of its log."""
+
+    def __init__(self, status: int, log: str) -> None:
+        super().__init__(f"ended with {status}: {log[-_LOG_TAIL:]}")
+
+
+class BalancerNotReadyError(BalancerProcessError):
+    """A balancer was not ready in time; the text holds the end of its log."""
+
+    def __init__(self, timeout_s: float, log: str) -> None:
+        super().__init__(f"not ready after {timeout_s} s: {log[-_LOG_TAIL:]}")
 
 
 def deploy_command() -> str:
@@ -49,16 +71,16 @@
         return f"{host}:{probe.getsockname()[1]}"
 
 
-def _write_files(folder: Path, config: dict[str, Any], config_text: str) -> dict[str, str]:
+def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
     """Write a balancer's configuration into a folder, and return the environment variables that name it."""
-    config_path, private_folder = folder / "config.json", folder / "tmp"
-    config_path.write_text(config_text, encoding="utf-8")
+    configuration_path, private_folder = folder / "config.json", folder / "tmp"
+    configuration_path.write_text(configuration_text, encoding="utf-8")
     private_folder.mkdir()
     return {
-        "LB_NAME": str(config["name"]),
-        "LB_LISTEN": str(config["listen"]),
-        "LB_DISCOVERY": str(config["discovery"]),
-        "LB_CONFIG": str(config_path),
+        "LB_NAME": str(configuration["name"]),
+        "LB_LISTEN": str(configuration["listen"]),
+        "LB_DISCOVERY": str(configuration["discovery"]),
+        "LB_CONFIG": str(configuration_path),
         "TMPDIR": str(private_folder),
     }
 
@@ -78,22 +100,22 @@
         self.address = address
 
     @classmethod
-    async def start(cls, config_text: str, command: str | None = None) -> RealBalancer:
+    async def start(cls, configuration_text: str, command: str | None = None) -> RealBalancer:
         """Start a balancer.
 
         Args:
-            config_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
+            configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
             command: Is given to `/bin/sh -c` in the repository's root and has to `exec` the program; the
                 deploy file's `run` if not given.
 
         Raises:
-            RealError: `MAX_RUNNING` balancers run already.
+            TooManyBalancersError: `MAX_RUNNING` balancers run already.
         """
         if len(_running) >= MAX_RUNNING:
-            raise RealError(f"{MAX_RUNNING} balancers run already")
-        config = json.loads(config_text)
+            raise TooManyBalancersError
+        configuration = json.loads(configuration_text)
         folder = Path(tempfile.mkdtemp(prefix="balancer-"))
-        environment = _write_files(folder, config, config_text)
+        environment = _write_files(folder, configuration, configuration_text)
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
@@ -112,15 +134,16 @@
         """Return once the response to `GET /healthz` is 200.
 
         Raises:
-            RealError: The process ends or the time passes before.
+            BalancerEndedError: The process ends before.
+            BalancerNotReadyError: The time passes before.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while await self._health_status() != 200:
             if self._process.returncode is not None:
-                raise RealError(f"ended with {self._process.returncode}: {self.log()[-_LOG_TAIL:]}")
+                raise BalancerEndedError(self._process.returncode, self.log())
             if loop.time() > deadline:
-                raise RealError(f"not ready after {timeout_s} s: {self.log()[-_LOG_TAIL:]}")
+                raise BalancerNotReadyError(timeout_s, self.log())
             await asyncio.sleep(_HEALTH_POLL_S)
 
     async def _health_status(self) -> int:
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -39,9 +39,17 @@
 from testbed.chain.request import ChainStatistics, ClientRequest, Responder
 from testbed.chain.server import Attempt, Server
 from testbed.chain.settings import ChainSettings
+from testbed.errors import TestbedError
 from testbed.virtual_clock import VirtualClock
 
 
+class UnexpectedHealthCheckError(TestbedError, ValueError):
+    """The policy asked for a health check, which the settings of a simulated chain do not allow."""
+
+    def __init__(self) -> None:
+        super().__init__("a health check, though the settings allow none")
+
+
 @dataclass(slots=True)
 class _Request:
     """A request at its balancer."""
@@ -193,7 +201,7 @@
             case CloseIdleConnections() | LogMessage():
                 pass  # connections are always up, and nobody reads the log
             case StartHealthCheck():
-                raise ValueError("a health check, though the settings allow none")
+                raise UnexpectedHealthCheckError
 
     def _respond(self, number: int, status: int) -> None:
         request = self._requests.get(number)
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -14,6 +14,7 @@
 from testbed.discovery.agent import Agent, WatchObserver
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.endpoint_history import EndpointHistory, ListResponse
+from testbed.errors import TestbedError
 from testbed.settings import EndpointEntry
 
 ALL_AGENTS = "all"
@@ -29,6 +30,13 @@
     """Take no notice of a watch request."""
 
 
+class NotLoopbackError(TestbedError, ValueError):
+    """Agents were to listen on an address outside the loopback network."""
+
+    def __init__(self, host: str) -> None:
+        super().__init__(f"{host} is not a loopback address")
+
+
 class Discovery:
     """The endpoint list and its agents, on the running loop.
 
@@ -60,11 +68,11 @@
         """Set where agents listen: the first at `host`, each further one a loopback address higher.
 
         Raises:
-            ValueError: `host` is not a loopback address.
+            NotLoopbackError: `host` is not a loopback address.
         """
         self._first_host = ipaddress.IPv4Address(host)
         if not self._first_host.is_loopback:
-            raise ValueError(f"{host} is no loopback address")
+            raise NotLoopbackError(host)
 
     async def stop(self) -> None:
         """Close all listeners and connections."""
--- /dev/null
+++ b/testbed/errors.py
@@ -0,0 +1,16 @@
+"""The base class of the testbed's errors, and the errors that several of its packages raise."""
+
+from __future__ import annotations
+
+from loadbalancer.errors import InvalidStateError, LoadBalancerError
+
+
+class TestbedError(LoadBalancerError):
+    """Base class of all errors that the testbed raises."""
+
+
+class NotConnectedError(TestbedError, InvalidStateError):
+    """A connection was used before its transport existed: a fault of the testbed."""
+
+    def __init__(self) -> None:
+        super().__init__("the connection has no transport yet")
--- a/testbed/http/reader.py
+++ b/testbed/http/reader.py
@@ -7,6 +7,8 @@
 
 import httptools
 
+from testbed.errors import TestbedError
+
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
@@ -18,8 +20,8 @@
     body: bytes
 
 
-class MalformedRequestError(ValueError):
-    """What came is not an HTTP request."""
+class MalformedRequestError(TestbedError, ValueError):
+    """The received bytes are not an HTTP request."""
 
 
 class RequestReader:
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -6,6 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from testbed.errors import TestbedError
+
 _MAX_US = 120_000_000
 """Longer latencies count as this one."""
 
@@ -14,6 +16,13 @@
 _US_PER_MS = 1000
 
 
+class NoLatenciesError(TestbedError, ValueError):
+    """A quantile of no latencies was requested."""
+
+    def __init__(self) -> None:
+        super().__init__("no latencies")
+
+
 class Latencies:
     """Spans of time, stored in microseconds and reported in milliseconds."""
 
@@ -33,10 +42,10 @@
         """Return the milliseconds that a fraction (0 to 1) of the spans does not exceed.
 
         Raises:
-            ValueError: There are no spans.
+            NoLatenciesError: There are no spans.
         """
         if not self.count:
-            raise ValueError("no latencies")
+            raise NoLatenciesError
         return float(self._histogram.get_value_at_percentile(fraction * 100)) / _US_PER_MS
 
 
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -20,6 +20,8 @@
 import numpy as np
 import psutil
 
+from testbed.errors import TestbedError
+
 LIBRARIES = ("uvloop", "httptools", "typer", "structlog", "hdrhistogram", "psutil", "numpy", "pydantic")
 """The libraries whose versions stand in each result."""
 OMITTED_IF_NONE = {"omitted_if_none": True}
@@ -68,6 +70,13 @@
         return self.slope * x + self.intercept
 
 
+class UndeterminedSlopeError(TestbedError, ValueError):
+    """A line was to be fitted through points that have fewer than two different x."""
+
+    def __init__(self, x: str, y: str) -> None:
+        super().__init__(f"{y} over {x}: a slope needs two sizes or more")
+
+
 def fit_line(x_values: Sequence[float], y_values: Sequence[float], *, x: str, y: str) -> Fit:
     """Fit a line through points by least squares.
 
@@ -78,13 +87,13 @@
         y: The name of y.
 
     Raises:
-        ValueError: There are fewer than two different x.
+        UndeterminedSlopeError: There are fewer than two different x.
     """
     xs = np.array([float(value) for value in x_values])
     ys = np.array([float(value) for value in y_values])
     spread = float(((xs - xs.mean()) ** 2).sum()) if len(xs) else 0.0
     if spread == 0:
-        raise ValueError(f"{y} over {x}: a slope needs two sizes or more")
+        raise UndeterminedSlopeError(x, y)
     slope = float(((xs - xs.mean()) * (ys - ys.mean())).sum()) / spread
     intercept = float(ys.mean() - slope * xs.mean())
     free = len(xs) - 2
@@ -104,7 +113,7 @@
         label: What the fit calls its y, where the column's name does not say which rows they are.
 
     Raises:
-        ValueError: There are fewer than two different x.
+        UndeterminedSlopeError: There are fewer than two different x.
     """
     table = [row.columns() for row in rows]
     return fit_line([row[x] for row in table], [row[y] for row in table], x=x, y=label or y)
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -19,6 +19,7 @@
 from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
+from testbed.errors import TestbedError
 from testbed.results import RowT, RunResult
 
 LATE_S = 0.1
@@ -32,6 +33,13 @@
 _REAL_HOST = "127.30.0.{}"
 
 
+class ConditionTimeoutError(TestbedError, RuntimeError):
+    """A condition that a run waits for did not hold in time."""
+
+    def __init__(self, description: str, timeout_s: float) -> None:
+        super().__init__(f"not within {timeout_s:g} s: {description}")
+
+
 def run_scenario(scenario: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
     """Run a scenario to its end on a uvloop event loop of its own."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -42,12 +50,12 @@
     """Wait until a condition holds.
 
     Raises:
-        RuntimeError: It did not within the timeout; the text has the description of the condition.
+        ConditionTimeoutError: It did not within the timeout.
     """
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
-            raise RuntimeError(f"not within {timeout_s:g} s: {description}")
+            raise ConditionTimeoutError(description, timeout_s)
         await asyncio.sleep(POLL_S)
 
 
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -56,15 +56,15 @@
     def __init__(self, plan: Plan, entries: int, keeps: Keeps, tier: int) -> None:
         self._plan = plan
         self.name = CellName(measured="decision", entries=entries, keeps=keeps, tier=tier)
-        config = configuration(plan, entries, keeps, tier)
-        self._classes = config.settings.classes
-        self._balancer = LoadBalancer(config.settings, config.seed)
+        read = configuration(plan, entries, keeps, tier)
+        self._classes = read.settings.classes
+        self._balancer = LoadBalancer(read.settings, read.seed)
         self._random = random.Random(plan.seed)
         self._now_ms = _BEGIN_MS
         self._last_request = 0
         self._ends: list[_End] = []
         self._called: set[str] = set()
-        endpoints = tuple([e.endpoint for e in config.known_endpoints.endpoints])
+        endpoints = tuple([e.endpoint for e in read.known_endpoints.endpoints])
         self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints), self._now_ms)
         freeze_collector()
         self._play_calls(plan.warm_calls)
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -62,10 +62,10 @@
         self._plan = plan
         self.name = CellName(measured="list", entries=entries, keeps=keeps, tier=0)
         self._text = configuration_text(plan, entries, keeps, 0)
-        config = read_configuration(self._text, ignore_message)
+        configuration = read_configuration(self._text, ignore_message)
         loop = asyncio.new_event_loop()
-        self._balancer = LoadBalancer(config.settings, config.seed)
-        self._upstreams = UpstreamPools(config, loop)
+        self._balancer = LoadBalancer(configuration.settings, configuration.seed)
+        self._upstreams = UpstreamPools(configuration, loop)
         loop.close()  # taking up a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
