--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -6,13 +6,17 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from loadbalancer.configuration import Configuration, EndpointList
 from loadbalancer.network.proxy import Proxy
 
+if TYPE_CHECKING:
+    import asyncio
+
+    from loadbalancer.configuration import Configuration, EndpointList
+
 OnForce = Callable[[int, float], None]
 """Takes the version of a list that is in force, and since when in seconds of the monotonic clock."""
 
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -6,17 +6,20 @@
 import gc
 from dataclasses import dataclass
 from functools import partial
-from multiprocessing.connection import Connection
-from typing import NamedTuple, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 import numpy as np
-from numpy.typing import NDArray
 
 from loadbalancer.configuration import read_configuration
 from testbed.balancer.hollow import Hollow
 from testbed.child_process import ChildProcess, run_child, serve_pipe
 from testbed.measurement.meter import LoopLag
 
+if TYPE_CHECKING:
+    from multiprocessing.connection import Connection
+
+    from numpy.typing import NDArray
+
 
 @dataclass(frozen=True, slots=True)
 class HollowReport:
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -9,6 +9,7 @@
 import time
 from collections import deque
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from loadbalancer.actions import (
     Action,
@@ -36,11 +37,13 @@
 )
 from loadbalancer.network.proxy import FAIL_SAFE_MARGIN_MS, RESPONSE_MARGIN_MS
 from loadbalancer.policy.balancer import LoadBalancer
-from testbed.chain.request import ChainStatistics, ClientRequest, Responder
 from testbed.chain.server import Attempt, Server
-from testbed.chain.settings import ChainSettings
 from testbed.errors import TestbedError
-from testbed.virtual_clock import VirtualClock
+
+if TYPE_CHECKING:
+    from testbed.chain.request import ChainStatistics, ClientRequest, Responder
+    from testbed.chain.settings import ChainSettings
+    from testbed.virtual_clock import VirtualClock
 
 
 class UnexpectedHealthCheckError(TestbedError, ValueError):
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -4,9 +4,10 @@
 
 import math
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from testbed.virtual_clock import VirtualClock
+if TYPE_CHECKING:
+    from testbed.virtual_clock import VirtualClock
 
 
 class Responder(Protocol):
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -9,15 +9,18 @@
 import enum
 import math
 from collections import deque
-from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from loadbalancer.errors import InvalidStateError
 from loadbalancer.events import Outcome
-from testbed.chain.request import ClientRequest, Responder
-from testbed.chain.settings import ChainSettings, ServiceModel
 from testbed.errors import TestbedError
-from testbed.virtual_clock import VirtualClock
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from testbed.chain.request import ClientRequest, Responder
+    from testbed.chain.settings import ChainSettings, ServiceModel
+    from testbed.virtual_clock import VirtualClock
 
 
 class MissingInnerRequestError(TestbedError, InvalidStateError):
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -4,12 +4,14 @@
 
 import asyncio
 import multiprocessing
-from collections.abc import Callable, Coroutine
-from multiprocessing.connection import Connection
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 import uvloop
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+    from multiprocessing.connection import Connection
+
 STOP_TIMEOUT_S = 10.0
 """A child that has not ended by itself in that time is killed."""
 
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -6,15 +6,17 @@
 import socket
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
-from typing import cast
+from typing import TYPE_CHECKING, cast
 from urllib.parse import parse_qs, urlsplit
 
-from loadbalancer.configuration import Address
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.endpoint_history import NO_VERSION, EndpointHistory, ListResponse
 from testbed.errors import NotConnectedError
 from testbed.http.reader import HttpRequest, MalformedRequestError, RequestReader
 
+if TYPE_CHECKING:
+    from loadbalancer.configuration import Address
+
 LIST_PATH = "/v1/servers"
 MAX_WAIT_MS = 60_000
 """The longest wait of a watch request."""
@@ -177,7 +179,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Join the agent's connections."""
-        self._transport = cast(asyncio.Transport, transport)
+        self._transport = cast("asyncio.Transport", transport)
         self._agent.connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -5,12 +5,16 @@
 import asyncio
 import enum
 import random
-from collections.abc import Callable, Iterable, Iterator
+from typing import TYPE_CHECKING
 
 from testbed.discovery.endpoint_history import REMOVED
-from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Iterator
+
+    from testbed.discovery.service import Discovery
+
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
 SHORTEST_FRACTION = 20
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from testbed.settings import EndpointEntry
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
+
+    from testbed.settings import EndpointEntry
 
 NO_VERSION = -1
 """The version of a balancer that has no list yet."""
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -8,14 +8,18 @@
 
 import ipaddress
 import time
-from collections.abc import Callable, Hashable, Iterable
+from typing import TYPE_CHECKING
 
-from loadbalancer.configuration import Address
 from testbed.discovery.agent import Agent, WatchObserver
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.endpoint_history import EndpointHistory, ListResponse
 from testbed.errors import TestbedError
-from testbed.settings import EndpointEntry
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Hashable, Iterable
+
+    from loadbalancer.configuration import Address
+    from testbed.settings import EndpointEntry
 
 ALL_AGENTS = "all"
 """The group that every agent belongs to."""
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -3,16 +3,20 @@
 from __future__ import annotations
 
 import tomllib
-from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Annotated, Any
 
 from pydantic import AliasChoices, BaseModel, ConfigDict, Field, ValidationError
-from structlog.typing import FilteringBoundLogger
 
 from testbed.errors import TestbedError
-from testbed.results import RunResult
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from structlog.typing import FilteringBoundLogger
+
+    from testbed.results import RunResult
 
 FOLDER = Path(__file__).parent / "experiments"
 
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -8,13 +8,15 @@
 from collections.abc import Callable, Iterator
 from contextlib import suppress
 from dataclasses import dataclass
-from typing import cast
+from typing import TYPE_CHECKING, cast
 
 import httptools
 
-from loadbalancer.configuration import Address
 from testbed.errors import NotConnectedError, TestbedError
 
+if TYPE_CHECKING:
+    from loadbalancer.configuration import Address
+
 Clock = Callable[[], float]
 """Returns the time in seconds."""
 
@@ -84,7 +86,7 @@
         self.may_reuse = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)
+        self._transport = cast("asyncio.Transport", transport)
 
     def on_body(self, data: bytes) -> None:
         self._body.append(data)
--- a/testbed/http/reader.py
+++ b/testbed/http/reader.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import httptools
 
 from testbed.errors import TestbedError
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
--- a/testbed/load/arrivals.py
+++ b/testbed/load/arrivals.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Iterator
 
 
 def arrival_times(rate_per_s: float, span_s: float, source: random.Random) -> Iterator[float]:
--- a/testbed/measurement/meter.py
+++ b/testbed/measurement/meter.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import psutil
 
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Iterable
+
 FULL_CORES_FRACTION = 0.9
 """From this fraction of busy time on, a process that waits for a core measures that wait."""
 
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -11,17 +11,19 @@
 import math
 import platform
 import subprocess
-from collections.abc import Sequence
 from dataclasses import asdict, dataclass, field, fields
 from importlib.metadata import version
 from pathlib import Path
-from typing import Any, Generic, TypeVar
+from typing import TYPE_CHECKING, Any, Generic, TypeVar
 
 import numpy as np
 import psutil
 
 from testbed.errors import TestbedError
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 LIBRARIES = ("uvloop", "httptools", "typer", "structlog", "hdrhistogram", "psutil", "numpy", "pydantic")
 """The libraries whose versions stand in each result."""
 OMITTED_IF_NONE = {"omitted_if_none": True}
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -9,9 +9,9 @@
 import asyncio
 import gc
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import uvloop
-from structlog.typing import FilteringBoundLogger
 
 from testbed import settings
 from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
@@ -22,9 +22,13 @@
 from testbed.measurement.meter import CoresWatch, Usage, usage
 from testbed.results import Measured, Row, RunResult, fit_columns
 from testbed.runs import loaded
-from testbed.upstream.behaviour import UpstreamCounts
 from testbed.upstream.group import UpstreamProcess
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+    from testbed.upstream.behaviour import UpstreamCounts
+
 _AGENTS = "127.79.0.1"
 _BALANCER = "127.78.0.1"
 _MIB = 2**20
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -8,12 +8,10 @@
 import asyncio
 import random
 import time
-from collections.abc import Iterator
 from contextlib import AsyncExitStack
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 from pydantic import Field
-from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
 from testbed.discovery.churn import play_changes, single_changes
@@ -31,6 +29,11 @@
     wait_until,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from structlog.typing import FilteringBoundLogger
+
 DAY_S = 86_400
 _DELAYS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
 _COSTS = ("core_percent", "bytes_per_s", "calls_per_s")
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -4,18 +4,22 @@
 
 import asyncio
 import time
-from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import numpy as np
 
-from testbed.balancer.hollow_process import HollowReport
-from testbed.discovery.agent_state import RequestCounts
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Measured, Row
 from testbed.runs.control.delays import VersionSeen, delays_ms, spread
 from testbed.runs.control.group import LATE_S, BalancerGroup, sum_counts
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Sequence
+
+    from testbed.balancer.hollow_process import HollowReport
+    from testbed.discovery.agent_state import RequestCounts
+
 PROCESS_FULL = 0.8
 """A process that uses this much of a core, as a fraction, measures how its balancers wait for one another."""
 
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import numpy as np
 from numpy.typing import NDArray
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 Table = NDArray[np.float64]
 
 
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -7,10 +7,8 @@
 
 import asyncio
 import time
-from collections.abc import Callable, Coroutine
-from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import uvloop
 
@@ -20,7 +18,12 @@
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.errors import TestbedError
-from testbed.results import RowT, RunResult
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+    from contextlib import AsyncExitStack
+
+    from testbed.results import RowT, RunResult
 
 LATE_S = 0.1
 """An event loop whose 99th percentile of lateness reaches this measures itself."""
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -6,13 +6,11 @@
 import time
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Annotated, Literal
+from typing import TYPE_CHECKING, Annotated, Literal
 
 from pydantic import Field
-from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.discovery.agent_state import RequestCounts
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Row, RunResult, fit_columns
 from testbed.runs.control.group import (
@@ -24,6 +22,11 @@
     sum_counts,
 )
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+    from testbed.discovery.agent_state import RequestCounts
+
 _MIB = 1 << 20
 
 
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -1,7 +1,5 @@
 """The plan of the run on depth: how the chains are built, what comes at them and what goes wrong."""
 
-from __future__ import annotations
-
 from typing import Annotated, Literal
 
 from pydantic import BaseModel, ConfigDict, Field
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -9,14 +9,17 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Sequence
-
-from structlog.typing import FilteringBoundLogger
+from typing import TYPE_CHECKING
 
 from testbed.results import Fit, RunResult, fit_line
 from testbed.runs.depth.plan import Fault, Plan
 from testbed.runs.depth.simulation import DepthRow, Simulation
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from structlog.typing import FilteringBoundLogger
+
 __all__ = ["Fault", "Plan", "play"]
 
 _FITTED = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -7,16 +7,20 @@
 import random
 import statistics
 import time
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import numpy as np
 
 from testbed.chain.chain import Chain
-from testbed.chain.request import ClientRequest
 from testbed.chain.server import Behaviour
 from testbed.results import Row
-from testbed.runs.depth.plan import Fault, Plan
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from testbed.chain.request import ClientRequest
+    from testbed.runs.depth.plan import Fault, Plan
 
 WINDOW_MS = 500.0
 """The length of a window in which calls after the fault's end are counted."""
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -5,9 +5,8 @@
 import heapq
 import random
 import time
-from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import numpy as np
 
@@ -22,9 +21,13 @@
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed.runs.list_size.plan import Keeps, Plan, configuration, freeze_collector
-from testbed.runs.list_size.rounds import RoundColumns
 from testbed.runs.list_size.rows import CellName, DecisionRow
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from testbed.runs.list_size.rounds import RoundColumns
+
 _BEGIN_MS = 1_000_000.0
 _ATTEMPT = 0
 _US_NS = 1e3
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -7,8 +7,8 @@
 import json
 import time
 import tracemalloc
-from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 import numpy as np
 
@@ -20,9 +20,13 @@
 from testbed.balancer.hollow import Hollow
 from testbed.discovery.service import Discovery
 from testbed.runs.list_size.plan import Keeps, Plan, configuration_text, freeze_collector, ignore_message
-from testbed.runs.list_size.rounds import RoundColumns
 from testbed.runs.list_size.rows import CellName, ListRow
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from testbed.runs.list_size.rounds import RoundColumns
+
 _BEGIN_MS = 1_000_000.0
 _UPDATE_INTERVAL_MS = 1000.0
 _US_NS = 1e3
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -8,14 +8,16 @@
 
 import math
 import time
-from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any, Generic, Protocol, TypeVar
+from typing import TYPE_CHECKING, Any, Generic, Protocol, TypeVar
 
 import numpy as np
 
 from testbed.results import Row, RunResult
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
 REFERENCE_TIMES = 20
 """Pieces of work in one reading of the reference, which is their median."""
 REFERENCES = 100
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -1,7 +1,5 @@
 """The rows of the run on list sizes, and how their costs grow from one length of the list to the next."""
 
-from __future__ import annotations
-
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from structlog.typing import FilteringBoundLogger
+from typing import TYPE_CHECKING
 
 from testbed.measurement.meter import CoresWatch
 from testbed.results import Fit, RunResult, fit_columns
@@ -17,6 +17,9 @@
 from testbed.runs.list_size.rounds import Rounds, reference_us
 from testbed.runs.list_size.rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
 __all__ = ["Plan", "play"]
 
 _KEEPS: tuple[Keeps, ...] = ("part", "all")
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -4,15 +4,18 @@
 
 import asyncio
 import itertools
+from typing import TYPE_CHECKING
 
 from testbed import settings
 from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.discovery.service import Discovery
 from testbed.http import client as http_client
-from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup
 from testbed.upstream.upstream import Upstream, forward_through
 
+if TYPE_CHECKING:
+    from testbed.upstream.connection import ReceivedRequest
+
 _WIDTH = 2  # upstreams of a tier, and balancers in front of it
 _STARTED_TOGETHER = 8
 
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -7,20 +7,25 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 import uvloop
-from structlog.typing import FilteringBoundLogger
 
 from testbed.load import streams as load
-from testbed.measurement.latency import Latencies
 from testbed.measurement.meter import CoresWatch, Usage, usage
 from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns
 from testbed.runs import loaded
 from testbed.runs.real_depth.chain import Chain
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from structlog.typing import FilteringBoundLogger
+
+    from testbed.measurement.latency import Latencies
+
 _CALM = Behaviour()
 _CALM_PHASE = "calm"
 _PHASES = (
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -7,10 +7,12 @@
 
 import json
 import random
-from collections.abc import Sequence
-from typing import Any, TypedDict
+from typing import TYPE_CHECKING, Any, TypedDict
 
-from loadbalancer.configuration import Address
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from loadbalancer.configuration import Address
 
 
 class EndpointEntry(TypedDict):
--- a/testbed/upstream/connection.py
+++ b/testbed/upstream/connection.py
@@ -6,13 +6,15 @@
 import socket
 import struct
 from dataclasses import dataclass
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
 from testbed.errors import NotConnectedError
-from testbed.http.client import Clock
 from testbed.http.reader import HttpRequest, MalformedRequestError, RequestReader
 from testbed.upstream.behaviour import Behaviour, UpstreamCounts, UpstreamMode
 
+if TYPE_CHECKING:
+    from testbed.http.client import Clock
+
 HEALTH_PATH = "/healthz"
 _REASONS = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
 _MS_PER_UNIT = {"m": 1.0, "u": 0.001}
@@ -70,7 +72,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Join the upstream's connections."""
-        self._transport = cast(asyncio.Transport, transport)
+        self._transport = cast("asyncio.Transport", transport)
         self._upstream.connections.add(self)
         self._upstream.counts.connections += 1
 
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -4,16 +4,19 @@
 
 import random
 import time
-from multiprocessing.connection import Connection
-from typing import cast
+from typing import TYPE_CHECKING, cast
 
-from loadbalancer.configuration import Address
 from testbed.child_process import ChildProcess, run_child, serve_pipe
-from testbed.http.client import Clock
 from testbed.settings import loopback_host
 from testbed.upstream.behaviour import Behaviour, UpstreamCounts
 from testbed.upstream.upstream import Upstream
 
+if TYPE_CHECKING:
+    from multiprocessing.connection import Connection
+
+    from loadbalancer.configuration import Address
+    from testbed.http.client import Clock
+
 FIRST_OCTET = 72
 """Upstreams listen on 127.72.x.y and on, if not said otherwise."""
 
@@ -68,7 +71,7 @@
 
     def counts(self) -> UpstreamCounts:
         """Return the sum of the upstreams' counts."""
-        return cast(UpstreamCounts, self._child.request("counts"))
+        return cast("UpstreamCounts", self._child.request("counts"))
 
     def stop(self) -> None:
         """End the process."""
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -7,15 +7,19 @@
 from __future__ import annotations
 
 import asyncio
-import random
 import socket
 from collections.abc import Awaitable, Callable, Iterator
+from typing import TYPE_CHECKING
 
-from loadbalancer.configuration import Address
 from testbed.http.client import Client, Clock, compose_request
 from testbed.upstream.behaviour import Behaviour, UpstreamCounts, UpstreamMode
 from testbed.upstream.connection import ReceivedRequest, UpstreamConnection
 
+if TYPE_CHECKING:
+    import random
+
+    from loadbalancer.configuration import Address
+
 LISTEN_BACKLOG = 512
 NOT_RUN_HEADERS = ("X-Not-Run: 1",)
 
--- a/testbed/virtual_clock.py
+++ b/testbed/virtual_clock.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 import heapq
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 
 class VirtualClock:
