--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -31,15 +31,15 @@
         balancers: The number of the balancer.
         indexes: The version of the list that it had in force.
         times: Since when, in seconds of the system's monotonic clock.
-        lag_99_s: How late the event loop ran 99 in 100 of its timers, at most.
-        lag_longest_s: How late it ran the latest.
+        p99_lag_s: How late the event loop ran 99 in 100 of its timers, at most.
+        max_lag_s: How late it ran the latest.
     """
 
     balancers: NDArray[np.int32]
     indexes: NDArray[np.int64]
     times: NDArray[np.float64]
-    lag_99_s: float
-    lag_longest_s: float
+    p99_lag_s: float
+    max_lag_s: float
 
 
 class _ListInForce(NamedTuple):
@@ -87,13 +87,13 @@
     def take_report(self, lag: LoopLag) -> HollowReport:
         """Return what was recorded since the last report, and the lag of the event loop."""
         rows, self._rows = self._rows, []
-        lag_99_s, lag_longest_s = lag.take()
+        p99_lag_s, max_lag_s = lag.take()
         return HollowReport(
             np.array([row.balancer for row in rows], dtype=np.int32),
             np.array([row.list_index for row in rows], dtype=np.int64),
             np.array([row.time_s for row in rows], dtype=np.float64),
-            lag_99_s,
-            lag_longest_s,
+            p99_lag_s,
+            max_lag_s,
         )
 
 
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -44,7 +44,7 @@
         super().__init__(f"{MAX_RUNNING} balancers run already")
 
 
-class BalancerEndedError(BalancerProcessError):
+class BalancerExitedError(BalancerProcessError):
     """A balancer ended before it was ready; the text holds the end of its log."""
 
     def __init__(self, status: int, log: str) -> None:
@@ -134,14 +134,14 @@
         """Return once the response to `GET /healthz` is 200.
 
         Raises:
-            BalancerEndedError: The process ends before.
+            BalancerExitedError: The process ends before.
             BalancerNotReadyError: The time passes before.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while await self._health_status() != 200:
             if self._process.returncode is not None:
-                raise BalancerEndedError(self._process.returncode, self.log())
+                raise BalancerExitedError(self._process.returncode, self.log())
             if loop.time() > deadline:
                 raise BalancerNotReadyError(timeout_s, self.log())
             await asyncio.sleep(_HEALTH_POLL_S)
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -248,7 +248,7 @@
         if request.is_open and outcome is Outcome.SUCCEEDED:
             request.is_open = False
             request.responder.respond(200)
-        is_answered = not request.is_open
-        self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, is_answered), request)
+        has_response = not request.is_open
+        self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, has_response), request)
         if not request.is_open:
             self._withdraw_attempts(request)
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -228,9 +228,9 @@
     def _begin(self, attempt: Attempt) -> None:
         self.in_service += 1
         attempt.stage = AttemptStage.IN_SERVICE
-        self.clock.schedule(self.clock.now + self._model.service_ms(), self._work_done, attempt)
+        self.clock.schedule(self.clock.now + self._model.service_ms(), self._finish_work, attempt)
 
-    def _work_done(self, attempt: Attempt) -> None:
+    def _finish_work(self, attempt: Attempt) -> None:
         fails = self.behaviour is Behaviour.FAILS and self._model.fails(self.failure_fraction)
         if fails or self.balancer is None or attempt.is_closed:
             self.respond(attempt, Outcome.ERROR if fails else Outcome.SUCCEEDED)
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -78,7 +78,7 @@
     def respond_to_open(self) -> None:
         """Respond to the open requests whose response is due."""
         for connection in list(self.connections):
-            connection.respond_if_due()
+            connection.respond_if_ready()
 
     def listen(self) -> None:
         """Listen; the port is the system's choice the first time."""
@@ -213,13 +213,13 @@
         if not self._wait_is_over:
             loop = asyncio.get_running_loop()
             self._wait_timer = loop.call_later(request.wait_ms / 1000, self._end_wait)
-        self.respond_if_due()
+        self.respond_if_ready()
 
     def _end_wait(self) -> None:
         self._wait_is_over = True
-        self.respond_if_due()
+        self.respond_if_ready()
 
-    def respond_if_due(self) -> None:
+    def respond_if_ready(self) -> None:
         """Respond to the open request if there is a newer version or its wait is over.
 
         The response takes the agent's delay, and is left out while the agent is not up.
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -10,7 +10,7 @@
     """What an agent does with connections and requests."""
 
     UP = "up"
-    SILENT = "silent"
+    UNRESPONSIVE = "unresponsive"
     """It accepts connections and sends nothing; open requests get their response once it is up again."""
     DOWN = "down"
     """Its connections are reset, new ones are refused."""
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -17,14 +17,14 @@
 
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
-SHORTEST_FRACTION = 20
+REMOVABLE_FRACTION_DIVISOR = 20
 """Churn leaves at most one in so many entries out of the list."""
 
 Change = tuple[EndpointEntry, ...]
 """Entries that change at the same moment."""
 
 
-class _Move(enum.Enum):
+class _ChangeKind(enum.Enum):
     """A change of one entry."""
 
     RESTART = enum.auto()
@@ -50,38 +50,38 @@
         self._in_service = {entry["name"]: entry for entry in entries}
         self._used_names = set(self._in_service)
         length = len(self._in_service)
-        self._shortest_length = length - max(length // SHORTEST_FRACTION, 1)
+        self._min_length = length - max(length // REMOVABLE_FRACTION_DIVISOR, 1)
         self._restarting: list[EndpointEntry] = []
         self._draining: list[EndpointEntry] = []
         self._removed: list[EndpointEntry] = []
 
     def next_change(self) -> EndpointEntry:
         """Draw the next change and return the changed entry."""
-        move = self._source.choice(self._possible_moves())
-        match move:
-            case _Move.RESTART:
+        kind = self._source.choice(self._possible_kinds())
+        match kind:
+            case _ChangeKind.RESTART:
                 return self._drain(self._restarting)
-            case _Move.DRAIN:
+            case _ChangeKind.DRAIN:
                 return self._drain(self._draining)
-            case _Move.REMOVE:
+            case _ChangeKind.REMOVE:
                 return self._remove()
-            case _Move.RETURN:
+            case _ChangeKind.RETURN:
                 return self._return()
-            case _Move.REPLACE:
+            case _ChangeKind.REPLACE:
                 return self._replace()
 
-    def _possible_moves(self) -> list[_Move]:
+    def _possible_kinds(self) -> list[_ChangeKind]:
         """Return the moves that the list allows; their order is part of what a seed gives."""
-        moves = []
-        if len(self._in_service) > self._shortest_length:
-            moves += [_Move.RESTART, _Move.DRAIN]
+        kinds = []
+        if len(self._in_service) > self._min_length:
+            kinds += [_ChangeKind.RESTART, _ChangeKind.DRAIN]
         if self._restarting:
-            moves.append(_Move.RETURN)
+            kinds.append(_ChangeKind.RETURN)
         if self._draining:
-            moves.append(_Move.REMOVE)
+            kinds.append(_ChangeKind.REMOVE)
         if self._removed:
-            moves.append(_Move.REPLACE)
-        return moves
+            kinds.append(_ChangeKind.REPLACE)
+        return kinds
 
     def _drain(self, destination: list[EndpointEntry]) -> EndpointEntry:
         entry = self._in_service.pop(self._source.choice(list(self._in_service)))
@@ -121,7 +121,7 @@
     """Yield changes of one entry each, without end.
 
     Servers restart, or drain and are removed, and new ones come in place of these. The list keeps its length
-    within one in `SHORTEST_FRACTION`.
+    within one in `REMOVABLE_FRACTION_DIVISOR`.
 
     Args:
         entries: The list at the start.
@@ -153,25 +153,25 @@
         yield tuple([entry | {"status": IN_SERVICE, "since_ms": since_ms} for entry in batch])
 
 
-async def play_changes(discovery: Discovery, changes: Iterator[Change], moments: Iterable[float]) -> float:
+async def play_changes(discovery: Discovery, changes: Iterator[Change], times_s: Iterable[float]) -> float:
     """Apply a change at each moment, whatever the balancers do.
 
     Args:
         discovery: The list that changes.
         changes: The changes; where they end, the play ends.
-        moments: Seconds from now, ascending.
+        times_s: Seconds from now, ascending.
 
     Returns:
         The longest lateness of a change in seconds.
     """
     loop = asyncio.get_running_loop()
-    start_s, longest_lateness_s = loop.time(), 0.0
-    for moment in moments:
+    start_s, max_lateness_s = loop.time(), 0.0
+    for time_s in times_s:
         change = next(changes, None)
         if change is None:
             break
-        if (pause_s := start_s + moment - loop.time()) > 0:
-            await asyncio.sleep(pause_s)
-        longest_lateness_s = max(longest_lateness_s, loop.time() - start_s - moment)
+        if (delay_s := start_s + time_s - loop.time()) > 0:
+            await asyncio.sleep(delay_s)
+        max_lateness_s = max(max_lateness_s, loop.time() - start_s - time_s)
         discovery.apply_changes(change)
-    return longest_lateness_s
+    return max_lateness_s
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -27,7 +27,7 @@
 FIRST_HOST = "127.32.0.1"
 """The host of the agent with number 0, if no other is given."""
 
-_MODES_BY_SEVERITY = (AgentMode.DOWN, AgentMode.SILENT)
+_MODES_BY_SEVERITY = (AgentMode.DOWN, AgentMode.UNRESPONSIVE)
 
 
 def _ignore_watch(number: int, known_index: int, time_s: float) -> None:
--- a/testbed/load/kernel_timer.py
+++ b/testbed/load/kernel_timer.py
@@ -51,8 +51,8 @@
 
     def _set(self, delay_ns: int) -> None:
         """Let the timer fire once, after so many nanoseconds."""
-        repeat_s, repeat_ns = 0, 0
-        setting = struct.pack("qqqq", repeat_s, repeat_ns, *divmod(delay_ns, _NANOSECONDS))
+        interval_s, interval_ns = 0, 0
+        setting = struct.pack("qqqq", interval_s, interval_ns, *divmod(delay_ns, _NANOSECONDS))
         if _LIBC.timerfd_settime(self._descriptor, 0, setting, None) < 0:
             raise OSError(ctypes.get_errno(), "timerfd_settime")
 
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -70,7 +70,7 @@
     served: Latencies = field(default_factory=Latencies)
     lateness: Latencies = field(default_factory=Latencies)
 
-    def doubts(self, name: str, late_ms: float) -> list[str]:
+    def invalid_reasons(self, name: str, late_ms: float) -> list[str]:
         """Return why the stream's figures can't be used: 1 send in 100 was late by more than `late_ms`."""
         lateness_ms = self.lateness.quantile_ms(0.99) if self.sends else 0.0
         if lateness_ms <= late_ms:
@@ -108,26 +108,26 @@
         """Send each request when it is due, from a start on the clock, and leave the responses open."""
         self._start = start
         for planned in schedule:
-            due = start + planned.time_s
-            while (remaining_s := due - self._clock()) > 0:
+            scheduled_s = start + planned.time_s
+            while (remaining_s := scheduled_s - self._clock()) > 0:
                 await sleep(remaining_s)
             stream = self._streams[planned.stream_index]
             client = stream.clients[planned.client_index]
-            task = asyncio.ensure_future(self._send(stream, client, due))
+            task = asyncio.ensure_future(self._send(stream, client, scheduled_s))
             self._open.add(task)
             task.add_done_callback(self._open.discard)
 
-    async def _send(self, stream: Stream, client: Client, due: float) -> None:
+    async def _send(self, stream: Stream, client: Client, scheduled_s: float) -> None:
         report = self.reports[stream.name]
-        report.lateness.record(self._clock() - due)
+        report.lateness.record(self._clock() - scheduled_s)
         report.sends += 1
         request = compose_request(stream.class_name, next(self._request_ids), stream.deadline_ms)
         response = await client.send(request, stream.deadline_ms / 1000)
         report.statuses[response.status] += 1
         if response.status == 200:
-            report.served.record(response.received_at - due)
+            report.served.record(response.received_at - scheduled_s)
         else:
-            report.unserved.append(due - self._start)
+            report.unserved.append(scheduled_s - self._start)
 
     async def finish(self) -> None:
         """Wait for the last responses and complete the reports."""
--- a/testbed/measurement/meter.py
+++ b/testbed/measurement/meter.py
@@ -76,7 +76,7 @@
         total = sum(spans.values())
         return 1 - (spans["idle"] + spans.get("iowait", 0.0)) / total if total > 0 else 0.0
 
-    def doubts(self, phase: str) -> list[str]:
+    def invalid_reasons(self, phase: str) -> list[str]:
         """Return why the figures of a phase can't be used: the cores were full. Empty if they were not."""
         busy = self.busy()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= FULL_CORES_FRACTION else []
@@ -85,7 +85,7 @@
 class Lag(NamedTuple):
     """How late an event loop ran its timers, in seconds."""
 
-    quantile_99_s: float
+    p99_s: float
     max_s: float
 
 
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -112,13 +112,13 @@
         await discovery.start(_AGENTS)
         entries = settings.endpoint_entries(size, seed=plan.seed, addresses=upstreams.addresses)
         discovery.replace_entries(entries)
-        site = settings.balancer_settings(balancers=size)
+        balancer_settings = settings.balancer_settings(balancers=size)
         text = settings.configuration_text(
             "n1",
             free_address(_BALANCER),
             discovery.agent_address(0),
             entries,
-            site,
+            balancer_settings,
             seed=plan.seed,
             index=discovery.index,
         )
@@ -173,9 +173,9 @@
         usage_after = self._usage()
         counts_after = self._upstreams.counts()
         gc.unfreeze()
-        busy, reasons = cores.busy(), cores.doubts(f"{self._size} entries")
+        busy, reasons = cores.busy(), cores.invalid_reasons(f"{self._size} entries")
         for name, report in reports.items():
-            reasons += report.doubts(f"{self._size} entries, {name}", plan.late_ms)
+            reasons += report.invalid_reasons(f"{self._size} entries, {name}", plan.late_ms)
         readings = _Readings(
             rest_us_a_s, usage_before, usage_after, counts_before, counts_after, busy, reports
         )
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -20,7 +20,7 @@
 from testbed.runs.control.change_measurement import ChangeMeasurement, ChangeRow
 from testbed.runs.control.delays import VersionSeen
 from testbed.runs.control.group import (
-    FOLLOW_S,
+    FOLLOW_TIMEOUT_S,
     BalancerGroup,
     all_follow,
     run_scenario,
@@ -91,7 +91,9 @@
             hollow=balancers,
             processes=plan.processes,
             real=plan.real,
-            site=settings.balancer_settings(balancers=max(balancers, plan.entries), pushed=plan.pushed),
+            balancer_settings=settings.balancer_settings(
+                balancers=max(balancers, plan.entries), pushed=plan.pushed
+            ),
             seed=plan.seed,
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
@@ -114,10 +116,12 @@
     rate_per_s = multiple * plan.changes_per_day / DAY_S
     seed = plan.seed + round(1000 * multiple) + group.hollow
     moments_s = arrival_times(rate_per_s, span_s, random.Random(seed))
-    played_late_s = await play_changes(group.discovery, changes, moments_s)
+    max_lateness_s = await play_changes(group.discovery, changes, moments_s)
     await asyncio.sleep(max(span_s - measurement.elapsed_s, 0.0))
-    await wait_until(lambda: all_follow(group.discovery), FOLLOW_S, "every balancer has the last change")
-    return measurement.finish(multiple, played_late_s, watch_calls)
+    await wait_until(
+        lambda: all_follow(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
+    )
+    return measurement.finish(multiple, max_lateness_s, watch_calls)
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -12,7 +12,7 @@
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Measured, Row
 from testbed.runs.control.delays import VersionSeen, delays_ms, spread
-from testbed.runs.control.group import LATE_S, BalancerGroup, sum_counts
+from testbed.runs.control.group import MAX_LATENESS_S, BalancerGroup, sum_counts
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -20,7 +20,7 @@
     from testbed.balancer.hollow_process import HollowReport
     from testbed.discovery.agent_state import RequestCounts
 
-PROCESS_FULL = 0.8
+FULL_PROCESS_FRACTION = 0.8
 """A process that uses this much of a core, as a fraction, measures how its balancers wait for one another."""
 
 
@@ -92,7 +92,7 @@
     counts: RequestCounts
     """What hollow balancers and discovery exchanged."""
     reports: list[HollowReport]
-    lag_99_s: float
+    p99_lag_s: float
     """The 99th percentile of how late an event loop ran what was due; the largest of all loops."""
 
 
@@ -116,13 +116,13 @@
         return time.monotonic() - self._began
 
     def finish(
-        self, multiple: float, played_late_s: float, watch_calls: Sequence[VersionSeen]
+        self, multiple: float, max_lateness_s: float, watch_calls: Sequence[VersionSeen]
     ) -> Measured[ChangeRow]:
         """End the measurement.
 
         Args:
             multiple: The rate that was played, as a multiple of the ordinary one.
-            played_late_s: How late a change was played, at the most.
+            max_lateness_s: How late a change was played, at the most.
             watch_calls: The versions from which balancers watched, in the order of time.
 
         Returns:
@@ -134,13 +134,13 @@
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
         counts = sum_counts(self._group.discovery, self._group.hollow_agents) - self._counts
-        reasons = self._cores.doubts(name)
-        lag_99_s, _ = self._lag.take()
+        reasons = self._cores.invalid_reasons(name)
+        p99_lag_s, _ = self._lag.take()
         self._lag.stop()
         reports = [process.report() for process in self._group.processes]
-        lag_99_s = max([lag_99_s, *(report.lag_99_s for report in reports)])
-        readings = _Readings(elapsed_s, processor_s, counts, reports, lag_99_s)
-        reasons += _invalid_reasons(name, readings, played_late_s)
+        p99_lag_s = max([p99_lag_s, *(report.p99_lag_s for report in reports)])
+        readings = _Readings(elapsed_s, processor_s, counts, reports, p99_lag_s)
+        reasons += _invalid_reasons(name, readings, max_lateness_s)
         return Measured(self._row(multiple, readings, watch_calls), reasons)
 
     def _row(self, multiple: float, readings: _Readings, watch_calls: Sequence[VersionSeen]) -> ChangeRow:
@@ -160,7 +160,7 @@
             calls_per_s=counts.requests / elapsed_s / group.hollow,
             bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow,
             whole_lists=counts.snapshots,
-            loops_late_ms_99=readings.lag_99_s * 1000,
+            loops_late_ms_99=readings.p99_lag_s * 1000,
             process_percent_most=float(core_percent.max()),
         )
 
@@ -176,27 +176,27 @@
         return DelayColumns(
             in_force_ms_median=in_force_spread.median,
             in_force_ms_99=in_force_spread.p99,
-            in_force_ms_longest=in_force_spread.longest,
+            in_force_ms_longest=in_force_spread.maximum,
             everywhere_ms_median=float(np.median(in_force.max(axis=0))) if in_force.size else None,
             taken_up_ms_median=watched_spread.median,
             taken_up_ms_99=watched_spread.p99,
-            taken_up_ms_longest=watched_spread.longest,
+            taken_up_ms_longest=watched_spread.maximum,
             real_taken_up_ms_median=real_spread.median,
             real_taken_up_ms_99=real_spread.p99,
-            real_taken_up_ms_longest=real_spread.longest,
+            real_taken_up_ms_longest=real_spread.maximum,
             written_ms_longest=float(written_s.max() * 1000) if written_s.size else None,
         )
 
 
-def _invalid_reasons(name: str, readings: _Readings, played_late_s: float) -> list[str]:
+def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
     """Why the figures say nothing, but for full cores."""
     reasons = []
-    if readings.lag_99_s >= LATE_S:
-        reasons.append(f"{name}: a loop was {readings.lag_99_s * 1000:.0f} ms late")
-    if played_late_s >= LATE_S:
-        reasons.append(f"{name}: a change was played {played_late_s * 1000:.0f} ms late")
+    if readings.p99_lag_s >= MAX_LATENESS_S:
+        reasons.append(f"{name}: a loop was {readings.p99_lag_s * 1000:.0f} ms late")
+    if max_lateness_s >= MAX_LATENESS_S:
+        reasons.append(f"{name}: a change was played {max_lateness_s * 1000:.0f} ms late")
     busiest = max(readings.processor_s) / readings.elapsed_s
-    if busiest >= PROCESS_FULL:
+    if busiest >= FULL_PROCESS_FRACTION:
         reasons.append(f"{name}: a process took {busiest:.0%} of a core")
     return reasons
 
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -29,7 +29,7 @@
 
     median: float | None = None
     p99: float | None = None
-    longest: float | None = None
+    maximum: float | None = None
 
 
 def delays_ms(
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -25,13 +25,13 @@
 
     from testbed.results import RowT, RunResult
 
-LATE_S = 0.1
+MAX_LATENESS_S = 0.1
 """An event loop whose 99th percentile of lateness reaches this measures itself."""
-START_S = 60.0
+START_TIMEOUT_S = 60.0
 """The longest wait until all balancers of a group follow the list."""
-FOLLOW_S = 10.0
+FOLLOW_TIMEOUT_S = 10.0
 """The longest wait until all balancers have the last change."""
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 """The pause between two checks of a condition that is waited for."""
 _REAL_HOST = "127.30.0.{}"
 
@@ -59,7 +59,7 @@
     while not condition():
         if time.monotonic() > deadline:
             raise ConditionTimeoutError(description, timeout_s)
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def all_follow(discovery: Discovery) -> bool:
@@ -105,7 +105,7 @@
     hollow: int,
     processes: int,
     real: int,
-    site: dict[str, Any],
+    balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
     """Start balancers, spread evenly over processes, and wait until all of them follow the list."""
@@ -113,7 +113,9 @@
 
     def text(number: int, listen: str) -> str:
         agent = discovery.agent_address(number)
-        return settings.configuration_text(f"n{number}", listen, agent, [], site, seed=seed + number)
+        return settings.configuration_text(
+            f"n{number}", listen, agent, [], balancer_settings, seed=seed + number
+        )
 
     for first in range(min(processes, hollow)):
         texts = {number: text(number, "127.0.0.1:0") for number in range(first, hollow, processes)}
@@ -127,7 +129,7 @@
         group.real.append(balancer)
     for balancer in group.real:
         await balancer.ready()
-    await wait_until(lambda: all_follow(discovery), START_S, "every balancer follows the list")
+    await wait_until(lambda: all_follow(discovery), START_TIMEOUT_S, "every balancer follows the list")
     return group
 
 
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -14,7 +14,7 @@
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Row, RunResult, fit_columns
 from testbed.runs.control.group import (
-    LATE_S,
+    MAX_LATENESS_S,
     BalancerGroup,
     run_scenario,
     start_discovery,
@@ -106,9 +106,15 @@
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{place}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
-    site = settings.balancer_settings(balancers=entries, pushed=pushed)
+    balancer_settings = settings.balancer_settings(balancers=entries, pushed=pushed)
     return await start_group(
-        stack, discovery, hollow=plan.hollow, processes=1, real=1, site=site, seed=plan.seed
+        stack,
+        discovery,
+        hollow=plan.hollow,
+        processes=1,
+        real=1,
+        balancer_settings=balancer_settings,
+        seed=plan.seed,
     )
 
 
@@ -126,8 +132,8 @@
     late_s, _ = lag.take()
     lag.stop()
     phase = f"at rest, {'pushed' if pushed else 'asked for'}"
-    result.invalid_reasons += cores.doubts(phase)
-    if late_s >= LATE_S:
+    result.invalid_reasons += cores.invalid_reasons(phase)
+    if late_s >= MAX_LATENESS_S:
         result.invalid_reasons.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
 
 
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -24,7 +24,7 @@
 
 WINDOW_MS = 500.0
 """The length of a window in which calls after the fault's end are counted."""
-QUIET_MS = 1_000.0
+SINGLE_CALL_DELAY_MS = 1_000.0
 """A single call comes so long after the last one of the warm-up."""
 _OK = 200
 _UNAVAILABLE = 503
@@ -118,19 +118,19 @@
         self._plan, self._fault = plan, fault
         self._chain = Chain(plan.shape(depth), plan.seed)
         self._gaps = random.Random(f"{plan.seed}:arrivals")
-        quiet_ms = QUIET_MS if plan.single_call and plan.warm_s else 0.0
-        self._warm_ends = plan.warm_s * 1000
-        self._begins = self._warm_ends + quiet_ms
-        self._ends = self._begins + plan.fault_s * 1000
+        delay_ms = SINGLE_CALL_DELAY_MS if plan.single_call and plan.warm_s else 0.0
+        self._warm_up_end_ms = plan.warm_s * 1000
+        self._fault_start_ms = self._warm_up_end_ms + delay_ms
+        self._fault_end_ms = self._fault_start_ms + plan.fault_s * 1000
         clock = self._chain.clock
-        clock.schedule(self._begins, self._behave, fault.behaviour)
+        clock.schedule(self._fault_start_ms, self._set_behaviour, fault.behaviour)
         if plan.after_s:
-            clock.schedule(self._ends, self._behave, Behaviour.SERVES)
+            clock.schedule(self._fault_end_ms, self._set_behaviour, Behaviour.SERVES)
         if plan.single_call:
-            clock.schedule(self._begins, self._chain.send_request, Phase.DURING)
+            clock.schedule(self._fault_start_ms, self._chain.send_request, Phase.DURING)
         self._schedule_call(0.0)
 
-    def _behave(self, behaviour: Behaviour) -> None:
+    def _set_behaviour(self, behaviour: Behaviour) -> None:
         """From now on the servers that the fault is in behave so."""
         fault, settings = self._fault, self._chain.settings
         count = fault.servers or settings.servers_per_tier
@@ -139,9 +139,9 @@
     def _schedule_call(self, now: float) -> None:
         """Schedule the call after one at `now`, unless it would come after the end."""
         at = now + self._gaps.expovariate(self._plan.calls_per_s / 1000)
-        if self._plan.single_call and self._warm_ends <= at < self._ends:
-            at = self._ends + at - self._warm_ends
-        if at < self._ends + self._plan.after_s * 1000:
+        if self._plan.single_call and self._warm_up_end_ms <= at < self._fault_end_ms:
+            at = self._fault_end_ms + at - self._warm_up_end_ms
+        if at < self._fault_end_ms + self._plan.after_s * 1000:
             self._chain.clock.schedule(at, self._arrive, at)
 
     def _arrive(self, at: float) -> None:
@@ -149,9 +149,9 @@
         self._schedule_call(at)
 
     def _phase_at(self, at: float) -> Phase:
-        if at < self._begins:
+        if at < self._fault_start_ms:
             return Phase.BEFORE
-        return Phase.DURING if at < self._ends else Phase.AFTER
+        return Phase.DURING if at < self._fault_end_ms else Phase.AFTER
 
     def run(self) -> DepthRow:
         """Run the simulation to its end, or until it has had too many events, and make the row of it."""
@@ -180,7 +180,7 @@
     def _served(self, calls: Sequence[ClientRequest], windows: list[float | None]) -> ServedColumns:
         before, during, after = ([call for call in calls if call.phase == phase] for phase in Phase)
         # Calls still under way as the fault begins don't tell how it was before.
-        settled = [call for call in before if call.received_at_ms < self._warm_ends - WINDOW_MS]
+        settled = [call for call in before if call.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
         served_before = _served_fraction(settled)
         shed = [call.status == _UNAVAILABLE and not call.was_attempted for call in during]
         return ServedColumns(
@@ -224,7 +224,9 @@
         windows: list[list[ClientRequest]] = [[] for _ in range(count)]
         for call in calls:
             if call.phase == Phase.AFTER:
-                windows[min(int((call.received_at_ms - self._ends) / WINDOW_MS), count - 1)].append(call)
+                windows[min(int((call.received_at_ms - self._fault_end_ms) / WINDOW_MS), count - 1)].append(
+                    call
+                )
         return [_served_fraction(window) for window in windows]
 
     def _work(self, began: float) -> WorkColumns:
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpdateSpans:
+class UpdateTimes:
     """How long each part of one take-up took, in nanoseconds."""
 
     parse: int
@@ -53,9 +53,9 @@
 class ListRound:
     """What one round measured."""
 
-    lists: list[UpdateSpans] = field(default_factory=list)
+    lists: list[UpdateTimes] = field(default_factory=list)
     """By whole list."""
-    deltas: list[UpdateSpans] = field(default_factory=list)
+    deltas: list[UpdateTimes] = field(default_factory=list)
     """By change of one entry."""
 
 
@@ -77,11 +77,11 @@
         self._changes = 0
         self._discovery.replace_entries(self._entries)
         # The first list makes what later ones find.
-        self._take_up(self._discovery.list_response(-1).body)
+        self._apply_update(self._discovery.list_response(-1).body)
         self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         freeze_collector()
 
-    def _take_up(self, body: bytes) -> UpdateSpans:
+    def _apply_update(self, body: bytes) -> UpdateTimes:
         """Take up a response of discovery as the program does."""
         self._now_ms += _UPDATE_INTERVAL_MS
         began = time.perf_counter_ns()
@@ -95,15 +95,15 @@
         endpoints = tuple([e.endpoint for e in update.endpoints])
         self._balancer.handle(EndpointListUpdate(kind, endpoints), self._now_ms)
         in_policy = time.perf_counter_ns()
-        return UpdateSpans(parsed - began, was_read - parsed, in_pools - was_read, in_policy - in_pools)
+        return UpdateTimes(parsed - began, was_read - parsed, in_pools - was_read, in_policy - in_pools)
 
     def play(self) -> ListRound:
         """Take up the whole lists of one round, then its changes."""
         measured = ListRound()
         for _ in range(self._plan.lists):
-            measured.lists.append(self._take_up(self._discovery.list_response(-1).body))
+            measured.lists.append(self._apply_update(self._discovery.list_response(-1).body))
         for _ in range(self._plan.deltas):
-            measured.deltas.append(self._take_up(self._change()))
+            measured.deltas.append(self._apply_update(self._change()))
         return measured
 
     def _change(self) -> bytes:
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -53,9 +53,9 @@
     """Write the text of the file that `LB_CONFIG` would name; the arguments are those of `configuration`."""
     known = settings.endpoint_entries(entries, seed=plan.seed)
     balancers = entries if keeps == "part" else 1
-    site = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
+    balancer_settings = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
     return settings.configuration_text(
-        "n0", "127.0.0.1:0", "127.0.0.1:1", known, site, seed=plan.seed, index=1
+        "n0", "127.0.0.1:0", "127.0.0.1:1", known, balancer_settings, seed=plan.seed, index=1
     )
 
 
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-REFERENCE_TIMES = 20
+REFERENCE_REPETITIONS = 20
 """Pieces of work in one reading of the reference, which is their median."""
-REFERENCES = 100
+INITIAL_REFERENCES = 100
 """Readings at the start, to know how quick a core is that is left alone."""
-QUICK = 1.25
+MAX_QUICK_RATIO = 1.25
 """A reference up to so many times the least is quick; a busy sibling core makes it nearly twice the least."""
 _US_NS = 1e3
 
@@ -60,7 +60,7 @@
 def reference_us() -> float:
     """Measure the median time of a fixed piece of work, in microseconds."""
     spans_ns = []
-    for _ in range(REFERENCE_TIMES):
+    for _ in range(REFERENCE_REPETITIONS):
         began = time.perf_counter_ns()
         sum([math.exp(-i / 1000) for i in range(1000)])
         spans_ns.append(time.perf_counter_ns() - began)
@@ -87,10 +87,10 @@
     def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
         self._quick_rounds, self._max_rounds, self._reference = quick_rounds, max_rounds, reference
         self._played: list[tuple[Cell[Any, RowT], list[_Played]]] = []
-        self._min_reference_us = min([reference() for _ in range(REFERENCES)])
+        self._min_reference_us = min([reference() for _ in range(INITIAL_REFERENCES)])
 
     def _is_quick(self, played: _Played) -> bool:
-        return played.reference_us <= QUICK * self._min_reference_us
+        return played.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
 
     def play(self, cell: Cell[Any, RowT]) -> None:
         """Play rounds until enough were quick, as far as is known by now, or there were too many."""
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -54,7 +54,7 @@
             log.info("measured", entries=entries, keeps=keeps)
     result = rounds.result()
     missing_rows = bool(result.invalid_reasons)
-    result.invalid_reasons = cores.doubts("whole run") + result.invalid_reasons
+    result.invalid_reasons = cores.invalid_reasons("whole run") + result.invalid_reasons
     if missing_rows:
         return result
     result.rows = with_growth(result.rows)
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -171,9 +171,9 @@
     usage_after = usage(pids)
     busy = cores.busy()
     attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
-    reasons = cores.doubts("the phase")
+    reasons = cores.invalid_reasons("the phase")
     for name, report in reports.items():
-        reasons += report.doubts(name, plan.late_ms)
+        reasons += report.invalid_reasons(name, plan.late_ms)
     readings = _Readings(usage_before, usage_after, busy, attempts, reports)
     return Measured(_row(chain, phase, readings), reasons)
 
--- a/testbed/virtual_clock.py
+++ b/testbed/virtual_clock.py
@@ -28,10 +28,10 @@
         self._queue: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self._scheduled = 0
 
-    def schedule(self, moment: float, callback: Callable[[Any], None], argument: Any) -> None:
+    def schedule(self, time_ms: float, callback: Callable[[Any], None], argument: Any) -> None:
         """Call `callback(argument)` at a moment, or at the current one if that moment has passed."""
         self._scheduled += 1
-        heapq.heappush(self._queue, (max(moment, self.now), self._scheduled, callback, argument))
+        heapq.heappush(self._queue, (max(time_ms, self.now), self._scheduled, callback, argument))
 
     def run(self, max_events: int) -> bool:
         """Run callbacks until none is left.
@@ -51,11 +51,11 @@
             callback(argument)
         return True
 
-    def run_until(self, moment: float) -> None:
+    def run_until(self, time_ms: float) -> None:
         """Run the callbacks that are due at or before a moment, then set the clock to it."""
         queue = self._queue
-        while queue and queue[0][0] <= moment:
+        while queue and queue[0][0] <= time_ms:
             self.events_run += 1
             self.now, _, callback, argument = heapq.heappop(queue)
             callback(argument)
-        self.now = max(self.now, moment)
+        self.now = max(self.now, time_ms)
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -61,7 +61,7 @@
         in_force: list[int] = []
         first = discovery.replace_entries(three())
         address = discovery.agent_address(0)
-        discovery.set_state(AgentState(AgentMode.SILENT))
+        discovery.set_state(AgentState(AgentMode.UNRESPONSIVE))
         text = configuration_text(
             "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
         )
@@ -99,7 +99,7 @@
         assert sorted(last.balancers) == [0, 1, 2]
         assert set(last.indexes) == {second}
         assert all(discovery.changed_at[second] <= at for at in last.times)
-        assert last.lag_longest_s >= last.lag_99_s >= 0
+        assert last.max_lag_s >= last.p99_lag_s >= 0
         await discovery.stop()
         assert not psutil.pid_exists(process.pid)
 
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -11,7 +11,7 @@
 import pytest
 
 from testbed.balancer import real
-from testbed.balancer.real import BalancerEndedError, RealBalancer
+from testbed.balancer.real import BalancerExitedError, RealBalancer
 from tests.network.loopback import config_text, run
 
 
@@ -47,7 +47,7 @@
 
     async def scenario() -> None:
         balancer = await RealBalancer.start(_started("127.81.0.2"), "echo no licence >&2; exit 7")
-        with pytest.raises(BalancerEndedError, match="ended with 7: no licence"):
+        with pytest.raises(BalancerExitedError, match="ended with 7: no licence"):
             await balancer.ready(10.0)
         assert await balancer.stop() == 7
         assert list(tmp_path.iterdir()) == []
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -182,7 +182,7 @@
             for watcher in (one, other):
                 watcher.send(f"?after={index}&wait_ms=60000")
             await until(lambda: discovery.counts().requests == 2)
-            discovery.set_state(AgentState(AgentMode.SILENT), group="r1")
+            discovery.set_state(AgentState(AgentMode.UNRESPONSIVE), group="r1")
             index = discovery.apply_changes([three()[0] | {"weight": 2.0}])
             assert read_list(await read_message(one.reader))[0] == index
             assert discovery.agents[1].written_index == -1
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -73,10 +73,10 @@
     assert longest == pytest.approx(3_000, rel=0.01)
     assert shortest == pytest.approx((3.0 + due[0] - due[-1]) * 1000, rel=0.01)
     assert late.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
-    (doubt,) = late.doubts("direct", late_ms=1.0)
+    (doubt,) = late.invalid_reasons("direct", late_ms=1.0)
     assert doubt.startswith("direct: ")
     assert "late" in doubt
-    assert run(scenario(0.0)).doubts("direct", late_ms=1.0) == []
+    assert run(scenario(0.0)).invalid_reasons("direct", late_ms=1.0) == []
 
 
 def test_added_time_counts_both_ways_and_hands_on_the_doubts_about_the_load() -> None:
--- a/tests/testbed/measurement/test_meter.py
+++ b/tests/testbed/measurement/test_meter.py
@@ -50,10 +50,10 @@
     assert CoresWatch().busy() == pytest.approx(0.5)
     read(100.0, 100.0, 0.0, 100.0)
     read(180.0, 105.0, 15.0, 180.0)
-    assert CoresWatch().doubts("rest") == ["rest: the cores were 95% busy"]
+    assert CoresWatch().invalid_reasons("rest") == ["rest: the cores were 95% busy"]
     read(0.0, 0.0, 0.0, 0.0)
     read(0.0, 0.0, 0.0, 0.0)
-    assert CoresWatch().doubts("rest") == []
+    assert CoresWatch().invalid_reasons("rest") == []
 
 
 def test_loop_lag_is_how_late_a_timer_runs() -> None:
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -28,7 +28,7 @@
     delays = delays_ms(seen, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
     assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
     assert astuple(spread(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
-    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, longest=None)
+    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, maximum=None)
 
 
 def test_the_run_under_change_sees_every_change_at_every_balancer() -> None:
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -14,7 +14,7 @@
 from testbed.results import Row
 from testbed.runs import RUNS
 from testbed.runs.list_size import run as list_size
-from testbed.runs.list_size.rounds import REFERENCES, RoundColumns, Rounds
+from testbed.runs.list_size.rounds import INITIAL_REFERENCES, RoundColumns, Rounds
 from testbed.runs.list_size.rows import CellName, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
@@ -108,7 +108,7 @@
 
 def test_only_rounds_beside_a_quick_core_count() -> None:
     def played(enough: int, most: int, *readings: float) -> tuple[list[dict[str, Any]], list[str]]:
-        coming = iter([*[10.0] * REFERENCES, *readings])
+        coming = iter([*[10.0] * INITIAL_REFERENCES, *readings])
         rounds: Rounds[RoundsRow] = Rounds(enough, most, lambda: next(coming))
         rounds.play(CountedCell())
         assert next(coming, None) is None
