--- a/testbed/results.py
+++ b/testbed/results.py
@@ -1,8 +1,8 @@
 """What a run measured: rows, lines fitted to them, and whether the machine kept up.
 
 A run gives typed rows. They become plain JSON objects here, when a result is written, and nowhere else. The
-names of a row's fields are the names of the stored columns: they stay as they are, so that results of any age
-can be compared.
+stored columns keep their names, so that results of any age can be compared: a column is named after its
+field, or by `stored_as` where the field has been renamed.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import math
 import platform
 import subprocess
-from dataclasses import asdict, dataclass, field, fields
+from dataclasses import Field, asdict, dataclass, field, fields
 from importlib.metadata import version
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, Generic, TypeVar
@@ -30,6 +30,16 @@
 """Metadata of a row's field that is left out of the stored row where it is None; others become null."""
 
 
+def stored_as(column_name: str) -> Any:
+    """Define a row's field whose column keeps an older name in stored results."""
+    return field(metadata={"column_name": column_name})
+
+
+def column_name(column: Field[Any]) -> str:
+    """Return the name of the stored column of a row's field: its own, unless `stored_as` gives another."""
+    return str(column.metadata.get("column_name", column.name))
+
+
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
     """One row of a run's table; each run adds its columns as fields.
@@ -45,7 +55,7 @@
             if isinstance(value, Row):
                 columns |= value.columns()
             elif value is not None or column.metadata != OMITTED_IF_NONE:
-                columns[column.name] = value
+                columns[column_name(column)] = value
         return columns
 
 
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
-from testbed.results import Measured, Row
+from testbed.results import Measured, Row, stored_as
 from testbed.runs.control.delays import VersionSeen, delays_ms, spread
 from testbed.runs.control.group import MAX_LATENESS_S, BalancerGroup, sum_counts
 
@@ -31,21 +31,21 @@
     Hollow balancers of a process take a change up one after another, so theirs are upper bounds.
     """
 
-    in_force_ms_median: float | None
+    median_in_force_ms: float | None = stored_as("in_force_ms_median")
     """Until the policy of a hollow balancer has the change."""
-    in_force_ms_99: float | None
-    in_force_ms_longest: float | None
-    everywhere_ms_median: float | None
+    p99_in_force_ms: float | None = stored_as("in_force_ms_99")
+    max_in_force_ms: float | None = stored_as("in_force_ms_longest")
+    median_everywhere_ms: float | None = stored_as("everywhere_ms_median")
     """Until the policies of all hollow balancers have a change; the median over the changes."""
-    taken_up_ms_median: float | None
+    median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
     """Until the next watch call of a hollow balancer says that it has the change."""
-    taken_up_ms_99: float | None
-    taken_up_ms_longest: float | None
-    real_taken_up_ms_median: float | None
+    p99_acknowledged_ms: float | None = stored_as("taken_up_ms_99")
+    max_acknowledged_ms: float | None = stored_as("taken_up_ms_longest")
+    median_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_median")
     """Until the next watch call of a real balancer says that it has the change."""
-    real_taken_up_ms_99: float | None
-    real_taken_up_ms_longest: float | None
-    written_ms_longest: float | None
+    p99_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_99")
+    max_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_longest")
+    max_written_ms: float | None = stored_as("written_ms_longest")
     """Until discovery has written the change to all."""
 
 
@@ -74,11 +74,11 @@
     """Calls of a hollow balancer at discovery."""
     bytes_per_s: float
     """Bytes of those calls, both ways."""
-    whole_lists: int
+    snapshots: int = stored_as("whole_lists")
     """Whole lists that hollow balancers got."""
-    loops_late_ms_99: float
+    p99_loop_lag_ms: float = stored_as("loops_late_ms_99")
     """The 99th percentile of how late an event loop ran what was due; the largest of all loops."""
-    process_percent_most: float
+    max_process_percent: float = stored_as("process_percent_most")
     """Processor time of the busiest process, in hundredths of a core."""
 
 
@@ -159,9 +159,9 @@
             real_core_percent=float(real_percent.mean()) if group.real else None,
             calls_per_s=counts.requests / elapsed_s / group.hollow,
             bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow,
-            whole_lists=counts.snapshots,
-            loops_late_ms_99=readings.p99_lag_s * 1000,
-            process_percent_most=float(core_percent.max()),
+            snapshots=counts.snapshots,
+            p99_loop_lag_ms=readings.p99_lag_s * 1000,
+            max_process_percent=float(core_percent.max()),
         )
 
     def _delays(self, reports: list[HollowReport], watch_calls: Sequence[VersionSeen]) -> DelayColumns:
@@ -174,17 +174,17 @@
         in_force_spread, watched_spread = spread(in_force), spread(watched)
         real_spread = spread(real_watched)
         return DelayColumns(
-            in_force_ms_median=in_force_spread.median,
-            in_force_ms_99=in_force_spread.p99,
-            in_force_ms_longest=in_force_spread.maximum,
-            everywhere_ms_median=float(np.median(in_force.max(axis=0))) if in_force.size else None,
-            taken_up_ms_median=watched_spread.median,
-            taken_up_ms_99=watched_spread.p99,
-            taken_up_ms_longest=watched_spread.maximum,
-            real_taken_up_ms_median=real_spread.median,
-            real_taken_up_ms_99=real_spread.p99,
-            real_taken_up_ms_longest=real_spread.maximum,
-            written_ms_longest=float(written_s.max() * 1000) if written_s.size else None,
+            median_in_force_ms=in_force_spread.median,
+            p99_in_force_ms=in_force_spread.p99,
+            max_in_force_ms=in_force_spread.maximum,
+            median_everywhere_ms=float(np.median(in_force.max(axis=0))) if in_force.size else None,
+            median_acknowledged_ms=watched_spread.median,
+            p99_acknowledged_ms=watched_spread.p99,
+            max_acknowledged_ms=watched_spread.maximum,
+            median_real_acknowledged_ms=real_spread.median,
+            p99_real_acknowledged_ms=real_spread.p99,
+            max_real_acknowledged_ms=real_spread.maximum,
+            max_written_ms=float(written_s.max() * 1000) if written_s.size else None,
         )
 
 
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -49,7 +49,7 @@
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
     """Fit growth over depth: as a line, an exponential (ln n over depth) and a power (ln n over ln depth)."""
-    fitted = [row for row in rows if row.trouble == fault and not row.cut_short and row.columns()[column]]
+    fitted = [row for row in rows if row.fault == fault and not row.cut_short and row.columns()[column]]
     depths = [row.depth for row in fitted]
     if len(set(depths)) < 2:
         return []
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -14,7 +14,7 @@
 
 from testbed.chain.chain import Chain
 from testbed.chain.server import Behaviour
-from testbed.results import Row
+from testbed.results import Row, stored_as
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -65,7 +65,7 @@
     """At the last tier, by call."""
     bottom_attempts_an_admitted: float | None
     """At the last tier, by call for which an attempt was made at all."""
-    bottom_attempts_most: int
+    max_bottom_attempts: int = stored_as("bottom_attempts_most")
     """At the last tier, for one call."""
     attempts_a_call_by_tier: list[float | None]
 
@@ -90,19 +90,19 @@
     """A chain of one depth under one fault."""
 
     depth: int
-    trouble: str
+    fault: str = stored_as("trouble")
     """Its name in the plan."""
     calls: int
     """Calls from outside."""
     served: ServedColumns
     attempts: AttemptColumns
-    turned_away_full: int
+    rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected since their queues were full."""
     added_a_hop_p50_ms: float | None
     """What a tier adds to a served call beside the messages' way and the mean of the work; the median."""
     added_a_hop_p99_ms: float | None
     """The same, the 99th percentile."""
-    deadline_part_at_bottom: float | None
+    bottom_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The fraction of a call's deadline that its first attempt at the last tier had left; the median."""
     served_after_by_window: list[float | None]
     """The fraction served of the calls that came in each window after the fault's end."""
@@ -164,14 +164,14 @@
         deadline_parts = [call.deadline_fraction for call in chain.client_requests if call.last_tier_attempts]
         return DepthRow(
             depth=chain.settings.depth,
-            trouble=self._fault.name,
+            fault=self._fault.name,
             calls=len(chain.client_requests),
             served=self._served(calls, windows),
             attempts=self._attempts(),
-            turned_away_full=sum(server.rejected for tier in chain.tiers for server in tier),
+            rejected_queue_full=sum(server.rejected for tier in chain.tiers for server in tier),
             added_a_hop_p50_ms=float(np.percentile(added_ms, 50)) if added_ms else None,
             added_a_hop_p99_ms=float(np.percentile(added_ms, 99)) if added_ms else None,
-            deadline_part_at_bottom=statistics.median(deadline_parts) if deadline_parts else None,
+            bottom_deadline_fraction=statistics.median(deadline_parts) if deadline_parts else None,
             served_after_by_window=windows,
             cut_short=not finished,
             work=self._work(began),
@@ -200,7 +200,7 @@
         return AttemptColumns(
             bottom_attempts_a_call=by_tier[-1] / len(during) if during else None,
             bottom_attempts_an_admitted=by_tier[-1] / admitted if admitted else None,
-            bottom_attempts_most=max((call.last_tier_attempts for call in during), default=0),
+            max_bottom_attempts=max((call.last_tier_attempts for call in during), default=0),
             attempts_a_call_by_tier=[
                 round(attempts / len(during), 4) if during else None for attempts in by_tier
             ],
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -132,9 +132,9 @@
             delta_pools_us=_median(spans.pools for spans in deltas) / _US_NS,
             list_module_ms=_median(spans.policy for spans in lists) / _MS_NS,
             delta_module_us=_median(spans.policy for spans in deltas) / _US_NS,
-            list_whole_ms=_median(spans.total for spans in lists) / _MS_NS,
-            delta_whole_us=_median(spans.total for spans in deltas) / _US_NS,
-            delta_whole_us_99=float(np.percentile([spans.total for spans in deltas], 99)) / _US_NS,
+            list_total_ms=_median(spans.total for spans in lists) / _MS_NS,
+            delta_total_us=_median(spans.total for spans in deltas) / _US_NS,
+            delta_total_us_p99=float(np.percentile([spans.total for spans in deltas], 99)) / _US_NS,
             memory_kib=_memory_bytes(self._text) / _KIB,
             rounds=columns,
         )
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Literal
 
-from testbed.results import OMITTED_IF_NONE, Row
+from testbed.results import OMITTED_IF_NONE, Row, stored_as
 from testbed.runs.list_size.plan import Keeps
 from testbed.runs.list_size.rounds import RoundColumns
 
@@ -33,10 +33,10 @@
     cell: CellName
     arrival_us_median: float
     arrival_us_mean: float
-    arrival_us_99: float
+    p99_arrival_us: float = stored_as("arrival_us_99")
     end_us_median: float
     end_us_mean: float
-    end_us_99: float
+    p99_end_us: float = stored_as("end_us_99")
     calls: int
     shed: int
     """Calls for which no attempt was made."""
@@ -70,9 +70,9 @@
     delta_pools_us: float
     list_module_ms: float
     delta_module_us: float
-    list_whole_ms: float
-    delta_whole_us: float
-    delta_whole_us_99: float
+    list_total_ms: float = stored_as("list_whole_ms")
+    delta_total_us: float = stored_as("delta_whole_us")
+    delta_total_us_p99: float = stored_as("delta_whole_us_99")
     memory_kib: float
     """Memory that a balancer holds once its list is in force."""
     rounds: RoundColumns
@@ -110,7 +110,8 @@
     longer = math.log(row.cell.entries / last.cell.entries)
     costs = _DECISION_COSTS if isinstance(row, DecisionRow) else _LIST_COSTS
     growth: dict[str, Any] = {}
+    columns, last_columns = row.columns(), last.columns()
     for cost in costs:
-        ratio = getattr(row, cost) / getattr(last, cost)
+        ratio = columns[cost] / last_columns[cost]
         growth[f"{cost}_growth"] = math.log(ratio) / longer
     return replace(row, **growth)
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -14,7 +14,7 @@
 
 from testbed.load import streams as load
 from testbed.measurement.meter import CoresWatch, Usage, usage
-from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns
+from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns, stored_as
 from testbed.runs import loaded
 from testbed.runs.real_depth.chain import Chain
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
@@ -70,7 +70,7 @@
     """The deadlines of the requests that reached the last tier, in milliseconds."""
 
     bottom_deadline_50_ms: float
-    bottom_deadline_least_ms: float
+    min_bottom_deadline_ms: float = stored_as("bottom_deadline_least_ms")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -84,7 +84,7 @@
     """Calls through the balancers."""
     served: int
     """Those with response 200."""
-    refused: int
+    rejected: int = stored_as("refused")
     """Those with response 503 or 429."""
     failed: int
     """All others."""
@@ -189,7 +189,7 @@
         phase=phase,
         calls=calls,
         served=served,
-        refused=rejected,
+        rejected=rejected,
         failed=calls - served - rejected,
         last_unserved_s=max(through.unserved, default=0.0),
         times=_times(readings.reports["direct"].served, through.served),
@@ -222,5 +222,5 @@
         return None
     ordered = sorted(deadlines_ms)
     return DeadlineColumns(
-        bottom_deadline_50_ms=ordered[len(ordered) // 2], bottom_deadline_least_ms=ordered[0]
+        bottom_deadline_50_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
     )
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -48,7 +48,7 @@
         assert row["core_percent"] > 0
         assert row["real_core_percent"] > 0
         assert row["bytes_per_s"] > 0
-    assert {row.whole_lists for row in result.rows} == {0}  # all followed the list from the start
+    assert {row.snapshots for row in result.rows} == {0}  # all followed the list from the start
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in result.fits}
 
 
@@ -57,7 +57,7 @@
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
     result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [row.whole_lists for row in result.rows] == [0] * 4
+    assert [row.snapshots for row in result.rows] == [0] * 4
     assert {row.real_core_percent for row in result.rows} == {None}
 
 
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -10,7 +10,7 @@
 from typer.testing import CliRunner
 
 from testbed.cli import app
-from testbed.results import Row
+from testbed.results import Row, column_name
 from testbed.runs import RUNS
 from testbed.runs.added_time import AddedTimeRow
 from testbed.runs.control.change_measurement import ChangeRow
@@ -40,7 +40,7 @@
         if parts:
             yield from column_names(parts[0])
         else:
-            yield column.name
+            yield column_name(column)
 
 
 def in_order(row: dict[str, Any], names: list[str]) -> bool:
