--- /dev/null
+++ b/tests/conftest.py
@@ -0,0 +1,39 @@
+"""The event loop and the time limit of asynchronous tests."""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import inspect
+from collections.abc import Awaitable, Callable, Mapping
+
+import pytest
+import uvloop
+
+ASYNC_TEST_TIMEOUT_S = 10.0
+"""Time limit of an asynchronous test; only a test that hangs comes near it."""
+
+
+def pytest_asyncio_loop_factories() -> Mapping[str, Callable[[], asyncio.AbstractEventLoop]]:
+    """Run asynchronous tests on the event loop that the program uses."""
+    return {"uvloop": uvloop.new_event_loop}
+
+
+def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
+    """Limit the time of each asynchronous test.
+
+    Guards against hanging: the signal of pytest-timeout does not interrupt a waiting uvloop, and its thread
+    ends the whole run.
+    """
+    for item in items:
+        if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
+            item.obj = _with_time_limit(item.obj)
+
+
+def _with_time_limit(test: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
+    @functools.wraps(test)
+    async def limited_test(*args: object, **kwargs: object) -> None:
+        async with asyncio.timeout(ASYNC_TEST_TIMEOUT_S):
+            await test(*args, **kwargs)
+
+    return limited_test
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -20,88 +20,78 @@
     request_bytes,
     until_idle,
 )
-from tests.network.loopback import ReceivedMessage, Rig, Upstream, never_respond, response, run, status
+from tests.network.loopback import ReceivedMessage, Rig, Upstream, never_respond, response, status
 from tests.network.policy_hooks import before_event, replace_policy
 
 
-def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request() -> None:
+async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request() -> None:
     """The policy sends a moment later; the event loop has not read the disconnect yet."""
 
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            client = connect_client(rig)
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        client = connect_client(rig)
 
-            def hold(event: Event, now: float) -> list[Action]:
-                if isinstance(event, RequestReceived):
-                    return [SetTimer(now, HedgeTimer(event.request_id))]
-                if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
-                    client.close()
-                    return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
-                return []
+        def hold(event: Event, now: float) -> list[Action]:
+            if isinstance(event, RequestReceived):
+                return [SetTimer(now, HedgeTimer(event.request_id))]
+            if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
+                client.close()
+                return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
+            return []
 
-            replace_policy(rig, hold)
-            client.sendall(request_bytes("/read", 1))
-            while client.fileno() >= 0:
-                await asyncio.sleep(0.001)
-            await until_idle(rig)
-            assert not upstream.connections
+        replace_policy(rig, hold)
+        client.sendall(request_bytes("/read", 1))
+        while client.fileno() >= 0:
+            await asyncio.sleep(0.001)
+        await until_idle(rig)
+        assert not upstream.connections
 
-    run(scenario())
 
-
-def test_not_retried_when_the_client_disconnects_while_the_retry_connects(
+async def test_not_retried_when_the_client_disconnects_while_the_retry_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The retry opens a connection of its own; the client disconnects as that is established."""
 
-    async def scenario() -> None:
-
-        async def by_class(received: ReceivedMessage, writer: Any) -> None:
-            is_rejected = received.headers["x-class"] == "pay"
-            writer.write(response(503, b"", "X-Not-Run: 1") if is_rejected else response())
-
-        upstreams = Upstream(by_class), Upstream(by_class)
-        async with Rig(*upstreams) as rig:
-            while not all(upstream.received for upstream in upstreams):
-                assert status(await rig.send_request()) == 200
-            pass_reuse_delay(rig)
-            client, connects = connect_client(rig), DelayedConnects(monkeypatch)
-            connects.on_established = client.close
-            connects.allowed.set()
-            client.sendall(request_bytes("/pay", 1, b"debit"))
-            while client.fileno() >= 0:
-                await asyncio.sleep(0.001)
-            await until_idle(rig)
-            assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
-            received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
-            assert received.count("pay") == 1
-
-    run(scenario())
-
-
-def test_pipelined_request_is_not_sent_when_the_client_disconnects_before_it() -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            client = connect_client(rig)
-            arrived = list[int]()
-
-            def disconnect_at_the_second(event: RequestReceived) -> None:
-                arrived.append(event.request_id)
-                if len(arrived) == 2:
-                    pass_reuse_delay(rig)
-                    client.close()
-
-            before_event(rig, RequestReceived, disconnect_at_the_second)
-            client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
-            while len(arrived) < 2:
-                await asyncio.sleep(0.001)
-            await until_idle(rig)
-            assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
-            assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
-
-    run(scenario())
+    async def by_class(received: ReceivedMessage, writer: Any) -> None:
+        is_rejected = received.headers["x-class"] == "pay"
+        writer.write(response(503, b"", "X-Not-Run: 1") if is_rejected else response())
+
+    upstreams = Upstream(by_class), Upstream(by_class)
+    async with Rig(*upstreams) as rig:
+        while not all(upstream.received for upstream in upstreams):
+            assert status(await rig.send_request()) == 200
+        pass_reuse_delay(rig)
+        client, connects = connect_client(rig), DelayedConnects(monkeypatch)
+        connects.on_established = client.close
+        connects.allowed.set()
+        client.sendall(request_bytes("/pay", 1, b"debit"))
+        while client.fileno() >= 0:
+            await asyncio.sleep(0.001)
+        await until_idle(rig)
+        assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
+        received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
+        assert received.count("pay") == 1
+
+
+async def test_pipelined_request_is_not_sent_when_the_client_disconnects_before_it() -> None:
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        client = connect_client(rig)
+        arrived = list[int]()
+
+        def disconnect_at_the_second(event: RequestReceived) -> None:
+            arrived.append(event.request_id)
+            if len(arrived) == 2:
+                pass_reuse_delay(rig)
+                client.close()
+
+        before_event(rig, RequestReceived, disconnect_at_the_second)
+        client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
+        while len(arrived) < 2:
+            await asyncio.sleep(0.001)
+        await until_idle(rig)
+        assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
+        assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
 
 
 async def client_with_unread_response(rig: Rig) -> socket.socket:
@@ -122,152 +112,131 @@
     return client
 
 
-def test_pipelined_request_is_processed_once_the_response_before_it_is_read() -> None:
+async def test_pipelined_request_is_processed_once_the_response_before_it_is_read() -> None:
     """Nothing reported that the rest of the response had left: the next request waited for further bytes."""
 
-    async def scenario() -> None:
-        upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
-        async with Rig(upstream) as rig:
-            client, got = await client_with_unread_response(rig), b""
-            while not got.endswith(b"the second"):
-                got += await asyncio.get_running_loop().sock_recv(client, 65_536)
-            client.close()
-
-    run(scenario())
+    upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
+    async with Rig(upstream) as rig:
+        client, got = await client_with_unread_response(rig), b""
+        while not got.endswith(b"the second"):
+            got += await asyncio.get_running_loop().sock_recv(client, 65_536)
+        client.close()
 
 
-def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response() -> None:
+async def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response() -> None:
     """The end was read, but the connection stayed until the response had left; then the next one was sent."""
 
-    async def scenario() -> None:
-        upstream = Upstream(response(200, b"x" * 60_000))
-        async with Rig(upstream) as rig:
-            client = await client_with_unread_response(rig)
-            (connection,) = rig.proxy.listener.connections
-            client.shutdown(socket.SHUT_WR)
-            while not (connection.transport and connection.transport.is_closing()):
-                await asyncio.sleep(0.001)
-            while await asyncio.get_running_loop().sock_recv(client, 65_536):
-                pass
-            client.close()
-            assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
-            assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
-
-    run(scenario())
-
-
-def test_disconnect_is_noticed_while_reading_is_paused() -> None:
+    upstream = Upstream(response(200, b"x" * 60_000))
+    async with Rig(upstream) as rig:
+        client = await client_with_unread_response(rig)
+        (connection,) = rig.proxy.listener.connections
+        client.shutdown(socket.SHUT_WR)
+        while not (connection.transport and connection.transport.is_closing()):
+            await asyncio.sleep(0.001)
+        while await asyncio.get_running_loop().sock_recv(client, 65_536):
+            pass
+        client.close()
+        assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
+        assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
+
+
+async def test_disconnect_is_noticed_while_reading_is_paused() -> None:
     """The socket was not polled any more, and all pipelined requests were sent, one after another."""
 
-    async def scenario() -> None:
-        upstream = Upstream(never_respond, response())
-        async with Rig(upstream, tier=1) as rig:
-            client = connect_client(rig)
-            many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-            client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
-            await upstream.seen.wait()
-            (connection,) = rig.proxy.listener.connections
-            while not connection.is_reading_paused:
-                await asyncio.sleep(0.001)
-            client.close()
-            await until_idle(rig)  # it is noticed, though its request has no response yet
-            await upstream.connection_closed.wait()
-            assert len(upstream.received) == 1
-
-    run(scenario())
+    upstream = Upstream(never_respond, response())
+    async with Rig(upstream, tier=1) as rig:
+        client = connect_client(rig)
+        many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+        client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
+        await upstream.seen.wait()
+        (connection,) = rig.proxy.listener.connections
+        while not connection.is_reading_paused:
+            await asyncio.sleep(0.001)
+        client.close()
+        await until_idle(rig)  # it is noticed, though its request has no response yet
+        await upstream.connection_closed.wait()
+        assert len(upstream.received) == 1
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_not_sent_when_the_client_disconnects_while_an_upstream_connection_opens(
+async def test_not_sent_when_the_client_disconnects_while_an_upstream_connection_opens(
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where attempts must not be cancelled, it was written once the connection was established."""
 
-    async def scenario() -> None:
-        connects, upstream = DelayedConnects(monkeypatch), Upstream()
-        async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
-            left = asyncio.Event()
-            before_event(rig, ClientDisconnected, lambda event: left.set())
-            client = connect_client(rig)
-            client.sendall(request_bytes("/pay", 1, b"debit"))
-            await connects.is_waiting.wait()
-            client.close()
-            await left.wait()
-            connects.allowed.set()
-            await until_idle(rig)
-            assert status(await rig.send_request()) == 200
-            assert len(upstream.received) == 1
-
-    run(scenario())
-
-
-def test_connection_is_kept_when_the_client_disconnects_as_it_is_established(
+    connects, upstream = DelayedConnects(monkeypatch), Upstream()
+    async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
+        left = asyncio.Event()
+        before_event(rig, ClientDisconnected, lambda event: left.set())
+        client = connect_client(rig)
+        client.sendall(request_bytes("/pay", 1, b"debit"))
+        await connects.is_waiting.wait()
+        client.close()
+        await left.wait()
+        connects.allowed.set()
+        await until_idle(rig)
+        assert status(await rig.send_request()) == 200
+        assert len(upstream.received) == 1
+
+
+async def test_connection_is_kept_when_the_client_disconnects_as_it_is_established(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario() -> None:
-        connects, upstream = DelayedConnects(monkeypatch), Upstream()
-        async with Rig(upstream) as rig:
-            client = connect_client(rig)
-            client.sendall(request_bytes("/pay", 1, b"debit"))
-            await connects.is_waiting.wait()
-            connects.on_established = client.close
-            connects.allowed.set()
-            await until_idle(rig)
-            connects.on_established = lambda: None
-            pass_reuse_delay(rig)
-            assert status(await rig.send_request()) == 200
-            assert len(upstream.received) == 1
-            assert upstream.connections == 1, "the connection carries the next request"
-
-    run(scenario())
-
-
-def test_not_retried_after_a_disconnect_where_attempts_must_not_be_cancelled() -> None:
+    connects, upstream = DelayedConnects(monkeypatch), Upstream()
+    async with Rig(upstream) as rig:
+        client = connect_client(rig)
+        client.sendall(request_bytes("/pay", 1, b"debit"))
+        await connects.is_waiting.wait()
+        connects.on_established = client.close
+        connects.allowed.set()
+        await until_idle(rig)
+        connects.on_established = lambda: None
+        pass_reuse_delay(rig)
+        assert status(await rig.send_request()) == 200
+        assert len(upstream.received) == 1
+        assert upstream.connections == 1, "the connection carries the next request"
+
+
+async def test_not_retried_after_a_disconnect_where_attempts_must_not_be_cancelled() -> None:
     """The first attempt stays in progress; its failure causes no further one."""
 
-    async def scenario() -> None:
-        async def fail_later(received: ReceivedMessage, writer: Any) -> None:
-            failing.append(writer)
-            seen.set()
-
-        failing, seen = list[Any](), asyncio.Event()
-        upstreams = Upstream(fail_later), Upstream(fail_later)
-        async with Rig(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
-            left = asyncio.Event()
-            before_event(rig, ClientDisconnected, lambda event: left.set())
-            client = connect_client(rig)
-            client.sendall(request_bytes("/pay", 1, b"debit"))
-            await seen.wait()
-            client.close()
-            await left.wait()
-            failing[0].write(response(503, b"", "X-Not-Run: 1"))
-            await until_idle(rig)
-            assert sum(len(upstream.received) for upstream in upstreams) == 1
-
-    run(scenario())
-
-
-def test_hedged_request_that_is_still_connecting_is_not_sent_after_the_response(
+    async def fail_later(received: ReceivedMessage, writer: Any) -> None:
+        failing.append(writer)
+        seen.set()
+
+    failing, seen = list[Any](), asyncio.Event()
+    upstreams = Upstream(fail_later), Upstream(fail_later)
+    async with Rig(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
+        left = asyncio.Event()
+        before_event(rig, ClientDisconnected, lambda event: left.set())
+        client = connect_client(rig)
+        client.sendall(request_bytes("/pay", 1, b"debit"))
+        await seen.wait()
+        client.close()
+        await left.wait()
+        failing[0].write(response(503, b"", "X-Not-Run: 1"))
+        await until_idle(rig)
+        assert sum(len(upstream.received) for upstream in upstreams) == 1
+
+
+async def test_hedged_request_that_is_still_connecting_is_not_sent_after_the_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It was sent on after the final response, which the other attempt had brought meanwhile."""
 
-    async def scenario() -> None:
-        connects = DelayedConnects(monkeypatch, first=1)
-        upstreams = Upstream(never_respond), Upstream(never_respond)
-        async with Rig(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
-            client = await rig.client()
-            client.send(deadline="1200m")
-            await connects.is_waiting.wait()  # the hedged request connects
-            first = next(upstream for upstream in upstreams if upstream.received)
-            first.writers[0].write(response(200, b"first"))
-            assert (await client.read_response()).body == b"first"
-            connects.allowed.set()
-            await until_idle(rig)
-            other = await rig.client()
-            other.send(deadline="400m")
-            await other.read_response()  # whatever its outcome, all that was in flight has arrived by now
-            received = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.received]
-            assert received.count(first.received[0].headers["x-request-id"]) == 1
-
-    run(scenario())
+    connects = DelayedConnects(monkeypatch, first=1)
+    upstreams = Upstream(never_respond), Upstream(never_respond)
+    async with Rig(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
+        client = await rig.client()
+        client.send(deadline="1200m")
+        await connects.is_waiting.wait()  # the hedged request connects
+        first = next(upstream for upstream in upstreams if upstream.received)
+        first.writers[0].write(response(200, b"first"))
+        assert (await client.read_response()).body == b"first"
+        connects.allowed.set()
+        await until_idle(rig)
+        other = await rig.client()
+        other.send(deadline="400m")
+        await other.read_response()  # whatever its outcome, all that was in flight has arrived by now
+        received = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.received]
+        assert received.count(first.received[0].headers["x-request-id"]) == 1
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -36,7 +36,6 @@
     never_respond,
     reset,
     response,
-    run,
     status,
 )
 from tests.network.policy_hooks import before_event, replace_policy
@@ -108,54 +107,48 @@
 
 
 @WAYS_TO_DISCONNECT
-def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
+async def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
 
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client = connect_client(rig)
-            client.sendall(request_bytes("/read", 1))
-            disconnect(client)
-            await rig.send_request()  # its connection came later
-            while rig.proxy.listener.connections:
-                await asyncio.sleep(0.005)
-            assert await ids_received(rig) == []
-
-    run(scenario())
+    async with Rig(Upstream()) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client = connect_client(rig)
+        client.sendall(request_bytes("/read", 1))
+        disconnect(client)
+        await rig.send_request()  # its connection came later
+        while rig.proxy.listener.connections:
+            await asyncio.sleep(0.005)
+        assert await ids_received(rig) == []
 
 
 @WAYS_TO_DISCONNECT
-def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
+async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
 
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client, left = connect_client(rig), asyncio.Event()
+    async with Rig(Upstream()) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client, left = connect_client(rig), asyncio.Event()
 
-            def hold(event: Event, now: float) -> list[Action]:
-                if isinstance(event, RequestReceived):
-                    return [SetTimer(now, HedgeTimer(event.request_id))]
-                if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
-                    disconnect(client)
-                    return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
-                if isinstance(event, ClientDisconnected):
-                    left.set()
-                return []
-
-            handle = replace_policy(rig, hold)
-            client.sendall(request_bytes("/read", 1))
-            await left.wait()
-            await until_idle(rig)
-            replace_policy(rig, handle)
-            assert await ids_received(rig) == []
+        def hold(event: Event, now: float) -> list[Action]:
+            if isinstance(event, RequestReceived):
+                return [SetTimer(now, HedgeTimer(event.request_id))]
+            if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
+                disconnect(client)
+                return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
+            if isinstance(event, ClientDisconnected):
+                left.set()
+            return []
 
-    run(scenario())
+        handle = replace_policy(rig, hold)
+        client.sendall(request_bytes("/read", 1))
+        await left.wait()
+        await until_idle(rig)
+        replace_policy(rig, handle)
+        assert await ids_received(rig) == []
 
 
 @WAYS_TO_DISCONNECT
@@ -170,45 +163,39 @@
     ],
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
-def test_not_retried_when_the_client_disconnects_as_its_attempt_fails(
+async def test_not_retried_when_the_client_disconnects_as_its_attempt_fails(
     request_bytes: bytes, script: Any, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client disconnects as its first attempt fails; a retry would be written at once."""
 
-    async def scenario() -> None:
-        async with Rig(Upstream(for_first_request(script)), Upstream(for_first_request(script))) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client, ends = connect_client(rig), list[AttemptFinished]()
+    async with Rig(Upstream(for_first_request(script)), Upstream(for_first_request(script))) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client, ends = connect_client(rig), list[AttemptFinished]()
 
-            def disconnect_once(event: AttemptFinished) -> None:
-                ends.append(event)
-                if len(ends) == 1:
-                    disconnect(client)
-
-            before_event(rig, AttemptFinished, disconnect_once)
-            client.sendall(request_bytes)
-            while not ends:
-                await asyncio.sleep(0.001)
-            await until_idle(rig)
-            assert await ids_received(rig) == ["1"]
+        def disconnect_once(event: AttemptFinished) -> None:
+            ends.append(event)
+            if len(ends) == 1:
+                disconnect(client)
 
-    run(scenario())
+        before_event(rig, AttemptFinished, disconnect_once)
+        client.sendall(request_bytes)
+        while not ends:
+            await asyncio.sleep(0.001)
+        await until_idle(rig)
+        assert await ids_received(rig) == ["1"]
 
 
-def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
     """The test above rests on it: only the disconnect keeps the retry back."""
 
-    async def scenario() -> None:
-        script = for_first_request(response(500))
-        async with Rig(Upstream(script), Upstream(script)) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client = connect_client(rig)
-            client.sendall(request_bytes("/read", 1))
-            while ids_of_attempts(rig).count("1") < 2:
-                await asyncio.sleep(0.001)
-            client.close()
-
-    run(scenario())
+    script = for_first_request(response(500))
+    async with Rig(Upstream(script), Upstream(script)) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client = connect_client(rig)
+        client.sendall(request_bytes("/read", 1))
+        while ids_of_attempts(rig).count("1") < 2:
+            await asyncio.sleep(0.001)
+        client.close()
 
 
 def record_hedge_timers(rig: Rig) -> list[HedgeTimer]:
@@ -225,114 +212,98 @@
 
 
 @pytest.mark.parametrize("disconnect", [None, close, half_close, reset_by_client, close_behind_bytes])
-def test_hedged_request_is_sent_only_while_the_client_is_connected(
+async def test_hedged_request_is_sent_only_while_the_client_is_connected(
     disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its timer fires before the event loop has read the client's end."""
 
-    async def scenario() -> None:
-        script = for_first_request(never_respond)
-        async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client, timers = connect_client(rig), record_hedge_timers(rig)
-            client.sendall(request_bytes("/read", 1))
-            while not timers:
-                await asyncio.sleep(0.001)
-            if disconnect is not None:
-                disconnect(client)
-            rig.proxy._dispatch(TimerFired(timers[0]))
-            assert await ids_received(rig) == ["1"] * (1 if disconnect else 2)
-
-    run(scenario())
+    script = for_first_request(never_respond)
+    async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client, timers = connect_client(rig), record_hedge_timers(rig)
+        client.sendall(request_bytes("/read", 1))
+        while not timers:
+            await asyncio.sleep(0.001)
+        if disconnect is not None:
+            disconnect(client)
+        rig.proxy._dispatch(TimerFired(timers[0]))
+        assert await ids_received(rig) == ["1"] * (1 if disconnect else 2)
 
 
-def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
+async def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
 
-    async def scenario() -> None:
-        script = for_first_request(never_respond)
-        async with Rig(
-            Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
-        ) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client, timers, left = connect_client(rig), record_hedge_timers(rig), asyncio.Event()
-            before_event(rig, ClientDisconnected, lambda event: left.set())
-            client.sendall(request_bytes("/read", 1))
-            while not timers:
-                await asyncio.sleep(0.001)
-            client.close()
-            await left.wait()
-            rig.proxy._dispatch(TimerFired(timers[0]))
-            assert rig.proxy.open_requests, "the first attempt is still in progress"
-            assert await ids_received(rig) == ["1"]
-
-    run(scenario())
+    script = for_first_request(never_respond)
+    async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client, timers, left = connect_client(rig), record_hedge_timers(rig), asyncio.Event()
+        before_event(rig, ClientDisconnected, lambda event: left.set())
+        client.sendall(request_bytes("/read", 1))
+        while not timers:
+            await asyncio.sleep(0.001)
+        client.close()
+        await left.wait()
+        rig.proxy._dispatch(TimerFired(timers[0]))
+        assert rig.proxy.open_requests, "the first attempt is still in progress"
+        assert await ids_received(rig) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_pipelined_requests_are_not_sent_after_a_disconnect(
+async def test_pipelined_requests_are_not_sent_after_a_disconnect(
     may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where the first attempt goes on, its response must not start the next request."""
 
-    async def scenario() -> None:
-        upstream = Upstream(for_first_request(never_respond))
-        async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            left = asyncio.Event()
-            before_event(rig, ClientDisconnected, lambda event: left.set())
-            client = connect_client(rig)
-            client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
-            while upstream.received[-1].headers["x-request-id"] != "1":
-                await asyncio.sleep(0.001)
-            disconnect(client)
-            await left.wait()
-            for writer in upstream.writers:
-                writer.write(response())
-            await until_idle(rig)
-            assert await ids_received(rig) == ["1"]
-
-    run(scenario())
+    upstream = Upstream(for_first_request(never_respond))
+    async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        left = asyncio.Event()
+        before_event(rig, ClientDisconnected, lambda event: left.set())
+        client = connect_client(rig)
+        client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
+        while upstream.received[-1].headers["x-request-id"] != "1":
+            await asyncio.sleep(0.001)
+        disconnect(client)
+        await left.wait()
+        for writer in upstream.writers:
+            writer.write(response())
+        await until_idle(rig)
+        assert await ids_received(rig) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
-def test_not_retried_after_a_disconnect_while_reading_is_paused(
+async def test_not_retried_after_a_disconnect_while_reading_is_paused(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end is behind requests that are not read, and the sweep has not looked at the connection."""
     monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 3_600.0)
 
-    async def scenario() -> None:
-        async def fail_later(received: ReceivedMessage, writer: Any) -> None:
-            failing.append(writer)
-
-        failing = list[Any]()
-        async with Rig(
-            Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
-        ) as rig:
-            await open_idle_connections(rig, monkeypatch)
-            client = connect_client(rig)
-            many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-            client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
-            while not (failing and any(c.is_reading_paused for c in rig.proxy.listener.connections)):
-                await asyncio.sleep(0.001)
-            before_event(
-                rig, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client)
-            )
-            failing[0].write(response(500))
-            await until_idle(rig)
-            while rig.proxy.listener.connections:
-                await asyncio.sleep(0.005)
-            assert await ids_received(rig) == ["1"]
-
-    run(scenario())
+    async def fail_later(received: ReceivedMessage, writer: Any) -> None:
+        failing.append(writer)
+
+    failing = list[Any]()
+    async with Rig(
+        Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
+    ) as rig:
+        await open_idle_connections(rig, monkeypatch)
+        client = connect_client(rig)
+        many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+        client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
+        while not (failing and any(c.is_reading_paused for c in rig.proxy.listener.connections)):
+            await asyncio.sleep(0.001)
+        before_event(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
+        failing[0].write(response(500))
+        await until_idle(rig)
+        while rig.proxy.listener.connections:
+            await asyncio.sleep(0.005)
+        assert await ids_received(rig) == ["1"]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
+async def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The upstream never gets the last byte, without which it does not begin to process a request."""
@@ -345,32 +316,29 @@
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", connect_with_small_buffer)
 
-    async def scenario() -> None:
-        loop = asyncio.get_running_loop()
-        with socket.socket() as listener:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            listener.bind(("127.0.0.1", 0))
-            listener.listen()
-            listener.setblocking(False)
-            address = f"127.0.0.1:{listener.getsockname()[1]}"
-            rig = Rig(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
-            rig.entries.append(entry("s0", address))
-            async with rig:
-                client, left = connect_client(rig), asyncio.Event()
-                before_event(rig, ClientDisconnected, lambda event: left.set())
-                client.setblocking(False)
-                await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
-                while not (made and made[0].unsent_bytes):
-                    await asyncio.sleep(0.001)
-                client.close()
-                await left.wait()
-                upstream, got = (await loop.sock_accept(listener))[0], b""
-                with upstream:
-                    while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
-                        got += part
-                head, _, body = got.partition(b"\r\n\r\n")
-                assert head.startswith(b"POST /pay ")
-                assert len(body) < MAX_BODY_BYTES
-                assert not rig.proxy.open_requests
-
-    run(scenario())
+    loop = asyncio.get_running_loop()
+    with socket.socket() as listener:
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        listener.setblocking(False)
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
+        rig = Rig(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
+        rig.entries.append(entry("s0", address))
+        async with rig:
+            client, left = connect_client(rig), asyncio.Event()
+            before_event(rig, ClientDisconnected, lambda event: left.set())
+            client.setblocking(False)
+            await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
+            while not (made and made[0].unsent_bytes):
+                await asyncio.sleep(0.001)
+            client.close()
+            await left.wait()
+            upstream, got = (await loop.sock_accept(listener))[0], b""
+            with upstream:
+                while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
+                    got += part
+            head, _, body = got.partition(b"\r\n\r\n")
+            assert head.startswith(b"POST /pay ")
+            assert len(body) < MAX_BODY_BYTES
+            assert not rig.proxy.open_requests
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -10,89 +10,76 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import request_reader
 from tests.network.event_recorder import outcomes, record_events
-from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, run, status
+from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, status
 
 
-def test_pipelined_requests_get_their_responses_in_order() -> None:
+async def test_pipelined_requests_get_their_responses_in_order() -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, received.line.encode()))
 
-    async def scenario() -> None:
-        async with Rig(Upstream(echo)) as rig:
-            client = await rig.client()
-            for i in range(40):
-                client.send(f"/read/{i}")
-            for i in range(40):
-                assert (await client.read_response()).body == f"GET /read/{i} HTTP/1.1".encode()
+    async with Rig(Upstream(echo)) as rig:
+        client = await rig.client()
+        for i in range(40):
+            client.send(f"/read/{i}")
+        for i in range(40):
+            assert (await client.read_response()).body == f"GET /read/{i} HTTP/1.1".encode()
 
-    run(scenario())
 
-
-def test_input_after_a_request_with_connection_close_is_ignored() -> None:
+async def test_input_after_a_request_with_connection_close_is_ignored() -> None:
     """Parsed in a later slice, it would get a response after our side of the connection is closed."""
 
-    async def scenario() -> None:
-        async with Rig() as rig:
-            client = await rig.client()
-            head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
-            head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
-            errors: list[object] = []
-            asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-            client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
-            assert status(await client.read_response()) == 200
-            assert await client.reader.read() == b""
-            assert not errors
-
-    run(scenario())
-
-
-def test_upstream_connections_are_reused_unless_they_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario() -> None:
-        monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            for _ in range(3):
-                assert status(await rig.send_request("/pay/x", b"debit")) == 200
-            assert upstream.connections == 1
-            upstream.writers[0].close()
-            await upstream.writers[0].wait_closed()
-            events = record_events(rig)
+    async with Rig() as rig:
+        client = await rig.client()
+        head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
+        head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
+        errors: list[object] = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
+        client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
+        assert status(await client.read_response()) == 200
+        assert await client.reader.read() == b""
+        assert not errors
+
+
+async def test_upstream_connections_are_reused_unless_they_are_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        for _ in range(3):
             assert status(await rig.send_request("/pay/x", b"debit")) == 200
-            assert outcomes(events) == [Outcome.SUCCEEDED]
-            assert upstream.connections == 2
-
-    run(scenario())
-
-
-def test_tcp_no_delay_is_set_on_both_sides() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            client = await rig.client()
-            client.send()
-            await client.read_response()
-            (client_connection,) = rig.proxy.listener.connections
-            upstream_connection = rig.proxy.upstreams._pools["s0"].idle_connections[0]
-            for transport in (upstream_connection._transport, client_connection.transport):
-                assert transport is not None
-                sock = transport.get_extra_info("socket")
-                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-
-    run(scenario())
-
-
-def test_a_graceful_close_reaches_an_idle_client_at_once() -> None:
+        assert upstream.connections == 1
+        upstream.writers[0].close()
+        await upstream.writers[0].wait_closed()
+        events = record_events(rig)
+        assert status(await rig.send_request("/pay/x", b"debit")) == 200
+        assert outcomes(events) == [Outcome.SUCCEEDED]
+        assert upstream.connections == 2
+
+
+async def test_tcp_no_delay_is_set_on_both_sides() -> None:
+    async with Rig(Upstream()) as rig:
+        client = await rig.client()
+        client.send()
+        await client.read_response()
+        (client_connection,) = rig.proxy.listener.connections
+        upstream_connection = rig.proxy.upstreams._pools["s0"].idle_connections[0]
+        for transport in (upstream_connection._transport, client_connection.transport):
+            assert transport is not None
+            sock = transport.get_extra_info("socket")
+            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+
+
+async def test_a_graceful_close_reaches_an_idle_client_at_once() -> None:
     """In a later turn of the loop, a request that arrives before it would be read and discarded."""
 
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            client = socket.create_connection(rig.proxy.listener.address[:2])
-            while not (connections := rig.proxy.listener.connections):
-                await asyncio.sleep(0.001)
-            (connection,) = connections
-            while not connection.may_close():
-                await asyncio.sleep(0.001)
-            connection.close_gracefully()
-            assert client.recv(1, socket.MSG_DONTWAIT) == b""
-            client.close()
-
-    run(scenario())
+    async with Rig(Upstream()) as rig:
+        client = socket.create_connection(rig.proxy.listener.address[:2])
+        while not (connections := rig.proxy.listener.connections):
+            await asyncio.sleep(0.001)
+        (connection,) = connections
+        while not connection.may_close():
+            await asyncio.sleep(0.001)
+        connection.close_gracefully()
+        assert client.recv(1, socket.MSG_DONTWAIT) == b""
+        client.close()
--- a/tests/network/test_connection_timeouts.py
+++ b/tests/network/test_connection_timeouts.py
@@ -11,7 +11,7 @@
 from loadbalancer.network.client import connection as client_connection
 from loadbalancer.network.client import listener
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.network.loopback import Rig, Upstream, never_respond, response, run, status
+from tests.network.loopback import Rig, Upstream, never_respond, response, status
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
         ),
     ],
 )
-def test_a_connection_without_a_whole_request_is_closed_after_the_timeout(
+async def test_a_connection_without_a_whole_request_is_closed_after_the_timeout(
     sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Silent clients and those that never finish a request are disconnected within 3 s."""
@@ -34,53 +34,44 @@
     assert longest_s + request_pipeline.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            client = await rig.client()
-            client.writer.write(sent)
-            assert (await client.reader.read())[:12] == response_start
-            client.writer.close()
+    async with Rig(Upstream()) as rig:
+        client = await rig.client()
+        client.writer.write(sent)
+        assert (await client.reader.read())[:12] == response_start
+        client.writer.close()
 
-    run(scenario())
 
+async def test_time_in_the_accept_queue_counts() -> None:
+    async with Rig(Upstream()) as rig:
+        with socket.create_connection(rig.proxy.listener.address[:2]) as client:
+            client.sendall(b"x")
+            time.sleep(0.1)  # the loop is busy and accepts nothing
+            accepted, _ = rig.proxy.listener._socket.accept()
+            with accepted:
+                ages = listener.queue_ages(accepted)
+                assert ages.connected_s >= 0.05
+                assert ages.request_s >= 0.05
 
-def test_time_in_the_accept_queue_counts() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            with socket.create_connection(rig.proxy.listener.address[:2]) as client:
-                client.sendall(b"x")
-                time.sleep(0.1)  # the loop is busy and accepts nothing
-                accepted, _ = rig.proxy.listener._socket.accept()
-                with accepted:
-                    ages = listener.queue_ages(accepted)
-                    assert ages.connected_s >= 0.05
-                    assert ages.request_s >= 0.05
 
-    run(scenario())
-
-
-def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
+async def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener, "KEEP_ALIVE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
-    async def scenario() -> None:
-        upstream = Upstream(response(), never_respond)
-        async with Rig(upstream) as rig:
-            idle = await rig.client()
-            idle.send()
-            assert status(await idle.read_response()) == 200
-            upstream.seen.clear()
-            busy = await rig.client()
-            busy.send("/pay/x", b"debit")
-            await upstream.seen.wait()
-            assert await idle.reader.read() == b""
-            for _ in range(3):
-                rig.proxy.listener.sweep()
-                await asyncio.sleep(0.1)
-            for writer in upstream.writers:
-                writer.write(response(200, b"at last"))
-            assert (await busy.read_response()).body == b"at last"
-
-    run(scenario())
+    upstream = Upstream(response(), never_respond)
+    async with Rig(upstream) as rig:
+        idle = await rig.client()
+        idle.send()
+        assert status(await idle.read_response()) == 200
+        upstream.seen.clear()
+        busy = await rig.client()
+        busy.send("/pay/x", b"debit")
+        await upstream.seen.wait()
+        assert await idle.reader.read() == b""
+        for _ in range(3):
+            rig.proxy.listener.sweep()
+            await asyncio.sleep(0.1)
+        for writer in upstream.writers:
+            writer.write(response(200, b"at last"))
+        assert (await busy.read_response()).body == b"at last"
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -20,7 +20,6 @@
     entry,
     free_port,
     never_respond,
-    run,
     status,
 )
 from tests.network.program import read_log_line, running_program
@@ -62,52 +61,46 @@
     path.write_text(json.dumps(document))
 
 
-def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(tmp_path: Path) -> None:
+async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(tmp_path: Path) -> None:
     """Discovery is down meanwhile; what the balancer needs when it recovers has to be free then."""
 
-    async def scenario() -> None:
-        upstream, discovery = Upstream(), DiscoveryServer()
-        path = tmp_path / "config.json"
-        clients: list[asyncio.Task[None]] = []
-        with socket.socket() as down:
-            down.bind(("127.0.0.1", 0))  # does not listen yet: connections are refused
-            port = free_port()
-            write_configuration(path, port, down.getsockname()[1])
-            async with running_program(path, DESCRIPTORS) as process:
-                assert b"list is unreachable" in await read_log_line(process)
-                clients.extend(asyncio.ensure_future(connect_and_stay_idle(port)) for _ in range(CLIENTS))
-                # The clients go on connecting: over three times as many as are accepted.
-                clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
-                most = await most_descriptors(process, clients_part)
-                assert clients_part <= most <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
-                server = await asyncio.start_server(discovery.serve, sock=down)
-                await discovery.calls.get()
-                discovery.publish(8, entry("s0", await upstream.start()), snapshot=True)
-                assert "after=8&" in await discovery.calls.get()
-                client = Client()
-                client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
-                client.send()
-                assert status(await client.read_response()) == 200
-                assert not any(task.done() for task in clients), "the idle ones never went away"
-                server.close()
-                for task in clients:
-                    task.cancel()
-
-    run(scenario())
-
-
-def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors() -> None:
+    upstream, discovery = Upstream(), DiscoveryServer()
+    path = tmp_path / "config.json"
+    clients: list[asyncio.Task[None]] = []
+    with socket.socket() as down:
+        down.bind(("127.0.0.1", 0))  # does not listen yet: connections are refused
+        port = free_port()
+        write_configuration(path, port, down.getsockname()[1])
+        async with running_program(path, DESCRIPTORS) as process:
+            assert b"list is unreachable" in await read_log_line(process)
+            clients.extend(asyncio.ensure_future(connect_and_stay_idle(port)) for _ in range(CLIENTS))
+            # The clients go on connecting: over three times as many as are accepted.
+            clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
+            most = await most_descriptors(process, clients_part)
+            assert clients_part <= most <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
+            server = await asyncio.start_server(discovery.serve, sock=down)
+            await discovery.calls.get()
+            discovery.publish(8, entry("s0", await upstream.start()), snapshot=True)
+            assert "after=8&" in await discovery.calls.get()
+            client = Client()
+            client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
+            client.send()
+            assert status(await client.read_response()) == 200
+            assert not any(task.done() for task in clients), "the idle ones never went away"
+            server.close()
+            for task in clients:
+                task.cancel()
+
+
+async def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors() -> None:
     """Each was admitted before the first had opened its connection: all that started at once got one."""
 
-    async def scenario() -> None:
-        upstream = Upstream(never_respond)
-        upstreams = make_pools(await upstream.start())
-        upstreams.connection_limit = 5
-        attempts = [ObservedAttempt(upstreams) for _ in range(12)]
-        while upstream.connections < 5 or sum(bool(attempt.ends) for attempt in attempts) < 7:
-            assert upstreams.open_connections <= 5
-            await asyncio.sleep(0.001)
-        assert upstreams.open_connections == upstream.connections == 5
-        assert [attempt.ends for attempt in attempts if attempt.ends] == [[Outcome.NOT_SENT]] * 7
-
-    run(scenario())
+    upstream = Upstream(never_respond)
+    upstreams = make_pools(await upstream.start())
+    upstreams.connection_limit = 5
+    attempts = [ObservedAttempt(upstreams) for _ in range(12)]
+    while upstream.connections < 5 or sum(bool(attempt.ends) for attempt in attempts) < 7:
+        assert upstreams.open_connections <= 5
+        await asyncio.sleep(0.001)
+    assert upstreams.open_connections == upstream.connections == 5
+    assert [attempt.ends for attempt in attempts if attempt.ends] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -20,7 +20,7 @@
 from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.policy import poll_backoff
 from tests.network.configurations import config_text, configuration
-from tests.network.loopback import Rig, Upstream, entry, read_message, response, run
+from tests.network.loopback import Rig, Upstream, entry, read_message, response
 from tests.network.simulated_discovery import (
     FAULTS,
     SimulatedDiscovery,
@@ -185,21 +185,18 @@
     run_simulated(scenario)
 
 
-def test_the_first_watch_after_a_failure_does_not_wait_long() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            await rig.send_request()
+async def test_the_first_watch_after_a_failure_does_not_wait_long() -> None:
+    async with Rig(Upstream()) as rig:
+        await rig.send_request()
 
-            async def wait_ms() -> float:
-                return float((await rig.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
+        async def wait_ms() -> float:
+            return float((await rig.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
 
-            assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
-            rig.discovery.responses.put_nowait(response(500, b"sorry"))
-            assert 0 < await wait_ms() <= endpoint_watch.RECOVERY_WAIT_MS
-            rig.discovery.publish(8)
-            assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
-
-    run(scenario())
+        assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
+        rig.discovery.responses.put_nowait(response(500, b"sorry"))
+        assert 0 < await wait_ms() <= endpoint_watch.RECOVERY_WAIT_MS
+        rig.discovery.publish(8)
+        assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
 
 
 def test_balancers_poll_neither_together_nor_too_often_in_an_outage() -> None:
@@ -262,33 +259,30 @@
     assert harness.now < timer.at_ms <= harness.now + poll_backoff.MAX_POLL_BACKOFF_MS * MAX_DELAY_JITTER
 
 
-def test_connections_that_discovery_says_it_closes_are_closed() -> None:
+async def test_connections_that_discovery_says_it_closes_are_closed() -> None:
     """It says `Connection: close` and does not close; each call left one connection behind."""
 
-    async def scenario() -> None:
-        open_now, index, served = 0, 7, asyncio.Event()
-
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal open_now, index
-            open_now += 1
-            with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-                await read_message(reader)
-                index += 1
-                if index == 40:
-                    served.set()
-                    return
-                body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
-                writer.write(response(200, body, "Connection: close"))
-                await reader.read()
-            open_now -= 1
-            writer.close()
-
-        server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        host, port = server.sockets[0].getsockname()[:2]
-        config = configuration(config_text(f"{host}:{port}", [entry("s0", "127.0.0.1:9")]))
-        watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
-        watch.start_watch()
-        await served.wait()
-        assert open_now < 10, "of 33: the one in use, and what is just closing"
-
-    run(scenario())
+    open_now, index, served = 0, 7, asyncio.Event()
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal open_now, index
+        open_now += 1
+        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
+            await read_message(reader)
+            index += 1
+            if index == 40:
+                served.set()
+                return
+            body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
+            writer.write(response(200, body, "Connection: close"))
+            await reader.read()
+        open_now -= 1
+        writer.close()
+
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    host, port = server.sockets[0].getsockname()[:2]
+    config = configuration(config_text(f"{host}:{port}", [entry("s0", "127.0.0.1:9")]))
+    watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
+    watch.start_watch()
+    await served.wait()
+    assert open_now < 10, "of 33: the one in use, and what is just closing"
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -28,7 +28,6 @@
     never_respond,
     record_events,
     response,
-    run,
     status,
 )
 from tests.network.program import program_with_open_request, read_log_line
@@ -42,167 +41,146 @@
         await asyncio.sleep(0.02)
 
 
-def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(tmp_path: Path) -> None:
-    async def scenario() -> None:
-        async with program_with_open_request(tmp_path / "config.json") as program:
-            new = DiscoveryServer()
-            program.path.write_text(config_text(await new.start(), program.entries))
-            for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-                program.process.send_signal(number)
-            assert b"configuration reloaded" in await read_log_line(program.process)
-            with pytest.raises(ConnectionRefusedError):
-                await connect_until_refused(program.port)
-            await program.respond_and_check()
-            program.client.writer.close()
-            assert await program.process.wait() == 0
-
-    run(scenario())
-
-
-def test_a_list_may_be_indented_and_have_a_lower_index_than_before() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            await rig.send_request()
-            assert "after=7&" in await rig.discovery.calls.get()
-            endpoint = entry("s9", rig.entries[0]["address"])
-            rig.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
-            assert "after=2&" in await rig.discovery.calls.get()
-            assert set(rig.proxy.upstreams._pools) == {"s9"}
-
-    run(scenario())
-
-
-def test_a_list_that_is_being_received_at_a_sighup_is_ignored() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            await rig.send_request()
-            await rig.discovery.calls.get()
-            whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
-            rig.discovery.responses.put_nowait(whole[:-5])
-            connection = rig.proxy._endpoint_watch._connection
-            assert connection is not None
-            while not connection.is_receiving:
-                await asyncio.sleep(0.001)
-            new = DiscoveryServer()
-            text = config_text(await new.start(), [])
-            connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
-            rig.proxy.reconfigure(configuration(text))
-            await new.calls.get()
-            new.publish(3, entry("new", rig.entries[0]["address"]), snapshot=True)
-            assert "after=3&" in await new.calls.get()
-            await rig.discovery.connection_closed.wait()
-            assert set(rig.proxy.upstreams._pools) == {"new"}
-
-    run(scenario())
-
-
-def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once() -> None:
-    async def scenario() -> None:
-        upstream = Upstream(never_respond)
-        upstreams = make_pools(await upstream.start())
-        attempt = ObservedAttempt(upstreams)
-        await upstream.seen.wait()
-        connection = attempt.attempt._connection
+async def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(tmp_path: Path) -> None:
+    async with program_with_open_request(tmp_path / "config.json") as program:
+        new = DiscoveryServer()
+        program.path.write_text(config_text(await new.start(), program.entries))
+        for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+            program.process.send_signal(number)
+        assert b"configuration reloaded" in await read_log_line(program.process)
+        with pytest.raises(ConnectionRefusedError):
+            await connect_until_refused(program.port)
+        await program.respond_and_check()
+        program.client.writer.close()
+        assert await program.process.wait() == 0
+
+
+async def test_a_list_may_be_indented_and_have_a_lower_index_than_before() -> None:
+    async with Rig(Upstream()) as rig:
+        await rig.send_request()
+        assert "after=7&" in await rig.discovery.calls.get()
+        endpoint = entry("s9", rig.entries[0]["address"])
+        rig.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
+        assert "after=2&" in await rig.discovery.calls.get()
+        assert set(rig.proxy.upstreams._pools) == {"s9"}
+
+
+async def test_a_list_that_is_being_received_at_a_sighup_is_ignored() -> None:
+    async with Rig(Upstream()) as rig:
+        await rig.send_request()
+        await rig.discovery.calls.get()
+        whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
+        rig.discovery.responses.put_nowait(whole[:-5])
+        connection = rig.proxy._endpoint_watch._connection
         assert connection is not None
-        attempt.attempt._timed_out()
-        connection.data_received(response())  # it was read before, and is passed on only now
-        await upstream.connection_closed.wait()
-        assert attempt.ends == [Outcome.TIMED_OUT]
-        assert upstreams.open_connections == 0
-
-    run(scenario())
-
-
-def test_a_request_may_have_run_if_its_connection_ends_between_the_check_and_the_write(
+        while not connection.is_receiving:
+            await asyncio.sleep(0.001)
+        new = DiscoveryServer()
+        text = config_text(await new.start(), [])
+        connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
+        rig.proxy.reconfigure(configuration(text))
+        await new.calls.get()
+        new.publish(3, entry("new", rig.entries[0]["address"]), snapshot=True)
+        assert "after=3&" in await new.calls.get()
+        await rig.discovery.connection_closed.wait()
+        assert set(rig.proxy.upstreams._pools) == {"new"}
+
+
+async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once() -> None:
+    upstream = Upstream(never_respond)
+    upstreams = make_pools(await upstream.start())
+    attempt = ObservedAttempt(upstreams)
+    await upstream.seen.wait()
+    connection = attempt.attempt._connection
+    assert connection is not None
+    attempt.attempt._timed_out()
+    connection.data_received(response())  # it was read before, and is passed on only now
+    await upstream.connection_closed.wait()
+    assert attempt.ends == [Outcome.TIMED_OUT]
+    assert upstreams.open_connections == 0
+
+
+async def test_a_request_may_have_run_if_its_connection_ends_between_the_check_and_the_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that is not idempotent fails, and is sent once."""
 
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            assert status(await rig.send_request()) == 200
-            (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
-            idle.idle_since -= 1.0
-            is_alive = UpstreamConnection.is_alive
-            checks: list[bool] = []
-
-            def check_and_end(connection: UpstreamConnection) -> bool:
-                checks.append(is_alive(connection))
-                upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
-                with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
-                    upstream_end.shutdown(socket.SHUT_RDWR)
-                return checks[-1]
-
-            monkeypatch.setattr(UpstreamConnection, "is_alive", check_and_end)
-            events = record_events(rig.proxy)
-            assert status(await rig.send_request("/pay/x", b"debit")) == 502
-            assert checks == [True]
-            outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
-            assert outcomes == [Outcome.RESET]
-
-    run(scenario())
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        assert status(await rig.send_request()) == 200
+        (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
+        idle.idle_since -= 1.0
+        is_alive = UpstreamConnection.is_alive
+        checks: list[bool] = []
+
+        def check_and_end(connection: UpstreamConnection) -> bool:
+            checks.append(is_alive(connection))
+            upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
+            with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
+                upstream_end.shutdown(socket.SHUT_RDWR)
+            return checks[-1]
+
+        monkeypatch.setattr(UpstreamConnection, "is_alive", check_and_end)
+        events = record_events(rig.proxy)
+        assert status(await rig.send_request("/pay/x", b"debit")) == 502
+        assert checks == [True]
+        outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
+        assert outcomes == [Outcome.RESET]
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "moved", "restarted"])
-def test_an_attempt_is_not_sent_after_its_endpoint_changed_while_connecting(
+async def test_an_attempt_is_not_sent_after_its_endpoint_changed_while_connecting(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        address = await upstream.start()
-        upstreams = make_pools(address)
-        connect = UpstreamPool.connect
-
-        async def connect_and_update(pool: UpstreamPool) -> UpstreamConnection:
-            connection = await connect(pool)
-            update = {
-                "draining": endpoint_list(entry("s0", address, status="terminating")),
-                "gone": endpoint_list(whole=True),
-                "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
-                "restarted": endpoint_list(entry("s0", address, since_ms=5)),
-            }[change]
-            upstreams.update_endpoints(update)  # as the connection comes up
-            assert pool.draining_since is not None
-            pool.draining_since -= 0.5  # the grace has passed
-            return connection
-
-        monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
-        assert await ObservedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
-        assert not upstream.received
-        assert upstreams.open_connections == 0
-
-    run(scenario())
-
-
-def test_a_fault_of_the_policy_loses_none_of_the_queued_events(
+    upstream = Upstream()
+    address = await upstream.start()
+    upstreams = make_pools(address)
+    connect = UpstreamPool.connect
+
+    async def connect_and_update(pool: UpstreamPool) -> UpstreamConnection:
+        connection = await connect(pool)
+        update = {
+            "draining": endpoint_list(entry("s0", address, status="terminating")),
+            "gone": endpoint_list(whole=True),
+            "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
+            "restarted": endpoint_list(entry("s0", address, since_ms=5)),
+        }[change]
+        upstreams.update_endpoints(update)  # as the connection comes up
+        assert pool.draining_since is not None
+        pool.draining_since -= 0.5  # the grace has passed
+        return connection
+
+    monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
+    assert await ObservedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
+    assert not upstream.received
+    assert upstreams.open_connections == 0
+
+
+async def test_a_fault_of_the_policy_loses_none_of_the_queued_events(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario() -> None:
-        monkeypatch.setattr(
-            "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
-        )  # the fail-safe response comes too late
-        async with Rig(Upstream()) as rig:
-            handle = rig.proxy.balancer.handle
-            events: list[Event] = []
-
-            def faulty(event: Event, now: float) -> list[Action]:
-                events.append(event)
-                if isinstance(event, RequestReceived) and event.request_id == 1:
-                    # Both fail at once: two events are queued as the policy handles the first of them.
-                    return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
-                if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
-                    raise RuntimeError("a fault of the policy")
-                return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
-
-            rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
-            assert status(await rig.send_request()) == 503
-            of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
-            assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
-            assert status(await rig.send_request()) == 200
-            assert not rig.proxy.open_requests
-
-    run(scenario())
+    monkeypatch.setattr(
+        "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
+    )  # the fail-safe response comes too late
+    async with Rig(Upstream()) as rig:
+        handle = rig.proxy.balancer.handle
+        events: list[Event] = []
+
+        def faulty(event: Event, now: float) -> list[Action]:
+            events.append(event)
+            if isinstance(event, RequestReceived) and event.request_id == 1:
+                # Both fail at once: two events are queued as the policy handles the first of them.
+                return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
+            if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
+                raise RuntimeError("a fault of the policy")
+            return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
+
+        rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
+        assert status(await rig.send_request()) == 503
+        of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
+        assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
+        assert status(await rig.send_request()) == 200
+        assert not rig.proxy.open_requests
     assert "a fault of the policy" in capsys.readouterr().err
 
 
@@ -224,22 +202,16 @@
         {"balancers": 500, "discovery": "push"},
     ],
 )
-def test_the_proxy_serves_with_any_settings_that_are_allowed(settings: dict[str, Any]) -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream(), **settings) as rig:
-            assert status(await rig.send_request(deadline="5000m")) == 200
-
-    run(scenario())
-
-
-def test_the_proxy_serves_with_the_smallest_limits() -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        document = json.loads(config_text("127.0.0.1:9", [entry("s0", await upstream.start())]))
-        document["limits"] = {"memory_mb": 32, "sockets": 50}
-        rig = Rig()
-        rig.proxy = Proxy(configuration(json.dumps(document)), asyncio.get_running_loop())
-        rig.proxy.start()
-        assert status(await rig.send_request()) == 200
-
-    run(scenario())
+async def test_the_proxy_serves_with_any_settings_that_are_allowed(settings: dict[str, Any]) -> None:
+    async with Rig(Upstream(), **settings) as rig:
+        assert status(await rig.send_request(deadline="5000m")) == 200
+
+
+async def test_the_proxy_serves_with_the_smallest_limits() -> None:
+    upstream = Upstream()
+    document = json.loads(config_text("127.0.0.1:9", [entry("s0", await upstream.start())]))
+    document["limits"] = {"memory_mb": 32, "sockets": 50}
+    rig = Rig()
+    rig.proxy = Proxy(configuration(json.dumps(document)), asyncio.get_running_loop())
+    rig.proxy.start()
+    assert status(await rig.send_request()) == 200
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -10,7 +10,7 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import graceful_shutdown
 from tests.network.event_recorder import outcomes, record_events
-from tests.network.loopback import Client, Rig, Upstream, never_respond, response, run, status
+from tests.network.loopback import Client, Rig, Upstream, never_respond, response, status
 
 
 def set_shutdown_times(
@@ -39,199 +39,175 @@
     return client
 
 
-def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     """While another balancer restarts, clients whose connections closed would have nowhere to go."""
 
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
-        async with Rig(Upstream()) as rig:
-            listener = rig.proxy.listener
-            listener.max_deadline_s = 120.0
-            client = await client_with_a_response(rig)
-            shutdown = asyncio.ensure_future(listener.shut_down())
-            while not listener.is_closed:
-                await asyncio.sleep(0.01)
-            for _ in range(2):
-                client.send()
-                reply = await client.read_response()
-                assert status(reply) == 200
-                assert "connection" not in reply.headers
-            set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-            assert await client.reader.read() == b""  # a clean end, once the time is up
-            client.writer.close()
-            await shutdown
-
-    run(scenario())
-
-
-def test_connections_stay_open_for_half_the_longest_deadline_at_most(
+    set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
+    async with Rig(Upstream()) as rig:
+        listener = rig.proxy.listener
+        listener.max_deadline_s = 120.0
+        client = await client_with_a_response(rig)
+        shutdown = asyncio.ensure_future(listener.shut_down())
+        while not listener.is_closed:
+            await asyncio.sleep(0.01)
+        for _ in range(2):
+            client.send()
+            reply = await client.read_response()
+            assert status(reply) == 200
+            assert "connection" not in reply.headers
+        set_shutdown_times(monkeypatch, keep_alive_s=0.0)
+        assert await client.reader.read() == b""  # a clean end, once the time is up
+        client.writer.close()
+        await shutdown
+
+
+async def test_connections_stay_open_for_half_the_longest_deadline_at_most(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The platform kills the process soon after the longest deadline: what arrives later is lost."""
 
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, keep_alive_s=60.0)
-        async with Rig(Upstream()) as rig:
-            client = await client_with_a_response(rig)
-            rig.proxy.listener.max_deadline_s = 0.2
-            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-            assert await client.reader.read() == b""  # a clean end
-            assert rig.proxy.listener.context.closes_connections, "not closed as an idle one"
-            client.writer.close()
-            await shutdown
-
-    run(scenario())
-
+    set_shutdown_times(monkeypatch, keep_alive_s=60.0)
+    async with Rig(Upstream()) as rig:
+        client = await client_with_a_response(rig)
+        rig.proxy.listener.max_deadline_s = 0.2
+        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        assert await client.reader.read() == b""  # a clean end
+        assert rig.proxy.listener.context.closes_connections, "not closed as an idle one"
+        client.writer.close()
+        await shutdown
+
+
+async def test_open_requests_and_new_connections_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+    set_shutdown_times(monkeypatch, keep_alive_s=0.0)
+    upstream = Upstream(response(), never_respond, response())
+    async with Rig(upstream) as rig:
+        idle = await rig.client()
+        busy = await rig.client()
+        idle.send()
+        assert status(await idle.read_response()) == 200
+        upstream.seen.clear()
+        busy.send("/pay/x", b"debit")
+        await upstream.seen.wait()
+        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        await asyncio.sleep(0)
+        assert status(await rig.send_request()) == 200
+        assert await idle.reader.read() == b""  # a clean end, no reset
+        upstream.writers[-1].write(b"")
+        for writer in upstream.writers:
+            writer.write(response(200, b"at last"))
+        reply = await busy.read_response()
+        assert (status(reply), reply.body) == (200, b"at last")
+        assert reply.headers["connection"] == "close"
+        busy.writer.close()
+        idle.writer.close()
+        await shutdown
+
+
+async def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client has sent all of it, though its connection was not accepted yet."""
 
-def test_open_requests_and_new_connections_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-        upstream = Upstream(response(), never_respond, response())
-        async with Rig(upstream) as rig:
-            idle = await rig.client()
-            busy = await rig.client()
-            idle.send()
-            assert status(await idle.read_response()) == 200
-            upstream.seen.clear()
-            busy.send("/pay/x", b"debit")
-            await upstream.seen.wait()
-            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+    set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
+    async with Rig(Upstream()) as rig:
+        listener = rig.proxy.listener
+        clients = list[socket.socket]()
+        accept_pending = listener.accept_pending
+
+        def connect_then_accept() -> bool:
+            clients.append(socket.create_connection(listener.address))
+            clients[0].sendall(
+                b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
+            )
+            return accept_pending()
+
+        monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
+        shutdown = asyncio.ensure_future(listener.shut_down())
+        while not clients:
             await asyncio.sleep(0)
-            assert status(await rig.send_request()) == 200
-            assert await idle.reader.read() == b""  # a clean end, no reset
-            upstream.writers[-1].write(b"")
-            for writer in upstream.writers:
-                writer.write(response(200, b"at last"))
-            reply = await busy.read_response()
-            assert (status(reply), reply.body) == (200, b"at last")
-            assert reply.headers["connection"] == "close"
-            busy.writer.close()
-            idle.writer.close()
-            await shutdown
-
-    run(scenario())
-
-
-def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client has sent all of it, though its connection was not accepted yet."""
+        clients[0].setblocking(False)
+        reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
+        assert reply.startswith(b"HTTP/1.1 200")
+        clients[0].close()
+        await shutdown
+
 
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-        async with Rig(Upstream()) as rig:
-            listener = rig.proxy.listener
-            clients = list[socket.socket]()
-            accept_pending = listener.accept_pending
-
-            def connect_then_accept() -> bool:
-                clients.append(socket.create_connection(listener.address))
-                clients[0].sendall(
-                    b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
-                )
-                return accept_pending()
-
-            monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
-            shutdown = asyncio.ensure_future(listener.shut_down())
-            while not clients:
-                await asyncio.sleep(0)
-            clients[0].setblocking(False)
-            reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
-            assert reply.startswith(b"HTTP/1.1 200")
-            clients[0].close()
-            await shutdown
-
-    run(scenario())
-
-
-def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
+async def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is left in the queue is reset when the listening socket closes."""
 
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, accept_s=0.0)
-        upstream = Upstream(never_respond, response())
-        async with Rig(upstream) as rig:
-            listener = rig.proxy.listener
-            listener.connection_limit = 1
-            busy = await rig.client()
-            busy.send("/pay/x", b"debit")
-            await upstream.seen.wait()
-            queued = await rig.client()  # in the kernel's queue
-            queued.send()
-            shutdown = asyncio.ensure_future(listener.shut_down())
-            while not listener.context.is_shutting_down:
-                await asyncio.sleep(0)
-            for _ in range(3):
-                await asyncio.sleep(0)  # the listener has tried to accept
-            upstream.writers[0].write(response(200, b"at last"))
-            assert (await busy.read_response()).body == b"at last"
-            busy.writer.close()
-            assert status(await queued.read_response()) == 200
-            queued.writer.close()
-            await shutdown
-
-    run(scenario())
-
-
-def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
-    """The process ends before an upstream could respond to it."""
+    set_shutdown_times(monkeypatch, accept_s=0.0)
+    upstream = Upstream(never_respond, response())
+    async with Rig(upstream) as rig:
+        listener = rig.proxy.listener
+        listener.connection_limit = 1
+        busy = await rig.client()
+        busy.send("/pay/x", b"debit")
+        await upstream.seen.wait()
+        queued = await rig.client()  # in the kernel's queue
+        queued.send()
+        shutdown = asyncio.ensure_future(listener.shut_down())
+        while not listener.context.is_shutting_down:
+            await asyncio.sleep(0)
+        for _ in range(3):
+            await asyncio.sleep(0)  # the listener has tried to accept
+        upstream.writers[0].write(response(200, b"at last"))
+        assert (await busy.read_response()).body == b"at last"
+        busy.writer.close()
+        assert status(await queued.read_response()) == 200
+        queued.writer.close()
+        await shutdown
 
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            client = await rig.client()
-            rig.proxy.abort_open_requests()
-            client.send()
-            assert status(await client.read_response()) == 503
-            assert not upstream.connections
 
-    run(scenario())
+async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
+    """The process ends before an upstream could respond to it."""
+
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        client = await rig.client()
+        rig.proxy.abort_open_requests()
+        client.send()
+        assert status(await client.read_response()) == 503
+        assert not upstream.connections
 
 
-def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
+async def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
-        upstream = Upstream(never_respond)
-        async with Rig(upstream) as rig:
-            client = await rig.client()
-            client.send("/pay/x", b"debit")
-            await upstream.seen.wait()
-            events = record_events(rig)
-            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-            assert status(await client.read_response()) == 502
-            await shutdown
-            assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
-
-    run(scenario())
-
-
-def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
+    set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
+    upstream = Upstream(never_respond)
+    async with Rig(upstream) as rig:
+        client = await rig.client()
+        client.send("/pay/x", b"debit")
+        await upstream.seen.wait()
+        events = record_events(rig)
+        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        assert status(await client.read_response()) == 502
+        await shutdown
+        assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
+
+
+async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The kernel holds it, unread, while the connection is judged to be idle."""
 
-    async def scenario() -> None:
-        set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-        async with Rig(Upstream()) as rig:
-            client = await client_with_a_response(rig)
-            (connection,) = rig.proxy.listener.connections
-            is_idle = connection.is_idle
-            has_crossed = asyncio.Event()
-
-            def send_then_is_idle() -> bool:
-                if not has_crossed.is_set():
-                    has_crossed.set()
-                    client.send()  # written at once, and not read before the result is used
-                return is_idle()
-
-            monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
-            shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-            reply = await client.read_response()
-            assert status(reply) == 200
-            assert reply.headers["connection"] == "close"
-            client.writer.close()
-            await shutdown
-
-    run(scenario())
+    set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
+    async with Rig(Upstream()) as rig:
+        client = await client_with_a_response(rig)
+        (connection,) = rig.proxy.listener.connections
+        is_idle = connection.is_idle
+        has_crossed = asyncio.Event()
+
+        def send_then_is_idle() -> bool:
+            if not has_crossed.is_set():
+                has_crossed.set()
+                client.send()  # written at once, and not read before the result is used
+            return is_idle()
+
+        monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
+        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        reply = await client.read_response()
+        assert status(reply) == 200
+        assert reply.headers["connection"] == "close"
+        client.writer.close()
+        await shutdown
--- a/tests/network/test_memory_limits.py
+++ b/tests/network/test_memory_limits.py
@@ -10,39 +10,36 @@
 import pytest
 
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.network.loopback import Client, Rig, Upstream, never_respond, run, status
+from tests.network.loopback import Client, Rig, Upstream, never_respond, status
 
 
-def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
+async def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
     """Sixteen bodies read ahead on every connection would exceed a small memory limit."""
 
-    async def scenario() -> None:
-        upstream = Upstream(never_respond)
-        async with Rig(upstream) as rig:
-            listener = rig.proxy.listener
-            buffers = listener.context.buffers
-            buffers.limit_bytes = 200_000
-            clients: list[Client] = []
+    upstream = Upstream(never_respond)
+    async with Rig(upstream) as rig:
+        listener = rig.proxy.listener
+        buffers = listener.context.buffers
+        buffers.limit_bytes = 200_000
+        clients: list[Client] = []
+        for _ in range(4):
+            clients.append(await rig.client())
             for _ in range(4):
-                clients.append(await rig.client())
-                for _ in range(4):
-                    clients[-1].send("/pay/x", b"x" * 60_000)
-            health_client = await rig.client()
-            while not any(connection.discards_input for connection in listener.connections):
-                await asyncio.sleep(0.01)
-            health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
-            assert status(await health_client.read_response()) == 200
-            unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
-            assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
-            for client in clients:
-                client.writer.transport.abort()
-            while buffers.used_bytes:
-                await asyncio.sleep(0.01)
-
-    run(scenario())
+                clients[-1].send("/pay/x", b"x" * 60_000)
+        health_client = await rig.client()
+        while not any(connection.discards_input for connection in listener.connections):
+            await asyncio.sleep(0.01)
+        health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
+        assert status(await health_client.read_response()) == 200
+        unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
+        assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
+        for client in clients:
+            client.writer.transport.abort()
+        while buffers.used_bytes:
+            await asyncio.sleep(0.01)
 
 
-def test_finished_requests_and_connections_leave_no_objects(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_finished_requests_and_connections_leave_no_objects(monkeypatch: pytest.MonkeyPatch) -> None:
     """Objects are counted after many requests and connections: a leak grows with their number."""
     # Otherwise the pool's size depends on how many requests the machine can make in that time.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
@@ -52,28 +49,25 @@
             type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("loadbalancer")
         )
 
-    async def scenario() -> None:
-        async with Rig(Upstream(), max_attempts=3) as rig:
+    async with Rig(Upstream(), max_attempts=3) as rig:
 
-            async def send_requests(times: int) -> None:
-                for _ in range(times):
-                    assert status(await rig.send_request()) == 200
-                while rig.proxy.listener.connections:
-                    await asyncio.sleep(0.01)
-
-            await send_requests(20)
-            gc.collect()
-            gc.disable()  # objects that only the collector would free count_objects as leaked
-            try:
-                before = count_objects()
-                await send_requests(100)
-                growth: dict[str, Any] = count_objects() - before
-                for timer in ("TimerFired", "HedgeTimer"):
-                    growth.pop(timer, None)  # the policy's timers stay until they fire
-            finally:
-                gc.enable()
-            assert all(n < 20 for n in growth.values()), growth
-            assert rig.proxy.balancer.open_requests == 0
-            assert not rig.proxy.open_requests
+        async def send_requests(times: int) -> None:
+            for _ in range(times):
+                assert status(await rig.send_request()) == 200
+            while rig.proxy.listener.connections:
+                await asyncio.sleep(0.01)
 
-    run(scenario())
+        await send_requests(20)
+        gc.collect()
+        gc.disable()  # objects that only the collector would free count_objects as leaked
+        try:
+            before = count_objects()
+            await send_requests(100)
+            growth: dict[str, Any] = count_objects() - before
+            for timer in ("TimerFired", "HedgeTimer"):
+                growth.pop(timer, None)  # the policy's timers stay until they fire
+        finally:
+            gc.enable()
+        assert all(n < 20 for n in growth.values()), growth
+        assert rig.proxy.balancer.open_requests == 0
+        assert not rig.proxy.open_requests
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.network.configurations import LISTEN_ANYWHERE
-from tests.network.loopback import TIMEOUT_S, Client, config_text, entry, free_port, run, status
+from tests.network.loopback import TIMEOUT_S, Client, config_text, entry, free_port, status
 from tests.network.program import running_program
 
 ROOT = Path(__file__).parents[2]
@@ -75,20 +75,17 @@
 @pytest.mark.parametrize("kind", ["ask", "push"])
 @pytest.mark.parametrize("state", ["silent", "refusing", "down"])
 @pytest.mark.parametrize("entries", [0, 1])
-def test_it_is_ready_without_discovery(state: str, kind: str, entries: int, tmp_path: Path) -> None:
-    async def scenario() -> None:
-        port = free_port()
-        with unresponsive_discovery(state) as address:
-            path = tmp_path / "config.json"
-            text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
-            path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
-            async with running_program(path):
-                client = await Client.of_program(port)
-                client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
-                assert status(await client.read_response()) == 200
-                client.writer.close()
-
-    run(scenario())
+async def test_it_is_ready_without_discovery(state: str, kind: str, entries: int, tmp_path: Path) -> None:
+    port = free_port()
+    with unresponsive_discovery(state) as address:
+        path = tmp_path / "config.json"
+        text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
+        path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+        async with running_program(path):
+            client = await Client.of_program(port)
+            client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
+            assert status(await client.read_response()) == 200
+            client.writer.close()
 
 
 def test_a_start_imports_what_it_needs_and_nothing_else(tmp_path: Path) -> None:
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -5,26 +5,23 @@
 import pytest
 
 from loadbalancer.network.request_ids import RequestIds
-from tests.network.loopback import Rig, Upstream, never_respond, response, run, status
-
-
-def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
-    async def scenario() -> None:
-        upstream = Upstream(never_respond)
-        async with Rig(upstream) as rig:
-            first = await rig.client()
-            second = await rig.client()
-            first.send("/pay/x", b"debit", x_request_id="same")
-            await upstream.seen.wait()
-            second.send("/pay/x", b"debit", x_request_id="same")
-            assert status(await second.read_response()) == 409
-            upstream.writers[0].write(response(200, b"unaffected"))
-            assert (await first.read_response()).body == b"unaffected"
-            second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
-            assert status(await second.read_response()) == 409
-            assert len(upstream.received) == 1
-
-    run(scenario())
+from tests.network.loopback import Rig, Upstream, never_respond, response, status
+
+
+async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
+    upstream = Upstream(never_respond)
+    async with Rig(upstream) as rig:
+        first = await rig.client()
+        second = await rig.client()
+        first.send("/pay/x", b"debit", x_request_id="same")
+        await upstream.seen.wait()
+        second.send("/pay/x", b"debit", x_request_id="same")
+        assert status(await second.read_response()) == 409
+        upstream.writers[0].write(response(200, b"unaffected"))
+        assert (await first.read_response()).body == b"unaffected"
+        second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
+        assert status(await second.read_response()) == 409
+        assert len(upstream.received) == 1
 
 
 def test_finished_ids_are_forgotten_after_a_bounded_number(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/network/test_request_validation.py
+++ b/tests/network/test_request_validation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.network.loopback import Client, Rig, Upstream, run, status
+from tests.network.loopback import Client, Rig, Upstream, status
 
 
 def valid_headers(class_name: bytes = b"read", deadline: bytes = b"900m") -> bytes:
@@ -60,20 +60,17 @@
         ),
     ],
 )
-def test_a_rejected_request_closes_the_connection_and_reaches_no_upstream(
+async def test_a_rejected_request_closes_the_connection_and_reaches_no_upstream(
     raw: bytes, expected_status: int
 ) -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            client = await rig.client()
-            client.writer.write(raw)
-            assert status(await client.read_response()) == expected_status
-            assert await client.reader.read() == b""
-            assert upstream.connections == 0
-            assert not rig.proxy.open_requests
-
-    run(scenario())
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        client = await rig.client()
+        client.writer.write(raw)
+        assert status(await client.read_response()) == expected_status
+        assert await client.reader.read() == b""
+        assert upstream.connections == 0
+        assert not rig.proxy.open_requests
 
 
 @pytest.mark.parametrize(
@@ -93,28 +90,22 @@
         (b"GET /read HTTP/1.1\r\nX-Long: " + b"x" * 70_000 + b"\r\n\r\n", 431),
     ],
 )
-def test_a_rejected_request_reaches_no_upstream(raw: bytes, expected_status: int) -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            client = await rig.client()
-            client.writer.write(raw)
-            assert status(await client.read_response()) == expected_status
-            assert not upstream.received
-            assert upstream.connections == 0
-
-    run(scenario())
-
-
-def test_input_after_a_rejection_is_neither_buffered_nor_parsed() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            client = await rig.client()
-            client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
-            client.writer.write(b"x" * 6_000_000)
-            assert status(await client.read_response()) == 413
-            assert rig.proxy.listener.context.buffers.used_bytes == 0
-            with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await read_for_ever(client)
-
-    run(scenario())
+async def test_a_rejected_request_reaches_no_upstream(raw: bytes, expected_status: int) -> None:
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        client = await rig.client()
+        client.writer.write(raw)
+        assert status(await client.read_response()) == expected_status
+        assert not upstream.received
+        assert upstream.connections == 0
+
+
+async def test_input_after_a_rejection_is_neither_buffered_nor_parsed() -> None:
+    async with Rig(Upstream()) as rig:
+        client = await rig.client()
+        client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+        client.writer.write(b"x" * 6_000_000)
+        assert status(await client.read_response()) == 413
+        assert rig.proxy.listener.context.buffers.used_bytes == 0
+        with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
+            await read_for_ever(client)
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.network.loopback import TIMEOUT_S, DiscoveryServer, config_text, entry, run
+from tests.network.loopback import TIMEOUT_S, DiscoveryServer, config_text, entry
 
 ROOT = Path(__file__).parents[2]
 
@@ -83,32 +83,29 @@
 
 
 @AT_EACH_MOMENT
-def test_a_sighup_during_the_start_reloads_the_configuration(moment: str, tmp_path: Path) -> None:
+async def test_a_sighup_during_the_start_reloads_the_configuration(moment: str, tmp_path: Path) -> None:
     """It neither ends the program nor is it lost."""
 
-    async def scenario() -> None:
-        new_discovery = DiscoveryServer()
-        path = tmp_path / "config.json"
-        path.write_text(config_text("127.0.0.1:9", []))
-        path.with_suffix(".json.new").write_text(config_text(await new_discovery.start(), []))
-        process = await asyncio.create_subprocess_exec(
-            *signalled_program(moment, path, signal.SIGHUP),
-            cwd=ROOT,
-            env=os.environ | {"LB_CONFIG": str(path)},
-        )
-        try:
-            call = asyncio.ensure_future(new_discovery.calls.get())
-            exit_code = asyncio.ensure_future(process.wait())
-            await asyncio.wait((call, exit_code), return_when=asyncio.FIRST_COMPLETED)
-            assert not exit_code.done(), f"ended with {process.returncode}"
-            assert call.result() == "GET /v1/servers HTTP/1.1"
-            process.terminate()
-            assert await exit_code == 0
-        finally:
-            if process.returncode is None:
-                process.kill()
-
-    run(scenario())
+    new_discovery = DiscoveryServer()
+    path = tmp_path / "config.json"
+    path.write_text(config_text("127.0.0.1:9", []))
+    path.with_suffix(".json.new").write_text(config_text(await new_discovery.start(), []))
+    process = await asyncio.create_subprocess_exec(
+        *signalled_program(moment, path, signal.SIGHUP),
+        cwd=ROOT,
+        env=os.environ | {"LB_CONFIG": str(path)},
+    )
+    try:
+        call = asyncio.ensure_future(new_discovery.calls.get())
+        exit_code = asyncio.ensure_future(process.wait())
+        await asyncio.wait((call, exit_code), return_when=asyncio.FIRST_COMPLETED)
+        assert not exit_code.done(), f"ended with {process.returncode}"
+        assert call.result() == "GET /v1/servers HTTP/1.1"
+        process.terminate()
+        assert await exit_code == 0
+    finally:
+        if process.returncode is None:
+            process.kill()
 
 
 @AT_EACH_MOMENT
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -20,166 +20,138 @@
     entry,
     never_respond,
     response,
-    run,
     status,
 )
 from tests.network.policy_hooks import before_event, replace_policy
 from tests.network.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
 
-def test_connection_that_is_never_established_is_a_failed_connect() -> None:
-    async def scenario() -> None:
-        async with full_backlog() as address:
-            upstreams = make_pools(address)
-            assert await ObservedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
-            assert upstreams.open_connections == 0
-
-    run(scenario())
-
-
-def test_timeout_before_anything_was_written_is_a_failed_connect() -> None:
-    async def scenario() -> None:
-        async with full_backlog() as address:
-            upstreams = make_pools(address, connectTimeout=60_000.0)
-            assert await ObservedAttempt(upstreams, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
-
-    run(scenario())
-
-
-def test_reset_before_the_last_byte_was_written_is_a_failed_connect() -> None:
-    """The upstream reads the headers and resets while the rest is still in the balancer's buffer."""
-
-    async def scenario() -> None:
-        accepted = asyncio.Event()
-
-        async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(10)
-            accepted.set()
-            writer.transport.abort()
-
-        server = await asyncio.start_server(take, "127.0.0.1", 0, limit=1024)
-        port = server.sockets[0].getsockname()[1]
-        attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
-        await accepted.wait()
-        assert await attempt.outcome() is Outcome.CONNECT_FAILED
-
-    run(scenario())
-
-
-def test_attempt_ends_once_when_it_is_cancelled_as_its_response_arrives() -> None:
-    async def scenario() -> None:
-        upstream = Upstream(never_respond)
-        upstreams = make_pools(await upstream.start())
-        attempt = ObservedAttempt(upstreams)
-        await upstream.seen.wait()
-        upstream.writers[0].write(response())  # in the kernel by now, and not yet read
-        attempt.attempt.cancel()
-        attempt.attempt.cancel()
-        await upstream.connection_closed.wait()
-        assert attempt.ends == [Outcome.CANCELLED]
-        assert upstreams.open_connections == 0
-
-    run(scenario())
-
-
-def test_request_is_not_sent_on_a_connection_that_opens_after_the_drain_grace() -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        address = await upstream.start()
+async def test_connection_that_is_never_established_is_a_failed_connect() -> None:
+    async with full_backlog() as address:
         upstreams = make_pools(address)
-        attempt = ObservedAttempt(upstreams)  # begins to connect
-        pool = upstreams.pool("s0")
-        upstreams.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
-        assert pool.draining_since is not None
-        pool.draining_since -= 0.5  # the grace has passed during the connect
-        assert await attempt.outcome() is Outcome.CONNECT_FAILED
-        assert not upstream.received
-
-    run(scenario())
+        assert await ObservedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
+        assert upstreams.open_connections == 0
 
 
-def test_idle_connections_close_on_request_by_age_and_when_the_endpoint_moves_or_is_removed() -> None:
-    async def scenario() -> None:
-        upstream, moved = Upstream(), Upstream()
-        address = await upstream.start()
-        upstreams = make_pools(address)
+async def test_timeout_before_anything_was_written_is_a_failed_connect() -> None:
+    async with full_backlog() as address:
+        upstreams = make_pools(address, connectTimeout=60_000.0)
+        assert await ObservedAttempt(upstreams, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
 
-        async def serve() -> None:
-            assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-            assert upstreams.open_connections == 1
-
-        await serve()
-        upstreams.close_idle_connections("s0")
-        assert upstreams.open_connections == 0
-        await serve()
-        upstreams.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
-        await serve()
-        assert upstream.connections == 3
-        upstreams.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
-        upstreams.close_expired()
-        assert upstreams.open_connections == 0
-        await serve()
-        upstreams.update_endpoints(endpoint_list(entry("s0", await moved.start())))
-        assert upstreams.open_connections == 0
-        await serve()
-        assert len(moved.received) == 1
-        upstreams.update_endpoints(endpoint_list(whole=True))
-        assert upstreams.open_connections == 0
-        assert upstreams.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
-
-    run(scenario())
 
+async def test_reset_before_the_last_byte_was_written_is_a_failed_connect() -> None:
+    """The upstream reads the headers and resets while the rest is still in the balancer's buffer."""
 
-def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened() -> None:
-    async def scenario() -> None:
-        upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
-        upstreams = make_pools(await upstream.start())
-        upstreams.update_endpoints(endpoint_list(entry("s1", await other.start())))
-        upstreams.connection_limit = 1
+    accepted = asyncio.Event()
+
+    async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(10)
+        accepted.set()
+        writer.transport.abort()
+
+    server = await asyncio.start_server(take, "127.0.0.1", 0, limit=1024)
+    port = server.sockets[0].getsockname()[1]
+    attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
+    await accepted.wait()
+    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+
+
+async def test_attempt_ends_once_when_it_is_cancelled_as_its_response_arrives() -> None:
+    upstream = Upstream(never_respond)
+    upstreams = make_pools(await upstream.start())
+    attempt = ObservedAttempt(upstreams)
+    await upstream.seen.wait()
+    upstream.writers[0].write(response())  # in the kernel by now, and not yet read
+    attempt.attempt.cancel()
+    attempt.attempt.cancel()
+    await upstream.connection_closed.wait()
+    assert attempt.ends == [Outcome.CANCELLED]
+    assert upstreams.open_connections == 0
+
+
+async def test_request_is_not_sent_on_a_connection_that_opens_after_the_drain_grace() -> None:
+    upstream = Upstream()
+    address = await upstream.start()
+    upstreams = make_pools(address)
+    attempt = ObservedAttempt(upstreams)  # begins to connect
+    pool = upstreams.pool("s0")
+    upstreams.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
+    assert pool.draining_since is not None
+    pool.draining_since -= 0.5  # the grace has passed during the connect
+    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    assert not upstream.received
+
+
+async def test_idle_connections_close_on_request_by_age_and_when_the_endpoint_moves_or_is_removed() -> None:
+    upstream, moved = Upstream(), Upstream()
+    address = await upstream.start()
+    upstreams = make_pools(address)
+
+    async def serve() -> None:
         assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-        attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
-        assert attempt is not None
-        await other.seen.wait()
         assert upstreams.open_connections == 1
-        # A descriptor is missing here: that says nothing about the upstream and must not count against it.
-        assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
-        attempt.cancel()
-
-    run(scenario())
-
-
-def test_attempt_of_a_request_that_has_its_response_is_not_sent() -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        async with Rig(upstream) as rig:
-            proxy, events = rig.proxy, list[Event]()
-
-            def respond_then_send(event: Event, now: float) -> list[Action]:
-                events.append(event)
-                if isinstance(event, RequestReceived):
-                    return [
-                        RejectRequest(event.request_id, 250.0),
-                        StartAttempt(event.request_id, "s0", 100.0),
-                    ]
-                return []
-
-            replace_policy(rig, respond_then_send)
-            reply = await rig.send_request()
-            assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
-            assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
-            assert not upstream.received
-            assert not proxy.open_requests
-
-    run(scenario())
 
+    await serve()
+    upstreams.close_idle_connections("s0")
+    assert upstreams.open_connections == 0
+    await serve()
+    upstreams.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
+    await serve()
+    assert upstream.connections == 3
+    upstreams.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
+    upstreams.close_expired()
+    assert upstreams.open_connections == 0
+    await serve()
+    upstreams.update_endpoints(endpoint_list(entry("s0", await moved.start())))
+    assert upstreams.open_connections == 0
+    await serve()
+    assert len(moved.received) == 1
+    upstreams.update_endpoints(endpoint_list(whole=True))
+    assert upstreams.open_connections == 0
+    assert upstreams.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
+
+
+async def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened() -> None:
+    upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
+    upstreams = make_pools(await upstream.start())
+    upstreams.update_endpoints(endpoint_list(entry("s1", await other.start())))
+    upstreams.connection_limit = 1
+    assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
+    attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
+    assert attempt is not None
+    await other.seen.wait()
+    assert upstreams.open_connections == 1
+    # A descriptor is missing here: that says nothing about the upstream and must not count against it.
+    assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
+    attempt.cancel()
+
+
+async def test_attempt_of_a_request_that_has_its_response_is_not_sent() -> None:
+    upstream = Upstream()
+    async with Rig(upstream) as rig:
+        proxy, events = rig.proxy, list[Event]()
+
+        def respond_then_send(event: Event, now: float) -> list[Action]:
+            events.append(event)
+            if isinstance(event, RequestReceived):
+                return [
+                    RejectRequest(event.request_id, 250.0),
+                    StartAttempt(event.request_id, "s0", 100.0),
+                ]
+            return []
+
+        replace_policy(rig, respond_then_send)
+        reply = await rig.send_request()
+        assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
+        assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
+        assert not upstream.received
+        assert not proxy.open_requests
 
-def test_cached_endpoint_list_is_applied_before_discovery_is_called() -> None:
-    async def scenario() -> None:
-        async with Rig(Upstream()) as rig:
-            assert rig.proxy.balancer.ready_endpoints  # before a single turn of the loop
-            assert rig.discovery.calls.empty()
 
-    run(scenario())
+async def test_cached_endpoint_list_is_applied_before_discovery_is_called() -> None:
+    async with Rig(Upstream()) as rig:
+        assert rig.proxy.balancer.ready_endpoints  # before a single turn of the loop
+        assert rig.discovery.calls.empty()
 
 
 @pytest.mark.parametrize(
@@ -191,88 +163,70 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(behind: bytes) -> None:
+async def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(behind: bytes) -> None:
     """They replaced the response, made it a reset, or were taken for the response to the next request."""
 
-    async def scenario() -> None:
-        upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
-        async with Rig(upstream) as rig:
-            assert (await rig.send_request()).body == b"the answer"
-            assert (await rig.send_request()).body == b"the next"
-            assert upstream.connections == 2  # the first carries nothing more
+    upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
+    async with Rig(upstream) as rig:
+        assert (await rig.send_request()).body == b"the answer"
+        assert (await rig.send_request()).body == b"the next"
+        assert upstream.connections == 2  # the first carries nothing more
 
-    run(scenario())
 
+async def test_connection_rests_between_requests_so_that_stray_bytes_show() -> None:
+    upstream = Upstream()
+    upstreams = make_pools(await upstream.start())
+    assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
+    assert upstreams.pool("s0").take_idle_connection() is None  # not at once
+    upstreams.pool("s0").idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
+    assert upstreams.pool("s0").take_idle_connection() is None
+    upstreams.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
+    assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
+    assert upstream.connections == 1
 
-def test_connection_rests_between_requests_so_that_stray_bytes_show() -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        upstreams = make_pools(await upstream.start())
-        assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-        assert upstreams.pool("s0").take_idle_connection() is None  # not at once
-        upstreams.pool("s0").idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
-        assert upstreams.pool("s0").take_idle_connection() is None
-        upstreams.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
-        assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-        assert upstream.connections == 1
-
-    run(scenario())
 
-
-def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins() -> None:
+async def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins() -> None:
     """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
 
-    async def scenario() -> None:
-        upstreams = Upstream(never_respond), Upstream(never_respond)
-        async with Rig(*upstreams) as rig:
-            ended = list[bool]()
-
-            def look_at_the_upstream(event: AttemptFinished) -> None:
-                seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
-                ended.append(seen == b"")
+    upstreams = Upstream(never_respond), Upstream(never_respond)
+    async with Rig(*upstreams) as rig:
+        ended = list[bool]()
 
-            before_event(rig, AttemptFinished, look_at_the_upstream)
-            assert status(await rig.send_request("/pay/x", b"debit", deadline="200m")) == 502
-            assert ended == [True]
+        def look_at_the_upstream(event: AttemptFinished) -> None:
+            seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
+            ended.append(seen == b"")
 
-    run(scenario())
+        before_event(rig, AttemptFinished, look_at_the_upstream)
+        assert status(await rig.send_request("/pay/x", b"debit", deadline="200m")) == 502
+        assert ended == [True]
 
 
-def test_interim_responses_are_ignored() -> None:
-    async def scenario() -> None:
-        upstream = Upstream(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * 3 + response(200, b"final"))
-        async with Rig(upstream) as rig:
-            assert (await rig.send_request()).body == b"final"
+async def test_interim_responses_are_ignored() -> None:
+    upstream = Upstream(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * 3 + response(200, b"final"))
+    async with Rig(upstream) as rig:
+        assert (await rig.send_request()).body == b"final"
 
-    run(scenario())
 
+async def test_bytes_before_the_request_was_written_are_no_response() -> None:
+    async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(10)
+        writer.write(response(200, b"to what?"))
 
-def test_bytes_before_the_request_was_written_are_no_response() -> None:
-    async def scenario() -> None:
-        async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(10)
-            writer.write(response(200, b"to what?"))
+    server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
+    port = server.sockets[0].getsockname()[1]
+    attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
+    assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
-        server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
-        port = server.sockets[0].getsockname()[1]
-        attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
-        assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
-    run(scenario())
+async def test_lack_of_local_descriptors_is_not_the_upstreams_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+    upstream = Upstream()
+    upstreams = make_pools(await upstream.start())
 
+    async def fail_to_connect(*args: Any) -> None:
+        raise OSError(errno.EMFILE, "Too many open files")
 
-def test_lack_of_local_descriptors_is_not_the_upstreams_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario() -> None:
-        upstream = Upstream()
-        upstreams = make_pools(await upstream.start())
-
-        async def fail_to_connect(*args: Any) -> None:
-            raise OSError(errno.EMFILE, "Too many open files")
-
-        monkeypatch.setattr(UpstreamPool, "connect", fail_to_connect)
-        assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
-
-    run(scenario())
+    monkeypatch.setattr(UpstreamPool, "connect", fail_to_connect)
+    assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
 
 
 CLASSES_WITH_SHORT_OBJECTIVE = [
@@ -292,29 +246,26 @@
 
 
 @pytest.mark.parametrize("loss", [never_respond, reject])
-def test_upstream_that_fails_one_class_is_ejected_for_it_and_keeps_the_others(loss: Script) -> None:
+async def test_upstream_that_fails_one_class_is_ejected_for_it_and_keeps_the_others(loss: Script) -> None:
     """Its good responses to the other class hid it: reads went on being lost, and load was shed."""
 
     async def by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (loss if received.headers["x-class"] == "read" else work)(received, writer)
 
-    async def scenario() -> None:
-        failing = Upstream(by_class)
-
-        def received(cls: str) -> int:
-            return sum(one.headers["x-class"] == cls for one in failing.received)
+    failing = Upstream(by_class)
 
-        async with Rig(failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE) as rig:
+    def received(cls: str) -> int:
+        return sum(one.headers["x-class"] == cls for one in failing.received)
 
-            async def rounds(count: int) -> None:
-                for _ in range(count):
-                    pays = [rig.send_request("/pay/x", body=b"1") for _ in range(4)]
-                    await asyncio.gather(rig.send_request("/read/x"), *pays)
+    async with Rig(failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE) as rig:
 
-            await rounds(20)
-            lost, paid = received("read"), received("pay")
-            await rounds(50)
-            assert received("read") - lost <= 4, "a request now and then shows whether it has recovered"
-            assert received("pay") - paid >= 20, "the class that it serves well still goes there"
+        async def rounds(count: int) -> None:
+            for _ in range(count):
+                pays = [rig.send_request("/pay/x", body=b"1") for _ in range(4)]
+                await asyncio.gather(rig.send_request("/read/x"), *pays)
 
-    run(scenario())
+        await rounds(20)
+        lost, paid = received("read"), received("pay")
+        await rounds(50)
+        assert received("read") - lost <= 4, "a request now and then shows whether it has recovered"
+        assert received("pay") - paid >= 20, "the class that it serves well still goes there"
