--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -26,7 +26,6 @@
 
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request() -> None:
     """The policy sends a moment later; the event loop has not read the disconnect yet."""
-
     upstream = Upstream()
     async with Rig(upstream) as rig:
         client = connect_client(rig)
@@ -114,7 +113,6 @@
 
 async def test_pipelined_request_is_processed_once_the_response_before_it_is_read() -> None:
     """Nothing reported that the rest of the response had left: the next request waited for further bytes."""
-
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     async with Rig(upstream) as rig:
         client, got = await client_with_unread_response(rig), b""
@@ -125,7 +123,6 @@
 
 async def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response() -> None:
     """The end was read, but the connection stayed until the response had left; then the next one was sent."""
-
     upstream = Upstream(response(200, b"x" * 60_000))
     async with Rig(upstream) as rig:
         client = await client_with_unread_response(rig)
@@ -142,7 +139,6 @@
 
 async def test_disconnect_is_noticed_while_reading_is_paused() -> None:
     """The socket was not polled any more, and all pipelined requests were sent, one after another."""
-
     upstream = Upstream(never_respond, response())
     async with Rig(upstream, tier=1) as rig:
         client = connect_client(rig)
@@ -163,7 +159,6 @@
     may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where attempts must not be cancelled, it was written once the connection was established."""
-
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
     async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
         left = asyncio.Event()
@@ -223,7 +218,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It was sent on after the final response, which the other attempt had brought meanwhile."""
-
     connects = DelayedConnects(monkeypatch, first=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     async with Rig(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -111,7 +111,6 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
-
     async with Rig(Upstream()) as rig:
         await open_idle_connections(rig, monkeypatch)
         client = connect_client(rig)
@@ -128,7 +127,6 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
-
     async with Rig(Upstream()) as rig:
         await open_idle_connections(rig, monkeypatch)
         client, left = connect_client(rig), asyncio.Event()
@@ -167,7 +165,6 @@
     request_bytes: bytes, script: Any, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client disconnects as its first attempt fails; a retry would be written at once."""
-
     async with Rig(Upstream(for_first_request(script)), Upstream(for_first_request(script))) as rig:
         await open_idle_connections(rig, monkeypatch)
         client, ends = connect_client(rig), list[AttemptFinished]()
@@ -187,7 +184,6 @@
 
 async def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
     """The test above rests on it: only the disconnect keeps the retry back."""
-
     script = for_first_request(response(500))
     async with Rig(Upstream(script), Upstream(script)) as rig:
         await open_idle_connections(rig, monkeypatch)
@@ -216,7 +212,6 @@
     disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its timer fires before the event loop has read the client's end."""
-
     script = for_first_request(never_respond)
     async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as rig:
         await open_idle_connections(rig, monkeypatch)
@@ -234,7 +229,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
-
     script = for_first_request(never_respond)
     async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
         await open_idle_connections(rig, monkeypatch)
@@ -256,7 +250,6 @@
     may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where the first attempt goes on, its response must not start the next request."""
-
     upstream = Upstream(for_first_request(never_respond))
     async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
         await open_idle_connections(rig, monkeypatch)
--- a/tests/network/test_connection_limit.py
+++ b/tests/network/test_connection_limit.py
@@ -42,7 +42,6 @@
 
 async def test_clients_beyond_the_limit_wait_until_an_idle_connection_is_evicted() -> None:
     """Accepting is tried again after connections have become idle, not only when one closes."""
-
     async with Rig(Upstream()) as rig:
         rig.proxy.listener.connection_limit = 2
         first = await rig.client()
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -27,7 +27,6 @@
 
 async def test_input_after_a_request_with_connection_close_is_ignored() -> None:
     """Parsed in a later slice, it would get a response after our side of the connection is closed."""
-
     async with Rig() as rig:
         client = await rig.client()
         head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
@@ -72,7 +71,6 @@
 
 async def test_a_graceful_close_reaches_an_idle_client_at_once() -> None:
     """In a later turn of the loop, a request that arrives before it would be read and discarded."""
-
     async with Rig(Upstream()) as rig:
         client = socket.create_connection(rig.proxy.listener.address[:2])
         while not (connections := rig.proxy.listener.connections):
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -63,7 +63,6 @@
 
 async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(tmp_path: Path) -> None:
     """Discovery is down meanwhile; what the balancer needs when it recovers has to be free then."""
-
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
@@ -94,7 +93,6 @@
 
 async def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors() -> None:
     """Each was admitted before the first had opened its connection: all that started at once got one."""
-
     upstream = Upstream(never_respond)
     upstreams = make_pools(await upstream.start())
     upstreams.connection_limit = 5
--- a/tests/network/test_endpoint_list_updates.py
+++ b/tests/network/test_endpoint_list_updates.py
@@ -47,7 +47,6 @@
 
 async def test_the_watch_goes_on_after_a_malformed_response() -> None:
     """Whatever exception a response raises while it is read, discovery is polled again."""
-
     async with Rig(Upstream()) as rig:
         events = record_events(rig)
         assert status(await rig.send_request()) == 200
@@ -60,7 +59,6 @@
 
 async def test_a_silent_poll_times_out_soon_after_its_wait_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """If all upstreams are replaced meanwhile, requests go to the old ones until none is left."""
-
     async with Rig(Upstream(reset)) as rig:
         await rig.send_request()
         line = await rig.discovery.calls.get()
@@ -83,7 +81,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An update during a pause would use up the whole grace period that a draining upstream has."""
-
     monkeypatch.setattr(endpoint_watch, "PUSH_RETRY_DELAY_S", 2 * TIMEOUT_S)
     async with Rig(Upstream(), discovery="push") as rig:
         for index in (8, 9):
@@ -98,7 +95,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An agent is polled at no cost, so its timeout is shorter than that of a central discovery."""
-
     async with Rig(Upstream(), discovery="push") as rig:
         line = await rig.discovery.calls.get()
         wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
@@ -115,7 +111,6 @@
 
 async def test_a_truncated_list_times_out() -> None:
     """The rest is not waited for as long as a poll: draining upstreams would get requests meanwhile."""
-
     async with Rig(Upstream()) as rig:
         await rig.send_request()
         line = await rig.discovery.calls.get()
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -261,7 +261,6 @@
 
 async def test_connections_that_discovery_says_it_closes_are_closed() -> None:
     """It says `Connection: close` and does not close; each call left one connection behind."""
-
     open_now, index, served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -104,7 +104,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that is not idempotent fails, and is sent once."""
-
     upstream = Upstream()
     async with Rig(upstream) as rig:
         assert status(await rig.send_request()) == 200
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -41,7 +41,6 @@
 
 async def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     """While another balancer restarts, clients whose connections closed would have nowhere to go."""
-
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
     async with Rig(Upstream()) as rig:
         listener = rig.proxy.listener
@@ -65,7 +64,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The platform kills the process soon after the longest deadline: what arrives later is lost."""
-
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     async with Rig(Upstream()) as rig:
         client = await client_with_a_response(rig)
@@ -105,7 +103,6 @@
 
 async def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
     """The client has sent all of it, though its connection was not accepted yet."""
-
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     async with Rig(Upstream()) as rig:
         listener = rig.proxy.listener
@@ -134,7 +131,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is left in the queue is reset when the listening socket closes."""
-
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
     async with Rig(upstream) as rig:
@@ -160,7 +156,6 @@
 
 async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
     """The process ends before an upstream could respond to it."""
-
     upstream = Upstream()
     async with Rig(upstream) as rig:
         client = await rig.client()
@@ -190,7 +185,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The kernel holds it, unread, while the connection is judged to be idle."""
-
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     async with Rig(Upstream()) as rig:
         client = await client_with_a_response(rig)
--- a/tests/network/test_memory_limits.py
+++ b/tests/network/test_memory_limits.py
@@ -15,7 +15,6 @@
 
 async def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
     """Sixteen bodies read ahead on every connection would exceed a small memory limit."""
-
     upstream = Upstream(never_respond)
     async with Rig(upstream) as rig:
         listener = rig.proxy.listener
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -59,7 +59,6 @@
 
 async def test_a_discovery_to_which_no_connection_comes_up_is_given_up_soon() -> None:
     """Its host is down: the connection never comes up, though the call may wait for longer."""
-
     async with full_backlog() as address:
         failed = asyncio.Event()
         config = configuration(config_text(address, [entry("s0", "127.0.0.1:9")]))
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -85,7 +85,6 @@
 @AT_EACH_MOMENT
 async def test_a_sighup_during_the_start_reloads_the_configuration(moment: str, tmp_path: Path) -> None:
     """It neither ends the program nor is it lost."""
-
     new_discovery = DiscoveryServer()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -41,7 +41,6 @@
 
 async def test_reset_before_the_last_byte_was_written_is_a_failed_connect() -> None:
     """The upstream reads the headers and resets while the rest is still in the balancer's buffer."""
-
     accepted = asyncio.Event()
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -165,7 +164,6 @@
 )
 async def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(behind: bytes) -> None:
     """They replaced the response, made it a reset, or were taken for the response to the next request."""
-
     upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
     async with Rig(upstream) as rig:
         assert (await rig.send_request()).body == b"the answer"
@@ -187,7 +185,6 @@
 
 async def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins() -> None:
     """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
-
     upstreams = Upstream(never_respond), Upstream(never_respond)
     async with Rig(*upstreams) as rig:
         ended = list[bool]()
