--- a/tests/policy/test_size_limits.py
+++ b/tests/policy/test_size_limits.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import ast
+import io
+import tokenize
 import tomllib
 from pathlib import Path
 
@@ -16,8 +18,26 @@
     return module.read_text(encoding="utf-8").splitlines()
 
 
+def code_lines(module: Path) -> set[int]:
+    """The lines of a module that hold code: no blank lines, comments or docstrings."""
+    source = module.read_text(encoding="utf-8")
+    ignored = (tokenize.COMMENT, tokenize.NL, tokenize.NEWLINE, tokenize.INDENT, tokenize.DEDENT)
+    lines = {
+        line
+        for token in tokenize.generate_tokens(io.StringIO(source).readline)
+        if token.type not in ignored and token.string
+        for line in range(token.start[0], token.end[0] + 1)
+    }
+    for node in ast.walk(ast.parse(source)):
+        if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant):
+            assert node.end_lineno is not None
+            lines -= set(range(node.lineno, node.end_lineno + 1))
+    return lines
+
+
 def test_the_modules_together_stay_readable() -> None:
-    assert sum(bool(line.strip()) for module in MODULES for line in lines_of(module)) <= 1_200
+    """The limit is on code: one that counted documentation too was used up by explaining it."""
+    assert sum(len(code_lines(module)) for module in MODULES) <= 1_100
     assert "loadbalancer/events.py" in lines_of(ROOT / "loadbalancer/policy/balancer.py")[0]
 
 
