--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,6 +1,6 @@
 """Admission control: load is shed by priority weight, and by the quota of each tenant."""
 
-from loadbalancer.policy.arrivals import USUAL_REQUESTS
+from loadbalancer.policy.arrivals import LONG_TERM_REQUESTS
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import RequestClass, Settings
@@ -8,7 +8,7 @@
 PRIORITY_EXPONENT = 1 / 3  # of the priority weight: each class counts by itself, too, and must not starve
 # Of the longest timeout that clients give a try; a shorter one tells a client's retry.
 FULL_TIMEOUT_FRACTION = 0.9
-TIMEOUT_MEMORY_REQUESTS = USUAL_REQUESTS  # the longest timeout fades by 1/e over so many requests
+MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS  # the longest timeout fades by 1/e over so many requests
 QUOTA_BURST_MS = 2_000.0  # a tenant may use this much of its quota at once
 
 
@@ -21,7 +21,7 @@
         self._tokens: dict[str, float] = {}
         self._updated_at: dict[str, float] = {}
 
-    def is_over(self, tenant: str | None, now: float) -> bool:
+    def is_over_quota(self, tenant: str | None, now: float) -> bool:
         """Whether this tenant is past our part of its quota; tenants without one never are."""
         rate = self._per_ms.get(tenant or "")
         if rate is None or tenant is None:
@@ -56,10 +56,10 @@
         """Whether a request that arrives now is let in; behind the first tier all are."""
         if not self._is_first_tier:
             return True
-        is_over_quota = self._quotas.is_over(tenant, now)
+        is_over_quota = self._quotas.is_over_quota(tenant, now)
         importance: float = (request_class.priority_weight / self._max_priority_weight) ** PRIORITY_EXPONENT
         importance *= self._over_quota_weight if is_over_quota else 1.0
-        if self._is_late_retry(request_class, remaining_ms):
+        if self._is_late_client_retry(request_class, remaining_ms):
             importance *= request_class.late_value
         if self._overload.is_overloaded(importance, now):
             return False
@@ -67,14 +67,14 @@
             self._quotas.spend(tenant)
         return True
 
-    def _is_late_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
+    def _is_late_client_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
         """Whether it is a client's retry, past its latency objective before it came.
 
         Guards against clients that give each try a part of the deadline only: what is missing from it has
         not passed. A retry gets less than a first try only where little is left of the deadline.
         """
         known = self._max_client_timeout_ms[request_class.name]
-        max_timeout_ms = max(remaining_ms, known * (1 - 1 / TIMEOUT_MEMORY_REQUESTS))
+        max_timeout_ms = max(remaining_ms, known * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS))
         self._max_client_timeout_ms[request_class.name] = max_timeout_ms
         passed_ms = request_class.deadline_ms - remaining_ms
         is_retry = remaining_ms < FULL_TIMEOUT_FRACTION * max_timeout_ms
--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -5,8 +5,8 @@
 from loadbalancer.settings import Settings
 
 # The pause between requests is averaged over so many: the recent one and the usual one.
-RECENT_REQUESTS = 30
-USUAL_REQUESTS = 1_000
+SHORT_TERM_REQUESTS = 30
+LONG_TERM_REQUESTS = 1_000
 
 
 class ArrivalRate:
@@ -18,8 +18,8 @@
         self._count = 0
         self._last_at = 0.0
         self.started_at = math.inf  # when the first endpoint list came
-        self.recent_pause_ms = 0.0  # mean over the last requests
-        self.usual_pause_ms = 0.0  # mean over many more
+        self.short_term_interarrival_ms = 0.0  # mean over the last requests
+        self.long_term_interarrival_ms = 0.0  # mean over many more
 
     def start(self, now: float) -> None:
         """An endpoint list has come; the first one counts."""
@@ -29,20 +29,24 @@
         """Count a request."""
         if self._count:
             pause = now - self._last_at
-            self.recent_pause_ms += (pause - self.recent_pause_ms) / min(self._count, RECENT_REQUESTS)
-            self.usual_pause_ms += (pause - self.usual_pause_ms) / min(self._count, USUAL_REQUESTS)
+            self.short_term_interarrival_ms += (pause - self.short_term_interarrival_ms) / min(
+                self._count, SHORT_TERM_REQUESTS
+            )
+            self.long_term_interarrival_ms += (pause - self.long_term_interarrival_ms) / min(
+                self._count, LONG_TERM_REQUESTS
+            )
         self._count += 1
         self._last_at = now
 
-    def recent_per_ms(self, now: float) -> float:
+    def short_term_rate_per_ms(self, now: float) -> float:
         """Requests a millisecond of late."""
-        return self._per_ms(self.recent_pause_ms, RECENT_REQUESTS, now)
+        return self._rate_per_ms(self.short_term_interarrival_ms, SHORT_TERM_REQUESTS, now)
 
-    def usual_per_ms(self, now: float) -> float:
+    def long_term_rate_per_ms(self, now: float) -> float:
         """Requests a millisecond, usually."""
-        return self._per_ms(self.usual_pause_ms, USUAL_REQUESTS, now)
+        return self._rate_per_ms(self.long_term_interarrival_ms, LONG_TERM_REQUESTS, now)
 
-    def _per_ms(self, pause_ms: float, requests: int, now: float) -> float:
+    def _rate_per_ms(self, pause_ms: float, requests: int, now: float) -> float:
         """By the mean pause between so many requests, or by all since the start where fewer came."""
         if self._count >= requests:
             return 1.0 / (pause_ms + self._tick_ms / requests)
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -6,29 +6,29 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.policy.idle_connections import IdleConnectionLimit
-from loadbalancer.policy.overload import CompletionRate
+from loadbalancer.policy.overload import SustainableConcurrency
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.policy.service_times import ServiceTimes
 
-LOST_SERVICE_TIMES = 2.0  # an attempt waited for over so many mean service times counts as lost in full
-KEEPS_CONNECTION = frozenset({Outcome.SUCCEEDED, Outcome.ERROR})  # it can be used again
+FULL_LOSS_SERVICE_TIMES = 2.0  # an attempt waited for over so many mean service times counts as lost in full
+REUSABLE_CONNECTION_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.ERROR})  # it can be used again
 # The outcomes that tell of an idle connection whether it was alive.
-TELLS_CONNECTION = frozenset({Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET})
-NO_EVIDENCE = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})  # they tell nothing of the endpoint
+LIVENESS_EVIDENCE_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET})
+NO_EVIDENCE_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})  # they tell nothing of the endpoint
 
 
 class AttemptRecorder:
-    """Writes the evidence on endpoints, service times, completions and idle connections."""
+    """Writes the evidence on endpoints, service times, sustainable and idle connections."""
 
     def __init__(
         self,
         service_times: ServiceTimes,
-        completions: CompletionRate,
+        sustainable: SustainableConcurrency,
         idle_limit: IdleConnectionLimit,
         available: AvailableCapacity,
     ) -> None:
         self._service_times = service_times
-        self._completions = completions
+        self._sustainable = sustainable
         self._idle_limit = idle_limit
         self._available = available
         self._open_attempts = 0
@@ -51,16 +51,16 @@
         """Count a served attempt; count a failed one with its full timeout: it must not look quick."""
         endpoint, class_name = attempt.endpoint, request.request_class.name
         endpoint.catch_up(now)
-        endpoint.last_used_at = now if outcome in KEEPS_CONNECTION else math.inf
-        if outcome in TELLS_CONNECTION:
+        endpoint.last_used_at = now if outcome in REUSABLE_CONNECTION_OUTCOMES else math.inf
+        if outcome in LIVENESS_EVIDENCE_OUTCOMES:
             self._idle_limit.record(attempt.idle_ms, is_silent=outcome is not Outcome.SUCCEEDED)
         if outcome is Outcome.CONNECT_FAILED:
             endpoint.record_connect_failure()
-        elif outcome not in NO_EVIDENCE and outcome is not Outcome.TIMED_OUT:
+        elif outcome not in NO_EVIDENCE_OUTCOMES and outcome is not Outcome.TIMED_OUT:
             endpoint.connect_failures = 0.0
         if outcome is Outcome.SUCCEEDED:
             self._record_success(attempt, request, now)
-        elif outcome not in NO_EVIDENCE:
+        elif outcome not in NO_EVIDENCE_OUTCOMES:
             endpoint.busy_ms += max(attempt.ends_at - now, 0.0)
             if outcome is Outcome.TIMED_OUT:
                 self._record_loss(attempt, request, now)
@@ -77,7 +77,7 @@
     def _record_loss(self, attempt: Attempt, request: Request, now: float) -> None:
         """Count an attempt that was waited for in vain; one with hardly any time tells little."""
         class_name = request.request_class.name
-        patience = LOST_SERVICE_TIMES * request.expected_work * self._service_times.mean_ms(class_name)
+        patience = FULL_LOSS_SERVICE_TIMES * request.expected_work * self._service_times.mean_ms(class_name)
         lost = min((now - attempt.sent_at) / patience, 1.0)
         attempt.endpoint.record_outcome(class_name, served=0.0, lost=lost)
 
@@ -87,7 +87,7 @@
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed / expected_work)
         # Brings all endpoints up to date: it comes before this attempt counts as served there.
-        self._completions.record(expected_work * service_times.baseline_ms(class_name), now)
+        self._sustainable.record(expected_work * service_times.baseline_ms(class_name), now)
         service_times.record(class_name, elapsed)
         attempt.endpoint.served += request.work
         attempt.endpoint.record_outcome(class_name, served=1.0, lost=0.0)
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -7,7 +7,7 @@
 from loadbalancer.endpoints import Endpoint
 
 # Evidence fades by 1/e over this: long enough for a few attempts, short enough to recover.
-EVIDENCE_MEMORY_MS = 6_000.0
+EVIDENCE_TIME_CONSTANT_MS = 6_000.0
 # Those who read the evidence bring it up to date in steps of this; it only saves work.
 UPDATE_INTERVAL_MS = 20.0
 # More lost attempts than this are not remembered, so that an ejected endpoint is tried again within seconds.
@@ -27,7 +27,9 @@
     in_flight: int = 0  # our open attempts there
     served: float = 0.0  # work served of late, in mean attempts
     busy_ms: float = 0.0  # time that our attempts spent there of late, summed over the attempts
-    memory_ms: float = EVIDENCE_MEMORY_MS  # `served` and `busy_ms` fade by 1/e over this
+    capacity_time_constant_ms: float = (
+        EVIDENCE_TIME_CONSTANT_MS  # `served` and `busy_ms` fade by 1/e over this
+    )
     outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)  # served and lost, by class
     connect_failures: float = 0.0  # since it last responded; they fade, too
     last_used_at: float = math.inf  # when a connection to it was last given back in working order
@@ -40,10 +42,10 @@
 
     def catch_up(self, now: float) -> None:
         """Bring the evidence to `now`: open attempts add time, and all of it fades."""
-        fade = math.exp((self.updated_at - now) / self.memory_ms)
+        fade = math.exp((self.updated_at - now) / self.capacity_time_constant_ms)
         self.served *= fade
         self.busy_ms = self.busy_ms * fade + self.in_flight * (now - self.updated_at)
-        fade = math.exp((self.updated_at - now) / EVIDENCE_MEMORY_MS)
+        fade = math.exp((self.updated_at - now) / EVIDENCE_TIME_CONSTANT_MS)
         self.outcomes = {name: (served * fade, lost * fade) for name, (served, lost) in self.outcomes.items()}
         self.connect_failures *= fade
         self.updated_at = now
--- a/loadbalancer/policy/peers.py
+++ b/loadbalancer/policy/peers.py
@@ -5,7 +5,9 @@
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.settings import Settings
 
-PEERS_MEMORY_MS = 20_000.0  # the usual weight of all endpoints fades by 1/e over this once endpoints are lost
+BASELINE_TIME_CONSTANT_MS = (
+    20_000.0  # the usual weight of all endpoints fades by 1/e over this once endpoints are lost
+)
 
 
 class PeerEstimator:
@@ -25,8 +27,10 @@
 
         `weight` is that of the endpoints that can take requests, `updated_at` when it was last taken.
         """
-        faded = self._baseline_weight * math.exp((updated_at - now) / PEERS_MEMORY_MS)
+        faded = self._baseline_weight * math.exp((updated_at - now) / BASELINE_TIME_CONSTANT_MS)
         self._baseline_weight = max(weight, faded)
         weight_ratio = weight / (self._baseline_weight or 1.0)
-        pause_ratio = self._arrivals.recent_pause_ms / (self._arrivals.usual_pause_ms or 1.0)
+        pause_ratio = self._arrivals.short_term_interarrival_ms / (
+            self._arrivals.long_term_interarrival_ms or 1.0
+        )
         self.count = max(self._configured * min(max(weight_ratio, pause_ratio), 1.0), 1.0)
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -4,18 +4,20 @@
 
 SMOOTHING_ATTEMPTS = 50.0  # means are smoothed over so many attempts
 # Of its latency objective a request takes this part at endpoints without load, until we know better.
-INITIAL_FRACTION = 0.2
-PRIOR_ATTEMPTS = 2.0  # the first value counts as so many attempts
+INITIAL_OBJECTIVE_FRACTION = 0.2
+PSEUDO_OBSERVATIONS = 2.0  # the first value counts as so many attempts
 
 
 class ServiceTimes:
     """Mean service time of each class, over all attempts and over those at endpoints without load."""
 
     def __init__(self, settings: Settings) -> None:
-        self._initial_ms = {c.name: c.latency_objective_ms * INITIAL_FRACTION for c in settings.classes}
+        self._initial_ms = {
+            c.name: c.latency_objective_ms * INITIAL_OBJECTIVE_FRACTION for c in settings.classes
+        }
         self._mean_ms = dict(self._initial_ms)
         self._baseline_ms = dict(self._initial_ms)
-        self._baseline_attempts = {c.name: PRIOR_ATTEMPTS for c in settings.classes}
+        self._baseline_attempts = {c.name: PSEUDO_OBSERVATIONS for c in settings.classes}
 
     def mean_ms(self, class_name: str) -> float:
         """What an attempt of this class takes, by the last served ones."""
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -108,8 +108,8 @@
         arrivals, capacity = self._arrivals, self._capacity
         self._balancers_per_endpoint = max(self._peers.count * len(subset) / len(self._endpoints.ready), 1.0)
         age = now - arrivals.started_at
-        unseen = math.exp(-age / capacity.memory_ms) if capacity.served_per_ms else 1.0
-        own_rate = capacity.served_per_ms * len(subset) + unseen * arrivals.usual_per_ms(now)
+        unseen = math.exp(-age / capacity.time_constant_ms) if capacity.served_per_ms else 1.0
+        own_rate = capacity.served_per_ms * len(subset) + unseen * arrivals.long_term_rate_per_ms(now)
         rate = own_rate / sum(e.weight for e in subset) * self._balancers_per_endpoint
         self._warm_rate = max(rate, capacity.median)
         self._fraction = self._unrestricted_fraction(now)
@@ -131,7 +131,7 @@
                 mean_starts += self._mean_starts(endpoint.weight * fraction)
             else:
                 warm += endpoint.weight
-        requests = self._arrivals.recent_per_ms(now) * self._window_ms
+        requests = self._arrivals.short_term_rate_per_ms(now) * self._window_ms
         # The weight that could take all our requests at this mean.
         wanted = requests * warming / mean_starts if mean_starts else math.inf
         if warm + warming >= wanted:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -57,7 +57,7 @@
 def test_large_requests_are_no_overload_while_few_are_in_flight(duration_ms: float) -> None:
     """Responses past half their objective shed half of the important requests at half idle endpoints."""
     harness = PolicyHarness(4, balancers=2)
-    harness.balancer._overload.completions.reset(16.0, harness.now)  # the limit of its start is past
+    harness.balancer._overload.sustainable.reset(16.0, harness.now)  # the limit of its start is past
     in_flight: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = harness.request()
