--- a/tests/network/disconnecting_clients.py
+++ b/tests/network/disconnecting_clients.py
@@ -11,6 +11,7 @@
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
 from tests.network.loopback import Rig
+from tests.support.waiting import wait_until
 
 HEDGING_LIMITS = {
     "attemptsCap": 3,
@@ -37,8 +38,17 @@
 
 async def until_idle(rig: Rig) -> None:
     """Wait until no request is open and no attempt in progress."""
-    while rig.proxy.open_requests:
-        await asyncio.sleep(0.005)
+    await wait_until(
+        lambda: not rig.proxy.open_requests, "no request is open", state=lambda: rig.proxy.open_requests
+    )
+
+
+async def until_disconnected(rig: Rig) -> None:
+    """Wait until the proxy has no connection to a client."""
+    listener = rig.proxy.listener
+    await wait_until(
+        lambda: not listener.connections, "no client is connected", state=lambda: listener.connections
+    )
 
 
 def pass_reuse_delay(rig: Rig) -> None:
--- a/tests/network/loopback.py
+++ b/tests/network/loopback.py
@@ -15,6 +15,7 @@
 from loadbalancer.events import Event
 from loadbalancer.network.proxy import Proxy
 from tests.network.configurations import config_text, configuration, entry
+from tests.support.waiting import wait_until
 
 __all__ = [
     "TIMEOUT_S",
@@ -227,6 +228,15 @@
         return reply
 
 
+def _connect_if_accepted(port: int) -> socket.socket | None:
+    try:
+        client = socket.create_connection(("127.0.0.1", port))
+    except ConnectionRefusedError:
+        return None
+    client.setblocking(False)
+    return client
+
+
 def free_port() -> int:
     """A port of 127.0.0.1 that is free at this moment, for a program that is configured with its address."""
     with socket.socket() as probe:
@@ -242,16 +252,13 @@
 
     @classmethod
     async def of_program(cls, port: int) -> Client:
-        """A client of a program that was started just now: it connects as soon as the program listens."""
-        client, end = cls(), asyncio.get_running_loop().time() + TIMEOUT_S
-        while True:
-            try:
-                client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
-            except ConnectionRefusedError:
-                assert asyncio.get_running_loop().time() < end
-                await asyncio.sleep(0.01)
-            else:
-                return client
+        """Connect to a program that was started just now, as soon as it listens."""
+        connected = await wait_until(
+            lambda: _connect_if_accepted(port), "the program accepts connections", poll_interval_s=0.01
+        )
+        client = cls()
+        client.reader, client.writer = await asyncio.open_connection(sock=connected)
+        return client
 
     def send(
         self,
--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/test_abandoned_requests.py
@@ -22,6 +22,7 @@
 )
 from tests.network.loopback import ReceivedMessage, Rig, Upstream, never_respond, response, status
 from tests.network.policy_hooks import before_event, replace_policy
+from tests.support.waiting import wait_until
 
 
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request() -> None:
@@ -40,8 +41,7 @@
 
         replace_policy(rig, hold)
         client.sendall(request_bytes("/read", 1))
-        while client.fileno() >= 0:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
         await until_idle(rig)
         assert not upstream.connections
 
@@ -64,8 +64,7 @@
         connects.on_established = client.close
         connects.allowed.set()
         client.sendall(request_bytes("/pay", 1, b"debit"))
-        while client.fileno() >= 0:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
         await until_idle(rig)
         assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
         received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
@@ -86,8 +85,7 @@
 
         before_event(rig, RequestReceived, disconnect_at_the_second)
         client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
-        while len(arrived) < 2:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: len(arrived) >= 2, "the policy has got both requests", state=lambda: arrived)
         await until_idle(rig)
         assert status(await rig.send_request()) == 200  # whatever was in flight has arrived by now
         assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
@@ -98,15 +96,11 @@
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.connect(rig.proxy.listener.address[:2])
-    while not (connections := rig.proxy.listener.connections):
-        await asyncio.sleep(0.001)
-    (connection,) = connections
-    while (transport := connection.transport) is None:
-        await asyncio.sleep(0.001)
+    (connection,) = await wait_until(lambda: rig.proxy.listener.connections, "the client is accepted")
+    transport = await wait_until(lambda: connection.transport, "the connection is set up")
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
-    while not transport.get_write_buffer_size():
-        await asyncio.sleep(0.001)
+    await wait_until(transport.get_write_buffer_size, "a part of the response waits for the client")
     client.setblocking(False)
     return client
 
@@ -128,8 +122,9 @@
         client = await client_with_unread_response(rig)
         (connection,) = rig.proxy.listener.connections
         client.shutdown(socket.SHUT_WR)
-        while not (connection.transport and connection.transport.is_closing()):
-            await asyncio.sleep(0.001)
+        await wait_until(
+            lambda: connection.transport and connection.transport.is_closing(), "the connection closes"
+        )
         while await asyncio.get_running_loop().sock_recv(client, 65_536):
             pass
         client.close()
@@ -146,8 +141,7 @@
         client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
         await upstream.seen.wait()
         (connection,) = rig.proxy.listener.connections
-        while not connection.is_reading_paused:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
         client.close()
         await until_idle(rig)  # it is noticed, though its request has no response yet
         await upstream.connection_closed.wait()
--- a/tests/network/test_busy_event_loop.py
+++ b/tests/network/test_busy_event_loop.py
@@ -17,6 +17,7 @@
 from loadbalancer.network.client.listener import Listener
 from tests.network.disconnecting_clients import connect_client, request_bytes
 from tests.network.loopback import Rig, Upstream, status
+from tests.support.waiting import wait_until
 
 
 def set_request_timeout(monkeypatch: pytest.MonkeyPatch, timeout_s: float, sweep_interval_s: float) -> None:
@@ -82,8 +83,7 @@
         listener = rig.proxy.listener
         client = connect_client(rig)
         client.sendall(request_bytes("/read", 1))
-        while not listener.connections:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: listener.connections, "the client is accepted")
         abort_open_requests = rig.proxy.abort_open_requests
 
         def abort_then_be_busy() -> None:
@@ -192,8 +192,12 @@
         may_set_up = delay_connection_setup(monkeypatch)
         accepted = connect_client(rig)
         accepted.sendall(request_bytes("/read", 1))
-        while len(listener.connections) < 2:
-            await asyncio.sleep(0)
+        await wait_until(
+            lambda: len(listener.connections) >= 2,
+            "both clients are accepted",
+            state=lambda: listener.connections,
+            poll_interval_s=0.0,
+        )
         waiting = connect_client(rig)
         waiting.sendall(request_bytes("/read", 2))
         # At once, before the loop could read it.
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -26,6 +26,7 @@
     connect_client,
     pass_reuse_delay,
     request_bytes,
+    until_disconnected,
     until_idle,
 )
 from tests.network.loopback import (
@@ -39,6 +40,7 @@
     status,
 )
 from tests.network.policy_hooks import before_event, replace_policy
+from tests.support.waiting import wait_until
 
 Disconnect = Callable[[socket.socket], None]
 NOT_RUN = response(503, b"", "X-Not-Run: 1")
@@ -117,8 +119,7 @@
         client.sendall(request_bytes("/read", 1))
         disconnect(client)
         await rig.send_request()  # its connection came later
-        while rig.proxy.listener.connections:
-            await asyncio.sleep(0.005)
+        await until_disconnected(rig)
         assert await ids_received(rig) == []
 
 
@@ -176,8 +177,7 @@
 
         before_event(rig, AttemptFinished, disconnect_once)
         client.sendall(request_bytes)
-        while not ends:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: ends, "the client has disconnected")
         await until_idle(rig)
         assert await ids_received(rig) == ["1"]
 
@@ -189,8 +189,11 @@
         await open_idle_connections(rig, monkeypatch)
         client = connect_client(rig)
         client.sendall(request_bytes("/read", 1))
-        while ids_of_attempts(rig).count("1") < 2:
-            await asyncio.sleep(0.001)
+        await wait_until(
+            lambda: ids_of_attempts(rig).count("1") >= 2,
+            "the request is hedged",
+            state=lambda: ids_of_attempts(rig),
+        )
         client.close()
 
 
@@ -217,8 +220,7 @@
         await open_idle_connections(rig, monkeypatch)
         client, timers = connect_client(rig), record_hedge_timers(rig)
         client.sendall(request_bytes("/read", 1))
-        while not timers:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: timers, "the policy has set a hedge timer")
         if disconnect is not None:
             disconnect(client)
         rig.proxy._dispatch(TimerFired(timers[0]))
@@ -235,8 +237,7 @@
         client, timers, left = connect_client(rig), record_hedge_timers(rig), asyncio.Event()
         before_event(rig, ClientDisconnected, lambda event: left.set())
         client.sendall(request_bytes("/read", 1))
-        while not timers:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: timers, "the policy has set a hedge timer")
         client.close()
         await left.wait()
         rig.proxy._dispatch(TimerFired(timers[0]))
@@ -257,8 +258,10 @@
         before_event(rig, ClientDisconnected, lambda event: left.set())
         client = connect_client(rig)
         client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
-        while upstream.received[-1].headers["x-request-id"] != "1":
-            await asyncio.sleep(0.001)
+        await wait_until(
+            lambda: upstream.received[-1].headers["x-request-id"] == "1",
+            "the upstream has received the first request",
+        )
         disconnect(client)
         await left.wait()
         for writer in upstream.writers:
@@ -285,13 +288,15 @@
         client = connect_client(rig)
         many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
         client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
-        while not (failing and any(c.is_reading_paused for c in rig.proxy.listener.connections)):
-            await asyncio.sleep(0.001)
+        await wait_until(
+            lambda: failing and any(c.is_reading_paused for c in rig.proxy.listener.connections),
+            "an attempt is in progress and the balancer pauses reading",
+            state=lambda: failing,
+        )
         before_event(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
         failing[0].write(response(500))
         await until_idle(rig)
-        while rig.proxy.listener.connections:
-            await asyncio.sleep(0.005)
+        await until_disconnected(rig)
         assert await ids_received(rig) == ["1"]
 
 
@@ -323,8 +328,7 @@
             before_event(rig, ClientDisconnected, lambda event: left.set())
             client.setblocking(False)
             await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
-            while not (made and made[0].unsent_bytes):
-                await asyncio.sleep(0.001)
+            await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
             client.close()
             await left.wait()
             upstream, got = (await loop.sock_accept(listener))[0], b""
--- a/tests/network/test_connection_limit.py
+++ b/tests/network/test_connection_limit.py
@@ -2,17 +2,15 @@
 
 from __future__ import annotations
 
-import http.client
-import os
 import signal
 import socket
-import subprocess
-import sys
 import time
-from typing import Any
+from pathlib import Path
 
 from loadbalancer.network.client import listener
-from tests.network.loopback import TIMEOUT_S, Rig, Upstream, config_text, free_port, status
+from tests.network.configurations import LISTEN_ANYWHERE
+from tests.network.loopback import Client, Rig, Upstream, config_text, free_port, status
+from tests.network.program import running_program
 
 
 async def test_silent_connections_are_evicted_for_a_client_with_a_request() -> None:
@@ -54,38 +52,24 @@
         assert await first.reader.read() == b""
 
 
-def test_accepting_goes_on_after_running_out_of_file_descriptors(tmp_path: Any) -> None:
+async def test_accepting_goes_on_after_running_out_of_file_descriptors(tmp_path: Path) -> None:
     """With fewer descriptors than the configuration says, accepting fails for a time."""
     port = free_port()
     path = tmp_path / "config.json"
-    path.write_text(config_text("127.0.0.1:9", []).replace("127.0.0.1:0", f"127.0.0.1:{port}"))
-    process = subprocess.Popen(
-        ["/bin/sh", "-c", 'ulimit -n 40 && exec "$@"', "sh", sys.executable, "-m", "loadbalancer"],
-        env=os.environ | {"LB_CONFIG": str(path)},
-    )
+    path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
 
-    def health() -> int:
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
-        try:
-            connection.request("GET", "/healthz")
-            return connection.getresponse().status
-        finally:
-            connection.close()
+    async def health() -> int:
+        client = await Client.of_program(port)
+        client.writer.write(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
+        health_status = status(await client.read_response())
+        client.writer.close()
+        return health_status
 
-    try:
-        until = time.monotonic() + TIMEOUT_S
-        while True:
-            try:
-                assert health() == 200
-                break
-            except ConnectionRefusedError:
-                assert time.monotonic() < until
-                time.sleep(0.02)
+    async with running_program(path, descriptor_limit=40) as process:
+        assert await health() == 200
         clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(60)]
         for client in clients:
             client.close()
-        assert health() == 200
+        assert await health() == 200
         process.send_signal(signal.SIGTERM)
-        assert process.wait(TIMEOUT_S) == 0
-    finally:
-        process.kill()
+        assert await process.wait() == 0
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -11,6 +11,7 @@
 from loadbalancer.network.client import request_reader
 from tests.network.event_recorder import outcomes, record_events
 from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, status
+from tests.support.waiting import wait_until
 
 
 async def test_pipelined_requests_get_their_responses_in_order() -> None:
@@ -73,11 +74,8 @@
     """In a later turn of the loop, a request that arrives before it would be read and discarded."""
     async with Rig(Upstream()) as rig:
         client = socket.create_connection(rig.proxy.listener.address[:2])
-        while not (connections := rig.proxy.listener.connections):
-            await asyncio.sleep(0.001)
-        (connection,) = connections
-        while not connection.may_close():
-            await asyncio.sleep(0.001)
+        (connection,) = await wait_until(lambda: rig.proxy.listener.connections, "the client is accepted")
+        await wait_until(connection.may_close, "the connection may be closed")
         connection.close_gracefully()
         assert client.recv(1, socket.MSG_DONTWAIT) == b""
         client.close()
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -5,7 +5,6 @@
 import asyncio
 import contextlib
 import json
-import os
 import socket
 from pathlib import Path
 from typing import Any
@@ -24,6 +23,7 @@
 )
 from tests.network.program import read_log_line, running_program
 from tests.network.upstream_attempts import ObservedAttempt, make_pools
+from tests.support.waiting import wait_until
 
 DESCRIPTORS = 256
 CLIENTS = 320
@@ -39,19 +39,24 @@
 
 
 def count_descriptors(process: asyncio.subprocess.Process) -> int:
-    return len(os.listdir(f"/proc/{process.pid}/fd"))
+    return sum(1 for _ in Path(f"/proc/{process.pid}/fd").iterdir())
 
 
 async def most_descriptors(process: asyncio.subprocess.Process, at_least: int) -> int:
-    """The largest number that is seen to be open, until so many are and for a second from then on."""
-    most = 0
-    while most < at_least:
-        most = max(most, count_descriptors(process))
-        await asyncio.sleep(0.01)
+    """Return the largest number of open descriptors, until `at_least` are open and a second longer."""
+    counts = list[int]()
+
+    def has_reached() -> bool:
+        counts.append(count_descriptors(process))
+        return counts[-1] >= at_least
+
+    await wait_until(
+        has_reached, f"{at_least} descriptors are open", state=lambda: max(counts), poll_interval_s=0.01
+    )
     for _ in range(100):
-        most = max(most, count_descriptors(process))
+        counts.append(count_descriptors(process))
         await asyncio.sleep(0.01)
-    return most
+    return max(counts)
 
 
 def write_configuration(path: Path, port: int, discovery_port: int) -> None:
@@ -97,8 +102,15 @@
     upstreams = make_pools(await upstream.start())
     upstreams.connection_limit = 5
     attempts = [ObservedAttempt(upstreams) for _ in range(12)]
-    while upstream.connections < 5 or sum(bool(attempt.ends) for attempt in attempts) < 7:
+
+    def all_started_or_ended() -> bool:
         assert upstreams.open_connections <= 5
-        await asyncio.sleep(0.001)
+        return upstream.connections >= 5 and sum(bool(attempt.ends) for attempt in attempts) >= 7
+
+    await wait_until(
+        all_started_or_ended,
+        "five attempts have connected and seven have ended",
+        state=lambda: (upstream.connections, [attempt.ends for attempt in attempts]),
+    )
     assert upstreams.open_connections == upstream.connections == 5
     assert [attempt.ends for attempt in attempts if attempt.ends] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -29,6 +29,7 @@
     run_simulated,
 )
 from tests.policy.helpers import PolicyHarness, of_type
+from tests.support.waiting import wait_until
 
 # A list, or a change of it, is due this long after discovery had it and could be reached, and a call failed.
 LIST_DUE_S = 6.0
@@ -128,8 +129,8 @@
         old.fail("refuses")
         await asyncio.sleep(40.0)
         tries = len(old.tries)
-        while len(old.tries) == tries:  # a try by the policy's timer, which is set again then
-            await asyncio.sleep(0.01)
+        # The policy's timer is set again with the next try.
+        await wait_until(lambda: len(old.tries) > tries, "discovery is called again", poll_interval_s=0.01)
         await asyncio.sleep(phase)
         new.fault = fault
         moved_at = loop.time()
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import json
 import os
 import signal
@@ -32,13 +33,15 @@
 )
 from tests.network.program import program_with_open_request, read_log_line
 from tests.network.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
+from tests.support.waiting import wait_until
 
 
-async def connect_until_refused(port: int) -> None:
-    while True:
-        _, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.close()
-        await asyncio.sleep(0.02)
+def is_refused(port: int) -> bool:
+    """Return whether a connection to the port is refused; it must be either refused or accepted."""
+    with socket.socket() as client:
+        error = client.connect_ex(("127.0.0.1", port))
+    assert error in (0, errno.ECONNREFUSED)
+    return error != 0
 
 
 async def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(tmp_path: Path) -> None:
@@ -48,8 +51,7 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             program.process.send_signal(number)
         assert b"configuration reloaded" in await read_log_line(program.process)
-        with pytest.raises(ConnectionRefusedError):
-            await connect_until_refused(program.port)
+        await wait_until(lambda: is_refused(program.port), "connections are refused", poll_interval_s=0.02)
         await program.respond_and_check()
         program.client.writer.close()
         assert await program.process.wait() == 0
@@ -73,8 +75,7 @@
         rig.discovery.responses.put_nowait(whole[:-5])
         connection = rig.proxy._endpoint_watch._connection
         assert connection is not None
-        while not connection.is_receiving:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: connection.is_receiving, "a part of the list is received")
         new = DiscoveryServer()
         text = config_text(await new.start(), [])
         connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -11,6 +11,7 @@
 from loadbalancer.network.client import graceful_shutdown
 from tests.network.event_recorder import outcomes, record_events
 from tests.network.loopback import Client, Rig, Upstream, never_respond, response, status
+from tests.support.waiting import wait_until
 
 
 def set_shutdown_times(
@@ -47,8 +48,7 @@
         listener.max_deadline_s = 120.0
         client = await client_with_a_response(rig)
         shutdown = asyncio.ensure_future(listener.shut_down())
-        while not listener.is_closed:
-            await asyncio.sleep(0.01)
+        await wait_until(lambda: listener.is_closed, "the listener is closed")
         for _ in range(2):
             client.send()
             reply = await client.read_response()
@@ -118,8 +118,7 @@
 
         monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
         shutdown = asyncio.ensure_future(listener.shut_down())
-        while not clients:
-            await asyncio.sleep(0)
+        await wait_until(lambda: clients, "the client has connected", poll_interval_s=0.0)
         clients[0].setblocking(False)
         reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
         assert reply.startswith(b"HTTP/1.1 200")
@@ -142,8 +141,9 @@
         queued = await rig.client()  # in the kernel's queue
         queued.send()
         shutdown = asyncio.ensure_future(listener.shut_down())
-        while not listener.context.is_shutting_down:
-            await asyncio.sleep(0)
+        await wait_until(
+            lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0
+        )
         for _ in range(3):
             await asyncio.sleep(0)  # the listener has tried to accept
         upstream.writers[0].write(response(200, b"at last"))
--- a/tests/network/test_memory_limits.py
+++ b/tests/network/test_memory_limits.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import gc
 from collections import Counter
 from typing import Any
@@ -10,7 +9,9 @@
 import pytest
 
 from loadbalancer.network.client import pipeline as request_pipeline
+from tests.network.disconnecting_clients import until_disconnected
 from tests.network.loopback import Client, Rig, Upstream, never_respond, status
+from tests.support.waiting import wait_until
 
 
 async def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
@@ -26,16 +27,20 @@
             for _ in range(4):
                 clients[-1].send("/pay/x", b"x" * 60_000)
         health_client = await rig.client()
-        while not any(connection.discards_input for connection in listener.connections):
-            await asyncio.sleep(0.01)
+        await wait_until(
+            lambda: any(connection.discards_input for connection in listener.connections),
+            "a connection discards what it receives",
+            state=lambda: buffers.used_bytes,
+        )
         health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert status(await health_client.read_response()) == 200
         unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
         assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
         for client in clients:
             client.writer.transport.abort()
-        while buffers.used_bytes:
-            await asyncio.sleep(0.01)
+        await wait_until(
+            lambda: not buffers.used_bytes, "the buffers are released", state=lambda: buffers.used_bytes
+        )
 
 
 async def test_finished_requests_and_connections_leave_no_objects(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -53,8 +58,7 @@
         async def send_requests(times: int) -> None:
             for _ in range(times):
                 assert status(await rig.send_request()) == 200
-            while rig.proxy.listener.connections:
-                await asyncio.sleep(0.01)
+            await until_disconnected(rig)
 
         await send_requests(20)
         gc.collect()
