--- a/tests/network/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -12,7 +12,7 @@
 from loadbalancer.events import ClientDisconnected, Event, RequestReceived, TimerFired
 from loadbalancer.network.client import request_reader
 from loadbalancer.timers import HedgeTimer
-from tests.network.disconnecting_clients import (
+from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
     DelayedConnects,
     connect_client,
@@ -20,8 +20,8 @@
     request_bytes,
     until_idle,
 )
-from tests.network.loopback import ReceivedMessage, Rig, Upstream, never_respond, response, status
-from tests.network.policy_hooks import before_event, replace_policy
+from tests.support.loopback import ReceivedMessage, Rig, Upstream, never_respond, response, status
+from tests.support.policy_hooks import before_event, replace_policy
 from tests.support.waiting import wait_until
 
 
--- a/tests/network/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -15,8 +15,8 @@
 from loadbalancer.network.client import listener as listener_module
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.listener import Listener
-from tests.network.disconnecting_clients import connect_client, request_bytes
-from tests.network.loopback import Rig, Upstream, status
+from tests.support.disconnecting_clients import connect_client, request_bytes
+from tests.support.loopback import Rig, Upstream, status
 from tests.support.waiting import wait_until
 
 
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -21,7 +21,7 @@
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
-from tests.network.disconnecting_clients import (
+from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
     connect_client,
     pass_reuse_delay,
@@ -29,7 +29,7 @@
     until_disconnected,
     until_idle,
 )
-from tests.network.loopback import (
+from tests.support.loopback import (
     ReceivedMessage,
     Rig,
     Upstream,
@@ -39,7 +39,7 @@
     response,
     status,
 )
-from tests.network.policy_hooks import before_event, replace_policy
+from tests.support.policy_hooks import before_event, replace_policy
 from tests.support.waiting import wait_until
 
 Disconnect = Callable[[socket.socket], None]
--- a/tests/network/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from loadbalancer.network.client import listener
-from tests.network.configurations import LISTEN_ANYWHERE
-from tests.network.loopback import Client, Rig, Upstream, config_text, free_port, status
-from tests.network.program import running_program
+from tests.support.configurations import LISTEN_ANYWHERE
+from tests.support.loopback import Client, Rig, Upstream, config_text, free_port, status
+from tests.support.program import running_program
 
 
 async def test_silent_connections_are_evicted_for_a_client_with_a_request() -> None:
--- a/tests/network/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -11,7 +11,7 @@
 from loadbalancer.network.client import connection as client_connection
 from loadbalancer.network.client import listener
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.network.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.loopback import Rig, Upstream, never_respond, response, status
 
 
 @pytest.mark.parametrize(
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -9,8 +9,8 @@
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import graceful_shutdown
-from tests.network.event_recorder import outcomes, record_events
-from tests.network.loopback import Client, Rig, Upstream, never_respond, response, status
+from tests.support.event_recorder import outcomes, record_events
+from tests.support.loopback import Client, Rig, Upstream, never_respond, response, status
 from tests.support.waiting import wait_until
 
 
--- a/tests/network/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -9,8 +9,8 @@
 import pytest
 
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.network.disconnecting_clients import until_disconnected
-from tests.network.loopback import Client, Rig, Upstream, never_respond, status
+from tests.support.disconnecting_clients import until_disconnected
+from tests.support.loopback import Client, Rig, Upstream, never_respond, status
 from tests.support.waiting import wait_until
 
 
--- a/tests/network/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.network.loopback import Client, Rig, Upstream, status
+from tests.support.loopback import Client, Rig, Upstream, status
 
 
 def valid_headers(class_name: bytes = b"read", deadline: bytes = b"900m") -> bytes:
--- a/tests/network/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.events import EndpointListKind
 from loadbalancer.network.discovery import watch as endpoint_watch
-from tests.network.event_recorder import list_kinds, record_events
-from tests.network.loopback import TIMEOUT_S, Rig, Upstream, entry, reset, response, status
+from tests.support.event_recorder import list_kinds, record_events
+from tests.support.loopback import TIMEOUT_S, Rig, Upstream, entry, reset, response, status
 
 
 async def test_updates_arrive_in_order_and_a_restarted_upstream_loses_its_connections() -> None:
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -19,16 +19,16 @@
 from loadbalancer.network.discovery import connection as discovery_connection
 from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.policy import poll_backoff
-from tests.network.configurations import config_text, configuration
-from tests.network.loopback import Rig, Upstream, entry, read_message, response
-from tests.network.simulated_discovery import (
+from tests.policy.helpers import PolicyHarness, of_type
+from tests.support.configurations import config_text, configuration
+from tests.support.loopback import Rig, Upstream, entry, read_message, response
+from tests.support.simulated_discovery import (
     FAULTS,
     SimulatedDiscovery,
     SimulatedLoop,
     WatchingProxy,
     run_simulated,
 )
-from tests.policy.helpers import PolicyHarness, of_type
 from tests.support.waiting import wait_until
 
 # A list, or a change of it, is due this long after discovery had it and could be reached, and a call failed.
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -9,8 +9,8 @@
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import request_reader
-from tests.network.event_recorder import outcomes, record_events
-from tests.network.loopback import ReceivedMessage, Rig, Upstream, response, status
+from tests.support.event_recorder import outcomes, record_events
+from tests.support.loopback import ReceivedMessage, Rig, Upstream, response, status
 from tests.support.waiting import wait_until
 
 
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
-from tests.network.loopback import (
+from tests.support.loopback import (
     Client,
     DiscoveryServer,
     Upstream,
@@ -21,8 +21,8 @@
     never_respond,
     status,
 )
-from tests.network.program import read_log_line, running_program
-from tests.network.upstream_attempts import ObservedAttempt, make_pools
+from tests.support.program import read_log_line, running_program
+from tests.support.upstream_attempts import ObservedAttempt, make_pools
 from tests.support.waiting import wait_until
 
 DESCRIPTORS = 256
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -18,8 +18,8 @@
 from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.network.configurations import configuration
-from tests.network.loopback import (
+from tests.support.configurations import configuration
+from tests.support.loopback import (
     DiscoveryServer,
     Rig,
     Upstream,
@@ -31,8 +31,8 @@
     response,
     status,
 )
-from tests.network.program import program_with_open_request, read_log_line
-from tests.network.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
+from tests.support.program import program_with_open_request, read_log_line
+from tests.support.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
 from tests.support.waiting import wait_until
 
 
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -9,8 +9,8 @@
 
 from loadbalancer.actions import Action
 from loadbalancer.events import ClientDisconnected, Event, Outcome, RequestReceived
-from tests.network.event_recorder import outcomes, record_events
-from tests.network.loopback import ReceivedMessage, Rig, Upstream, never_respond, reset, response, status
+from tests.support.event_recorder import outcomes, record_events
+from tests.support.loopback import ReceivedMessage, Rig, Upstream, never_respond, reset, response, status
 
 
 async def test_request_and_response_are_forwarded_unchanged() -> None:
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from tests.network.configurations import LISTEN_ANYWHERE
-from tests.network.loopback import TIMEOUT_S, Client, config_text, entry, free_port, status
-from tests.network.program import running_program
+from tests.support.configurations import LISTEN_ANYWHERE
+from tests.support.loopback import TIMEOUT_S, Client, config_text, entry, free_port, status
+from tests.support.program import running_program
 
 ROOT = Path(__file__).parents[2]
 ENTRIES = 7_000  # the longest list that is expected
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.network.discovery import watch as endpoint_watch
-from tests.network.configurations import configuration
-from tests.network.loopback import (
+from tests.support.configurations import configuration
+from tests.support.loopback import (
     DiscoveryServer,
     Rig,
     Upstream,
@@ -19,8 +19,8 @@
     record_events,
     status,
 )
-from tests.network.program import program_with_open_request, read_log_line
-from tests.network.upstream_attempts import full_backlog
+from tests.support.program import program_with_open_request, read_log_line
+from tests.support.upstream_attempts import full_backlog
 
 
 async def test_a_new_discovery_is_asked_at_once_for_a_snapshot_and_the_old_one_closed() -> None:
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -5,7 +5,7 @@
 import pytest
 
 from loadbalancer.network.request_ids import RequestIds
-from tests.network.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.loopback import Rig, Upstream, never_respond, response, status
 
 
 async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.network.loopback import TIMEOUT_S, DiscoveryServer, config_text, entry
+from tests.support.loopback import TIMEOUT_S, DiscoveryServer, config_text, entry
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/network/test_upstreams.py
+++ b/tests/network/upstream/test_attempts.py
@@ -12,7 +12,7 @@
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.sockets import peek
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
-from tests.network.loopback import (
+from tests.support.loopback import (
     ReceivedMessage,
     Rig,
     Script,
@@ -22,8 +22,8 @@
     response,
     status,
 )
-from tests.network.policy_hooks import before_event, replace_policy
-from tests.network.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
+from tests.support.policy_hooks import before_event, replace_policy
+from tests.support.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
 
 async def test_connection_that_is_never_established_is_a_failed_connect() -> None:
--- a/tests/network/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.network.loopback import Rig
+from tests.support.loopback import Rig
 from tests.support.waiting import wait_until
 
 HEDGING_LIMITS = {
--- a/tests/network/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.actions import Action
 from loadbalancer.events import AttemptFinished, EndpointListKind, EndpointListUpdate, Event, Outcome
-from tests.network.loopback import Rig
+from tests.support.loopback import Rig
 
 
 def record_events(rig: Rig) -> list[Event]:
--- a/tests/network/loopback.py
+++ b/tests/support/loopback.py
@@ -14,7 +14,7 @@
 from loadbalancer.actions import Action
 from loadbalancer.events import Event
 from loadbalancer.network.proxy import Proxy
-from tests.network.configurations import config_text, configuration, entry
+from tests.support.configurations import config_text, configuration, entry
 from tests.support.waiting import wait_until
 
 __all__ = [
--- a/tests/network/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.actions import Action
 from loadbalancer.events import Event
-from tests.network.loopback import Rig
+from tests.support.loopback import Rig
 
 EventHandler = Callable[[Event, float], list[Action]]
 
--- a/tests/network/program.py
+++ b/tests/support/program.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.network.configurations import LISTEN_ANYWHERE, config_text
-from tests.network.loopback import (
+from tests.support.configurations import LISTEN_ANYWHERE, config_text
+from tests.support.loopback import (
     Client,
     DiscoveryServer,
     Upstream,
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -13,7 +13,7 @@
 from testbed.discovery.agent_state import AgentMode, AgentState
 from testbed.discovery.service import Discovery
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
-from tests.network.loopback import run
+from tests.support.loopback import run
 from tests.testbed.support.stand_ins import three, until
 
 
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -12,7 +12,7 @@
 
 from testbed.balancer import real
 from testbed.balancer.real import RealBalancer, RealError
-from tests.network.loopback import config_text, run
+from tests.support.loopback import config_text, run
 
 
 def _started(host: str, **settings: object) -> str:
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -7,7 +7,7 @@
 from testbed.discovery.service import Discovery
 from testbed.load.arrivals import arrival_times
 from testbed.settings import EndpointEntry, endpoint_entries
-from tests.network.loopback import run
+from tests.support.loopback import run
 
 
 def test_churn_is_the_same_for_a_seed_and_keeps_the_list() -> None:
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -9,7 +9,7 @@
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
-from tests.network.loopback import ReceivedMessage, read_message, run
+from tests.support.loopback import ReceivedMessage, read_message, run
 from tests.testbed.support.stand_ins import three, until
 
 Known = dict[str, EndpointEntry]
--- a/tests/testbed/http/test_http_client.py
+++ b/tests/testbed/http/test_http_client.py
@@ -4,8 +4,8 @@
 
 from loadbalancer.configuration import read_address
 from testbed.http.client import Client
-from tests.network.loopback import Upstream as Scripted
-from tests.network.loopback import response, run
+from tests.support.loopback import Upstream as Scripted
+from tests.support.loopback import response, run
 from tests.testbed.support.loads import send_request
 
 
--- a/tests/testbed/load/test_kernel_timer.py
+++ b/tests/testbed/load/test_kernel_timer.py
@@ -3,7 +3,7 @@
 import time
 
 from testbed.load.kernel_timer import KernelTimer
-from tests.network.loopback import run
+from tests.support.loopback import run
 
 
 def test_a_timer_fires_no_sooner_than_set_and_again_each_time() -> None:
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -16,7 +16,7 @@
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
 from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup
-from tests.network.loopback import run
+from tests.support.loopback import run
 from tests.testbed.support.loads import VirtualClock
 
 LOG = structlog.wrap_logger(
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -12,7 +12,7 @@
 from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup, UpstreamProcess
 from testbed.upstream.upstream import forward_through
-from tests.network.loopback import run
+from tests.support.loopback import run
 from tests.testbed.support.loads import IDS, VirtualClock, send_request
 
 
