--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -1,4 +1,6 @@
-"""The base classes of the package's errors."""
+"""The errors that the package raises, all with one base class."""
+
+from __future__ import annotations
 
 
 class LoadBalancerError(Exception):
@@ -7,3 +9,59 @@
 
 class InvalidStateError(LoadBalancerError):
     """An object was used in a state that does not allow the call: a fault of this program."""
+
+
+class InvalidSettingsError(LoadBalancerError, ValueError):
+    """A value of the settings is out of its range.
+
+    Attributes:
+        field: The name of the field that holds the value.
+        value: The value.
+        requirement: What the field requires, as the end of a sentence: "must not be negative".
+    """
+
+    def __init__(self, field: str, value: object, requirement: str) -> None:
+        super().__init__(f"{field} is {value!r}: it {requirement}")
+        self.field = field
+        self.value = value
+        self.requirement = requirement
+
+
+class DuplicateRequestError(LoadBalancerError, ValueError):
+    """A request has arrived under the id of one that is still open: a fault of the policy's host.
+
+    Attributes:
+        request_id: The id that both have.
+    """
+
+    def __init__(self, request_id: int) -> None:
+        super().__init__(f"request {request_id} has arrived before")
+        self.request_id = request_id
+
+
+class UnknownClassError(LoadBalancerError, ValueError):
+    """A request names a class that the settings don't define.
+
+    Attributes:
+        request_id: The request.
+        class_name: The class that it names.
+    """
+
+    def __init__(self, request_id: int, class_name: str) -> None:
+        super().__init__(f"request {request_id} is of unknown class {class_name!r}")
+        self.request_id = request_id
+        self.class_name = class_name
+
+
+class UnknownRequestError(LoadBalancerError, ValueError):
+    """An event names a request that is not open, or an attempt that was never started for it.
+
+    Attributes:
+        request_id: The request that the event names.
+        attempt_index: The attempt of that request that the event names.
+    """
+
+    def __init__(self, request_id: int, attempt_index: int) -> None:
+        super().__init__(f"attempt {attempt_index} of request {request_id} was never made")
+        self.request_id = request_id
+        self.attempt_index = attempt_index
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -18,6 +18,7 @@
     StartAttempt,
     WatchEndpoints,
 )
+from loadbalancer.errors import DuplicateRequestError, UnknownClassError, UnknownRequestError
 from loadbalancer.events import (
     NEVER_RAN,
     AttemptFinished,
@@ -133,9 +134,9 @@
 
     def _receive(self, event: RequestReceived, now: float) -> None:
         if event.request_id in self._requests:
-            raise ValueError(f"request {event.request_id} has arrived before")
+            raise DuplicateRequestError(event.request_id)
         if event.class_name not in self._classes:
-            raise ValueError(f"request {event.request_id} is of unknown class {event.class_name!r}")
+            raise UnknownClassError(event.request_id, event.class_name)
         request_class = self._classes[event.class_name]
         useful_until = now + event.remaining_ms
         if not request_class.late_value:
@@ -190,7 +191,7 @@
     def _find_request(self, event: AttemptFinished | ResponseStarted) -> Request:
         request = self._requests.get(event.request_id)
         if request is None or not 0 <= event.attempt_index < len(request.attempts):
-            raise ValueError(f"attempt {event.attempt_index} of request {event.request_id} was never made")
+            raise UnknownRequestError(event.request_id, event.attempt_index)
         return request
 
     def _finish_attempt(self, event: AttemptFinished, now: float) -> None:
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -2,7 +2,7 @@
 
 The platform gives all of it at an instance's start, over the simulator's wire or in the file that `LB_CONFIG`
 names; `loadbalancer.settings_reader` reads both. All times and spans are milliseconds. Every type is a frozen
-value; a value out of range raises ValueError.
+value; a value out of range raises `InvalidSettingsError`.
 """
 
 from __future__ import annotations
@@ -11,6 +11,8 @@
 import math
 from dataclasses import dataclass, fields
 
+from loadbalancer.errors import InvalidSettingsError
+
 
 class Idempotency(enum.Enum):
     """Whether a request of a class may run more than once."""
@@ -34,11 +36,6 @@
     """Those of the same cell."""
 
 
-def _require(condition: bool, name: str, value: object, wanted: str) -> None:
-    if not condition:
-        raise ValueError(f"{name} is {value!r}: it {wanted}")
-
-
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     """One class of requests, and what its clients expect of it.
@@ -68,18 +65,14 @@
     is_streaming: bool = False
 
     def __post_init__(self) -> None:
-        _require(bool(self.name), "name", self.name, "must not be empty")
+        _check_name(self.name)
         for field in ("latency_objective_ms", "deadline_ms"):
             value = getattr(self, field)
-            _require(math.isfinite(value) and value > 0, field, value, "must be a finite number above 0")
-        _require(
-            self.idempotency_window_ms >= 0,
-            "idempotency_window_ms",
-            self.idempotency_window_ms,
-            "must not be negative",
-        )
-        _require(self.priority_weight >= 0, "priority_weight", self.priority_weight, "must not be negative")
-        _require(0 <= self.late_value <= 1, "late_value", self.late_value, "must be between 0 and 1")
+            is_met = math.isfinite(value) and value > 0
+            _check(field, value, "must be a finite number above 0", is_met=is_met)
+        for field in ("idempotency_window_ms", "priority_weight"):
+            _check_not_negative(field, getattr(self, field))
+        _check_fraction("late_value", self.late_value)
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,8 +88,8 @@
     quota_per_s: float
 
     def __post_init__(self) -> None:
-        _require(bool(self.name), "name", self.name, "must not be empty")
-        _require(self.quota_per_s >= 0, "quota_per_s", self.quota_per_s, "must not be negative")
+        _check_name(self.name)
+        _check_not_negative("quota_per_s", self.quota_per_s)
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,27 +149,39 @@
     load_report_fields: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
-        _require(bool(self.classes), "classes", self.classes, "must name at least one class")
+        _check("classes", self.classes, "must name at least one class", is_met=bool(self.classes))
         names = [c.name for c in self.classes]
-        _require(len(set(names)) == len(names), "classes", names, "must not name a class twice")
+        _check("classes", names, "must not name a class twice", is_met=len(set(names)) == len(names))
         for field in ("balancers", "max_attempts"):
-            _require(getattr(self, field) >= 1, field, getattr(self, field), "must be 1 or more")
+            value = getattr(self, field)
+            _check(field, value, "must be 1 or more", is_met=value >= 1)
         for field in ("tier", "connect_timeout_ms", "max_retry_after_ms", "slow_start_ms"):
-            _require(getattr(self, field) >= 0, field, getattr(self, field), "must not be negative")
+            _check_not_negative(field, getattr(self, field))
         for field in ("poll_deadline_ms", "slow_start_window_ms", "slow_start_overload_factor", "tick_ms"):
-            _require(getattr(self, field) > 0, field, getattr(self, field), "must be above 0")
-        _require(
-            0 < self.slow_start_initial_fraction <= 1,
-            "slow_start_initial_fraction",
-            self.slow_start_initial_fraction,
-            "must be above 0 and at most 1",
-        )
-        _require(
-            0 <= self.over_quota_weight <= 1,
-            "over_quota_weight",
-            self.over_quota_weight,
-            "must be between 0 and 1",
-        )
+            value = getattr(self, field)
+            _check(field, value, "must be above 0", is_met=value > 0)
+        fraction = self.slow_start_initial_fraction
+        requirement = "must be above 0 and at most 1"
+        _check("slow_start_initial_fraction", fraction, requirement, is_met=0 < fraction <= 1)
+        _check_fraction("over_quota_weight", self.over_quota_weight)
         for item in fields(self):
             value = getattr(self, item.name)
-            _require(not isinstance(value, float) or math.isfinite(value), item.name, value, "must be finite")
+            is_met = not isinstance(value, float) or math.isfinite(value)
+            _check(item.name, value, "must be finite", is_met=is_met)
+
+
+def _check(field: str, value: object, requirement: str, *, is_met: bool) -> None:
+    if not is_met:
+        raise InvalidSettingsError(field, value, requirement)
+
+
+def _check_name(name: str) -> None:
+    _check("name", name, "must not be empty", is_met=bool(name))
+
+
+def _check_not_negative(field: str, value: float) -> None:
+    _check(field, value, "must not be negative", is_met=value >= 0)
+
+
+def _check_fraction(field: str, value: float) -> None:
+    _check(field, value, "must be between 0 and 1", is_met=0 <= value <= 1)
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -22,6 +22,7 @@
     WatchEndpoints,
 )
 from loadbalancer.endpoints import Endpoint, EndpointState
+from loadbalancer.errors import LoadBalancerError
 from loadbalancer.events import (
     AttemptFinished,
     ClientDisconnected,
@@ -261,7 +262,13 @@
 
 def write_failure(instance: str, error: BaseException) -> str:
     """Write the line that says that an instance's policy has raised an error."""
-    return f"give_in who={instance} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
+    return f"give_in who={instance} bodyText={_one_line(f'{_wire_name(error)}: {error}')}"
+
+
+def _wire_name(error: BaseException) -> str:
+    """Return the name of an error's type; the wire knows the package's own errors by their standard base."""
+    types = type(error).__mro__ if isinstance(error, LoadBalancerError) else (type(error),)
+    return next(t.__name__ for t in types if t.__module__ != LoadBalancerError.__module__)
 
 
 def write_batch_end(batch_id: str) -> str:
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -5,6 +5,12 @@
 import pytest
 
 from loadbalancer.actions import FailRequest, LogMessage, RejectRequest
+from loadbalancer.errors import (
+    DuplicateRequestError,
+    LoadBalancerError,
+    UnknownClassError,
+    UnknownRequestError,
+)
 from loadbalancer.events import (
     AttemptFinished,
     ClientDisconnected,
@@ -46,15 +52,26 @@
     harness = PolicyHarness(2)
     assert harness.handle(ClientDisconnected(99)) == []
     assert harness.handle(TimerFired(HedgeTimer(99))) == []
-    with pytest.raises(ValueError, match="never made"):
+    with pytest.raises(UnknownRequestError, match="never made"):
         harness.handle(AttemptFinished(99, 0, "s0", Outcome.SUCCEEDED))
-    with pytest.raises(ValueError, match="never made"):
+    with pytest.raises(UnknownRequestError, match="never made") as unknown_request:
         harness.handle(ResponseStarted(99, 0))
+    assert (unknown_request.value.request_id, unknown_request.value.attempt_index) == (99, 0)
     request, _ = harness.request()
     for attempt in (-1, 1):
-        with pytest.raises(ValueError, match="never made"):
+        with pytest.raises(UnknownRequestError, match="never made") as unknown_attempt:
             harness.handle(AttemptFinished(request, attempt, "s0", Outcome.SUCCEEDED))
-    with pytest.raises(ValueError, match="arrived before"):
+        assert unknown_attempt.value.request_id == request
+        assert unknown_attempt.value.attempt_index == attempt
+    with pytest.raises(DuplicateRequestError, match="arrived before") as duplicate:
         harness.handle(RequestReceived(request, "read", 10))
-    with pytest.raises(ValueError, match="unknown class"):
+    assert duplicate.value.request_id == request
+    with pytest.raises(UnknownClassError, match="unknown class") as unknown_class:
         harness.handle(RequestReceived(12345, "nosuch", 10))
+    assert (unknown_class.value.request_id, unknown_class.value.class_name) == (12345, "nosuch")
+
+
+def test_all_errors_of_the_policy_have_one_base_and_are_value_errors() -> None:
+    for error in (DuplicateRequestError, UnknownClassError, UnknownRequestError):
+        assert issubclass(error, LoadBalancerError)
+        assert issubclass(error, ValueError)
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 
-from loadbalancer.settings import RequestClass
+from loadbalancer.errors import InvalidSettingsError
+from loadbalancer.settings import RequestClass, Tenant
 from tests.policy.helpers import READ, settings
 
 
@@ -21,7 +24,34 @@
     ],
 )
 def test_invalid_settings_name_their_field(change: dict[str, object], name: str) -> None:
-    with pytest.raises(ValueError, match=name):
+    with pytest.raises(InvalidSettingsError, match=name) as invalid:
         settings(**change)
-    with pytest.raises(ValueError, match="latency_objective_ms"):
+    assert invalid.value.field == name
+    assert isinstance(invalid.value, ValueError), "callers that know no type of ours catch it, too"
+    with pytest.raises(InvalidSettingsError, match="latency_objective_ms"):
         RequestClass("x", 0, 10, READ.idempotency)
+
+
+@pytest.mark.parametrize(
+    ("change", "message"),
+    [
+        ({"name": ""}, "name is '': it must not be empty"),
+        ({"deadline_ms": float("inf")}, "deadline_ms is inf: it must be a finite number above 0"),
+        ({"idempotency_window_ms": -1.0}, "idempotency_window_ms is -1.0: it must not be negative"),
+        ({"priority_weight": float("nan")}, "priority_weight is nan: it must not be negative"),
+        ({"late_value": 1.5}, "late_value is 1.5: it must be between 0 and 1"),
+    ],
+)
+def test_an_invalid_class_is_refused_with_its_field_and_value(
+    change: dict[str, object], message: str
+) -> None:
+    with pytest.raises(InvalidSettingsError) as invalid:
+        replace(READ, **change)  # type: ignore[arg-type]
+    assert str(invalid.value) == message
+
+
+def test_an_invalid_tenant_is_refused_with_its_field_and_value() -> None:
+    with pytest.raises(InvalidSettingsError, match="quota_per_s is -1: it must not be negative"):
+        Tenant("t", -1)
+    with pytest.raises(InvalidSettingsError, match="name is '': it must not be empty"):
+        Tenant("", 1)
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -99,7 +99,7 @@
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
     status, out, err = run_host(text)
     assert status == 0
-    assert "give_in who=1 bodyText=ValueError" in out
+    assert "give_in who=1 bodyText=ValueError: request 9 is of unknown class 'nosuch'\n" in out
     assert "give_in who=2" not in out
     assert "Traceback" in err
 
