--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -102,7 +102,7 @@
     assert ours == {"loadbalancer"} | {
         f"loadbalancer.{name}"
         for name in (
-            "__main__ actions configuration endpoints events network network.client "
+            "__main__ actions configuration endpoints errors events network network.client "
             "network.client.connection network.client.context network.client.graceful_shutdown "
             "network.client.incoming_request network.client.listener network.client.pipeline "
             "network.client.request_reader network.client.response_writer network.client.transport "
