--- a/testbed/balancer/__init__.py
+++ b/testbed/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""Balancers under measurement: real processes, and hollow ones that only follow the endpoint list."""
+"""Balancers under measurement: real processes, and hollow ones that have no clients."""
--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -1,7 +1,7 @@
 """Hollow balancers: the real proxy with its policy and endpoint watch, but without clients.
 
-A hollow balancer costs as much control work as a real one and opens no connection to an upstream. The pools
-of connections to upstreams are there and stay empty.
+A hollow balancer does the same control-plane work as a real one, and many fit into one process. Its
+connection pools exist and stay empty, since no request arrives.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     from loadbalancer.configuration import Configuration, EndpointList
 
 OnForce = Callable[[int, float], None]
-"""Takes the version of a list that is in force, and since when in seconds of the monotonic clock."""
+"""Called with the version of an applied list and the time, in seconds of the monotonic clock."""
 
 
 class Hollow(Proxy):
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -1,4 +1,4 @@
-"""A child process of hollow balancers, which reports when lists were in force."""
+"""A child process of hollow balancers, which reports when each list was applied."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowReport:
-    """What the balancers of one process recorded since the report before.
+    """The lists that the balancers of one process applied since the previous report.
 
-    `balancers`, `indexes` and `times` are columns of one table.
+    `balancers`, `indexes` and `times` are the columns of one table with a row for each applied list.
 
     Attributes:
         balancers: The number of the balancer.
-        indexes: The version of the list that it had in force.
-        times: Since when, in seconds of the system's monotonic clock.
-        p99_lag_s: How late the event loop ran 99 in 100 of its timers, at most.
-        max_lag_s: How late it ran the latest.
+        indexes: The version of the list.
+        times: When the list was applied, in seconds of the system's monotonic clock.
+        p99_lag_s: The 99th percentile of the event loop's lag.
+        max_lag_s: The maximum of the event loop's lag.
     """
 
     balancers: NDArray[np.int32]
@@ -43,7 +43,7 @@
 
 
 class _ListInForce(NamedTuple):
-    """A list that came into force at a balancer."""
+    """A list that a balancer applied."""
 
     balancer: int
     list_index: int
@@ -58,12 +58,12 @@
     """
 
     def __init__(self, configuration_texts: dict[int, str]) -> None:
-        """Start it, with the configuration texts by the balancers' numbers."""
+        """Start the process, with the configuration texts by balancer number."""
         self._child = ChildProcess(_run, configuration_texts)
         self.pid = self._child.pid
 
     def report(self) -> HollowReport:
-        """Return what was recorded since the last report; waits for the process's event loop."""
+        """Return the report since the previous one; blocks until the child responds."""
         return cast("HollowReport", self._child.request("report"))
 
     def stop(self) -> HollowReport:
@@ -75,17 +75,17 @@
 
 
 class _Recorder:
-    """Records the lists that come into force."""
+    """Records the lists that balancers apply."""
 
     def __init__(self) -> None:
         self._rows: list[_ListInForce] = []
 
     def record(self, balancer: int, index: int, time_s: float) -> None:
-        """Record that a list is in force at a balancer."""
+        """Record that a balancer has applied a list."""
         self._rows.append(_ListInForce(balancer, index, time_s))
 
     def take_report(self, lag: LoopLag) -> HollowReport:
-        """Return what was recorded since the last report, and the lag of the event loop."""
+        """Return the report since the previous one, with the lag of the event loop."""
         rows, self._rows = self._rows, []
         p99_lag_s, max_lag_s = lag.take()
         return HollowReport(
@@ -98,7 +98,7 @@
 
 
 def _ignore(_warning: str) -> None:
-    """Take no notice of warnings on the configuration: it is generated."""
+    """Ignore warnings about the configuration, which is generated."""
 
 
 def _run(pipe: Connection, configuration_texts: dict[int, str]) -> None:
@@ -114,5 +114,5 @@
         Hollow(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
     gc.freeze()  # as the program does once it has started
-    lag = LoopLag(loop)  # the start of the balancers does not count as lag
+    lag = LoopLag(loop)  # created after the balancers, so that their start does not count as lag
     await serve_pipe(pipe, partial(recorder.take_report, lag))
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -1,4 +1,4 @@
-"""Real balancers as child processes: started as the deploy file says, polled until ready, and stopped."""
+"""Real balancers as child processes: started with the deploy file's command, and polled until ready."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 ROOT = Path(__file__).parents[2]
 SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
-"""A command that runs the balancer of this tree on the running Python, without the deploy file's build."""
+"""The command that runs the balancer from this tree with the running Python interpreter."""
 
 MAX_RUNNING = 150
-"""The limit on balancers that run at the same time: each takes some 40 MiB."""
+"""The limit on balancers that run at the same time: each uses about 40 MiB of memory."""
 
 _HEALTH_POLL_S = 0.02
 _HEALTH_TIMEOUT_S = 5.0
 _KILL_AFTER_S = 10.0
 _LOG_TAIL = 500
-"""Characters of a log that an error quotes."""
+"""The number of characters at the end of a log that an error quotes."""
 
 _running: set[int] = set()
 
@@ -38,14 +38,14 @@
 
 
 class TooManyBalancersError(BalancerProcessError):
-    """`MAX_RUNNING` balancers are running."""
+    """`MAX_RUNNING` balancers are running already."""
 
     def __init__(self) -> None:
         super().__init__(f"{MAX_RUNNING} balancers run already")
 
 
 class BalancerExitedError(BalancerProcessError):
-    """A balancer ended before it was ready; the text holds the end of its log."""
+    """A balancer exited before it was ready; the text holds the end of its log."""
 
     def __init__(self, status: int, log: str) -> None:
         super().__init__(f"ended with {status}: {log[-_LOG_TAIL:]}")
@@ -59,20 +59,20 @@
 
 
 def deploy_command() -> str:
-    """Return the deploy file's `run` command; its `build` has to have been done."""
+    """Return the deploy file's `run` command, which needs the result of its `build` command."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
 
 
 def free_address(host: str) -> str:
-    """Return `host:port` on a loopback host, with a port that is free now."""
+    """Return `host:port` with a port that is currently free."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         return f"{host}:{probe.getsockname()[1]}"
 
 
 def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
-    """Write a balancer's configuration into a folder, and return the environment variables that name it."""
+    """Write a balancer's configuration into a folder, and return the environment variables for it."""
     configuration_path, private_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
     private_folder.mkdir()
@@ -86,7 +86,7 @@
 
 
 class RealBalancer:
-    """One balancer process; `start` starts it, `stop` ends it and removes its temporary files.
+    """One balancer process; `start` starts it, `stop` terminates it and removes its temporary files.
 
     Attributes:
         pid: Its process id.
@@ -105,8 +105,8 @@
 
         Args:
             configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
-            command: Is given to `/bin/sh -c` in the repository's root and has to `exec` the program; the
-                deploy file's `run` if not given.
+            command: A command for `/bin/sh -c` in the repository's root, which has to `exec` the program; by
+                default the deploy file's `run` command.
 
         Raises:
             TooManyBalancersError: `MAX_RUNNING` balancers run already.
@@ -131,11 +131,11 @@
         return cls(process, folder, read_address(environment["LB_LISTEN"]))
 
     async def ready(self, timeout_s: float = 30.0) -> None:
-        """Return once the response to `GET /healthz` is 200.
+        """Wait until the response to `GET /healthz` is 200.
 
         Raises:
-            BalancerExitedError: The process ends before.
-            BalancerNotReadyError: The time passes before.
+            BalancerExitedError: The process exited first.
+            BalancerNotReadyError: The timeout expired first.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
@@ -147,7 +147,7 @@
             await asyncio.sleep(_HEALTH_POLL_S)
 
     async def _health_status(self) -> int:
-        """Return the status of one health check, 0 without a response."""
+        """Return the response status of one health check, or 0 without a response."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
@@ -162,11 +162,11 @@
             writer.close()
 
     def log(self) -> str:
-        """Return what it wrote on standard output and error so far."""
+        """Return the output of the process so far, standard output and error."""
         return (self._folder / "log").read_text(encoding="utf-8", errors="replace")
 
     async def stop(self, kill_after_s: float = _KILL_AFTER_S) -> int:
-        """End it by SIGTERM, or by SIGKILL after `kill_after_s`, and remove its files; return its status."""
+        """Send SIGTERM, and SIGKILL after `kill_after_s`; remove the files and return the exit status."""
         with suppress(ProcessLookupError):
             self._process.terminate()
         try:
--- a/testbed/chain/chain.py
+++ b/testbed/chain/chain.py
@@ -1,8 +1,8 @@
-"""Chains: tiers of servers that call one another through real balancing policies, on one virtual clock.
+"""Simulated chains: tiers of servers that send requests to one another through real balancing policies.
 
-Every server of the tiers 1 to depth-1 has a `LoadBalancer` of its own that sends to the next tier; front
-balancers send to the first tier (PROTOCOL, "Callers to balancers"). Nothing waits and no socket is opened: a
-queue of events stands for time, and all random numbers come from the seed.
+Each server of the tiers 1 to depth-1 has a `LoadBalancer` of its own, which sends to the next tier; front
+balancers send to the first tier (PROTOCOL, "Callers to balancers"). The simulation is event-driven on one
+virtual clock: it opens no socket and never sleeps, and all random numbers are drawn from the seed.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     """The tiers of servers, the front balancers and the requests from outside.
 
     Attributes:
-        settings: How it is built.
+        settings: The size of the chain and the limits of its balancers.
         clock: The virtual clock.
-        statistics: What the balancers have done.
+        statistics: Counts of the balancers' decisions and attempts.
         client_requests: The requests from outside, in the order of their arrival.
         tiers: The servers, by tier.
         fronts: The front balancers.
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -1,7 +1,7 @@
-"""Runs one balancer's policy on the virtual clock: events go in, and its actions are carried out.
+"""The host of one balancer's policy on the virtual clock: passes events in and carries out the actions.
 
-It does for the policy what `loadbalancer.network.proxy` does with real sockets. All times are milliseconds,
-apart from the machine's time for decisions.
+The host is to the simulation what `loadbalancer.network.proxy` is to real sockets. All times are
+milliseconds, except the measured processing time of decisions, which is in seconds.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class UnexpectedHealthCheckError(TestbedError, ValueError):
-    """The policy asked for a health check, which the settings of a simulated chain do not allow."""
+    """The policy started a health check, which the settings of a simulated chain do not allow."""
 
     def __init__(self) -> None:
         super().__init__("a health check, though the settings allow none")
@@ -61,11 +61,11 @@
     responder: Responder
     client_request: ClientRequest
     deadline_ms: float
-    """When the last attempt has to end, so that the response can still travel."""
+    """The latest end of an attempt that leaves time for the response to reach the client."""
     attempts: list[Attempt | None] = field(default_factory=list)
-    """None for one that was decided after the response."""
+    """By attempt index; None for an attempt that the policy started after the response."""
     is_open: bool = True
-    """Until its final response, or until nobody waits for one."""
+    """Whether the client still waits for the final response."""
     may_have_run: bool = False
     """Whether an attempt that has finished may have run."""
     running_attempts: int = 0
@@ -74,12 +74,12 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more can happen to it."""
+        """Whether the request has its response, no running attempt and no queued event."""
         return not (self.is_open or self.running_attempts or self.queued_events)
 
 
 class BalancerHost:
-    """A balancer's policy and the requests at it."""
+    """A balancer's policy, and the requests that it has open."""
 
     def __init__(
         self,
@@ -110,10 +110,10 @@
         return len(self._requests)
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
-        """Take a request.
+        """Pass a new request to the policy.
 
         Args:
-            responder: Takes the response.
+            responder: Receives the response.
             client_request: The request from outside that it is made for.
             remaining_ms: The time until its deadline.
 
@@ -134,7 +134,7 @@
         return request.number
 
     def disconnect(self, number: int) -> None:
-        """Handle that nobody waits for a request any more; without effect once it has its response."""
+        """Handle the disconnect of a request's client; without effect once the request has its response."""
         request = self._requests.get(number)
         if request is not None and request.is_open:
             self._abandon(request)
@@ -202,7 +202,7 @@
                 snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
                 self._clock.schedule(self._clock.now, self._dispatch, snapshot)
             case CloseIdleConnections() | LogMessage():
-                pass  # connections are always up, and nobody reads the log
+                pass  # simulated connections never idle out, and the log is not kept
             case StartHealthCheck():
                 raise UnexpectedHealthCheckError
 
@@ -238,7 +238,7 @@
         attempt.start()
 
     def _on_attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
-        request = self._requests[attempt.request_number]  # it stays there while an attempt is running
+        request = self._requests[attempt.request_number]  # kept while an attempt is running
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -11,23 +11,24 @@
 
 
 class Responder(Protocol):
-    """Whoever waits for a balancer's response: a client outside, or a server of the tier above."""
+    """The receiver of a balancer's response: an outside client, or a server of the previous tier."""
 
     def respond(self, status: int) -> None:
-        """Take the only final response."""
+        """Receive the final response; called once."""
 
 
 class ClientRequest:
     """One request from outside.
 
     Attributes:
-        phase: The phase of the simulation in which it came; the caller of the chain gives phases a meaning.
-        received_at_ms: When it came.
+        phase: The phase of the simulation in which it arrived, as the run defines phases.
+        received_at_ms: When it arrived.
         finished_at_ms: When the front responded; infinite until then.
         status: The front's response: 200 served, 502 failed, 503 rejected; 0 until then.
         was_attempted: Whether the front made any attempt. A request that was rejected without one was shed.
-        last_tier_attempts: Attempts at the last tier that were made for it.
-        deadline_fraction: The timeout of the first of these, as a fraction of the request's deadline.
+        last_tier_attempts: Attempts at the last tier that were made for this request.
+        deadline_fraction: The timeout of the first attempt at the last tier, as a fraction of the request's
+            deadline; NaN if there was none.
     """
 
     __slots__ = (
@@ -52,22 +53,21 @@
         self.deadline_fraction = math.nan
 
     def respond(self, status: int) -> None:
-        """Take the front's response."""
+        """Record the front's response and its time."""
         self.status = status
         self.finished_at_ms = self._clock.now
 
 
 @dataclass(slots=True)
 class ChainStatistics:
-    """What the balancers of a chain have done so far.
+    """Counts over all balancers of a chain.
 
     Attributes:
         depth: The number of tiers.
         deadline_ms: The deadline of every request from outside.
-        attempts_by_phase: By the phase of the requests from outside: attempts at each tier, the first one's
-            at index 0.
+        attempts_by_phase: For each phase of the outside requests, the attempts at each tier, tier 1 first.
         decisions: Events that balancers have handled.
-        decision_s: The machine's time that they took, in seconds.
+        decision_s: The measured processing time of these events, in seconds.
     """
 
     depth: int
@@ -77,7 +77,7 @@
     decision_s: float = 0.0
 
     def record_decision(self, seconds: float) -> None:
-        """Count one handled event and the machine's time for it."""
+        """Count one handled event and its measured processing time."""
         self.decision_s += seconds
         self.decisions += 1
 
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -1,7 +1,8 @@
 """The servers of a simulated chain, and the attempts that balancers make at them.
 
-Connections are always up: a message takes `hop_ms` each way, a refused connect one `hop_ms`. A server and its
-own balancer are on one machine, so no time passes between them. All times are milliseconds.
+Connections are always established: a message takes `hop_ms` in each direction, and a refused connect fails
+after one `hop_ms`. A server and its own balancer share a machine, so messages between them take no time. All
+times are milliseconds.
 """
 
 from __future__ import annotations
@@ -35,17 +36,17 @@
 
     SERVES = "serves"
     FAILS = "fails"
-    """It responds with 500 to a fraction of attempts once its work is done, without calling the next tier."""
+    """It responds with 500 to a fraction of attempts after its own work, without calling the next tier."""
     REFUSES = "refuses"
-    """Its listener is closed: new attempts can't connect, attempts under way go on."""
+    """Its listener is closed: new attempts can't connect, attempts in flight continue."""
     REJECTS = "turns away"
     """It responds at once with 503 and X-Not-Run."""
     HANGS = "hangs"
-    """It accepts new attempts and never responds to them; attempts under way go on."""
+    """It accepts new attempts and never responds to them; attempts in flight continue."""
 
 
 class AttemptStage(enum.Enum):
-    """How far an attempt is at its server."""
+    """The stage of an attempt at its server."""
 
     IN_TRANSIT = enum.auto()
     QUEUED = enum.auto()
@@ -59,10 +60,10 @@
     """The balancer of a server, through which it calls the next tier."""
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
-        """Take a request that has so much time left; returns its number."""
+        """Pass on a request with its remaining time, and return its number."""
 
     def disconnect(self, number: int) -> None:
-        """Handle that nobody waits for that request any more."""
+        """Handle the disconnect of the request's client."""
 
 
 class Attempt:
@@ -74,12 +75,12 @@
         server: The server that it goes to.
         client_request: The request from outside that it is made for.
         timeout_ms: The time that the balancer waits for a response.
-        is_finished: Whether it is over for the balancer.
+        is_finished: Whether the balancer has an outcome for it.
         was_sent: Whether the server may have received it.
         is_closed: Whether the server has seen the end of the balancer's connection.
-        stage: How far it is at the server.
-        deadline_ms: When its time is over, as the server understands it.
-        inner_number: The number of the server's own request at its balancer, once it calls the next tier.
+        stage: Its stage at the server.
+        deadline_ms: Its deadline from the server's point of view: arrival plus timeout.
+        inner_number: The number of the server's request to the next tier, at the server's own balancer.
     """
 
     __slots__ = (
@@ -120,7 +121,7 @@
         self.inner_number: int | None = None
 
     def start(self) -> None:
-        """Send it, or fail to connect."""
+        """Send the attempt, or fail to connect where the server refuses connections."""
         server, clock = self.server, self.server.clock
         arrival_ms = clock.now + server.hop_ms
         if server.behaviour is Behaviour.REFUSES:
@@ -135,14 +136,14 @@
         self.finish(Outcome.CANCELLED)
 
     def withdraw(self) -> None:
-        """Finish it if it was not sent."""
+        """Finish the attempt as `NOT_SENT` if it was not sent."""
         if not self.was_sent:
             self.finish(Outcome.NOT_SENT)
 
     def finish(self, outcome: Outcome) -> None:
-        """End it for the balancer; only the first outcome counts.
+        """Report the outcome to the balancer; later outcomes are ignored.
 
-        Without a response the connection is closed, which the server sees one hop later.
+        An attempt that ends without a response closes its connection, which the server notices one hop later.
         """
         if self.is_finished:
             return
@@ -153,7 +154,7 @@
         self._on_finished(self, outcome)
 
     def respond(self, status: int) -> None:
-        """Take the response of the server's own balancer: the server fails if its call failed."""
+        """Receive the response of the next tier: the server succeeds only if its own request did."""
         self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
 
     def _connect_failed(self, _: None) -> None:
@@ -164,16 +165,16 @@
 
 
 class Server:
-    """One server: it works on an attempt, then calls the next tier for it through its own balancer.
+    """One server: it works on an attempt, then sends a request to the next tier through its own balancer.
 
-    An attempt holds one of the `workers` slots from the start of the work to the response, or to the end of
-    the balancer's connection. `queue` further ones wait, and those beyond are rejected.
+    An attempt occupies one of `workers` slots from the start of the work until the response, or until the
+    balancer closes the connection. Up to `queue` further attempts wait; any more are rejected.
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
         behaviour: What it does with attempts.
         failure_fraction: The fraction of attempts that fail under `Behaviour.FAILS`.
-        in_service: Attempts that hold a slot.
+        in_service: Attempts that occupy a slot.
         rejected: Attempts that were rejected because the queue was full.
     """
 
@@ -191,7 +192,7 @@
         self._queue: deque[Attempt] = deque()
 
     def receive(self, attempt: Attempt) -> None:
-        """Take an attempt whose last byte has arrived."""
+        """Accept, queue or reject an attempt whose last byte has arrived."""
         attempt.deadline_ms = self.clock.now + attempt.timeout_ms
         if self.behaviour is Behaviour.REJECTS:
             self._send_response(attempt, Outcome.REJECTED)
@@ -207,7 +208,7 @@
             self._send_response(attempt, Outcome.REJECTED)
 
     def close(self, attempt: Attempt) -> None:
-        """Handle the end of the balancer's connection: nobody waits for the attempt any more."""
+        """Handle the balancer closing the attempt's connection."""
         attempt.is_closed = True
         if attempt.stage is AttemptStage.QUEUED:
             self._queue.remove(attempt)
@@ -219,7 +220,7 @@
             self._end()
 
     def respond(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Respond to an attempt, unless it is over here."""
+        """Respond to an attempt, unless it has finished at this server."""
         if attempt.stage is not AttemptStage.FINISHED:
             attempt.stage = AttemptStage.FINISHED
             self._send_response(attempt, outcome)
--- a/testbed/chain/settings.py
+++ b/testbed/chain/settings.py
@@ -1,4 +1,4 @@
-"""How a simulated chain is built, and the random part of its servers' work."""
+"""The settings of a simulated chain, and the random model of its servers' service times and failures."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
         servers_per_tier: Servers in each tier; each has its own balancer, except in the last tier.
         fronts: Balancers that receive requests from outside.
         hop_ms: The time of a message from one machine to another.
-        service_ms: The mean time of a server's own work on a request.
-        steady_service: Whether each request takes exactly the mean; else times are exponentially distributed.
+        service_ms: The mean service time of a server's own work on a request.
+        steady_service: Whether service times are constant; else they are exponentially distributed.
         workers: Requests that a server works on at once; 0 for no limit.
         queue: Requests that wait at a server; further ones are rejected.
         max_attempts: Attempts per request that a balancer may make.
@@ -41,7 +41,7 @@
     may_hedge: bool = False
 
     def balancer_settings(self, tier: int) -> Settings:
-        """The settings of a balancer that belongs to a tier; tier 0 is the fronts'."""
+        """Return the settings of a balancer that serves a tier; tier 0 is that of the front balancers."""
         return Settings(
             classes=(self.request_class,),
             balancers=self.servers_per_tier if tier else self.fronts,
@@ -61,12 +61,12 @@
         self._failure_random = random.Random(f"{seed}:fate")
 
     def service_ms(self) -> float:
-        """The time of the work on one request."""
+        """Draw the service time of one request."""
         mean_ms = self._settings.service_ms
         if self._settings.steady_service or not mean_ms:
             return mean_ms
         return self._service_random.expovariate(1 / mean_ms)
 
     def fails(self, fraction: float) -> bool:
-        """Whether one request fails, where that fraction of requests does; certain from 1 on."""
+        """Draw whether a request fails, with that probability; 1 or more fails every request."""
         return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -1,4 +1,4 @@
-"""A child process that does a part of an experiment and responds to requests over a pipe."""
+"""A child process that runs a part of an experiment and responds to requests over a pipe."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
     from multiprocessing.connection import Connection
 
 STOP_TIMEOUT_S = 10.0
-"""A child that has not ended by itself in that time is killed."""
+"""The time in seconds after which a child that has not exited is killed."""
 
 
 class ChildProcess:
-    """A child process, which ends with the process that started it.
+    """A child process, which exits with the process that started it.
 
     Attributes:
         pid: Its process id.
     """
 
     def __init__(self, target: Callable[..., None], *args: Any) -> None:
-        """Start it: `target` is called with its end of the pipe and the further arguments."""
+        """Start the process, which calls `target` with its end of the pipe and `args`."""
         context = multiprocessing.get_context("spawn")
         self._pipe, child_pipe = context.Pipe()
         self._process = context.Process(target=target, args=(child_pipe, *args), daemon=True)
@@ -33,16 +33,16 @@
         self.pid = cast("int", self._process.pid)  # known from the start on
 
     def receive(self) -> Any:
-        """Wait for a message from it."""
+        """Wait for a message from the child."""
         return self._pipe.recv()
 
     def request(self, message: str) -> Any:
-        """Send it a request and wait for the response."""
+        """Send a request to the child and wait for the response."""
         self._pipe.send(message)
         return self._pipe.recv()
 
     def stop(self) -> None:
-        """Close the pipe, which ends it; kill it if that takes too long."""
+        """Close the pipe, upon which the child exits; kill it after `STOP_TIMEOUT_S`."""
         self._pipe.close()
         self._process.join(STOP_TIMEOUT_S)
         if self._process.is_alive():
@@ -51,13 +51,13 @@
 
 
 def run_child(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run the main coroutine of a child process on an event loop as the program uses it."""
+    """Run the main coroutine of a child process on a uvloop event loop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(scenario)
 
 
 async def serve_pipe(pipe: Connection, respond: Callable[[], object]) -> None:
-    """Send a response to each request on a child's end of the pipe, until the other end closes."""
+    """Respond to each request on the child's end of the pipe until the other end is closed."""
     loop = asyncio.get_running_loop()
     closed = asyncio.Event()
 
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -1,4 +1,4 @@
-"""The command line: lists, plays and shows experiments."""
+"""The command line, which lists, runs and shows experiments."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from testbed.runs import RUNS
 
 _EXIT_USAGE = 2
-"""A file can't be read, or is no experiment or result."""
+"""The exit status if a file can't be read, or is not an experiment or result."""
 _EXIT_INVALID = 3
-"""A run gives no figures."""
+"""The exit status if the results of a run are invalid."""
 
 app = typer.Typer(
     help="Experiments on loadbalancer at the sizes it is meant for.",
@@ -34,7 +34,7 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.JSONRenderer(),
         ],
-        # Looked up with each logger: standard error may be another one by then.
+        # Evaluated for each logger, since tests replace standard error.
         logger_factory=lambda *_: structlog.PrintLogger(sys.stderr),
     )
 
@@ -45,14 +45,14 @@
 
 
 def _path(name: str) -> Path:
-    """A file, or the name of an experiment that comes with the package."""
+    """Return the path of an experiment given by file or by the name of one in the package."""
     path = Path(name)
     return path if path.suffix == ".toml" else FOLDER / f"{name}.toml"
 
 
 @app.command("list")
 def list_experiments() -> None:
-    """The experiments that come with the package, a line each."""
+    """List the experiments in the package, one on each line."""
     for path in sorted(FOLDER.glob("*.toml")):
         try:
             typer.echo(f"{path.stem:24} {read_plan(path, RUNS).about}")
@@ -65,9 +65,9 @@
     names: Annotated[list[str], typer.Argument(help="Experiments by name, or TOML files.")],
     out: Annotated[Path, typer.Option(help="The folder for results.")] = Path("docs/capacity"),
 ) -> None:
-    """Play experiments one after another and write a JSON result for each.
+    """Run experiments one after another and write a JSON result for each.
 
-    The exit status is 3 where a run gives no figures, since its load was late or the cores were full.
+    The exit status is 3 if the results of a run are invalid, since its load was late or the cores were full.
     """
     _configure_logs()
     log = structlog.get_logger()
--- a/testbed/discovery/__init__.py
+++ b/testbed/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the discovery service: agents that serve the endpoint list."""
+"""A stand-in for the discovery service: agents that serve the endpoint list."""
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -1,4 +1,4 @@
-"""A balancer's agent of discovery's stand-in: its listener, its connections and its watches."""
+"""The discovery agent of one balancer: its listener, its connections and its watches."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 """The longest wait of a watch request."""
 
 CONTINUED_WATCH_S = 0.2
-"""A watch request that comes so soon after the response before continues that watch."""
+"""A watch request within this time of the previous response, in seconds, continues that watch."""
 
 LISTEN_BACKLOG = 128
 
 WatchObserver = Callable[[int, int, float], None]
-"""Takes each watch request: the agent's number, the version that the balancer has, the time in seconds."""
+"""Called with each watch request: the agent's number, the balancer's version, the time in seconds."""
 
 
 @dataclass(eq=False, slots=True)
@@ -37,12 +37,12 @@
     Attributes:
         number: The balancer's number.
         address: Where it listens.
-        groups: The groups whose state it shares, such as a zone or a region.
+        groups: The groups that it belongs to, such as a zone or a region.
         history: The endpoint list.
         clock: Returns the time in seconds.
-        on_watch: Takes each watch request.
-        counts: What its requests cost.
-        state: What it does with connections and requests.
+        on_watch: Called with each watch request.
+        counts: Counts of its requests and responses.
+        state: Its mode and response delay.
         written_index: The version that was last written to the balancer.
         acknowledged_index: The highest version that a watch request named as known.
         responded_at_s: When the last response was written.
@@ -66,7 +66,7 @@
     _serving: set[asyncio.Task[None]] = field(default_factory=set)
 
     def set_state(self, state: AgentState) -> None:
-        """Take a new state: close, listen again, or send the responses that are due."""
+        """Change the state: close, listen again, or send the pending responses."""
         self.state = state
         if state.mode is AgentMode.DOWN:
             self.close()
@@ -76,13 +76,13 @@
             self.respond_to_open()
 
     def respond_to_open(self) -> None:
-        """Respond to the open requests whose response is due."""
+        """Respond to the open requests that are ready for a response."""
         for connection in list(self.connections):
             connection.respond_if_ready()
 
     def listen(self) -> None:
-        """Listen; the port is the system's choice the first time."""
-        # The kernel takes connections from here on; the loop accepts them a moment later.
+        """Start to listen. The system chooses the port the first time; later calls use the same port."""
+        # The kernel queues connections as soon as the socket listens; the loop accepts them later.
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self.address)
@@ -115,13 +115,13 @@
             connection.reset()
 
     def stop(self) -> None:
-        """Close for good."""
+        """Close, and cancel the tasks that start listeners."""
         self.close()
         for task in list(self._serving):
             task.cancel()
 
     def record_request(self, known_index: int) -> None:
-        """Count a request; `NO_VERSION` is that of one that wants the whole list at once."""
+        """Count a request; one with `NO_VERSION` gets a snapshot at once and is not a watch."""
         now_s = self.clock()
         self.counts.requests += 1
         if known_index == NO_VERSION:
@@ -134,7 +134,7 @@
         self.on_watch(self.number, known_index, now_s)
 
     def record_response(self, response: ListResponse) -> None:
-        """Count a response that is written."""
+        """Count a response as it is written."""
         self.responded_at_s = self.clock()
         self.written_index = self.history.index
         self.counts.entries += response.entry_count
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListRequest:
-    """A request for the list: the version that the balancer has, and how long it waits for a newer one."""
+    """A request for the list: the balancer's version, and how long to wait for a newer one."""
 
     known_index: int
     wait_ms: int
@@ -154,7 +154,7 @@
 
 
 def _read_list_request(query_text: str) -> _ListRequest | None:
-    """Read the query of a request for the list; None where it is invalid."""
+    """Parse the query of a request for the list; return None if it is invalid."""
     query = parse_qs(query_text)
     try:
         known_index = int(query["after"][0]) if "after" in query else NO_VERSION
@@ -178,17 +178,17 @@
         self._delay_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the agent's connections."""
+        """Register with the agent."""
         self._transport = cast("asyncio.Transport", transport)
         self._agent.connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Leave the agent's connections."""
+        """Unregister from the agent and drop the open request."""
         self._agent.connections.discard(self)
         self._forget_request()
 
     def data_received(self, data: bytes) -> None:
-        """Read on; what is no request ends the connection."""
+        """Parse the data; a malformed request resets the connection."""
         self._agent.counts.bytes_in += len(data)
         try:
             self._reader.feed(data)
@@ -220,9 +220,9 @@
         self.respond_if_ready()
 
     def respond_if_ready(self) -> None:
-        """Respond to the open request if there is a newer version or its wait is over.
+        """Respond to the open request if there is a newer version or its wait has ended.
 
-        The response takes the agent's delay, and is left out while the agent is not up.
+        The response is sent after the agent's delay, and only if the agent is up at that time.
         """
         if self._known_index is None or self._delay_timer is not None:
             return
@@ -262,7 +262,7 @@
         self._wait_timer = self._delay_timer = None
 
     def reset(self) -> None:
-        """End the connection at once."""
+        """Abort the connection and drop the open request."""
         self._forget_request()
         if self._transport is not None:
             self._transport.abort()
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -1,4 +1,4 @@
-"""What an agent of discovery's stand-in does with requests, and what requests cost."""
+"""The state of a discovery agent, and counts of its requests and responses."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class AgentMode(enum.Enum):
-    """What an agent does with connections and requests."""
+    """How an agent treats connections and requests."""
 
     UP = "up"
     UNRESPONSIVE = "unresponsive"
-    """It accepts connections and sends nothing; open requests get their response once it is up again."""
+    """It accepts connections and sends nothing; open requests are answered once it is up again."""
     DOWN = "down"
-    """Its connections are reset, new ones are refused."""
+    """Its connections are reset, and new ones are refused."""
 
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """A mode, and the delay of every response in milliseconds."""
+    """The mode of an agent, and the delay of each response in milliseconds."""
 
     mode: AgentMode = AgentMode.UP
     delay_ms: float = 0.0
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """What the requests to agents cost.
+    """Counts of the requests to agents and of their responses.
 
     Attributes:
         requests: Valid requests, watches included.
-        watches: Watch requests that began a watch, or began it anew.
-        continued: Watch requests that came within 200 ms of the response before.
-        snapshots: Responses with the whole list.
+        watches: Watch requests that began a watch.
+        continued: Watch requests that came within 200 ms of the previous response.
+        snapshots: Responses with the complete list.
         entries: Entries in all responses.
-        bytes_in: Bytes of whole HTTP messages, without the layers below.
-        bytes_out: The same of responses.
+        bytes_in: Bytes of the HTTP requests, without the overhead of lower layers.
+        bytes_out: Bytes of the HTTP responses.
     """
 
     requests: int = 0
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -1,4 +1,4 @@
-"""Changes of an endpoint list: single ones without end, rolling restarts, and how they are played."""
+"""Generated changes of an endpoint list: single changes and rolling restarts, applied over time."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
 REMOVABLE_FRACTION_DIVISOR = 20
-"""Churn leaves at most one in so many entries out of the list."""
+"""At most one in this many entries is missing from the list at any time."""
 
 Change = tuple[EndpointEntry, ...]
-"""Entries that change at the same moment."""
+"""Entries that change at the same time."""
 
 
 class _ChangeKind(enum.Enum):
-    """A change of one entry."""
+    """The kind of a change of one entry."""
 
     RESTART = enum.auto()
-    """It drains, and is to return."""
+    """The entry drains and will return."""
     DRAIN = enum.auto()
-    """It drains, and is to be removed."""
+    """The entry drains and will be removed."""
     RETURN = enum.auto()
-    """A restarted one is back in service."""
+    """A restarted entry is in service again."""
     REMOVE = enum.auto()
-    """A draining one is removed."""
+    """A draining entry is removed."""
     REPLACE = enum.auto()
-    """A new one comes into service for one that was removed."""
+    """A new entry comes into service in place of a removed one."""
 
 
 class _Churn:
@@ -71,7 +71,7 @@
                 return self._replace()
 
     def _possible_kinds(self) -> list[_ChangeKind]:
-        """Return the moves that the list allows; their order is part of what a seed gives."""
+        """Return the kinds of change that are possible now, in a fixed order: the draw depends on it."""
         kinds = []
         if len(self._in_service) > self._min_length:
             kinds += [_ChangeKind.RESTART, _ChangeKind.DRAIN]
@@ -108,7 +108,7 @@
         return entry
 
     def _new_name(self) -> str:
-        """Draw a name that no entry has had."""
+        """Draw a name that no entry has had before."""
         while (name := f"s-{self._source.getrandbits(32):08x}") in self._used_names:
             pass
         self._used_names.add(name)
@@ -118,10 +118,10 @@
 def single_changes(
     entries: Iterable[EndpointEntry], seed: int, now_ms: Callable[[], float]
 ) -> Iterator[Change]:
-    """Yield changes of one entry each, without end.
+    """Yield an endless sequence of changes of one entry each.
 
-    Servers restart, or drain and are removed, and new ones come in place of these. The list keeps its length
-    within one in `REMOVABLE_FRACTION_DIVISOR`.
+    Servers restart, or drain and are removed and replaced by new ones. At most one in
+    `REMOVABLE_FRACTION_DIVISOR` entries is missing from the list at any time.
 
     Args:
         entries: The list at the start.
@@ -136,7 +136,7 @@
 def restarts(
     entries: Iterable[EndpointEntry], step: int, seed: int, now_ms: Callable[[], float]
 ) -> Iterator[Change]:
-    """Yield a rolling restart of all entries, `step` at a time: each step drains, then returns.
+    """Yield a rolling restart of all entries, `step` at a time: each batch drains, then returns to service.
 
     Args:
         entries: The list at the start.
@@ -154,15 +154,15 @@
 
 
 async def play_changes(discovery: Discovery, changes: Iterator[Change], times_s: Iterable[float]) -> float:
-    """Apply a change at each moment, whatever the balancers do.
+    """Apply a change at each of the given times, without waiting for the balancers.
 
     Args:
         discovery: The list that changes.
-        changes: The changes; where they end, the play ends.
+        changes: The changes; the function returns when there are no more.
         times_s: Seconds from now, ascending.
 
     Returns:
-        The longest lateness of a change in seconds.
+        The maximum lateness of a change in seconds.
     """
     loop = asyncio.get_running_loop()
     start_s, max_lateness_s = loop.time(), 0.0
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -1,4 +1,4 @@
-"""The endpoint list of discovery's stand-in with its versions, and the bodies of its responses."""
+"""The versioned endpoint list of the discovery stand-in, and the bodies of its responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """The version of a balancer that has no list yet."""
 
 MAX_REMEMBERED_CHANGES = 20_000
-"""Changed names that are remembered; a balancer whose version is older gets a snapshot."""
+"""The limit on remembered changes; a balancer whose version is older than these gets a snapshot."""
 
 REMOVED = "terminated"
 """The status of an entry that is no longer in the list."""
@@ -28,7 +28,7 @@
     Attributes:
         body: The JSON text.
         entry_count: The number of entries in it.
-        is_snapshot: Whether they are the whole list; else they are those that changed.
+        is_snapshot: Whether the entries are the complete list; else they are those that changed.
     """
 
     body: bytes
@@ -52,18 +52,18 @@
 
     @property
     def entries(self) -> list[EndpointEntry]:
-        """The whole list as it is now."""
+        """The complete current list."""
         return list(self._entries.values())
 
     def replace_entries(self, entries: Iterable[EndpointEntry]) -> None:
-        """Put a new list in place of the old one; every balancer gets a snapshot of it."""
+        """Replace the list; every balancer gets a snapshot of the new one."""
         self._entries = {entry["name"]: entry for entry in entries}
         self._changes.clear()
         self._oldest_index = self.index + 1
         self._advance()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> None:
-        """Make one new version of changed, new and (by status `terminated`) removed entries."""
+        """Make one new version with changed, new and (with the status `terminated`) removed entries."""
         for entry in entries:
             name = entry["name"]
             if entry["status"] == REMOVED:
@@ -82,7 +82,7 @@
         self._responses.clear()
 
     def response_after(self, known_index: int) -> ListResponse:
-        """Return the response for a balancer that has a version, or `NO_VERSION`."""
+        """Return the response for a balancer that knows a version, or `NO_VERSION`."""
         response = self._responses.get(known_index)
         if response is None:
             response = self._responses[known_index] = self._build_response(known_index)
@@ -103,5 +103,5 @@
             yield entry
 
     def is_outdated(self, known_index: int) -> bool:
-        """Whether there is a newer version, or that version never existed."""
+        """Whether a version differs from the current one: older, or never issued."""
         return known_index != self.index
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -1,7 +1,7 @@
 """A stand-in for discovery (PROTOCOL page, "Discovery"): the endpoint list, and an agent for each balancer.
 
-What an agent does (responds, refuses connections, is silent, delays responses) is set for it alone, for a
-group of agents, such as a zone or a region that is lost or cut off, or for all.
+The state of an agent (up, unresponsive, down, delayed) is set for a single agent, for a group of agents, such
+as a zone or a region, or for all agents.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
     from testbed.settings import EndpointEntry
 
 ALL_AGENTS = "all"
-"""The group that every agent belongs to."""
+"""The key of the group that every agent belongs to."""
 
 FIRST_HOST = "127.32.0.1"
-"""The host of the agent with number 0, if no other is given."""
+"""The default host of the agent with number 0."""
 
 _MODES_BY_SEVERITY = (AgentMode.DOWN, AgentMode.UNRESPONSIVE)
 
 
 def _ignore_watch(number: int, known_index: int, time_s: float) -> None:
-    """Take no notice of a watch request."""
+    """Ignore a watch request."""
 
 
 class NotLoopbackError(TestbedError, ValueError):
@@ -45,31 +45,31 @@
     """The endpoint list and its agents, on the running loop.
 
     Attributes:
-        changed_at: By version: when the list became that, in seconds of the clock.
-        written_at: By version: when it had been written to the last of the open watches.
+        changed_at: For each version, when it was made, in seconds of the clock.
+        written_at: For each version, when it had been written to the last of the open watches.
         agents: The agents by number.
     """
 
     def __init__(
         self, clock: Callable[[], float] = time.monotonic, on_watch: WatchObserver = _ignore_watch
     ) -> None:
-        """Begin with an empty list.
+        """Start with an empty list.
 
         Args:
             clock: Returns the time in seconds of changes and requests.
-            on_watch: Takes each watch request.
+            on_watch: Called with each watch request.
         """
         self._clock = clock
         self._on_watch = on_watch
         self._history = EndpointHistory()
-        self._states: dict[Hashable, AgentState] = {}  # by group, or by what stands for one agent
+        self._states: dict[Hashable, AgentState] = {}  # by group, or by the key of a single agent
         self._first_host = ipaddress.IPv4Address(FIRST_HOST)
         self.changed_at: list[float] = [clock()]
         self.written_at: list[float] = [clock()]
         self.agents: dict[int, Agent] = {}
 
     async def start(self, host: str = FIRST_HOST) -> None:
-        """Set where agents listen: the first at `host`, each further one a loopback address higher.
+        """Set where agents listen: agent 0 on `host`, agent n on the n-th address above it.
 
         Raises:
             NotLoopbackError: `host` is not a loopback address.
@@ -92,21 +92,21 @@
 
     @property
     def entries(self) -> list[EndpointEntry]:
-        """The whole list as it is now."""
+        """The complete current list."""
         return self._history.entries
 
     def replace_entries(self, entries: Iterable[EndpointEntry]) -> int:
-        """Put a new list in place of the old one, sent to all as a snapshot; returns its version."""
+        """Replace the list, which every balancer gets as a snapshot, and return its version."""
         self._history.replace_entries(entries)
         return self._publish()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> int:
-        """Change, add and (by status `terminated`) remove entries at the same time; returns the version."""
+        """Change, add and (with the status `terminated`) remove entries at once, and return the version."""
         self._history.apply_changes(entries)
         return self._publish()
 
     def list_response(self, known_index: int) -> ListResponse:
-        """Return the response for a balancer that has a version, or `NO_VERSION`."""
+        """Return the response for a balancer that knows a version, or `NO_VERSION`."""
         return self._history.response_after(known_index)
 
     def _publish(self) -> int:
@@ -119,7 +119,7 @@
     # ---- agents ---------------------------------------------------------------------------------
 
     def agent_address(self, number: int, *groups: Hashable) -> Address:
-        """Return the address of a balancer's agent; the first call starts it, as one of `groups`."""
+        """Return the address of a balancer's agent; the first call starts it as a member of `groups`."""
         agent = self.agents.get(number)
         if agent is None:
             address = str(self._first_host + number), 0
@@ -130,7 +130,7 @@
         return agent.address
 
     def counts(self) -> RequestCounts:
-        """Return the sum over all agents."""
+        """Return the sum of the counts of all agents."""
         total = RequestCounts()
         for agent in self.agents.values():
             total += agent.counts
@@ -144,7 +144,7 @@
             each.set_state(self._state_of(each))
 
     def _state_of(self, agent: Agent) -> AgentState:
-        """Return the worst mode of what is set for an agent, and the longest delay."""
+        """Return the most severe mode and the maximum delay of all states that apply to an agent."""
         keys: tuple[Hashable, ...] = (_agent_key(agent.number), ALL_AGENTS, *agent.groups)
         states = [self._states[key] for key in keys if key in self._states]
         modes = {state.mode for state in states}
@@ -153,5 +153,5 @@
 
 
 def _agent_key(number: int) -> Hashable:
-    """Return what stands for one agent among the groups."""
+    """Return the key of a single agent among the keys of groups."""
     return ("agent", number)
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments as files: one TOML file each, checked before anything starts."""
+"""Experiment files: one TOML file each, validated before the run starts."""
 
 from __future__ import annotations
 
@@ -32,40 +32,44 @@
     """Define a field that has been renamed, for use within `Annotated`.
 
     Args:
-        name: The field's present name.
-        old_name: Its earlier name, which files of experiments may still use.
+        name: The field's current name.
+        old_name: Its earlier name, which experiment files may still use.
 
     Returns:
-        A pydantic field that is read under either name and written under its present one.
+        A pydantic field that is read under either name and written under the current one.
     """
     return Field(validation_alias=AliasChoices(name, old_name))
 
 
 class Plan(BaseModel):
-    """What every experiment says; each run adds fields of its own by a subclass."""
+    """The fields that every experiment has; each kind of run adds its own in a subclass."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     run: str
-    """Which run plays it: a name in `testbed.runs.RUNS`."""
+    """The kind of run: a name in `testbed.runs.RUNS`."""
     about: str
-    """The question, in one sentence."""
+    """The question that the experiment answers, in one sentence."""
     seed: Annotated[int, Field(ge=0)]
-    """All random numbers come from it."""
+    """The seed of all random numbers."""
     sizes: Annotated[tuple[int, ...], Field(min_length=1)]
-    """The sizes that are compared, ascending; what they count, the run says. Slopes want four or more."""
+    """The sizes to compare, ascending. The kind of run says what they count; a fit needs four or more."""
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A kind of experiment: the form of its file, and what plays it."""
+    """A kind of experiment: the model of its file, and the function that plays it."""
 
     plan: type[Plan]
     play: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
 
 
 def read_plan(path: Path, runs: dict[str, Run]) -> Plan:
-    """The plan in a file; ExperimentError says in one line what is wrong with it."""
+    """Read and validate the plan in a file.
+
+    Raises:
+        ExperimentError: The file can't be read, or is not a valid plan.
+    """
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -1,4 +1,4 @@
-"""A client of one address that sends requests in the form of the PROTOCOL page."""
+"""An HTTP/1.1 client of one address, for requests in the format of the PROTOCOL page."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 """Returns the time in seconds."""
 
 NO_RESPONSE = 0
-"""The status of a request that got no response: its time passed, or the connection broke."""
+"""The status of a request without a response: it timed out, or the connection was lost."""
 
 
 class ConnectionLostError(TestbedError, ConnectionResetError):
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response, and when its last byte came in seconds of the client's clock."""
+    """A response, and the time of its last byte in seconds of the client's clock."""
 
     status: int
     body: bytes
@@ -41,7 +41,7 @@
 
 
 def request_ids(seed: int) -> Iterator[str]:
-    """Yield ids of 16 hex digits that never repeat, as the PROTOCOL page shows them."""
+    """Yield unique ids of 16 hex digits in the format of the PROTOCOL page."""
     first = random.Random(seed).getrandbits(32)
     number = 0
     while True:
@@ -52,7 +52,7 @@
 def compose_request(
     class_name: str, request_id: str, deadline_ms: float, key: str = "", body: bytes = b""
 ) -> bytes:
-    """Return a request of the PROTOCOL page: POST where it has an idempotency key or a body, else GET."""
+    """Return a request of the PROTOCOL page: POST if it has an idempotency key or a body, else GET."""
     has_body = bool(key or body)
     lines = [
         f"{'POST' if has_body else 'GET'} /{class_name}/x HTTP/1.1",
@@ -72,9 +72,9 @@
     """One connection of a client, with one request at a time.
 
     Attributes:
-        has_received: Whether anything came since the last request.
-        is_closed: Whether it has ended.
-        may_reuse: Whether it can take a further request.
+        has_received: Whether any byte has been received since the last request.
+        is_closed: Whether the connection has ended.
+        may_reuse: Whether the connection can carry another request.
     """
 
     def __init__(self, on_closed: Callable[[_ClientConnection], None], clock: Clock) -> None:
@@ -129,10 +129,10 @@
 
 
 class Client:
-    """A client of one address: it keeps its connections, and opens more when all are busy (PROTOCOL page).
+    """A client of one address with persistent connections, which opens another when all are busy.
 
     Attributes:
-        opened_connections: The connections that it has opened so far.
+        opened_connections: The connections that have been opened so far.
     """
 
     def __init__(self, address: Address, clock: Clock = time.perf_counter) -> None:
@@ -144,8 +144,9 @@
     async def send(self, request: bytes, timeout_s: float) -> HttpResponse:
         """Send a request and wait for the response.
 
-        A request that crossed the close of a kept connection is sent once more, on a new one. A request that
-        is given up, by time or by cancellation, closes its connection.
+        A request that fails on a reused connection before any byte of a response is sent once more on a new
+        connection: the peer may have closed the idle one. A request that times out or is cancelled closes its
+        connection.
 
         Returns:
             The response, or one with the status `NO_RESPONSE`.
@@ -190,7 +191,7 @@
             self._idle.remove(connection)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the idle connections."""
         for connection in self._idle[:]:
             connection.close()
         self._idle.clear()
--- a/testbed/http/reader.py
+++ b/testbed/http/reader.py
@@ -1,4 +1,4 @@
-"""Reads HTTP/1.1 requests for the stand-ins of the testbed."""
+"""A parser of HTTP/1.1 requests for the servers of the testbed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One whole request; names of headers are in lower case."""
+    """One complete request; header names are in lower case."""
 
     method: str
     target: str
@@ -28,7 +28,7 @@
 
 
 class RequestReader:
-    """Puts the requests of one connection together and passes each on once it is whole."""
+    """Parses the bytes of one connection and passes on each complete request."""
 
     def __init__(self, on_request: Callable[[HttpRequest], None]) -> None:
         self._on_request = on_request
@@ -41,10 +41,10 @@
         return bool(self._parser.should_keep_alive())
 
     def feed(self, data: bytes) -> None:
-        """Read on.
+        """Parse more received bytes.
 
         Raises:
-            MalformedRequestError: The connection is of no further use.
+            MalformedRequestError: The bytes are not HTTP; the connection has to be closed.
         """
         try:
             self._parser.feed_data(data)
@@ -56,10 +56,10 @@
         self._headers: dict[str, str] = {}
         self._body = b""
 
-    # ---- callbacks of the parser; it gives targets and bodies in pieces -------------------------
+    # ---- callbacks of the parser, which passes targets and bodies in parts ----------------------
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._reset()
 
     def on_url(self, part: bytes) -> None:
--- a/testbed/load/__init__.py
+++ b/testbed/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load: arrival times and the streams of requests that are sent at them."""
+"""Open-loop load: arrival times, and streams of requests sent at these times."""
--- a/testbed/load/arrivals.py
+++ b/testbed/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Moments of independent arrivals."""
+"""Arrival times of a Poisson process."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def arrival_times(rate_per_s: float, span_s: float, source: random.Random) -> Iterator[float]:
-    """Yield arrivals with exponentially distributed gaps, in seconds from the start of a span.
+    """Yield the arrival times of a Poisson process, in seconds from the start of a span.
 
     Args:
         rate_per_s: The mean rate.
         span_s: The length of the span; all arrivals lie within it, ascending.
-        source: The gaps are drawn from it, one more than there are arrivals.
+        source: The source of the exponentially distributed gaps, one more than there are arrivals.
     """
     time_s = source.expovariate(rate_per_s)
     while time_s < span_s:
--- a/testbed/load/kernel_timer.py
+++ b/testbed/load/kernel_timer.py
@@ -14,15 +14,16 @@
 _NANOSECONDS = 1_000_000_000
 
 WAKE_UP_S = 0.0002
-"""A core that slept takes up to that long to wake up: the timer fires earlier by it, and the rest of the time
-passes in turns of the loop."""
+"""The maximum time that a sleeping core needs to wake up, in seconds.
+
+The timer fires earlier by this time, and the rest of the sleep is spent polling the clock in the event loop.
+"""
 
 
 class KernelTimer:
-    """Sleeps on a timer of the kernel: an event loop's own timers are right to a millisecond only.
+    """Sleeps on a kernel timer, since the timers of an event loop have a resolution of a millisecond.
 
-    Watching the clock for longer would keep a core busy, for which the processes that a request wakes up
-    would then have to wait.
+    Polling the clock for the complete sleep would keep a core busy that the measured processes need.
     """
 
     def __init__(self) -> None:
@@ -37,10 +38,10 @@
         self._fired.set()
 
     async def sleep(self, seconds: float) -> None:
-        """Return after so long, or after one turn of the loop if that is 0 or less."""
+        """Sleep for a time, or for one iteration of the event loop if the time is 0 or less."""
         until = time.perf_counter() + seconds
         delay_ns = max(round((seconds - WAKE_UP_S) * _NANOSECONDS), 0)
-        if delay_ns:  # a timer that is set to 0 never fires
+        if delay_ns:  # setting a timer to 0 disarms it
             self._fired.clear()
             self._set(delay_ns)
             await self._fired.wait()
@@ -50,13 +51,13 @@
                 return
 
     def _set(self, delay_ns: int) -> None:
-        """Let the timer fire once, after so many nanoseconds."""
+        """Arm the timer to fire once after `delay_ns` nanoseconds."""
         interval_s, interval_ns = 0, 0
         setting = struct.pack("qqqq", interval_s, interval_ns, *divmod(delay_ns, _NANOSECONDS))
         if _LIBC.timerfd_settime(self._descriptor, 0, setting, None) < 0:
             raise OSError(ctypes.get_errno(), "timerfd_settime")
 
     def close(self) -> None:
-        """Give the timer back."""
+        """Close the timer's descriptor."""
         asyncio.get_running_loop().remove_reader(self._descriptor)
         os.close(self._descriptor)
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -1,7 +1,8 @@
-"""Open-loop load: requests are sent at times drawn beforehand from the seed, whatever the responses do.
+"""Open-loop load: requests are sent at times drawn in advance from the seed, independent of the responses.
 
-A request's latency runs from the time at which it was due, so that a server which stalls is charged with
-every request that waited for it (no coordinated omission). A load that was late itself says so.
+The latency of a request is measured from its scheduled time, which avoids coordinated omission: a stall of
+the server counts for every request that was scheduled during it. The lateness of the load itself is measured
+too.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from testbed.measurement.latency import Latencies
 
 Sleep = Callable[[float], Awaitable[None]]
-"""Waits for some seconds of the load's clock."""
+"""Sleeps for some seconds of the load's clock."""
 
 
 @dataclass(slots=True)
@@ -30,8 +31,8 @@
     """Requests of one class.
 
     Attributes:
-        name: The stream's name; its random numbers come from the seed and the name.
-        clients: Each request goes to one of them, drawn from the seed.
+        name: The stream's name, which is part of the seed of its random numbers.
+        clients: The clients, of which one is drawn for each request.
         rate_per_s: The mean rate of requests.
         class_name: The request class.
         deadline_ms: The deadline of each request, after which the client gives up.
@@ -45,22 +46,22 @@
 
     @property
     def opened_connections(self) -> int:
-        """The connections that its clients have opened so far."""
+        """The connections that the stream's clients have opened so far."""
         return sum(client.opened_connections for client in self.clients)
 
 
 @dataclass(slots=True)
 class StreamReport:
-    """What became of a stream's requests.
+    """The results of a stream's requests.
 
     Attributes:
         sends: Requests that were sent.
         opened: Connections that were opened for them.
-        statuses: Responses by status; `NO_RESPONSE` where none came.
-        unserved: When the requests were due that did not get a 200, in seconds from the start, in the order
-            in which they ended.
-        served: From due to the last byte of the response, of requests that got a 200.
-        lateness: From due to sent.
+        statuses: Requests by response status; `NO_RESPONSE` where there was none.
+        unserved: The scheduled times of requests without a 200 response, in seconds from the start, in the
+            order in which the requests ended.
+        served: Latencies of requests with a 200 response, from the scheduled time to the last byte.
+        lateness: Times from schedule to send.
     """
 
     sends: int = 0
@@ -71,7 +72,7 @@
     lateness: Latencies = field(default_factory=Latencies)
 
     def invalid_reasons(self, name: str, late_ms: float) -> list[str]:
-        """Return why the stream's figures can't be used: 1 send in 100 was late by more than `late_ms`."""
+        """Return why the results are invalid: the 99th percentile of lateness exceeds `late_ms`."""
         lateness_ms = self.lateness.quantile_ms(0.99) if self.sends else 0.0
         if lateness_ms <= late_ms:
             return []
@@ -79,7 +80,7 @@
 
 
 class _PlannedRequest(NamedTuple):
-    """A request of a schedule, ordered by its time; that is in seconds from the start."""
+    """A request of a schedule, ordered by its time in seconds from the start."""
 
     time_s: float
     stream_index: int
@@ -87,14 +88,14 @@
 
 
 def _plan(stream: Stream, stream_index: int, seconds: float, seed: int) -> list[_PlannedRequest]:
-    """Draw a stream's requests: first all times, then the client of each."""
+    """Draw the schedule of a stream: first all times, then the client of each request."""
     source = random.Random(f"{seed}/{stream.name}")
     times = list(arrival_times(stream.rate_per_s, seconds, source))
     return [_PlannedRequest(at, stream_index, source.randrange(len(stream.clients))) for at in times]
 
 
 class _LoadRun:
-    """One play of some streams: their reports and the requests that are open."""
+    """The state of one run of the load: a report for each stream, and the open requests."""
 
     def __init__(self, streams: Sequence[Stream], clock: Clock, seed: int) -> None:
         self._streams = streams
@@ -105,7 +106,7 @@
         self.reports = {stream.name: StreamReport(opened=-stream.opened_connections) for stream in streams}
 
     async def play(self, schedule: Iterator[_PlannedRequest], start: float, sleep: Sleep) -> None:
-        """Send each request when it is due, from a start on the clock, and leave the responses open."""
+        """Send each request at its scheduled time after `start`, without waiting for responses."""
         self._start = start
         for planned in schedule:
             scheduled_s = start + planned.time_s
@@ -130,7 +131,7 @@
             report.unserved.append(scheduled_s - self._start)
 
     async def finish(self) -> None:
-        """Wait for the last responses and complete the reports."""
+        """Wait for the open requests and complete the reports."""
         if self._open:
             await asyncio.wait(self._open)
         for stream in self._streams:
@@ -144,14 +145,14 @@
     clock: Clock = time.perf_counter,
     sleep: Sleep | None = None,
 ) -> dict[str, StreamReport]:
-    """Play streams side by side and wait for the last responses.
+    """Run streams concurrently and wait for the last responses.
 
     Args:
-        streams: The streams, each with a name of its own.
-        seconds: How long requests are sent.
-        seed: All random numbers are drawn from it.
-        clock: Has to be the clock of the streams' clients.
-        sleep: Waits on that clock; a `KernelTimer` if not given.
+        streams: The streams, with different names.
+        seconds: The length of the schedule.
+        seed: The seed of all random numbers.
+        clock: The clock, which has to be that of the streams' clients.
+        sleep: Sleeps on that clock; by default with a `KernelTimer`.
 
     Returns:
         A report for each stream, by name.
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -1,4 +1,4 @@
-"""Latencies as HdrHistograms: every value counts, and quantiles are right to three digits."""
+"""Latency histograms (HdrHistogram), with quantiles exact to three significant digits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from testbed.errors import TestbedError
 
 _MAX_US = 120_000_000
-"""Longer latencies count as this one."""
+"""The upper bound of recorded latencies, in microseconds: longer ones are recorded as this."""
 
 _SIGNIFICANT_DIGITS = 3
 _US_PER_S = 1e6
@@ -24,25 +24,25 @@
 
 
 class Latencies:
-    """Spans of time, stored in microseconds and reported in milliseconds."""
+    """A histogram of latencies, recorded in microseconds and reported in milliseconds."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
-        """Add a span; one below a microsecond counts as one, one above 120 s as 120 s."""
+        """Record a latency, limited to the range from 1 microsecond to 120 s."""
         self._histogram.record_value(min(max(round(seconds * _US_PER_S), 1), _MAX_US))
 
     @property
     def count(self) -> int:
-        """The number of spans."""
+        """The number of recorded latencies."""
         return int(self._histogram.get_total_count())
 
     def quantile_ms(self, fraction: float) -> float:
-        """Return the milliseconds that a fraction (0 to 1) of the spans does not exceed.
+        """Return the quantile for a fraction from 0 to 1, in milliseconds.
 
         Raises:
-            NoLatenciesError: There are no spans.
+            NoLatenciesError: No latency has been recorded.
         """
         if not self.count:
             raise NoLatenciesError
@@ -52,9 +52,10 @@
 class AddedTime(TypedDict):
     """Columns of a result, all in milliseconds.
 
-    `added_50_ms` and `added_99_ms` are the quantile through the balancer less the same quantile direct. The
-    columns `over_median_..._ms` are quantiles through the balancer less the median direct: the whole tail
-    counts against the balancer there.
+    `direct` and `through` are quantiles of requests direct to the upstreams and through the balancer. `added`
+    is the quantile through the balancer less the same quantile of direct requests; `over_median` is the
+    quantile through the balancer less the median of direct requests, and so attributes the tail to the
+    balancer.
     """
 
     direct_50_ms: float
@@ -69,7 +70,7 @@
 
 
 def added(direct: Latencies, through: Latencies) -> AddedTime:
-    """Return what a balancer adds to latencies; both have to come from one run."""
+    """Compare latencies through a balancer with direct ones of the same run."""
     median_ms = direct.quantile_ms(0.5)
     return {
         "direct_50_ms": median_ms,
--- a/testbed/measurement/meter.py
+++ b/testbed/measurement/meter.py
@@ -1,4 +1,4 @@
-"""What processes use, and whether the machine kept up."""
+"""Resource usage of processes, and measures of whether the machine was overloaded."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from collections.abc import Iterable
 
 FULL_CORES_FRACTION = 0.9
-"""From this fraction of busy time on, a process that waits for a core measures that wait."""
+"""The fraction of busy core time from which on measured times include waits for a core."""
 
 LAG_INTERVAL_S = 0.01
 """The interval of the timer by which the lag of an event loop is measured."""
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What some processes use, as sums.
+    """The resource usage of some processes, as sums.
 
     Attributes:
         processor_s: Processor time in seconds.
@@ -37,16 +37,16 @@
 
 
 def processor_s(pid: int) -> float:
-    """Return the processor seconds of a process's living threads, to the nanosecond.
+    """Return the processor time of a process's live threads in seconds, with a resolution of a nanosecond.
 
-    psutil gives them in steps of 10 ms, which is as much as an idle balancer uses in some seconds.
+    The resolution of psutil is 10 ms, which is as much as an idle balancer uses in some seconds.
     """
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / _NANOSECONDS
 
 
 def usage(pids: Iterable[int]) -> Usage:
-    """Return the processor time that processes have used so far, and what they hold now.
+    """Return the processor time that processes have used so far, and their current memory and descriptors.
 
     Raises:
         psutil.NoSuchProcess: One of them has ended.
@@ -62,13 +62,13 @@
 
 
 class CoresWatch:
-    """Measures how busy the machine's cores are, from its creation on."""
+    """Measures the utilization of the machine's cores since its creation."""
 
     def __init__(self) -> None:
         self._start = psutil.cpu_times()
 
     def busy(self) -> float:
-        """Return the fraction of all cores' time that was not idle; stolen time counts as busy."""
+        """Return the fraction of core time that was not idle; steal time counts as busy."""
         start, now = self._start, psutil.cpu_times()
         # Guest time is part of user time and would count twice.
         names = [name for name in now._fields if not name.startswith("guest")]
@@ -77,20 +77,20 @@
         return 1 - (spans["idle"] + spans.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalid_reasons(self, phase: str) -> list[str]:
-        """Return why the figures of a phase can't be used: the cores were full. Empty if they were not."""
+        """Return why the results of a phase are invalid: the cores were saturated. Empty if they were not."""
         busy = self.busy()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= FULL_CORES_FRACTION else []
 
 
 class Lag(NamedTuple):
-    """How late an event loop ran its timers, in seconds."""
+    """The lag of an event loop's timers in seconds."""
 
     p99_s: float
     max_s: float
 
 
 class LoopLag:
-    """Measures how late an event loop runs a timer that fires every 10 ms."""
+    """Measures the lag of an event loop with a timer of `LAG_INTERVAL_S`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -1,8 +1,8 @@
-"""What a run measured: rows, lines fitted to them, and whether the machine kept up.
+"""Results of a run: rows, linear fits, and the reasons why they are invalid, if any.
 
-A run gives typed rows. They become plain JSON objects here, when a result is written, and nowhere else. The
-stored columns keep their names, so that results of any age can be compared: a column is named after its
-field, or by `stored_as` where the field has been renamed.
+A run returns typed rows, which are converted to JSON objects here when a result is written. The stored
+columns keep their names, so that results of any age can be compared: a column is named after its field, or
+by `stored_as` if the field has been renamed.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     from collections.abc import Sequence
 
 LIBRARIES = ("uvloop", "httptools", "typer", "structlog", "hdrhistogram", "psutil", "numpy", "pydantic")
-"""The libraries whose versions stand in each result."""
+"""The libraries whose versions are stored with each result."""
 OMITTED_IF_NONE = {"omitted_if_none": True}
 """Metadata of a row's field that is left out of the stored row where it is None; others become null."""
 
@@ -42,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
-    """One row of a run's table; each run adds its columns as fields.
+    """One row of a run's table; each run defines its columns as fields.
 
-    A field that holds another row stands for the columns of that row, in its place.
+    A field that holds another row contributes the columns of that row, in its place.
     """
 
     def columns(self) -> dict[str, Any]:
-        """The row as a plain object by column name, in the order of the fields."""
+        """Return the values by column name, in the order of the fields."""
         columns: dict[str, Any] = {}
         for column in fields(self):
             value = getattr(self, column.name)
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A line through points by least squares: y = slope * x + intercept.
+    """A least-squares line: y = slope * x + intercept.
 
-    Errors are standard errors, in the units of what they belong to; they are 0 where two points leave none.
+    The errors are standard errors in the units of slope and intercept; with two points they are 0.
     """
 
     y: str
@@ -78,12 +78,12 @@
     points: int
 
     def at(self, x: float) -> float:
-        """The line's value at x, which may lie outside the points: then it is derived, not measured."""
+        """Return the line's value at x; outside the range of the points it is an extrapolation."""
         return self.slope * x + self.intercept
 
 
 class UndeterminedSlopeError(TestbedError, ValueError):
-    """A line was to be fitted through points that have fewer than two different x."""
+    """Points with fewer than two different x do not determine a slope."""
 
     def __init__(self, x: str, y: str) -> None:
         super().__init__(f"{y} over {x}: a slope needs two sizes or more")
@@ -94,7 +94,7 @@
 
     Args:
         x_values: The points' x.
-        y_values: The points' y, as many.
+        y_values: The points' y, of the same number.
         x: The name of x.
         y: The name of y.
 
@@ -120,9 +120,9 @@
 
     Args:
         rows: The rows.
-        y: The column that is fitted.
-        x: The column over which it is.
-        label: What the fit calls its y, where the column's name does not say which rows they are.
+        y: The column of the dependent variable.
+        x: The column of the independent variable.
+        label: The name of y in the fit, if not that of the column.
 
     Raises:
         UndeterminedSlopeError: There are fewer than two different x.
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measured(Generic[RowT]):
-    """One row, and why its figures are invalid, if they are."""
+    """One row, and the reasons why its values are invalid, if any."""
 
     row: RowT
     invalid_reasons: list[str]
@@ -141,26 +141,26 @@
 
 @dataclass(slots=True)
 class RunResult(Generic[RowT]):
-    """What a run measured; the figures of an invalid run are withheld when its result is written."""
+    """The results of a run; rows and fits of an invalid run are left out of the written result."""
 
     rows: list[RowT] = field(default_factory=list)
     fits: list[Fit] = field(default_factory=list)
     invalid_reasons: list[str] = field(default_factory=list)
-    """Why the figures are invalid, if they are: the load was late, the cores were full."""
+    """Why the results are invalid, if they are: the load was late, or the cores were saturated."""
 
     @property
     def is_valid(self) -> bool:
-        """Whether the figures say what they are meant to."""
+        """Whether there is no reason against the results."""
         return not self.invalid_reasons
 
     def add(self, measured: Measured[RowT]) -> None:
-        """Take in a row, and why its figures are invalid."""
+        """Add a row and the reasons why its values are invalid."""
         self.rows.append(measured.row)
         self.invalid_reasons += measured.invalid_reasons
 
 
 def machine() -> dict[str, Any]:
-    """The machine that measured: processor, cores and memory in GiB."""
+    """Describe the machine: processor, cores, memory in GiB and operating system."""
     return {
         "processor": _processor_model(),
         "cores": psutil.cpu_count(),
@@ -170,7 +170,7 @@
 
 
 def _processor_model() -> str:
-    """The first processor's model name; the architecture where the system gives none."""
+    """Return the first processor's model name, or the architecture if the system reports none."""
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
             return line.partition(":")[2].strip()
@@ -178,7 +178,7 @@
 
 
 def versions() -> dict[str, str]:
-    """The program's commit and the versions of Python and the libraries."""
+    """Return the program's commit and the versions of Python and the libraries."""
     described = subprocess.run(
         ["git", "describe", "--always", "--dirty", "--abbrev=8"],
         cwd=Path(__file__).parent,
@@ -194,10 +194,10 @@
 
 
 def write(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
-    """Write one result as a JSON file: experiment, machine, versions and figures, or why there are none.
+    """Write one result as a JSON file: experiment, machine, versions, and rows and fits if they are valid.
 
     Args:
-        path: The file; missing folders are made.
+        path: The file; missing folders are created.
         name: The experiment's name.
         plan: The experiment's plan as a JSON object.
         result: What the run measured.
@@ -236,7 +236,7 @@
 
 
 def _aligned(rows: list[dict[str, Any]]) -> list[str]:
-    """The rows as lines below a line of all their columns' names; none where there are no rows."""
+    """Format rows as right-aligned lines below a header line; return no lines if there are no rows."""
     if not rows:
         return []
     columns = list(dict.fromkeys(name for row in rows for name in row))
--- a/testbed/runs/__init__.py
+++ b/testbed/runs/__init__.py
@@ -1,4 +1,4 @@
-"""The runs by name; an experiment's file says which one plays it."""
+"""The kinds of runs by name; each experiment file names one."""
 
 from __future__ import annotations
 
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -1,7 +1,8 @@
-"""The time that a real balancer adds to a call, and its processor time, over the length of the list.
+"""The time that a real balancer adds to a request, and its processor time, over the length of the list.
 
-Calls go direct (on kept connections to a few of the upstreams) and through the balancer at the same time.
-One load in one process counts both from when they were due; upstreams and balancer have theirs.
+Requests go through the balancer and, at the same time, directly to a few of the upstreams on persistent
+connections. One process sends both and measures their latency from the scheduled time; the upstreams and the
+balancer run in processes of their own.
 """
 
 from __future__ import annotations
@@ -36,33 +37,33 @@
 
 
 class Plan(loaded.Plan):
-    """`sizes` count the entries of the list, which is also how many balancers the settings tell of."""
+    """The load; `sizes` count the entries of the list, and the settings give as many balancers."""
 
     service_ms: float
-    """An upstream's time for a call."""
+    """The service time of an upstream in milliseconds."""
     direct_servers: int
-    """So many upstreams get the direct calls, the first of the list."""
+    """The number of upstreams, from the start of the list, that get direct requests."""
     rest_s: float
-    """A time without load, for the processor time that calls don't cause."""
+    """The time without load, in seconds, to measure the processor time that is not caused by requests."""
     measure_s: float
-    """The measured time under load."""
+    """The length of the measured load in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddedTimeRow(Row):
     """A balancer under load with a list of one length.
 
-    `direct` calls go to the upstreams themselves, calls `through` the balancer at the same time. The numbers
-    are percentiles (999: 99.9). What is `added` is the percentile through the balancer less the same one
-    direct; `over_median` is the percentile through the balancer less the median direct.
+    Requests go `direct` to the upstreams and `through` the balancer at the same time. The numbers in names
+    are percentiles (999: 99.9). `added` is the percentile through the balancer less the same percentile of
+    direct requests; `over_median` is the percentile through the balancer less the median of direct requests.
     """
 
     entries: int
     """The length of the list."""
     calls: int
-    """Calls through the balancer."""
+    """Requests through the balancer."""
     served: int
-    """Those of them with response 200."""
+    """Requests through the balancer with a 200 response."""
     direct_50_ms: float
     direct_99_ms: float
     through_50_ms: float
@@ -73,26 +74,26 @@
     over_median_99_ms: float
     over_median_999_ms: float
     processor_us_a_call: float
-    """The balancer's processor time by call."""
+    """The balancer's processor time per request."""
     rest_us_a_s: float
-    """The balancer's processor time in a second without load."""
+    """The balancer's processor time per second without load."""
     net_us_a_call: float
-    """The balancer's processor time by call, less what it uses without load."""
+    """The balancer's processor time per request, without the part that it uses without load."""
     resident_mib: float
     """The balancer's resident memory at the end."""
     attempts_a_call: float
     opened_a_call: float
-    """Connections opened to upstreams by call."""
+    """Connections opened to upstreams per request."""
     probes: int
-    """Health probes at all upstreams."""
+    """Health checks at all upstreams."""
     late_99_ms: float
-    """The 99th percentile of how late calls through the balancer were sent."""
+    """The 99th percentile of the lateness of requests through the balancer."""
     cores_busy: float
-    """The busy part of all cores' time, from 0 to 1."""
+    """The fraction of core time that was busy, from 0 to 1."""
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
-    """Measure each size, and fit lines over all of them."""
+    """Measure each size, and fit lines over the sizes."""
     result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -135,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Readings:
-    """What was read around the measured time."""
+    """The readings before and after the measured load."""
 
     rest_us_a_s: float
     usage_before: Usage
@@ -147,7 +148,7 @@
 
 
 class _Measurement:
-    """Calls of both ways side by side, and what they cost a balancer."""
+    """Measures direct requests and requests through a balancer, and the balancer's usage of the machine."""
 
     def __init__(self, plan: Plan, size: int, upstreams: UpstreamProcess, balancer: RealBalancer) -> None:
         self._plan, self._size = plan, size
@@ -160,12 +161,12 @@
         ]
 
     async def play(self) -> Measured[AddedTimeRow]:
-        """Warm up, rest, and measure under load."""
+        """Warm up, measure without load, and measure under load."""
         plan = self._plan
         await load.play_streams(self._streams, plan.warm_s, plan.seed + 1)
         rest_us_a_s = await self._rest()
         gc.collect()
-        gc.freeze()  # the collector need not look at what the load has built while it measures
+        gc.freeze()  # keeps collections during the measurement short
         cores = CoresWatch()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
@@ -182,7 +183,7 @@
         return Measured(self._row(readings), reasons)
 
     async def _rest(self) -> float:
-        """The balancer's processor time in a second without load, in microseconds."""
+        """Measure the balancer's processor time per second without load, in microseconds."""
         before = self._usage()
         await asyncio.sleep(self._plan.rest_s)
         return (self._usage().processor_s - before.processor_s) / self._plan.rest_s * 1e6
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -1,6 +1,6 @@
-"""How fast a change of the list is in force at every balancer, and what it costs them.
+"""How fast balancers apply a change of the endpoint list, and what it costs them.
 
-Hollow balancers by the hundred, and a few real ones beside them, follow the list while it changes.
+Hundreds of hollow balancers and a few real ones follow the list while it changes.
 """
 
 from __future__ import annotations
@@ -41,22 +41,22 @@
 
 
 class Plan(experiment.Plan):
-    """Sizes count the hollow balancers."""
+    """The changes and the balancers; sizes count the hollow balancers."""
 
     entries: Annotated[int, Field(gt=0)]
     """The length of the list."""
     changes_per_day: Annotated[float, Field(gt=0)]
-    """Changes of one entry on an ordinary day."""
+    """The baseline rate of changes, each of one entry, per day."""
     multiples: tuple[float, ...]
-    """The rates that are played, as multiples of the ordinary one."""
+    """The measured rates, as multiples of the baseline rate."""
     spans_s: tuple[float, ...]
-    """How long each of them is played, in seconds."""
+    """The length of the measurement at each rate, in seconds."""
     processes: Annotated[int, Field(gt=0)]
-    """Processes that the hollow balancers are spread over."""
+    """The number of processes for the hollow balancers."""
     real: Annotated[int, Field(ge=0)]
-    """Real balancers beside them."""
+    """The number of real balancers."""
     pushed: bool = True
-    """Whether discovery pushes lists; else balancers poll it."""
+    """Whether discovery pushes lists; else balancers poll for them."""
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
@@ -75,7 +75,7 @@
 async def _play_size(
     plan: Plan, balancers: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
-    """Start so many hollow balancers and play every rate, one after another."""
+    """Start a number of hollow balancers and measure each rate, one after another."""
     watch_calls: list[VersionSeen] = []
 
     def on_watch(agent: int, after: int, at_s: float) -> None:
@@ -111,7 +111,7 @@
     changes: Iterator[tuple[settings.EndpointEntry, ...]],
     watch_calls: list[VersionSeen],
 ) -> Measured[ChangeRow]:
-    """Play changes at one rate until every balancer has the last one."""
+    """Apply changes at one rate, and measure until every balancer has the last one."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / DAY_S
     seed = plan.seed + round(1000 * multiple) + group.hollow
@@ -125,7 +125,7 @@
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
-    """Fit delays over the number of balancers at each rate, and costs over the rate, in all and by number."""
+    """Fit delays over the number of balancers by rate, and costs over the rate by number of balancers."""
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAYS:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -1,4 +1,4 @@
-"""Measures a group of balancers while changes of the list are played at one rate."""
+"""Measures a group of balancers while the list changes at one rate."""
 
 from __future__ import annotations
 
@@ -21,87 +21,87 @@
     from testbed.discovery.agent_state import RequestCounts
 
 FULL_PROCESS_FRACTION = 0.8
-"""A process that uses this much of a core, as a fraction, measures how its balancers wait for one another."""
+"""The fraction of a core from which on a process's delays include its balancers' waits for one another."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DelayColumns(Row):
-    """Milliseconds from the list's change in the stand-in of discovery; null where nothing changed.
+    """Delays from a change of the list at discovery, in milliseconds; null if nothing changed.
 
-    Hollow balancers of a process take a change up one after another, so theirs are upper bounds.
+    The hollow balancers of a process apply a change one after another, so their delays are upper bounds.
     """
 
     median_in_force_ms: float | None = stored_as("in_force_ms_median")
-    """Until the policy of a hollow balancer has the change."""
+    """Until the policy of a hollow balancer has applied the change."""
     p99_in_force_ms: float | None = stored_as("in_force_ms_99")
     max_in_force_ms: float | None = stored_as("in_force_ms_longest")
     median_everywhere_ms: float | None = stored_as("everywhere_ms_median")
-    """Until the policies of all hollow balancers have a change; the median over the changes."""
+    """Until all hollow balancers have applied a change; the median over the changes."""
     median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
-    """Until the next watch call of a hollow balancer says that it has the change."""
+    """Until the next watch request of a hollow balancer acknowledges the change."""
     p99_acknowledged_ms: float | None = stored_as("taken_up_ms_99")
     max_acknowledged_ms: float | None = stored_as("taken_up_ms_longest")
     median_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_median")
-    """Until the next watch call of a real balancer says that it has the change."""
+    """Until the next watch request of a real balancer acknowledges the change."""
     p99_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_99")
     max_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_longest")
     max_written_ms: float | None = stored_as("written_ms_longest")
-    """Until discovery has written the change to all."""
+    """Until discovery has written the change to all open watches."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeRow(Row):
-    """A group of balancers under changes at one rate."""
+    """A group of balancers while the list changes at one rate."""
 
     balancers: int
-    """The hollow balancers."""
+    """The number of hollow balancers."""
     multiple: float
-    """The rate as a multiple of the ordinary one."""
+    """The rate as a multiple of the baseline rate."""
     changes: int
-    """Changes of one entry that were played."""
+    """The number of changes, each of one entry."""
     changes_per_s: float
-    """The rate as it was played."""
+    """The achieved rate."""
     delays: DelayColumns
     core_percent: float
-    """Processor time of a hollow balancer, in hundredths of a core.
+    """Processor time of a hollow balancer, as a percentage of a core.
 
-    It includes the balancer's part of the process's own watch on its loop (under 1 % of a core a process);
-    its slope over the rate is free of that.
+    It includes the balancer's part of the measurement of the event loop's lag (less than 1% of a core for
+    each process). This part does not depend on the rate, so the slope over the rate does not include it.
     """
     real_core_percent: float | None
-    """Processor time of a real balancer, in hundredths of a core, the mean of all; null without them."""
+    """Mean processor time of a real balancer, as a percentage of a core; null if there are none."""
     calls_per_s: float
-    """Calls of a hollow balancer at discovery."""
+    """Requests of a hollow balancer to discovery."""
     bytes_per_s: float
-    """Bytes of those calls, both ways."""
+    """Bytes of these requests and their responses."""
     snapshots: int = stored_as("whole_lists")
-    """Whole lists that hollow balancers got."""
+    """Snapshots that hollow balancers received."""
     p99_loop_lag_ms: float = stored_as("loops_late_ms_99")
-    """The 99th percentile of how late an event loop ran what was due; the largest of all loops."""
+    """The 99th percentile of an event loop's lag; the maximum over all event loops."""
     max_process_percent: float = stored_as("process_percent_most")
-    """Processor time of the busiest process, in hundredths of a core."""
+    """Processor time of the busiest process, as a percentage of a core."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Readings:
-    """What is read as a measurement ends."""
+    """The readings at the end of a measurement."""
 
     elapsed_s: float
     processor_s: list[float]
-    """Processor time by process, hollow balancers' first."""
+    """Processor time of each process, those of hollow balancers first."""
     counts: RequestCounts
-    """What hollow balancers and discovery exchanged."""
+    """Counts of the requests of hollow balancers to discovery."""
     reports: list[HollowReport]
     p99_lag_s: float
-    """The 99th percentile of how late an event loop ran what was due; the largest of all loops."""
+    """The 99th percentile of an event loop's lag; the maximum over all event loops."""
 
 
 class ChangeMeasurement:
-    """Measures a group from its making to `finish`."""
+    """Measures a group from the object's creation to `finish`."""
 
     def __init__(self, group: BalancerGroup) -> None:
         for process in group.processes:
-            process.report()  # drops the lateness of its loop before this measurement
+            process.report()  # resets the lag that was measured so far
         self._group = group
         self._lag = LoopLag(asyncio.get_running_loop())
         self._cores = CoresWatch()
@@ -112,7 +112,7 @@
 
     @property
     def elapsed_s(self) -> float:
-        """The time since it was made."""
+        """The time since the measurement began."""
         return time.monotonic() - self._began
 
     def finish(
@@ -121,12 +121,12 @@
         """End the measurement.
 
         Args:
-            multiple: The rate that was played, as a multiple of the ordinary one.
-            max_lateness_s: How late a change was played, at the most.
-            watch_calls: The versions from which balancers watched, in the order of time.
+            multiple: The rate as a multiple of the baseline rate.
+            max_lateness_s: The maximum lateness of a change.
+            watch_calls: The versions that watch requests acknowledged, in the order of time.
 
         Returns:
-            The row, and why its figures say nothing, if so.
+            The row, and the reasons why it is invalid, if any.
         """
         name = f"{self._group.hollow} balancers, {multiple:g} times"
         elapsed_s = self.elapsed_s
@@ -189,7 +189,7 @@
 
 
 def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
-    """Why the figures say nothing, but for full cores."""
+    """Return why the measurement is invalid, apart from saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: a loop was {readings.p99_lag_s * 1000:.0f} ms late")
@@ -202,12 +202,12 @@
 
 
 def _versions_in_force(reports: list[HollowReport]) -> Iterator[VersionSeen]:
-    """The versions that hollow balancers had in force, by process and then by time."""
+    """Yield the versions that hollow balancers applied, by process and then by time."""
     for report in reports:
         yield from map(VersionSeen, report.balancers, report.indexes, report.times)
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
-    """The processor time of each process so far: those of hollow balancers, then the real ones."""
+    """Return the processor time of each process so far: those of hollow balancers, then the real ones."""
     pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real]
     return [usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -1,4 +1,4 @@
-"""How long after a change of the list each balancer had it."""
+"""The delays from a change of the list until each balancer has it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class VersionSeen(NamedTuple):
-    """A balancer had a version of the list at a moment."""
+    """An observation: a balancer had a version of the list at a time."""
 
     balancer: int
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """How delays are spread, in milliseconds; None where nothing changed."""
+    """The distribution of delays in milliseconds; None if nothing changed."""
 
     median: float | None = None
     p99: float | None = None
@@ -35,18 +35,18 @@
 def delays_ms(
     seen: Iterable[VersionSeen], balancers: range, first: int, changed_at: NDArray[np.float64]
 ) -> Table:
-    """Compute how long after each change each balancer had it.
+    """Compute the delay of each change at each balancer.
 
-    A balancer has a change with the first version seen there that is as new.
+    A balancer has a change from the first observation of that version or a later one.
 
     Args:
-        seen: The versions seen at balancers, by time; other balancers may be among them.
+        seen: The observations in the order of time; those of other balancers are ignored.
         balancers: The numbers of the balancers.
         first: The version of the first change.
-        changed_at: The moments of the changes, in seconds: one a version, from the first one on.
+        changed_at: The times of the changes in seconds, one for each version from `first` on.
 
     Returns:
-        Milliseconds by balancer (rows) and change (columns); infinite where no version as new was seen.
+        Milliseconds by balancer (rows) and change (columns); infinite if the change was never observed.
     """
     wanted = np.arange(first, first + len(changed_at))
     delays = np.full((len(balancers), len(changed_at)), np.inf)
@@ -62,7 +62,7 @@
 
 
 def spread(delays: Table) -> Spread:
-    """Compute the median, the 99th percentile and the longest of a table of delays."""
+    """Compute the median, the 99th percentile and the maximum of a table of delays."""
     if not delays.size:
         return Spread()
     return Spread(float(np.median(delays)), float(np.percentile(delays, 99)), float(delays.max()))
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,6 +1,6 @@
-"""Balancers that follow one stand-in of discovery, for the runs on the control plane.
+"""Groups of balancers under one discovery stand-in, for the runs on the control plane.
 
-A group has hollow balancers, spread over a few processes, and real ones, a process each.
+A group has hollow balancers, spread over a few processes, and real ones with a process each.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     from testbed.results import RowT, RunResult
 
 MAX_LATENESS_S = 0.1
-"""An event loop whose 99th percentile of lateness reaches this measures itself."""
+"""Results are invalid if the 99th percentile of an event loop's lag reaches this time, in seconds."""
 START_TIMEOUT_S = 60.0
-"""The longest wait until all balancers of a group follow the list."""
+"""The timeout in seconds until all balancers of a group follow the list."""
 FOLLOW_TIMEOUT_S = 10.0
-"""The longest wait until all balancers have the last change."""
+"""The timeout in seconds until all balancers have the last change."""
 POLL_INTERVAL_S = 0.01
-"""The pause between two checks of a condition that is waited for."""
+"""The interval in seconds between two checks of a condition."""
 _REAL_HOST = "127.30.0.{}"
 
 
@@ -44,7 +44,7 @@
 
 
 def run_scenario(scenario: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
-    """Run a scenario to its end on a uvloop event loop of its own."""
+    """Run a coroutine on a new uvloop event loop and return its result."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(scenario)
 
@@ -53,7 +53,7 @@
     """Wait until a condition holds.
 
     Raises:
-        ConditionTimeoutError: It did not within the timeout.
+        ConditionTimeoutError: The condition did not hold within the timeout.
     """
     deadline = time.monotonic() + timeout_s
     while not condition():
@@ -63,12 +63,12 @@
 
 
 def all_follow(discovery: Discovery) -> bool:
-    """Whether every balancer watches from the newest version on."""
+    """Whether every balancer has acknowledged the current version."""
     return all(agent.acknowledged_index == discovery.index for agent in discovery.agents.values())
 
 
 def sum_counts(discovery: Discovery, numbers: range) -> RequestCounts:
-    """Add up what the agents of these numbers have counted."""
+    """Return the sum of the counts of some agents."""
     total = RequestCounts()
     for number in numbers:
         total += discovery.agents[number].counts
@@ -77,9 +77,9 @@
 
 @dataclass(slots=True)
 class BalancerGroup:
-    """Balancers under one stand-in of discovery.
+    """Balancers under one discovery stand-in.
 
-    Its first `hollow` agents are those of the hollow balancers, the next ones those of the real ones.
+    The first `hollow` agents are those of the hollow balancers; those of the real balancers follow.
     """
 
     discovery: Discovery
@@ -134,7 +134,7 @@
 
 
 def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Make a stand-in of discovery that ends with the stack; `args` are those of `Discovery`."""
+    """Create a discovery stand-in that stops with the stack; `args` are those of `Discovery`."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -1,4 +1,4 @@
-"""What following the list costs a real balancer at rest, by the length of the list."""
+"""What following an unchanged list costs a real balancer without load, over the length of the list."""
 
 from __future__ import annotations
 
@@ -31,43 +31,43 @@
 
 
 class Plan(experiment.Plan):
-    """Sizes count the entries of the list; there are as many balancers as entries, as the settings say."""
+    """The measurement; sizes count the entries of the list, and the settings give as many balancers."""
 
     span_s: Annotated[float, Field(gt=0)]
-    """How long each is watched, in seconds."""
+    """The length of the measurement in seconds."""
     settle_s: Annotated[float, Field(ge=0)]
-    """From when all follow the list to the start of the watch, in seconds."""
+    """The time between the start of the balancers and that of the measurement, in seconds."""
     hollow: Annotated[int, Field(gt=0)]
-    """Hollow balancers of each size, whose calls and bytes are counted."""
+    """The number of hollow balancers for each size, whose requests and bytes are counted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RestRow(Row):
-    """A real balancer at rest under a list of one length, beside hollow balancers under the same list."""
+    """A real balancer without load, and hollow balancers, with a list of one length."""
 
     entries: int
     """The length of the list."""
     mode: Literal["push", "ask"]
-    """Whether discovery pushes the list or the balancer polls it."""
+    """Whether discovery pushes the list or the balancer polls for it."""
     core_percent: float
-    """Processor time of the real balancer, in hundredths of a core."""
+    """Processor time of the real balancer, as a percentage of a core."""
     resident_mib: float
     """Resident memory of the real balancer, in MiB."""
     descriptors: int
     """Open descriptors of the real balancer."""
     calls_per_s: float
-    """Calls of the real balancer at discovery."""
+    """Requests of the real balancer to discovery."""
     bytes_per_s: float
-    """Bytes of those calls, both ways."""
+    """Bytes of these requests and their responses."""
     hollow_calls_per_s: float
-    """Calls of a hollow balancer at discovery, the mean of all."""
+    """Requests of a hollow balancer to discovery, the mean over all."""
     hollow_bytes_per_s: float
-    """Bytes of those calls, both ways."""
+    """Bytes of these requests and their responses."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """What the balancers of a group have used and exchanged with discovery up to a moment."""
+    """The usage of a group's balancers so far, and their exchange with discovery."""
 
     processor_s: float
     """Processor time of the real balancer."""
@@ -76,7 +76,7 @@
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
-    """Measure a real balancer of each size at rest, all sizes side by side; first pushed, then polling."""
+    """Measure all sizes concurrently, first with pushed lists and then with polling."""
     return run_scenario(_play(plan, log))
 
 
@@ -102,7 +102,7 @@
 async def _start(
     stack: AsyncExitStack, plan: Plan, place: int, entries: int, *, pushed: bool
 ) -> BalancerGroup:
-    """Start the balancers of one size under a discovery of their own; `place` numbers the sizes."""
+    """Start the balancers of one size with a discovery of their own; `place` is the index of the size."""
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{place}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
@@ -121,7 +121,7 @@
 async def _measure(
     plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
 ) -> None:
-    """Watch all sizes over the span and add a row for each."""
+    """Measure all sizes over the span and add a row for each."""
     lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
     began = time.monotonic()
     before = [_read(group) for group in groups]
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -1,4 +1,4 @@
-"""The plan of the run on depth: how the chains are built, what comes at them and what goes wrong."""
+"""The plan of the run on depth: the chains, the load and the faults."""
 
 from typing import Annotated, Literal
 
@@ -15,44 +15,44 @@
 
 
 class Fault(BaseModel):
-    """One fault: in which tier, of how many servers, and what they do meanwhile."""
+    """One fault: the tier, the number of servers, and their behaviour."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     name: str
     behaviour: Behaviour
     fraction: Annotated[float, Field(gt=0, le=1), formerly("fraction", "part")] = 1.0
-    """Of the calls, where servers fail some."""
+    """The fraction of requests that fail, if the behaviour is to fail."""
     tier: Literal["first", "middle", "bottom"] = "bottom"
     servers: Annotated[int, Field(ge=0)] = 0
-    """How many of the tier's; 0 for all."""
+    """The number of faulty servers; 0 for all of the tier."""
 
     def tier_of(self, depth: int) -> int:
-        """The tier of the faulty servers, counted from 1."""
+        """Return the tier of the faulty servers, counted from 1."""
         return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
 
 
 class Plan(experiment.Plan):
-    """How the chains are built, what comes at them and what goes wrong."""
+    """The chains, the load and the faults; sizes count the tiers."""
 
     faults: Annotated[tuple[Fault, ...], Field(min_length=1), formerly("faults", "troubles")]
-    """Each is simulated at each depth."""
+    """The faults, each of which is simulated at each depth."""
     servers_a_tier: Annotated[int, Field(ge=1)] = 6
-    """Each of them with a balancer of its own, but for the last tier's."""
+    """Servers in each tier; each has a balancer of its own, except in the last tier."""
     fronts: Annotated[int, Field(ge=1)] = 6
-    """Balancers that calls from outside come to."""
+    """Front balancers, which receive the outside requests."""
     calls_per_s: Positive = 100.0
-    """The mean rate at which calls come from outside; gaps are exponentially distributed."""
+    """The mean rate of outside requests, a Poisson process."""
     warm_s: NotNegative = 5.0
-    """Before the fault begins; 0 for a fault from the very first call."""
+    """The time before the fault in seconds; with 0 the fault is there from the first request on."""
     fault_s: Annotated[Positive, formerly("fault_s", "trouble_s")] = 15.0
-    """How long the fault lasts."""
+    """The length of the fault in seconds."""
     after_s: NotNegative = 0.0
-    """After the fault has ended; with 0 it lasts until the last call is over."""
+    """The time after the fault in seconds; with 0 the fault lasts until the last request has ended."""
     single_call: bool = False
-    """Only one call comes while the fault lasts."""
+    """Whether only one request arrives during the fault."""
     idempotency: Annotated[Idempotency, formerly("idempotency", "effect")] = Idempotency.SAFE
-    """Keyed calls are kept apart by all servers together for `idempotency_window_ms`."""
+    """If keyed, all servers together deduplicate requests for `idempotency_window_ms`."""
     idempotency_window_ms: Annotated[NotNegative, formerly("idempotency_window_ms", "repeat_window_ms")] = (
         2_000.0
     )
@@ -63,20 +63,20 @@
     may_cancel: bool = True
     may_hedge: Annotated[bool, formerly("may_hedge", "may_duplicate")] = False
     hop_ms: NotNegative = 0.2
-    """A message's way from machine to machine."""
+    """The time of a message between machines."""
     service_ms: NotNegative = 1.0
-    """The mean of a server's own work on a call."""
+    """The mean service time of a server's own work on a request."""
     steady_service: bool = False
-    """All calls take the mean; else exponentially distributed."""
+    """Whether service times are constant; else they are exponentially distributed."""
     workers: Annotated[int, Field(ge=0)] = 64
-    """Calls a server works on at once; 0 for any number."""
+    """Requests that a server works on at the same time; 0 for no limit."""
     queue: Annotated[int, Field(ge=0)] = 64
-    """Calls that wait at a server; further ones are turned away."""
+    """Requests that wait at a server; any more are rejected."""
     events_max: Annotated[int, Field(ge=1), formerly("events_max", "events_most")] = 3_000_000
-    """For each depth and fault: the simulation is cut short after so many."""
+    """The limit on events for each depth and fault, after which a simulation is cut short."""
 
     def shape(self, depth: int) -> ChainSettings:
-        """The chain of so many tiers."""
+        """Return the settings of a chain with `depth` tiers."""
         window = self.idempotency_window_ms if self.idempotency is Idempotency.KEYED else 0.0
         return ChainSettings(
             depth,
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -1,9 +1,9 @@
-"""What a failing server or tier costs in chains of different depths: policies alone, on a virtual clock.
+"""What a failing server or tier costs in chains of different depths, simulated on a virtual clock.
 
-Sizes are depths in tiers. Calls come from outside at random moments, whatever becomes of them, and nobody
-outside tries again. Each row is one depth under one fault; its attempts are those of the calls that came
-while the fault lasted. A run that needs more than `events_max` events is cut short: its row says so, its
-attempts are then lower bounds, and no fit uses it.
+Sizes are depths in tiers. Outside requests arrive as a Poisson process, independent of the responses, and
+clients do not retry. Each row is one depth under one fault; its attempts are those of the requests that
+arrived during the fault. A simulation that needs more than `events_max` events is cut short: its row is
+marked, its attempts are lower bounds, and the fits leave it out.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
-    """Fit growth over depth: as a line, an exponential (ln n over depth) and a power (ln n over ln depth)."""
+    """Fit the growth over depth as linear, as exponential (ln n over depth) and as power law (log-log)."""
     fitted = [row for row in rows if row.fault == fault and not row.cut_short and row.columns()[column]]
     depths = [row.depth for row in fitted]
     if len(set(depths)) < 2:
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -1,4 +1,4 @@
-"""One chain under one fault on a virtual clock: its schedule, and the row that comes of it."""
+"""The simulation of one chain under one fault: its schedule, and its row of the result."""
 
 from __future__ import annotations
 
@@ -23,56 +23,56 @@
     from testbed.runs.depth.plan import Fault, Plan
 
 WINDOW_MS = 500.0
-"""The length of a window in which calls after the fault's end are counted."""
+"""The length of the windows in which requests after the fault are counted."""
 SINGLE_CALL_DELAY_MS = 1_000.0
-"""A single call comes so long after the last one of the warm-up."""
+"""The time between the end of the warm-up and a single request."""
 _OK = 200
 _UNAVAILABLE = 503
 
 
 class Phase(enum.IntEnum):
-    """When a call came."""
+    """The phase in which a request arrived."""
 
     BEFORE = 0
     """Before the fault."""
     DURING = 1
-    """While it lasted."""
+    """During the fault."""
     AFTER = 2
-    """After its end."""
+    """After the fault."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServedColumns(Row):
-    """Fractions of calls from outside with response 200; null where no call came."""
+    """Fractions of outside requests with a 200 response; null if there was no request."""
 
     served: float | None
-    """Of all calls that ended."""
+    """Of all requests that ended."""
     served_before: float | None
-    """Of those before the fault, but for the last ones, which were under way as it began."""
+    """Of those before the fault, except the last `WINDOW_MS`, which may be in flight as it begins."""
     served_while: float | None
     served_after: float | None
     back_after_s: float | None
-    """From the fault's end to the end of the first window that is served as before; null if none is."""
+    """From the end of the fault to the end of the first window that is served as before; null if none is."""
     shed_while: float | None
-    """The fraction rejected without an attempt while the fault lasted."""
+    """The fraction of requests during the fault that were rejected without an attempt."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptColumns(Row):
-    """Attempts for the calls that came while the fault lasted; null where none came."""
+    """Attempts for the requests that arrived during the fault; null if there was none."""
 
     bottom_attempts_a_call: float | None
-    """At the last tier, by call."""
+    """Attempts at the last tier per request."""
     bottom_attempts_an_admitted: float | None
-    """At the last tier, by call for which an attempt was made at all."""
+    """Attempts at the last tier per request for which any attempt was made."""
     max_bottom_attempts: int = stored_as("bottom_attempts_most")
-    """At the last tier, for one call."""
+    """The maximum of attempts at the last tier for one request."""
     attempts_a_call_by_tier: list[float | None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkColumns(Row):
-    """What the simulation took."""
+    """The cost of the simulation."""
 
     virtual_s: float
     """Virtual time at the end."""
@@ -80,9 +80,9 @@
     decisions: int
     """Events that policies handled."""
     machine_us_a_decision: float
-    """Time that policies took by event, on the machine's clock."""
+    """Measured processing time of the policies per event."""
     machine_s: float
-    """Time in all, on the machine's clock."""
+    """Measured time of the simulation."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -91,28 +91,28 @@
 
     depth: int
     fault: str = stored_as("trouble")
-    """Its name in the plan."""
+    """The name of the fault in the plan."""
     calls: int
-    """Calls from outside."""
+    """Outside requests."""
     served: ServedColumns
     attempts: AttemptColumns
     rejected_queue_full: int = stored_as("turned_away_full")
-    """Attempts that servers rejected since their queues were full."""
+    """Attempts that servers rejected because their queues were full."""
     added_a_hop_p50_ms: float | None
-    """What a tier adds to a served call beside the messages' way and the mean of the work; the median."""
+    """The median of the time that a tier adds to a served request, beyond messages and mean service time."""
     added_a_hop_p99_ms: float | None
-    """The same, the 99th percentile."""
+    """The 99th percentile of the same time."""
     bottom_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
-    """The fraction of a call's deadline that its first attempt at the last tier had left; the median."""
+    """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
-    """The fraction served of the calls that came in each window after the fault's end."""
+    """The served fraction of the requests that arrived in each window after the fault."""
     cut_short: bool
-    """Whether the run needed more events than the plan allows: its attempts are then lower bounds."""
+    """Whether the simulation reached the plan's limit on events, so that its attempts are lower bounds."""
     work: WorkColumns
 
 
 class Simulation:
-    """One chain under one fault."""
+    """The simulation of one chain under one fault."""
 
     def __init__(self, plan: Plan, depth: int, fault: Fault) -> None:
         self._plan, self._fault = plan, fault
@@ -131,13 +131,13 @@
         self._schedule_call(0.0)
 
     def _set_behaviour(self, behaviour: Behaviour) -> None:
-        """From now on the servers that the fault is in behave so."""
+        """Change the behaviour of the servers that the fault affects."""
         fault, settings = self._fault, self._chain.settings
         count = fault.servers or settings.servers_per_tier
         self._chain.set_behaviour(fault.tier_of(settings.depth), count, behaviour, fault.fraction)
 
     def _schedule_call(self, now: float) -> None:
-        """Schedule the call after one at `now`, unless it would come after the end."""
+        """Schedule the request after the one at `now`, unless it would arrive after the end."""
         at = now + self._gaps.expovariate(self._plan.calls_per_s / 1000)
         if self._plan.single_call and self._warm_up_end_ms <= at < self._fault_end_ms:
             at = self._fault_end_ms + at - self._warm_up_end_ms
@@ -154,7 +154,7 @@
         return Phase.DURING if at < self._fault_end_ms else Phase.AFTER
 
     def run(self) -> DepthRow:
-        """Run the simulation to its end, or until it has had too many events, and make the row of it."""
+        """Run the simulation to its end or to the limit on events, and return its row."""
         began = time.perf_counter()
         chain = self._chain
         finished = chain.clock.run(self._plan.events_max)
@@ -179,7 +179,7 @@
 
     def _served(self, calls: Sequence[ClientRequest], windows: list[float | None]) -> ServedColumns:
         before, during, after = ([call for call in calls if call.phase == phase] for phase in Phase)
-        # Calls still under way as the fault begins don't tell how it was before.
+        # Requests in flight as the fault begins are not representative of the time before it.
         settled = [call for call in before if call.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
         served_before = _served_fraction(settled)
         shed = [call.status == _UNAVAILABLE and not call.was_attempted for call in during]
@@ -207,7 +207,7 @@
         )
 
     def _added_a_hop_ms(self, calls: Sequence[ClientRequest]) -> list[float]:
-        """What each served call took by tier, beside the messages' way and the mean of the work."""
+        """Return the time per tier of each served request, less messages and mean service time."""
         plain_ms = 2 * self._plan.hop_ms + self._plan.service_ms
         depth = self._chain.settings.depth
         return [
@@ -217,7 +217,7 @@
         ]
 
     def _served_by_window(self, calls: Sequence[ClientRequest]) -> list[float | None]:
-        """The fraction served of the calls that came in each window after the fault's end."""
+        """Return the served fraction of the requests that arrived in each window after the fault."""
         if not self._plan.after_s:
             return []
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
@@ -249,7 +249,7 @@
 
 
 def _back_after_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
-    """Seconds until the end of the first window that is served as before; None if none is."""
+    """Return the time in seconds to the end of the first window served as before; None if none is."""
     for i, served in enumerate(windows):
         if served is not None and served_before is not None and served >= served_before:
             return (i + 1) * WINDOW_MS / 1000
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -1,4 +1,4 @@
-"""What a decision costs a balancer whose list has a certain length."""
+"""The processing time of the policy's decisions with an endpoint list of a given length."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionRound:
-    """What one round measured."""
+    """The measurements of one round."""
 
     arrivals_ns: list[int] = field(default_factory=list)
-    """How long the policy took for each request's arrival."""
+    """The policy's processing time of each `RequestReceived`."""
     ends_ns: list[int] = field(default_factory=list)
-    """How long the policy took for each attempt's end."""
+    """The policy's processing time of each `AttemptFinished`."""
     shed: list[bool] = field(default_factory=list)
-    """Whether no attempt was made, by request."""
+    """For each request, whether the policy made no attempt."""
 
 
 class _End(NamedTuple):
-    """An attempt that will end."""
+    """The scheduled end of an attempt."""
 
     at_ms: float
     request: int
@@ -54,7 +54,7 @@
 
 
 class DecisionCell:
-    """Arrivals and ends of attempts that succeed, at a warm policy under a steady light load."""
+    """Measures a warmed-up policy under a light load of which all attempts succeed."""
 
     def __init__(self, plan: Plan, entries: int, keeps: Keeps, tier: int) -> None:
         self._plan = plan
@@ -73,7 +73,7 @@
         self._play_calls(plan.warm_calls)
 
     def play(self) -> DecisionRound:
-        """Play the calls of one round."""
+        """Run the requests of one round."""
         return self._play_calls(self._plan.calls)
 
     def _play_calls(self, calls: int) -> DecisionRound:
@@ -85,7 +85,7 @@
         return measured
 
     def _play_ends(self, measured: DecisionRound) -> None:
-        """End the attempts whose time has come."""
+        """Finish the attempts that end before the current time."""
         while self._ends and self._ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._ends)
             finished = AttemptFinished(
@@ -94,7 +94,7 @@
             self._handle(finished, end.at_ms, measured.ends_ns)
 
     def _play_arrival(self, measured: DecisionRound) -> None:
-        """Have the next request arrive, and note when the attempts made for it will end."""
+        """Pass the next request to the policy, and schedule the ends of its attempts."""
         self._last_request += 1
         request_class = self._classes[self._last_request % len(self._classes)]
         received = RequestReceived(self._last_request, request_class.name, request_class.deadline_ms)
@@ -108,14 +108,14 @@
             heapq.heappush(self._ends, _End(ends_ms, self._last_request, attempt.endpoint))
 
     def _handle(self, event: Event, now_ms: float, spans_ns: list[int]) -> Sequence[Action]:
-        """Have the policy handle an event, and note how long it took."""
+        """Pass an event to the policy, and record the processing time."""
         began = time.perf_counter_ns()
         actions = self._balancer.handle(event, now_ms)
         spans_ns.append(time.perf_counter_ns() - began)
         return actions
 
     def row(self, quick_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
-        """Make the row of the quick rounds together."""
+        """Return one row for all quick rounds."""
         arrivals_ns = [span for measured in quick_rounds for span in measured.arrivals_ns]
         ends_ns = [span for measured in quick_rounds for span in measured.ends_ns]
         return DecisionRow(
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -1,4 +1,4 @@
-"""What taking up a list of a certain length, and a change of one entry, costs a balancer."""
+"""The cost of applying a snapshot of a given length, and a delta with one entry."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateTimes:
-    """How long each part of one take-up took, in nanoseconds."""
+    """The processing time of each step of one update, in nanoseconds."""
 
     parse: int
     read: int
@@ -45,22 +45,22 @@
 
     @property
     def total(self) -> int:
-        """All parts together."""
+        """The sum of all steps."""
         return self.parse + self.read + self.pools + self.policy
 
 
 @dataclass(frozen=True, slots=True)
 class ListRound:
-    """What one round measured."""
+    """The measurements of one round."""
 
     lists: list[UpdateTimes] = field(default_factory=list)
-    """By whole list."""
+    """One entry for each snapshot."""
     deltas: list[UpdateTimes] = field(default_factory=list)
-    """By change of one entry."""
+    """One entry for each delta."""
 
 
 class ListCell:
-    """Whole lists and changes of one entry: JSON, `read_endpoint_list`, the pools' part and the policy's."""
+    """Measures the steps of snapshots and deltas: JSON, `read_endpoint_list`, connection pools, policy."""
 
     def __init__(self, plan: Plan, entries: int, keeps: Keeps) -> None:
         self._plan = plan
@@ -70,19 +70,19 @@
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
         self._upstreams = UpstreamPools(configuration, loop)
-        loop.close()  # taking up a list opens no connection
+        loop.close()  # applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _BEGIN_MS
         self._changes = 0
         self._discovery.replace_entries(self._entries)
-        # The first list makes what later ones find.
+        # The first list creates the state that later ones update.
         self._apply_update(self._discovery.list_response(-1).body)
         self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         freeze_collector()
 
     def _apply_update(self, body: bytes) -> UpdateTimes:
-        """Take up a response of discovery as the program does."""
+        """Apply a response of discovery with the steps of the program, and return their times."""
         self._now_ms += _UPDATE_INTERVAL_MS
         began = time.perf_counter_ns()
         raw = json.loads(body)
@@ -98,7 +98,7 @@
         return UpdateTimes(parsed - began, was_read - parsed, in_pools - was_read, in_policy - in_pools)
 
     def play(self) -> ListRound:
-        """Take up the whole lists of one round, then its changes."""
+        """Apply the snapshots of one round, then its deltas."""
         measured = ListRound()
         for _ in range(self._plan.lists):
             measured.lists.append(self._apply_update(self._discovery.list_response(-1).body))
@@ -107,7 +107,7 @@
         return measured
 
     def _change(self) -> bytes:
-        """Change the weight of the next entry; discovery's response with the change."""
+        """Change the weight of the next entry, and return discovery's response with the delta."""
         version = self._discovery.index
         self._changes += 1
         entry = self._entries[self._changes % len(self._entries)]
@@ -117,7 +117,7 @@
         return body
 
     def row(self, quick_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
-        """Make the row of the quick rounds together, and measure the memory."""
+        """Return one row for all quick rounds, with the memory measured now."""
         lists = [spans for measured in quick_rounds for spans in measured.lists]
         deltas = [spans for measured in quick_rounds for spans in measured.deltas]
         return ListRow(
@@ -145,13 +145,13 @@
 
 
 def _memory_bytes(text: str) -> int:
-    """Measure what a balancer holds once its list is in force (its watch has begun, no request has come)."""
+    """Measure the memory of a balancer that has applied its list and started its watch, without requests."""
 
     async def start() -> int:
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
-        # The configuration gets no name: what of it the balancer does not keep must not count.
+        # No variable refers to the configuration: parts that the balancer drops must not be counted.
         hollow = Hollow(
             read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
         )
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -11,46 +11,46 @@
 from testbed import experiment, settings
 
 Keeps = Literal["part", "all"]
-"""Whether a balancer keeps to a part of the endpoints, as one of many, or to all, as the only balancer."""
+"""Whether a balancer uses a subset of the endpoints, as one of many, or all, as the only balancer."""
 
 
 class Plan(experiment.Plan):
-    """Sizes count the entries of the list."""
+    """The load, the updates and the rounds; sizes count the entries of the list."""
 
     tiers: tuple[int, ...] = (0, 1)
-    """The tiers sent to; the first one sheds load."""
+    """The tiers that balancers send to; only balancers of the first one shed load."""
     calls_per_s: Annotated[float, Field(gt=0)]
-    """Calls that a balancer gets, on its virtual clock."""
+    """The rate of requests on the balancer's virtual clock."""
     service_ms: Annotated[float, Field(gt=0)]
-    """Mean time of a call at its server (exponential)."""
+    """The mean of the exponentially distributed service times."""
     warm_calls: Annotated[int, Field(ge=0)]
-    """Calls before those that are measured."""
+    """Requests before the measured ones."""
     calls: Annotated[int, Field(gt=0)]
-    """Calls in a round."""
+    """Requests in a round."""
     deltas: Annotated[int, Field(gt=0)]
-    """Changes of one entry in a round."""
+    """Deltas of one entry in a round."""
     lists: Annotated[int, Field(gt=0)]
-    """Whole lists in a round."""
+    """Snapshots in a round."""
     rounds: Annotated[int, Field(gt=0)]
-    """Rounds of each cell that have to be beside a quick reference."""
+    """The number of quick rounds that a cell needs."""
     rounds_max: Annotated[int, Field(gt=0), experiment.formerly("rounds_max", "rounds_most")]
-    """Rounds of each cell that are played at the most to get them."""
+    """The limit on rounds of a cell, whether quick or not."""
 
 
 def configuration(plan: Plan, entries: int, keeps: Keeps, tier: int) -> Configuration:
-    """Read the configuration of a balancer in one cell, as the program does.
+    """Return the configuration of the balancer in one cell, read by the program's own reader.
 
     Args:
         plan: The plan of the run.
         entries: The length of the list.
-        keeps: Whether it keeps to a part of the endpoints or to all of them.
+        keeps: Whether it uses a subset of the endpoints or all of them.
         tier: The tier that it sends to.
     """
     return read_configuration(configuration_text(plan, entries, keeps, tier), ignore_message)
 
 
 def configuration_text(plan: Plan, entries: int, keeps: Keeps, tier: int) -> str:
-    """Write the text of the file that `LB_CONFIG` would name; the arguments are those of `configuration`."""
+    """Return the text of the file that `LB_CONFIG` would name; see `configuration` for the arguments."""
     known = settings.endpoint_entries(entries, seed=plan.seed)
     balancers = entries if keeps == "part" else 1
     balancer_settings = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
@@ -60,11 +60,11 @@
 
 
 def ignore_message(text: str) -> None:
-    """Drop what the program says of settings, which are generated here."""
+    """Ignore messages about the configuration, which is generated."""
 
 
 def freeze_collector() -> None:
-    """Exempt all present objects from later garbage collections, as the program does after its start."""
+    """Exempt all existing objects from later garbage collections, as the program does after its start."""
     gc.unfreeze()
     gc.collect()
     gc.freeze()
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -1,7 +1,8 @@
-"""Rounds of a measurement beside a reference, of which those on an undisturbed core count.
+"""Repeated measurement in rounds, of which only those on an undisturbed core count.
 
-A core's speed varies with its neighbours: a busy sibling nearly halves it. So every cell is played in short
-rounds, each between two of a fixed piece of work, the reference; only rounds beside a quick reference count.
+The speed of a core depends on its sibling hyperthread: a busy sibling nearly halves it. Each cell is
+therefore measured in short rounds, each between two runs of a fixed reference computation, and only rounds
+between two quick references count.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
     from collections.abc import Callable, Sequence
 
 REFERENCE_REPETITIONS = 20
-"""Pieces of work in one reading of the reference, which is their median."""
+"""The number of computations in one reading of the reference, which is their median."""
 INITIAL_REFERENCES = 100
-"""Readings at the start, to know how quick a core is that is left alone."""
+"""The number of readings at the start, whose minimum is the time on an undisturbed core."""
 MAX_QUICK_RATIO = 1.25
-"""A reference up to so many times the least is quick; a busy sibling core makes it nearly twice the least."""
+"""A reference is quick up to this ratio to the minimum; on a core with a busy sibling it is nearly 2."""
 _US_NS = 1e3
 
 
@@ -32,10 +33,10 @@
     """The rounds behind a row."""
 
     rounds: int
-    """Those beside a quick reference, which make the row."""
+    """The number of quick rounds, from which the row is computed."""
     rounds_played: int
     reference_us: float
-    """The longest reference beside one of the quick rounds, in microseconds."""
+    """The maximum of the references of the quick rounds, in microseconds."""
 
 
 RoundT = TypeVar("RoundT")
@@ -44,21 +45,21 @@
 
 
 class Cell(Protocol[RoundT, RowT_co]):
-    """One size under one setting, of which rounds are played."""
+    """One combination of size and settings, which is measured in rounds."""
 
     @property
     def name(self) -> Row:
-        """The columns that tell it from the others."""
+        """The columns that identify the cell."""
 
     def play(self) -> RoundT:
-        """Play one round."""
+        """Run one round."""
 
     def row(self, quick_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
-        """Make the row of the quick rounds together; `columns` becomes a part of it."""
+        """Return one row for all quick rounds, which includes `columns`."""
 
 
 def reference_us() -> float:
-    """Measure the median time of a fixed piece of work, in microseconds."""
+    """Measure the median time of the reference computation, in microseconds."""
     spans_ns = []
     for _ in range(REFERENCE_REPETITIONS):
         began = time.perf_counter_ns()
@@ -76,12 +77,12 @@
 
 
 class Rounds(Generic[RowT]):
-    """Plays cells in rounds, and counts those beside a quick reference.
+    """Measures cells in rounds until enough of them were quick.
 
     Args:
-        quick_rounds: So many quick rounds of a cell end its play.
-        max_rounds: So many rounds of a cell are played at most.
-        reference: Takes a reading of the reference, in microseconds.
+        quick_rounds: The number of quick rounds that each cell needs.
+        max_rounds: The limit on rounds of a cell.
+        reference: Returns a reading of the reference in microseconds.
     """
 
     def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
@@ -93,7 +94,7 @@
         return played.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
 
     def play(self, cell: Cell[Any, RowT]) -> None:
-        """Play rounds until enough were quick, as far as is known by now, or there were too many."""
+        """Run rounds of a cell until enough were quick by the current minimum, or the limit is reached."""
         rounds: list[_Played] = []
         before = self._reference()
         while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
@@ -105,7 +106,7 @@
         self._played.append((cell, rounds))
 
     def result(self) -> RunResult[RowT]:
-        """Make the rows of the quick rounds; the result is invalid where a cell has none."""
+        """Return the rows of all cells; the result is invalid if a cell has no quick round."""
         result: RunResult[RowT] = RunResult()
         for cell, rounds in self._played:
             quick = list(filter(self._is_quick, rounds))
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -1,4 +1,4 @@
-"""The rows of the run on list sizes, and how their costs grow from one length of the list to the next."""
+"""The rows of the run on list sizes, and the growth of their costs from one size to the next."""
 
 import math
 from collections.abc import Sequence
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CellName(Row):
-    """What tells a cell from the others."""
+    """The columns that identify a cell."""
 
     measured: Literal["decision", "list"]
     entries: int
     """The length of the list."""
     keeps: Keeps
     tier: int
-    """The tier sent to."""
+    """The tier that the balancer sends to."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DecisionRow(Row):
-    """Decisions on requests; times in microseconds.
+    """Processing times of the policy in microseconds.
 
-    `arrival` is a request's arrival, `end` the end of an attempt that succeeded. Columns on growth hold the
-    power of the length with which the cost grew since the size before.
+    `arrival` is the arrival of a request, `end` the end of an attempt that succeeded. A growth column is the
+    exponent of the length of the list with which the cost grew from the previous size.
     """
 
     cell: CellName
@@ -39,9 +39,9 @@
     p99_end_us: float = stored_as("end_us_99")
     calls: int
     shed: int
-    """Calls for which no attempt was made."""
+    """Requests for which no attempt was made."""
     servers_called: int
-    """Endpoints that calls were sent to, those of the warm-up among them."""
+    """Endpoints that requests were sent to, including those of the warm-up."""
     rounds: RoundColumns
     arrival_us_mean_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
     arrival_us_99_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -50,18 +50,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListRow(Row):
-    """The take-up of whole lists (medians in milliseconds) and of changes of one entry (in microseconds).
+    """Median processing times of snapshots (in milliseconds) and of deltas with one entry (in microseconds).
 
-    `parse` is the JSON, `read` its check and conversion, `pools` the connection pools' part, `module` the
-    policy's, `whole` all of them. Columns on growth hold the power of the length with which the cost grew
-    since the size before.
+    `parse` is the parsing of JSON, `read` the validation and conversion, `pools` the update of connection
+    pools, `module` that of the policy, `total` the sum. A growth column is the exponent of the length of the
+    list with which the cost grew from the previous size.
     """
 
     cell: CellName
     list_bytes: int
-    """The length of the body of a whole list."""
+    """The length of the body of a snapshot."""
     delta_bytes: int
-    """The length of the body of the last change."""
+    """The length of the body of the last delta."""
     list_parse_ms: float
     delta_parse_us: float
     list_read_ms: float
@@ -74,7 +74,7 @@
     delta_total_us: float = stored_as("delta_whole_us")
     delta_total_us_p99: float = stored_as("delta_whole_us_99")
     memory_kib: float
-    """Memory that a balancer holds once its list is in force."""
+    """Memory of a balancer that has applied its list."""
     rounds: RoundColumns
     delta_module_us_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
     list_module_ms_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -87,14 +87,16 @@
 
 
 def with_growth(rows: Sequence[ListSizeRow]) -> list[ListSizeRow]:
-    """Add to each row the power of the length with which its costs grew since the size before.
+    """Add to each row the exponents of growth of its costs since the previous size.
+
+    The exponent is ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is proportional to
+    the length.
 
     Args:
         rows: Rows of all sizes, ascending.
 
     Returns:
-        The rows in the same order; a power is 0 where a cost is flat and 1 where it grows as the length does.
-        The rows of the first size stay as they are.
+        The rows in the same order; those of the first size are unchanged.
     """
     last_rows: dict[tuple[str, str, int], ListSizeRow] = {}
     grown: list[ListSizeRow] = []
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,8 +1,8 @@
-"""What a list's length costs a balancer: decisions, changes, whole lists, memory and bytes.
+"""The costs of a balancer over the length of its list: decisions, deltas, snapshots, memory and bytes.
 
-In-process, with the real policy and the real connection pools' part on a virtual clock. Each size is played
-with as many balancers as endpoints, each of which keeps to a part of them, and as the only balancer, which
-keeps to all.
+The run measures the real policy and the real connection pools in one process, on a virtual clock. Each size
+is measured for a balancer that uses a subset of the endpoints, with as many balancers as endpoints, and for
+the only balancer, which uses all endpoints.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
-    """Measure every size, kept in part and in all, at every tier."""
+    """Measure every size with a subset and with all endpoints, at every tier."""
     cores = CoresWatch()
     rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
@@ -64,7 +64,7 @@
 
 
 def _fits(plan: Plan, rows: list[ListSizeRow], keeps: Keeps) -> list[Fit]:
-    """Fit the costs of balancers that keep to so much of the list over its length."""
+    """Fit costs over the length of the list, for balancers with a subset or with all endpoints."""
     fits = []
     matching = [row for row in rows if row.cell.keeps == keeps]
     for tier in plan.tiers:
--- a/testbed/runs/loaded.py
+++ b/testbed/runs/loaded.py
@@ -1,4 +1,4 @@
-"""The plan of runs that load real balancers, and upstreams directly beside them."""
+"""The plan of runs that send load through real balancers and, for comparison, directly to upstreams."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Plan(experiment.Plan):
-    """The load; each run says what its sizes count."""
+    """The load; the subclass of each run says what its sizes count."""
 
     per_s: float
-    """Calls a second through all front balancers together; as many go direct."""
+    """Requests per second through all front balancers together; direct requests have the same rate."""
     class_name: str
-    """A class of the made-up settings that is safe to repeat."""
+    """The request class, one of the generated settings that is safe to retry."""
     deadline_ms: float
-    """The deadline of each call, as clients say it in the request."""
+    """The deadline of each request, which clients send in `X-Deadline`."""
     warm_s: float
-    """How long the load runs before it is measured."""
+    """The length of the load before the measurement, in seconds."""
     late_ms: float
-    """The figures are invalid where the 99th percentile of how late calls were sent is above this."""
+    """The results are invalid if the 99th percentile of the load's lateness exceeds this limit."""
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -1,4 +1,4 @@
-"""A chain of tiers whose upstreams are joined by real balancers, beside the same chain without balancers."""
+"""A chain of tiers that are connected by real balancers, and a chain of the same depth without balancers."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from testbed.upstream.connection import ReceivedRequest
 
-_WIDTH = 2  # upstreams of a tier, and balancers in front of it
+_WIDTH = 2  # upstreams in each tier, and balancers that send to each tier
 _STARTED_TOGETHER = 8
 
 
 class Chain:
-    """Tiers of upstreams, joined by real balancers or directly.
+    """Tiers of upstreams that are connected by real balancers, and upstreams that are connected directly.
 
-    Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two more
-    balancers are the clients' front.
+    Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two front
+    balancers send to the first tier.
     """
 
     def __init__(self, seed: int, depth: int) -> None:
@@ -35,14 +35,14 @@
         self.tiers: list[list[Upstream]] = []
         self.balancers: list[RealBalancer] = []
         self.fronts: list[http_client.Client] = []
-        """Clients of the balancers at the front."""
+        """The clients of the front balancers."""
         self.direct: http_client.Client
         """The client of the chain without balancers."""
         self.deadlines_ms: list[float] = []
         """The deadlines of the requests that reached the last tier."""
 
     async def start(self) -> None:
-        """Start all of it, the last tier first: a balancer is put to use once it is ready."""
+        """Start the upstreams and the balancers, and connect them once all balancers are ready."""
         await self._start_direct()
         for tier in range(self._depth):
             await self._start_tier(tier)
@@ -52,7 +52,7 @@
             upstream.on_request = self._record_deadline
 
     async def _start_direct(self) -> None:
-        """Start the chain without balancers: one upstream a tier."""
+        """Start the chain without balancers, with one upstream in each tier."""
         upstreams = await self._upstreams.start(self._depth)
         for upper, lower in itertools.pairwise(upstreams):
             upper.forward = forward_through(
@@ -73,7 +73,7 @@
         )
 
     async def _start_balancers(self) -> None:
-        """Start the balancers in front of every tier, a few at a time."""
+        """Start the balancers of every tier, `_STARTED_TOGETHER` at a time."""
         texts = [self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_WIDTH)]
         for first in range(0, len(texts), _STARTED_TOGETHER):
             for text in texts[first : first + _STARTED_TOGETHER]:
@@ -81,7 +81,7 @@
             await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
-        """The configuration of a balancer that sends to a tier, counted from 0."""
+        """Return the configuration of a balancer that sends to a tier, counted from 0."""
         return settings.configuration_text(
             f"n{tier}-{number}",
             free_address(f"127.78.{tier}.{number + 1}"),
@@ -93,7 +93,7 @@
         )
 
     def _join(self) -> None:
-        """Let each upstream above the last tier call the next tier through a balancer of its own."""
+        """Connect each upstream, except in the last tier, to the next tier through a balancer of its own."""
         clients = [http_client.Client(balancer.address) for balancer in self.balancers]
         self.fronts = clients[:_WIDTH]
         above = [upstream for tier in self.tiers[:-1] for upstream in tier]
@@ -104,11 +104,11 @@
         self.deadlines_ms.append(request.deadline_ms)
 
     def attempts(self) -> list[int]:
-        """The attempts so far at each tier."""
+        """Return the number of attempts so far at each tier."""
         return [sum(upstream.counts.requests for upstream in tier) for tier in self.tiers]
 
     async def stop(self) -> None:
-        """End all of it."""
+        """Stop the balancers, discovery and the upstreams."""
         await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
         for discovery in self._lists:
             await discovery.stop()
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -1,7 +1,7 @@
-"""Real balancers in a deep chain: what they add, which deadline reaches the end, what faults there cause.
+"""Real balancers in deep chains: the time they add, the deadline at the last tier, and faults there.
 
-Beside the chain stands the same one without balancers, one upstream a tier: its calls are the direct ones,
-and the difference is what the balancers add.
+Direct requests go through a chain of the same depth without balancers, with one upstream in each tier; the
+difference in latency is the time that the balancers add.
 """
 
 from __future__ import annotations
@@ -46,17 +46,17 @@
 
 
 class Plan(loaded.Plan):
-    """`sizes` count the tiers, which are also the balancers on a call's way."""
+    """The load and the faults; `sizes` count the tiers, and so the balancers that a request passes."""
 
     faults_at: tuple[int, ...]
-    """The sizes at which the bottom tier fails, hangs and comes back; at the others all is calm."""
+    """The sizes at which the last tier fails, hangs and recovers; the others have no faults."""
     phase_s: float
-    """The length of each phase."""
+    """The length of each phase in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimeColumns(Row):
-    """Quantiles of both ways in milliseconds, over calls with response 200; `added` is the difference."""
+    """Latency quantiles in milliseconds of requests with a 200 response; `added` is the difference."""
 
     direct_50_ms: float
     through_50_ms: float
@@ -78,37 +78,37 @@
     """A chain of one depth in one phase."""
 
     depth: int
-    """The tiers, which are also the balancers on a call's way."""
+    """The number of tiers, and so of the balancers that a request passes."""
     phase: str
     calls: int
-    """Calls through the balancers."""
+    """Requests through the balancers."""
     served: int
-    """Those with response 200."""
+    """Requests with a 200 response."""
     rejected: int = stored_as("refused")
-    """Those with response 503 or 429."""
+    """Requests with a 503 or 429 response."""
     failed: int
-    """All others."""
+    """All other requests."""
     last_unserved_s: float
-    """When the last call was due that was not served, from the start of the phase; 0 if all were."""
+    """The last scheduled time, from the start of the phase, of a request not served; 0 if all were."""
     times: TimeColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
-    """Left out where no call was served one way or the other."""
+    """Omitted if no request, direct or through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
-    """Left out where nothing reached the last tier."""
+    """Omitted if no request reached the last tier."""
     attempts_top: float
-    """Attempts at the first tier by call."""
+    """Attempts at the first tier per request."""
     attempts_bottom: float
-    """Attempts at the last tier by call."""
+    """Attempts at the last tier per request."""
     attempts_by_tier: list[int]
     processor_us_a_call: float
-    """Processor time of all balancers by call."""
+    """Processor time of all balancers per request."""
     resident_mib: float
     """Resident memory of all balancers at the end."""
     cores_busy: float
-    """The busy part of all cores' time, from 0 to 1."""
+    """The fraction of core time that was busy, from 0 to 1."""
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each size and phase, and fit lines over the calm phases."""
+    """Measure each size and phase, and fit lines over the phases without fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -122,7 +122,7 @@
 async def _play_depth(
     plan: Plan, depth: int, result: RunResult[RealDepthRow], log: FilteringBoundLogger
 ) -> None:
-    """Start a chain and play its phases."""
+    """Start a chain and measure its phases."""
     chain = Chain(plan.seed, depth)
     try:
         await chain.start()
@@ -150,18 +150,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Readings:
-    """What was read around a phase."""
+    """The readings before and after a phase."""
 
     usage_before: Usage
     usage_after: Usage
     cores_busy: float
     attempts: list[int]
-    """At each tier."""
+    """The attempts at each tier."""
     reports: dict[str, load.StreamReport]
 
 
 async def _play_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
-    """Play the load of one phase."""
+    """Run the load of one phase and return its row."""
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
     cores = CoresWatch()
@@ -204,7 +204,7 @@
 
 
 def _times(direct: Latencies, through: Latencies) -> TimeColumns | None:
-    """Compare the two ways; None where no call was served one way or the other."""
+    """Compare direct latencies with those through the balancers; return None if either has none."""
     if not through.count or not direct.count:
         return None
     return TimeColumns(
@@ -217,7 +217,7 @@
 
 
 def _deadlines(deadlines_ms: Sequence[float]) -> DeadlineColumns | None:
-    """The median and the shortest of the deadlines; None where there are none."""
+    """Return the median and the minimum of the deadlines, or None if there are none."""
     if not deadlines_ms:
         return None
     ordered = sorted(deadlines_ms)
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -1,7 +1,4 @@
-"""Generated settings, endpoint lists and configurations.
-
-They have the forms of the PROTOCOL, WIRE and DEPLOY pages.
-"""
+"""Generated settings, endpoint lists and configurations (formats: PROTOCOL, WIRE and DEPLOY pages)."""
 
 from __future__ import annotations
 
@@ -16,7 +13,7 @@
 
 
 class EndpointEntry(TypedDict):
-    """One entry of discovery's list, as the PROTOCOL page shows it."""
+    """One entry of discovery's list, in the format of the PROTOCOL page."""
 
     name: str
     address: str
@@ -56,7 +53,7 @@
     "tipAfter": 1_000.0,
 }
 RESOURCE_LIMITS = {"cores": 1.0, "memory_mb": 256, "sockets": 1024}
-"""Of each balancer: cores, memory in MB and file descriptors."""
+"""The limits of each balancer: cores, memory in MB and file descriptors."""
 
 ENDPOINT_TYPES = ("m1", "m2", "m4")
 ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
@@ -64,7 +61,7 @@
 
 ENDPOINT_PORT = 5000
 HOSTS_PER_OCTET = 250
-"""Numbers of loopback hosts use 1 to 250 of the last octet and 0 to 249 of the one before."""
+"""Loopback hosts use 1 to 250 of the last octet and 0 to 249 of the third one."""
 
 
 def balancer_settings(
@@ -75,10 +72,10 @@
     Args:
         balancers: The number of balancers in its tier.
         tier: The tier that it sends to.
-        pushed: Whether discovery pushes lists; else the balancer polls them.
-        zone: Its zone.
-        overrides: Each replaces a whole top-level part, except `limits` and `contract`, of which it replaces
-            single values.
+        pushed: Whether discovery pushes lists; else the balancer polls for them.
+        zone: The balancer's zone.
+        overrides: Replacements of top-level parts; those for `limits` and `contract` are merged into the
+            defaults.
     """
     settings: dict[str, Any] = {
         "balancers": balancers,
@@ -100,7 +97,7 @@
 
 
 def format_address(address: Address | str) -> str:
-    """Return an address in its written form, `host:port`."""
+    """Format an address as `host:port`."""
     return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
 
 
@@ -120,8 +117,8 @@
         name: The balancer's name.
         listen: Where it listens.
         discovery: The address of its discovery agent.
-        known: The endpoint list as the balancer last had it; without one it first requests the whole list.
-        settings: Its settings, from `balancer_settings`.
+        known: The cached endpoint list; without entries the balancer first requests a snapshot.
+        settings: The balancer's settings, from `balancer_settings`.
         seed: The seed of its random numbers.
         index: The version of `known`.
     """
@@ -160,7 +157,7 @@
 
 
 def loopback_host(number: int, first_octet: int = 64) -> str:
-    """Return the loopback host of that number, from 127.`first_octet`.0.1 on."""
+    """Return the loopback host with a number, counted from 127.`first_octet`.0.1."""
     high, low = divmod(number, HOSTS_PER_OCTET * HOSTS_PER_OCTET)
     middle, last = divmod(low, HOSTS_PER_OCTET)
     return f"127.{first_octet + high}.{middle}.{last + 1}"
@@ -182,8 +179,8 @@
         zones: The number of zones, named `r<region>-z<zone>`.
         regions: The number of regions.
         groups: The number of groups in each zone; no two zones share a group.
-        seed: Names, types and weights are drawn from it.
-        addresses: The entries' addresses; without them each entry has a loopback host of its own, where
+        seed: The seed of names, types and weights.
+        addresses: The entries' addresses; by default each entry has a loopback host of its own, on which
             nothing listens.
     """
     source = random.Random(seed)
--- a/testbed/upstream/__init__.py
+++ b/testbed/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams that do no work of their own and respond as they are told."""
+"""Hollow upstreams: HTTP servers that do no work and respond according to a configured behaviour."""
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -1,4 +1,4 @@
-"""What a hollow upstream does with requests, and what became of them."""
+"""The configured behaviour of a hollow upstream, and counts of its requests."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 
 class UpstreamMode(Enum):
-    """How an upstream meets requests."""
+    """How an upstream treats requests."""
 
     SERVE = "serve"
-    """200 and a body once the service time is over, or once the next tier has served."""
+    """Respond 200 with a body after the service time, and after the next tier if there is one."""
     FAIL = "fail"
-    """500 once the service time is over."""
+    """Respond 500 after the service time."""
     REJECT = "turn away"
-    """503 with `X-Not-Run: 1` at once, and 503 to health checks."""
+    """Respond 503 with `X-Not-Run: 1` at once, and 503 to health checks."""
     HANG = "hang"
-    """No response, to health checks neither."""
+    """Do not respond, not even to health checks."""
     RESET = "reset"
-    """The connection breaks after the request's last byte."""
+    """Reset the connection after the request's last byte."""
     REFUSE = "refuse"
-    """Nothing listens, and open connections are reset."""
+    """Close the listener and reset open connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """What an upstream does.
+    """The behaviour of an upstream.
 
     Attributes:
-        mode: How it meets requests.
+        mode: How it treats requests.
         fraction: The fraction (0 to 1) of the requests that the mode applies to; the others are served.
-        service_ms: The time of its work on a request.
+        service_ms: The service time of a request in milliseconds.
     """
 
     mode: UpstreamMode = UpstreamMode.SERVE
@@ -40,18 +40,18 @@
 
 @dataclass(slots=True)
 class UpstreamCounts:
-    """What came to an upstream since it began, and what became of it.
+    """Counts of an upstream since its start.
 
     Attributes:
         connections: Connections that were opened.
-        requests: Requests whose last byte came, without health checks.
+        requests: Requests that were received completely, without health checks.
         served: Requests that got a 200.
         failed: Requests that got a 500.
         rejected: Requests that got a 503.
         hung: Requests that get no response.
         reset: Requests whose connection was reset.
-        abandoned: Requests whose connection the balancer ended before the response, hung ones too.
-        overlapping: Requests on a connection that had one open; the protocol allows none.
+        abandoned: Requests whose connection the balancer closed before the response, including hung ones.
+        overlapping: Requests on a connection that had one open, which the protocol does not allow.
         health_checks: Health checks.
     """
 
--- a/testbed/upstream/connection.py
+++ b/testbed/upstream/connection.py
@@ -19,7 +19,7 @@
 _REASONS = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
 _MS_PER_UNIT = {"m": 1.0, "u": 0.001}
 _LINGER_ZERO = struct.pack("ii", 1, 0)
-"""With SO_LINGER so set, closing a socket sends a reset."""
+"""The value of SO_LINGER with which closing a socket sends a reset."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,10 +29,10 @@
     Attributes:
         class_name: The request class.
         request_id: Its id.
-        deadline_ms: The time that its sender gives it; 0 where it names none.
-        key: The idempotency key; empty where it has none.
+        deadline_ms: The value of `X-Deadline` in milliseconds; 0 if it is missing.
+        key: The idempotency key; empty if it is missing.
         body: The body.
-        received_at: When its last byte came, in seconds of the upstreams' clock.
+        received_at: When its last byte was received, in seconds of the upstreams' clock.
     """
 
     class_name: str
@@ -52,16 +52,16 @@
     clock: Clock
 
     async def handle(self, request: ReceivedRequest, connection: UpstreamConnection) -> None:
-        """Respond to a request, or do what the behaviour says in place of it."""
+        """Treat a request according to the upstream's behaviour."""
 
 
 def read_deadline_ms(text: str) -> float:
-    """Return `X-Deadline`, a number and a unit, in milliseconds; 0 where it is empty."""
+    """Parse the value of `X-Deadline` (a number and a unit) to milliseconds; return 0 if it is empty."""
     return float(text[:-1]) * _MS_PER_UNIT[text[-1]] if text else 0.0
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection, with one request at a time."""
+    """One connection, with at most one open request."""
 
     def __init__(self, upstream: RequestHandler) -> None:
         self._upstream = upstream
@@ -71,20 +71,20 @@
         self._was_reset_here = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the upstream's connections."""
+        """Register with the upstream."""
         self._transport = cast("asyncio.Transport", transport)
         self._upstream.connections.add(self)
         self._upstream.counts.connections += 1
 
     def data_received(self, data: bytes) -> None:
-        """Read on; what is no request ends the connection."""
+        """Parse the data; a malformed request resets the connection."""
         try:
             self._reader.feed(data)
         except MalformedRequestError:
             self.reset()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Leave the upstream's connections; an open request is abandoned."""
+        """Unregister from the upstream and cancel the open request, which counts as abandoned."""
         self._upstream.connections.discard(self)
         if self._task is not None:
             self._upstream.counts.abandoned += not self._was_reset_here
@@ -135,7 +135,7 @@
         self._transport.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     def reset(self) -> None:
-        """Break the connection as a process does that is killed."""
+        """Reset the connection, as the kernel does when the process is killed."""
         if self._transport is None:
             raise NotConnectedError
         self._was_reset_here = True
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -18,14 +18,14 @@
     from testbed.http.client import Clock
 
 FIRST_OCTET = 72
-"""Upstreams listen on 127.72.x.y and on, if not said otherwise."""
+"""By default, upstreams listen on hosts from 127.72.0.1 on."""
 
 
 class UpstreamGroup:
-    """Hollow upstreams in this process, all random numbers from one seed.
+    """Hollow upstreams in this process, whose random numbers are drawn from one seed.
 
     Attributes:
-        upstreams: All of them, in the order of their start.
+        upstreams: The upstreams in the order of their start.
     """
 
     def __init__(self, seed: int, clock: Clock = time.perf_counter) -> None:
@@ -34,7 +34,7 @@
         self.upstreams: list[Upstream] = []
 
     async def start(self, count: int, first_octet: int = FIRST_OCTET) -> list[Upstream]:
-        """Start and return `count` more that serve, on hosts of their own from 127.`first_octet`.0.1 on."""
+        """Start and return `count` more upstreams, each on its own host from 127.`first_octet`.0.1 on."""
         first = len(self.upstreams)
         for number in range(first, first + count):
             source = random.Random(f"{self._seed}/{number}")
@@ -44,20 +44,20 @@
         return self.upstreams[first:]
 
     def total(self) -> UpstreamCounts:
-        """Return the sum of their counts."""
+        """Return the sum of the upstreams' counts."""
         total = UpstreamCounts()
         for upstream in self.upstreams:
             total += upstream.counts
         return total
 
     def close(self) -> None:
-        """Close all of them."""
+        """Close all upstreams."""
         for upstream in self.upstreams:
             upstream.close()
 
 
 class UpstreamProcess:
-    """Hollow upstreams in a child process, so that they take no time from the load's event loop.
+    """Hollow upstreams in a child process, so that they do not delay the event loop of the load.
 
     Attributes:
         pid: The child's process id.
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -1,7 +1,6 @@
-"""A hollow upstream: a server in the form of the PROTOCOL page that does no work.
+"""A hollow upstream: an HTTP server that does no work (PROTOCOL page).
 
-It responds, fails and hangs as its behaviour says, counts what comes, and may call a next tier as servers of
-chains do.
+It treats requests according to its behaviour, counts them, and may send a request to the next tier for each.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 NOT_RUN_HEADERS = ("X-Not-Run: 1",)
 
 Forward = Callable[[ReceivedRequest, float], Awaitable[int]]
-"""Calls the next tier for a request, within so many milliseconds; the result is the status that came back."""
+"""Sends a request to the next tier with a timeout in milliseconds, and returns the response status."""
 
 
 def forward_through(client: Client, ids: Iterator[str]) -> Forward:
-    """Return what calls the next tier through a client: a new request with the next of the ids."""
+    """Return a function that sends a request to the next tier through a client, under a new id."""
 
     async def forward(request: ReceivedRequest, remaining_ms: float) -> int:
         message = compose_request(request.class_name, next(ids), remaining_ms, request.key, request.body)
@@ -43,10 +42,10 @@
     Attributes:
         address: Where it listens.
         clock: Returns the time in seconds.
-        behaviour: What it does with requests.
-        forward: Calls the next tier; None where there is none.
-        on_request: Takes each request as it comes.
-        counts: What came, and what became of it.
+        behaviour: How it treats requests.
+        forward: Sends a request to the next tier; None in the last tier.
+        on_request: Called with each received request.
+        counts: Counts of its connections and requests.
         connections: The open connections.
     """
 
@@ -70,7 +69,7 @@
             await self.listen()
 
     async def listen(self) -> None:
-        """Listen; the port is the system's choice the first time."""
+        """Start to listen. The system chooses the port the first time; later calls use the same port."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self.address)
@@ -88,7 +87,7 @@
             connection.reset()
 
     async def handle(self, request: ReceivedRequest, connection: UpstreamConnection) -> None:
-        """Do with a request what the behaviour says."""
+        """Treat a request according to the behaviour."""
         behaviour = self.behaviour
         self.counts.requests += 1
         if self.on_request is not None:
@@ -107,7 +106,7 @@
             await self._work(request, connection, behaviour.service_ms, serves=mode is UpstreamMode.SERVE)
 
     def _draw_mode(self, behaviour: Behaviour) -> UpstreamMode:
-        """Draw whether the behaviour applies to a request; certain from a fraction of 1 on."""
+        """Draw the mode for a request: that of the behaviour with probability `fraction`, else `SERVE`."""
         if behaviour.fraction < 1 and self._source.random() >= behaviour.fraction:
             return UpstreamMode.SERVE
         return behaviour.mode
@@ -115,7 +114,7 @@
     async def _work(
         self, request: ReceivedRequest, connection: UpstreamConnection, service_ms: float, *, serves: bool
     ) -> None:
-        """Work on a request, then serve it or fail."""
+        """Wait for the service time, then respond 200 or 500."""
         if service_ms > 0:
             await asyncio.sleep(service_ms / 1000)
         if serves and await self._next_tier_serves(request):
@@ -126,7 +125,7 @@
             connection.respond(500)
 
     async def _next_tier_serves(self, request: ReceivedRequest) -> bool:
-        """Call the next tier in the time that remains; True where there is none."""
+        """Send a request to the next tier in the remaining time; return True if there is no next tier."""
         if self.forward is None:
             return True
         remaining_ms = request.deadline_ms - (self.clock() - request.received_at) * 1000
--- a/testbed/virtual_clock.py
+++ b/testbed/virtual_clock.py
@@ -1,6 +1,6 @@
-"""A virtual clock and its event queue: simulated time passes from one event to the next, and nothing waits.
+"""A virtual clock with an event queue, for discrete-event simulations.
 
-The clock is used by every simulation of the testbed and of the policy's tests. All times are milliseconds.
+The simulations of the testbed and of the policy's tests use this clock. All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 class VirtualClock:
     """Simulated time, and the callbacks that are scheduled on it.
 
-    Callbacks run in the order of their moments; those of the same moment run in the order of scheduling.
+    Callbacks run in the order of their times; those with the same time run in the order of scheduling.
 
     Attributes:
-        now: The current moment, in milliseconds from the start of the simulation.
+        now: The current time, in milliseconds from the start of the simulation.
         events_run: How many callbacks have run so far.
     """
 
@@ -29,18 +29,18 @@
         self._scheduled = 0
 
     def schedule(self, time_ms: float, callback: Callable[[Any], None], argument: Any) -> None:
-        """Call `callback(argument)` at a moment, or at the current one if that moment has passed."""
+        """Schedule `callback(argument)` for a time, or for the current time if that one has passed."""
         self._scheduled += 1
         heapq.heappush(self._queue, (max(time_ms, self.now), self._scheduled, callback, argument))
 
     def run(self, max_events: int) -> bool:
-        """Run callbacks until none is left.
+        """Run callbacks until the queue is empty or the limit is reached.
 
         Args:
-            max_events: The limit on `events_run`, those of earlier calls included.
+            max_events: The limit on `events_run`, which includes those of earlier calls.
 
         Returns:
-            Whether the queue is empty; False says that the limit was reached before.
+            True if the queue is empty, False if the limit was reached first.
         """
         queue, pop = self._queue, heapq.heappop  # local names: this loop runs millions of times
         while queue:
@@ -52,7 +52,7 @@
         return True
 
     def run_until(self, time_ms: float) -> None:
-        """Run the callbacks that are due at or before a moment, then set the clock to it."""
+        """Run the callbacks scheduled up to and including a time, then set the clock to that time."""
         queue = self._queue
         while queue and queue[0][0] <= time_ms:
             self.events_run += 1
