--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -71,6 +71,11 @@
         self._consecutive_failures = 0
         self._moved_at_s = -math.inf
 
+    @property
+    def connection(self) -> DiscoveryConnection | None:
+        """The connection of the latest call; None before the first one is established."""
+        return self._connection
+
     def start(self) -> None:
         """Start the watch where lists are pushed: the policy does not ask for it there."""
         if not self._polls_discovery:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -64,7 +64,7 @@
         self.balancer = LoadBalancer(config.settings, config.seed)
         self.upstreams = UpstreamPools(config, loop)
         self.listener = Listener(config, loop, self, self.log.exception)
-        self._endpoint_watch = EndpointWatch(config, self._on_endpoint_list, self._on_watch_failed)
+        self.endpoint_watch = EndpointWatch(config, self._on_endpoint_list, self._on_watch_failed)
         self._health_checks = HealthChecks(self.upstreams, self._dispatch)
         self._requests = OpenRequests()
         self._attempts = AttemptRunner(
@@ -88,13 +88,13 @@
     def start_without_listener(self) -> None:
         """Hand the known endpoints to the policy and watch discovery, but accept no clients."""
         self._update_endpoints(EndpointListKind.CACHED, self._known_endpoints)
-        self._endpoint_watch.start()
+        self.endpoint_watch.start()
         self._close_expired_connections()
 
     def reconfigure(self, config: Configuration) -> None:
         """Use discovery's address of a new configuration; open requests and connections go on."""
         self.log.write(f"configuration reloaded: discovery at {config.discovery[0]}:{config.discovery[1]}")
-        self._endpoint_watch.move_to(config.discovery)
+        self.endpoint_watch.move_to(config.discovery)
 
     def _close_expired_connections(self) -> None:
         self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_expired_connections)
@@ -232,7 +232,7 @@
             case CloseIdleConnections(endpoint):
                 self.upstreams.close_idle_connections(endpoint)
             case WatchEndpoints():
-                self._endpoint_watch.start_watch()
+                self.endpoint_watch.start_watch()
             case LogMessage(text):
                 self.log.write(text)
             case _:
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -21,6 +21,16 @@
         self._older: set[bytes] = set()
         self._generation_started_at_s = time.monotonic()
 
+    @property
+    def open_count(self) -> int:
+        """The number of ids of open requests."""
+        return len(self._open)
+
+    @property
+    def finished_count(self) -> int:
+        """The number of ids of finished requests that are remembered."""
+        return len(self._recent) + len(self._older)
+
     def add(self, request_id: bytes) -> bool:
         """Enter the id of a new request; false if it is in use."""
         if request_id in self._open or request_id in self._recent or request_id in self._older:
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -87,9 +87,14 @@
         self._connect_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
+    @property
+    def connection(self) -> UpstreamConnection | None:
+        """The connection that the request was sent on; None before that."""
+        return self._connection
+
     def start(self, timeout_s: float) -> None:
         """Send on an idle connection, or open one; `on_end` is not called before this returns."""
-        self._timer = self._loop.call_later(timeout_s, self._timed_out)
+        self._timer = self._loop.call_later(timeout_s, self.handle_timeout)
         connection = self._connections.take_idle_connection()
         if connection is not None:
             self._send(connection)
@@ -116,6 +121,11 @@
         """End the attempt, as the connection ended or carried bytes that are not a valid response."""
         self._finish(Outcome.RESET)
 
+    def handle_timeout(self) -> None:
+        """End the attempt, as its time is up."""
+        # Without a connection nothing was written, so that the upstream cannot have processed the request.
+        self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
+
     async def _connect(self) -> None:
         try:
             async with asyncio.timeout(self._connect_timeout_s):
@@ -146,10 +156,6 @@
         self._connection = connection
         connection.send(self._compose(), self)
 
-    def _timed_out(self) -> None:
-        # Without a connection nothing was written: the request was not processed, whatever the reason.
-        self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
-
     def _finish(self, outcome: Outcome, response: Response | None = None) -> None:
         on_end, self._on_end = self._on_end, None
         if on_end is None:
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -45,6 +45,11 @@
         self._is_written = False
         self._is_closed = False
 
+    @property
+    def transport(self) -> asyncio.Transport | None:
+        """The transport; None until the connection is established."""
+        return self._transport
+
     @property
     def unsent_bytes(self) -> int:
         """How many bytes of the request still wait in the buffer of this process."""
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -71,8 +71,8 @@
             client.send()
             await client.read_response()
             (client_connection,) = rig.proxy.listener.connections
-            upstream_connection = rig.proxy.upstreams._pools["s0"].idle_connections[0]
-            for transport in (upstream_connection._transport, client_connection.transport):
+            upstream_connection = rig.proxy.upstreams.pool("s0").idle_connections[0]
+            for transport in (upstream_connection.transport, client_connection.transport):
                 assert transport is not None
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -67,7 +67,7 @@
             endpoint = entry("s9", rig.entries[0]["address"])
             rig.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
             assert "after=2&" in await rig.discovery.calls.get()
-            assert set(rig.proxy.upstreams._pools) == {"s9"}
+            assert rig.proxy.upstreams.endpoint_names == {"s9"}
 
     run(scenario())
 
@@ -79,7 +79,7 @@
             await rig.discovery.calls.get()
             whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
             rig.discovery.responses.put_nowait(whole[:-5])
-            connection = rig.proxy._endpoint_watch._connection
+            connection = rig.proxy.endpoint_watch.connection
             assert connection is not None
             while not connection.is_receiving:
                 await asyncio.sleep(0.001)
@@ -91,7 +91,7 @@
             new.publish(3, entry("new", rig.entries[0]["address"]), snapshot=True)
             assert "after=3&" in await new.calls.get()
             await rig.discovery.connection_closed.wait()
-            assert set(rig.proxy.upstreams._pools) == {"new"}
+            assert rig.proxy.upstreams.endpoint_names == {"new"}
 
     run(scenario())
 
@@ -102,9 +102,9 @@
         upstreams = make_pools(await upstream.start())
         attempt = ObservedAttempt(upstreams)
         await upstream.seen.wait()
-        connection = attempt.attempt._connection
+        connection = attempt.attempt.connection
         assert connection is not None
-        attempt.attempt._timed_out()
+        attempt.attempt.handle_timeout()
         connection.data_received(response())  # it was read before, and is passed on only now
         await upstream.connection_closed.wait()
         assert attempt.ends == [Outcome.TIMED_OUT]
@@ -122,7 +122,7 @@
         upstream = Upstream()
         async with Rig(upstream) as rig:
             assert status(await rig.send_request()) == 200
-            (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
+            (idle,) = rig.proxy.upstreams.pool("s0").idle_connections
             idle.idle_since -= 1.0
             is_alive = UpstreamConnection.is_alive
             checks: list[bool] = []
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -41,7 +41,7 @@
             rig.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
             kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
             assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-            assert set(rig.proxy.upstreams._pools) == {"s1"}
+            assert rig.proxy.upstreams.endpoint_names == {"s1"}
 
     run(scenario())
 
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -36,5 +36,5 @@
         assert not ids.add(request_id)
         ids.finish(request_id)
         assert not ids.add(request_id)
-    assert len(ids._recent) + len(ids._older) <= 21
-    assert not ids._open
+    assert ids.finished_count <= 21
+    assert ids.open_count == 0
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -44,7 +44,7 @@
         assert discovery.counts().snapshots == 2
         for hollow in hollows:
             assert len(hollow.balancer.ready_endpoints) == 19
-            assert len(hollow.upstreams._pools) == 20
+            assert len(hollow.upstreams.endpoint_names) == 20
             assert draining["name"] not in hollow.balancer.ready_endpoints
             with pytest.raises(ConnectionError):  # no callers
                 await asyncio.open_connection(*hollow.listener.address)
