--- /dev/null
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -0,0 +1,75 @@
+"""The deadline watchdog: responds to requests that the policy has left open, shortly before their deadlines.
+
+The deadline budget of a request is the time until its client's deadline. The policy gets all of it but
+`POLICY_DEADLINE_MARGIN_MS`. The watchdog responds in the last `WATCHDOG_MARGIN_MS`, which is reached only if
+the policy, or the code that performs its actions, has failed.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from loadbalancer.events import ClientDisconnected
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from loadbalancer.events import Event
+    from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
+
+POLICY_DEADLINE_MARGIN_MS = 10.0
+"""How long before the client's deadline the policy's ends: the response still has to reach the client."""
+
+WATCHDOG_MARGIN_MS = 5.0
+"""How long before the client's deadline the watchdog responds: after the policy's deadline, and in time."""
+
+
+class DeadlineWatchdog:
+    """Responds to requests that must not stay open any longer.
+
+    Args:
+        loop: The event loop, which runs the timers.
+        requests: The requests by number.
+        dispatch: Passes an event of a request to the policy.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        requests: OpenRequests,
+        dispatch: Callable[[Event, ProxiedRequest], None],
+    ) -> None:
+        self._loop = loop
+        self._requests = requests
+        self._dispatch = dispatch
+
+    def watch(self, request: ProxiedRequest, deadline_budget_ms: float) -> None:
+        """Set the timer that responds to a request shortly before its client's deadline.
+
+        Args:
+            request: The request; it cancels the timer when it is closed.
+            deadline_budget_ms: The time until the client's deadline.
+        """
+        delay_s = max(deadline_budget_ms - WATCHDOG_MARGIN_MS, 0.0) / 1000
+        request.set_watchdog_timer(self._loop.call_later(delay_s, self.respond, request.number))
+
+    def respond(self, number: int | None) -> None:
+        """Respond to a request if it is still open, and end its attempts.
+
+        The status is 502 if an attempt may have had an effect, and 503 if the request surely had none.
+
+        Args:
+            number: The number of the request; None, or one that is unknown, has no effect.
+        """
+        request = self._requests.get(number)
+        if request is None or not request.is_open:
+            return
+        request.respond(502 if request.may_have_run or request.running_attempts else 503)
+        self._dispatch(ClientDisconnected(request.number), request)  # the policy cancels running attempts
+        request.drop_unsent_attempts()
+
+    def respond_to_all(self) -> None:
+        """Respond to all requests that are open."""
+        for number in self._requests:
+            self.respond(number)
--- /dev/null
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -0,0 +1,53 @@
+"""Applies each endpoint list: to the connection pools first, then to the policy."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from loadbalancer.events import EndpointListKind, EndpointListUpdate
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from loadbalancer.configuration import EndpointList
+    from loadbalancer.events import Event
+    from loadbalancer.network.upstream.pool import UpstreamPools
+
+
+class EndpointListUpdater:
+    """Applies the endpoint lists of the configuration and of discovery.
+
+    Args:
+        upstreams: The connection pools.
+        dispatch: Passes an event to the policy.
+        on_applied: Called with each endpoint list once the policy has applied it, if given.
+    """
+
+    def __init__(
+        self,
+        upstreams: UpstreamPools,
+        dispatch: Callable[[Event], None],
+        on_applied: Callable[[EndpointList], None] | None,
+    ) -> None:
+        self._upstreams = upstreams
+        self._dispatch = dispatch
+        self._on_applied = on_applied
+
+    def apply_cached(self, endpoint_list: EndpointList) -> None:
+        """Apply the list that was known before discovery has been reached."""
+        self._apply(EndpointListKind.CACHED, endpoint_list)
+
+    def apply(self, endpoint_list: EndpointList) -> None:
+        """Apply a list that discovery sent: a snapshot, or the entries that have changed."""
+        kind = EndpointListKind.SNAPSHOT if endpoint_list.is_complete else EndpointListKind.DELTA
+        self._apply(kind, endpoint_list)
+
+    def report_failure(self) -> None:
+        """Notify the policy that the watch has failed."""
+        self._dispatch(EndpointListUpdate(EndpointListKind.FAILED))
+
+    def _apply(self, kind: EndpointListKind, endpoint_list: EndpointList) -> None:
+        self._upstreams.update_endpoints(endpoint_list)
+        self._dispatch(EndpointListUpdate(kind, tuple([e.endpoint for e in endpoint_list.endpoints])))
+        if self._on_applied is not None:
+            self._on_applied(endpoint_list)
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -26,7 +26,7 @@
     """
 
     __slots__ = (
-        "_fail_safe_timer",
+        "_watchdog_timer",
         "attempts",
         "expires_at_ms",
         "incoming",
@@ -46,17 +46,17 @@
         self.may_have_run = False
         self.running_attempts = 0
         self.queued_events = 0
-        self._fail_safe_timer: asyncio.TimerHandle | None = None
+        self._watchdog_timer: asyncio.TimerHandle | None = None
 
-    def set_fail_safe_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Keep the timer of the fail-safe response, which is cancelled as the request closes."""
-        self._fail_safe_timer = timer
+    def set_watchdog_timer(self, timer: asyncio.TimerHandle) -> None:
+        """Keep the timer of the deadline watchdog, which is cancelled as the request closes."""
+        self._watchdog_timer = timer
 
     def close(self) -> None:
         """Note that nobody waits for a response any more, or that it is about to be sent."""
         self.is_open = False
-        if self._fail_safe_timer is not None:
-            self._fail_safe_timer.cancel()
+        if self._watchdog_timer is not None:
+            self._watchdog_timer.cancel()
 
     def respond(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
         """Close the request and send its response to the client."""
--- a/testbed/chain_host.py
+++ b/testbed/chain_host.py
@@ -34,7 +34,7 @@
     RequestReceived,
     TimerFired,
 )
-from loadbalancer.network.proxy import FAIL_SAFE_MARGIN_MS, RESPONSE_MARGIN_MS
+from loadbalancer.network.deadline_watchdog import POLICY_DEADLINE_MARGIN_MS, WATCHDOG_MARGIN_MS
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed.chain_request import ChainStatistics, ClientRequest, Responder
 from testbed.chain_server import Attempt, Server
@@ -112,13 +112,13 @@
         self._last_number += 1
         now = self._clock.now
         request = _Request(
-            self._last_number, responder, client_request, now + remaining_ms - RESPONSE_MARGIN_MS
+            self._last_number, responder, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
         )
         self._requests[request.number] = request
         self._clock.schedule(
-            now + max(remaining_ms - FAIL_SAFE_MARGIN_MS, 0.0), self._respond_before_deadline, request
+            now + max(remaining_ms - WATCHDOG_MARGIN_MS, 0.0), self._respond_before_deadline, request
         )
-        policy_ms = max(remaining_ms - RESPONSE_MARGIN_MS, 0.0)
+        policy_ms = max(remaining_ms - POLICY_DEADLINE_MARGIN_MS, 0.0)
         self._dispatch(RequestReceived(request.number, self._class_name, policy_ms), request)
         return request.number
 
--- a/testbed/hollow.py
+++ b/testbed/hollow.py
@@ -17,18 +17,17 @@
 """Takes the version of a list that is in force, and since when in seconds of the monotonic clock."""
 
 
-class Hollow(Proxy):
+class Hollow:
     """A balancer without clients; `on_force(index, at)` is called once the policy has applied a list."""
 
     def __init__(self, config: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce) -> None:
-        super().__init__(config, loop)
+        self.proxy = Proxy(config, loop, self._report)
         self._on_force = on_force
-        self.listener.close()  # bound and not listening yet: no client is to connect
+        self.proxy.listener.close()  # bound and not listening yet: no client is to connect
 
     def start(self) -> None:
         """Apply the cached endpoint list and begin the watch, as a real balancer does."""
-        self.start_without_listener()
+        self.proxy.start(accepts_clients=False)
 
-    def on_endpoints_updated(self, endpoint_list: EndpointList) -> None:
-        """Report the version of the list that is in force from now on."""
+    def _report(self, endpoint_list: EndpointList) -> None:
         self._on_force(endpoint_list.index, time.monotonic())
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -240,7 +240,7 @@
                 await asyncio.sleep(0.001)
             if disconnect is not None:
                 disconnect(client)
-            rig.proxy._dispatch(TimerFired(timers[0]))
+            rig.proxy.dispatcher.dispatch(TimerFired(timers[0]))
             assert await ids_received(rig) == ["1"] * (1 if disconnect else 2)
 
     run(scenario())
@@ -264,7 +264,7 @@
                 await asyncio.sleep(0.001)
             client.close()
             await left.wait()
-            rig.proxy._dispatch(TimerFired(timers[0]))
+            rig.proxy.dispatcher.dispatch(TimerFired(timers[0]))
             assert rig.proxy.open_requests, "the first attempt is still in progress"
             assert await ids_received(rig) == ["1"]
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -180,8 +180,8 @@
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(
-            "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
-        )  # the fail-safe response comes too late
+            "loadbalancer.network.deadline_watchdog.WATCHDOG_MARGIN_MS", -1e6
+        )  # the watchdog's response comes too late
         async with Rig(Upstream()) as rig:
             handle = rig.proxy.balancer.handle
             events: list[Event] = []
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -102,20 +102,21 @@
     assert ours == {"loadbalancer"} | {
         f"loadbalancer.{name}"
         for name in (
-            "__main__ actions configuration endpoints errors events network network.client "
-            "network.client.connection network.client.context network.client.graceful_shutdown "
-            "network.client.incoming_request network.client.listener network.client.pipeline "
-            "network.client.request_reader network.client.response_writer network.client.transport "
-            "network.clock network.discovery network.discovery.connection network.discovery.watch "
-            "network.errors network.headers network.log network.open_requests network.proxy "
-            "network.request_ids network.sockets network.upstream network.upstream.attempt "
+            "__main__ actions configuration endpoints errors events network network.action_performer "
+            "network.client network.client.connection network.client.context "
+            "network.client.graceful_shutdown network.client.incoming_request network.client.listener "
+            "network.client.pipeline network.client.request_reader network.client.response_writer "
+            "network.client.transport network.clock network.deadline_watchdog network.discovery "
+            "network.discovery.connection network.discovery.watch network.endpoint_list_updater "
+            "network.errors network.event_dispatcher network.headers network.log network.open_requests "
+            "network.proxy network.request_ids network.sockets network.upstream network.upstream.attempt "
             "network.upstream.attempt_runner network.upstream.connection network.upstream.health_checks "
             "network.upstream.pool network.upstream.request_bytes network.upstream.response_reader policy "
             "policy.admission policy.arrivals policy.attempt_recorder policy.available_capacity "
             "policy.balancer policy.capacity policy.endpoint_set policy.endpoint_stats policy.idempotency "
             "policy.idle_connections policy.outlier_detection policy.overload policy.peers "
             "policy.poll_backoff policy.request policy.retry policy.selection policy.service_times "
-            "policy.slow_start policy.warmup settings settings_reader timers "
+            "policy.slow_start policy.warmup settings settings_reader timers"
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -43,11 +43,11 @@
         assert in_force == [[0, first, second]] * 2
         assert discovery.counts().snapshots == 2
         for hollow in hollows:
-            assert len(hollow.balancer.ready_endpoints) == 19
-            assert len(hollow.upstreams.endpoint_names) == 20
-            assert draining["name"] not in hollow.balancer.ready_endpoints
+            assert len(hollow.proxy.balancer.ready_endpoints) == 19
+            assert len(hollow.proxy.upstreams.endpoint_names) == 20
+            assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
             with pytest.raises(ConnectionError):  # no callers
-                await asyncio.open_connection(*hollow.listener.address)
+                await asyncio.open_connection(*hollow.proxy.listener.address)
 
     run(scenario())
 
