--- a/loadbalancer/network/action_performer.py
+++ b/loadbalancer/network/action_performer.py
@@ -17,7 +17,6 @@
     WatchEndpoints,
 )
 from loadbalancer.events import TimerFired
-from loadbalancer.network.upstream.health_checks import HealthChecks
 
 if TYPE_CHECKING:
     import asyncio
@@ -30,43 +29,62 @@
     from loadbalancer.network.log import RateLimitedLog
     from loadbalancer.network.open_requests import OpenRequests
     from loadbalancer.network.upstream.attempt_runner import AttemptRunner
+    from loadbalancer.network.upstream.health_checks import HealthChecks
     from loadbalancer.network.upstream.pool import UpstreamPools
 
 
+class PolicyTimers:
+    """Runs the timers that the policy sets.
+
+    Args:
+        loop: The event loop, which runs the timers.
+        clock: The clock of the policy's times.
+        dispatch: Passes an event to the policy.
+    """
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, clock: Clock, dispatch: Callable[[Event], None]
+    ) -> None:
+        self._loop = loop
+        self._clock = clock
+        self._dispatch = dispatch
+
+    def set(self, action: SetTimer) -> None:
+        """Set a timer; the policy gets `TimerFired` when its time has come."""
+        delay_s = max(action.at_ms - self._clock.now(), 0.0) / 1000
+        self._loop.call_later(delay_s, self._dispatch, TimerFired(action.timer))
+
+
 class ActionPerformer:
     """Performs one action of the policy at a time.
 
     Args:
-        loop: The event loop, which runs the policy's timers.
-        clock: The clock of the times in actions.
         requests: The requests by the numbers in actions.
+        timers: The timers of the policy.
         attempts: Starts and cancels attempts.
+        health_checks: Starts health checks.
         upstreams: The connection pools.
         endpoint_watch: The watch on discovery.
         log: Gets the policy's messages.
-        dispatch: Passes an event that belongs to no request to the policy.
     """
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
         requests: OpenRequests,
+        timers: PolicyTimers,
         attempts: AttemptRunner,
+        health_checks: HealthChecks,
         upstreams: UpstreamPools,
         endpoint_watch: EndpointWatch,
         log: RateLimitedLog,
-        dispatch: Callable[[Event], None],
     ) -> None:
-        self._loop = loop
-        self._clock = clock
         self._requests = requests
+        self._timers = timers
         self._attempts = attempts
+        self._health_checks = health_checks
         self._upstreams = upstreams
-        self._health_checks = HealthChecks(upstreams, dispatch)
         self._endpoint_watch = endpoint_watch
         self._log = log
-        self._dispatch = dispatch
 
     def perform(self, action: Action) -> None:
         """Perform an action."""
@@ -74,7 +92,7 @@
             case StartAttempt():
                 self._attempts.start(action)
             case SetTimer():
-                self._set_timer(action)
+                self._timers.set(action)
             case RejectRequest():
                 self._reject(action)
             case FailRequest(number):
@@ -92,10 +110,6 @@
             case _:
                 assert_never(action)
 
-    def _set_timer(self, action: SetTimer) -> None:
-        delay_s = max(action.at_ms - self._clock.now(), 0.0) / 1000
-        self._loop.call_later(delay_s, self._dispatch, TimerFired(action.timer))
-
     def _reject(self, action: RejectRequest) -> None:
         headers: Headers = []
         if action.retry_after_ms > 0:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.events import ClientDisconnected, RequestReceived
-from loadbalancer.network.action_performer import ActionPerformer
+from loadbalancer.network.action_performer import ActionPerformer, PolicyTimers
 from loadbalancer.network.client.listener import Listener
 from loadbalancer.network.clock import Clock
 from loadbalancer.network.deadline_watchdog import POLICY_DEADLINE_MARGIN_MS, DeadlineWatchdog
@@ -16,6 +16,8 @@
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.open_requests import OpenRequests
 from loadbalancer.network.upstream.attempt_runner import AttemptRunner
+from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+from loadbalancer.network.upstream.health_checks import HealthChecks
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 
@@ -79,16 +81,15 @@
 
     def _make_performer(self) -> ActionPerformer:
         dispatch = self.dispatcher.dispatch
-        attempts = AttemptRunner(self._requests, self.upstreams, self.clock, dispatch, self.handle_disconnect)
+        starter = AttemptStarter(self._loop, self.upstreams)
         return ActionPerformer(
-            self._loop,
-            self.clock,
             self._requests,
-            attempts,
+            PolicyTimers(self._loop, self.clock, dispatch),
+            AttemptRunner(self._requests, starter, self.clock, dispatch, self.handle_disconnect),
+            HealthChecks(starter, dispatch),
             self.upstreams,
             self.endpoint_watch,
             self.log,
-            dispatch,
         )
 
     @property
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -29,7 +29,13 @@
 
 
 class ConnectionSource(Protocol):
-    """Where an attempt gets its connection from."""
+    """Where an attempt gets its connection from.
+
+    Attributes:
+        connect_timeout_s: How long opening a connection may take.
+    """
+
+    connect_timeout_s: float
 
     def take_idle_connection(self) -> UpstreamConnection | None:
         """Hand out an idle connection, if one may be used."""
@@ -37,7 +43,7 @@
     async def connect(self) -> UpstreamConnection:
         """Open a connection, or raise OSError or ConnectionLimitError."""
 
-    def keep(self, connection: UpstreamConnection) -> None:
+    def add_idle_connection(self, connection: UpstreamConnection) -> None:
         """Take back a connection that may carry a further request."""
 
     def may_send(self) -> bool:
@@ -50,7 +56,6 @@
     Args:
         loop: The event loop.
         connections: Where the connection comes from.
-        connect_timeout_s: How long opening a connection may take.
         compose: Returns the bytes of the request; called as they are written.
         on_end: Called exactly once, whichever events coincide.
         is_wanted: Whether the client still waits for a response.
@@ -59,7 +64,6 @@
     __slots__ = (
         "_compose",
         "_connect_task",
-        "_connect_timeout_s",
         "_connection",
         "_connections",
         "_is_wanted",
@@ -72,14 +76,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         connections: ConnectionSource,
-        connect_timeout_s: float,
         compose: Callable[[], bytes],
         on_end: OnAttemptEnd,
         is_wanted: Callable[[], bool],
     ) -> None:
         self._loop = loop
         self._connections = connections
-        self._connect_timeout_s = connect_timeout_s
         self._compose = compose
         self._is_wanted = is_wanted
         self._on_end: OnAttemptEnd | None = on_end
@@ -128,7 +130,7 @@
 
     async def _connect(self) -> None:
         try:
-            async with asyncio.timeout(self._connect_timeout_s):
+            async with asyncio.timeout(self._connections.connect_timeout_s):
                 connection = await self._connections.connect()
         except (ConnectionLimitError, OSError, TimeoutError) as error:
             self._connect_task = None
@@ -147,7 +149,7 @@
         elif not self._is_wanted():
             # Guards against a request that nobody waits for: the client disconnected, or got its response
             # from another attempt, during the connect.
-            self._connections.keep(connection)
+            self._connections.add_idle_connection(connection)
             self._finish(Outcome.NOT_SENT)
         else:
             self._send(connection)
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -12,7 +12,7 @@
 from loadbalancer.network.headers import end_to_end_headers
 from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
 from loadbalancer.network.upstream.attempt import UpstreamAttempt
-from loadbalancer.network.upstream.pool import UpstreamPools
+from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.request_bytes import UpstreamRequest
 from loadbalancer.network.upstream.response_reader import Response
 
@@ -23,7 +23,7 @@
     def __init__(
         self,
         requests: OpenRequests,
-        upstreams: UpstreamPools,
+        starter: AttemptStarter,
         clock: Clock,
         dispatch: Callable[[Event, ProxiedRequest], None],
         on_disconnect: Callable[[IncomingRequest], None],
@@ -32,13 +32,13 @@
 
         Args:
             requests: The table in which the policy's request numbers are looked up.
-            upstreams: Where attempts are sent.
+            starter: Starts attempts at endpoints.
             clock: The clock of the requests' `expires_at_ms`.
             dispatch: Passes an event of a request to the policy.
             on_disconnect: Called for a client that turns out to have disconnected.
         """
         self._requests = requests
-        self._upstreams = upstreams
+        self._starter = starter
         self._clock = clock
         self._dispatch = dispatch
         self._on_disconnect = on_disconnect
@@ -67,7 +67,7 @@
     def _send(self, request: ProxiedRequest, index: int, action: StartAttempt) -> UpstreamAttempt | None:
         remaining_ms = request.expires_at_ms - self._clock.now()
         timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
-        return self._upstreams.start_attempt(
+        return self._starter.start(
             action.endpoint,
             max(timeout_ms, 0.0) / 1000,
             UpstreamRequest(request.incoming, timeout_ms).compose,
--- /dev/null
+++ b/loadbalancer/network/upstream/attempt_starter.py
@@ -0,0 +1,54 @@
+"""Starts attempts at endpoints by name."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from loadbalancer.network.upstream.attempt import UpstreamAttempt
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from loadbalancer.network.upstream.attempt import OnAttemptEnd
+    from loadbalancer.network.upstream.pool import UpstreamPools
+
+
+class AttemptStarter:
+    """Starts attempts on connections of the pools.
+
+    Args:
+        loop: The event loop.
+        pools: The connection pools of the endpoints.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, pools: UpstreamPools) -> None:
+        self._loop = loop
+        self._pools = pools
+
+    def start(
+        self,
+        endpoint: str,
+        timeout_s: float,
+        compose: Callable[[], bytes],
+        on_end: OnAttemptEnd,
+        is_wanted: Callable[[], bool] = lambda: True,
+    ) -> UpstreamAttempt | None:
+        """Start an attempt at an endpoint.
+
+        Args:
+            endpoint: The name of the endpoint.
+            timeout_s: The time limit of the attempt, including the time to connect.
+            compose: Returns the bytes of the request; called as they are written.
+            on_end: Called exactly once with the outcome, after this method has returned.
+            is_wanted: Whether the client still waits for a response.
+
+        Returns:
+            The attempt; None if the endpoint list does not name the endpoint any more.
+        """
+        pool = self._pools.get(endpoint)
+        if pool is None:
+            return None
+        attempt = UpstreamAttempt(self._loop, pool, compose, on_end, is_wanted)
+        attempt.start(timeout_s)
+        return attempt
--- /dev/null
+++ b/loadbalancer/network/upstream/connection_limit.py
@@ -0,0 +1,51 @@
+"""The limit on the number of connections to all upstreams together."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from loadbalancer.network.errors import ConnectionLimitError
+from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+UPSTREAM_DESCRIPTORS_FRACTION = 0.5
+"""Fraction of the file descriptors for connections to upstreams; the rest is for those of clients."""
+
+MIN_CONNECTION_LIMIT = 4
+"""Number of connections that may be open however few descriptors there are."""
+
+
+class ConnectionLimit:
+    """Counts the connections of all pools, and limits their number.
+
+    Args:
+        descriptor_limit: The number of file descriptors that the process may have open.
+        close_idle_connection: Closes the connection that has been idle for the longest time, in whichever
+            pool it is; returns false if no connection is idle.
+
+    Attributes:
+        max_connections: The number of connections that may be open at a time.
+        open_connections: The number of connections that are open or being opened.
+    """
+
+    def __init__(self, descriptor_limit: int, close_idle_connection: Callable[[], bool]) -> None:
+        usable_descriptors = int(descriptor_limit * UPSTREAM_DESCRIPTORS_FRACTION)
+        self.max_connections = max(usable_descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTION_LIMIT)
+        self.open_connections = 0
+        self._close_idle_connection = close_idle_connection
+
+    def acquire(self) -> None:
+        """Count a connection that is about to be opened; at the limit, close an idle one for it.
+
+        Raises:
+            ConnectionLimitError: The limit is reached, and no connection is idle.
+        """
+        if self.open_connections >= self.max_connections and not self._close_idle_connection():
+            raise ConnectionLimitError
+        self.open_connections += 1
+
+    def release(self) -> None:
+        """Stop counting a connection, which has closed."""
+        self.open_connections -= 1
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from loadbalancer.events import Event, HealthCheckFinished, Outcome
-from loadbalancer.network.upstream.pool import UpstreamPools
+from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.response_reader import Response
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
@@ -20,15 +20,15 @@
 class HealthChecks:
     """Starts health checks; `dispatch` gets a `HealthCheckFinished` for each."""
 
-    def __init__(self, upstreams: UpstreamPools, dispatch: Callable[[Event], None]) -> None:
-        self._upstreams = upstreams
+    def __init__(self, starter: AttemptStarter, dispatch: Callable[[Event], None]) -> None:
+        self._starter = starter
         self._dispatch = dispatch
 
     def start(self, endpoint: str) -> None:
         """Check an endpoint; one that is in no list any more counts as not sent."""
         on_end = partial(self._on_end, endpoint)
         timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
-        if self._upstreams.start_attempt(endpoint, timeout_s, _compose, on_end) is None:
+        if self._starter.start(endpoint, timeout_s, _compose, on_end) is None:
             self._on_end(endpoint, Outcome.NOT_SENT, None)
 
     def _on_end(self, endpoint: str, outcome: Outcome, _response: Response | None) -> None:
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -1,69 +1,76 @@
-"""Connection pools: the idle connections to each upstream, and the limit on all open ones."""
+"""Connection pools: the connections to each upstream, of which the idle ones are used again."""
 
 from __future__ import annotations
 
-import asyncio
 import time
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol
+from typing import TYPE_CHECKING, NamedTuple
 
-from loadbalancer.configuration import Address, Configuration, EndpointList, ListedEndpoint
 from loadbalancer.endpoints import EndpointState
-from loadbalancer.network.errors import ConnectionLimitError
-from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
-from loadbalancer.network.upstream.attempt import OnAttemptEnd, UpstreamAttempt
 from loadbalancer.network.upstream.connection import UpstreamConnection
+from loadbalancer.network.upstream.connection_limit import ConnectionLimit
 
-IDLE_TIMEOUT_FRACTION = 0.8
-"""Part of the upstream's idle timeout that is used: a request that crosses its closing ends as a reset."""
-
-UPSTREAM_DESCRIPTORS_FRACTION = 0.5
-"""Part of the descriptors for connections to upstreams; the rest is kept for those of clients."""
-
-MIN_CONNECTION_LIMIT = 4
-"""Connections to upstreams that may always be open, however few descriptors there are."""
+if TYPE_CHECKING:
+    import asyncio
 
-REUSE_DELAY_S = 0.02
-"""Pause of a connection between requests: stray bytes may lag behind a response by some milliseconds."""
+    from loadbalancer.configuration import Address, Configuration, EndpointList, ListedEndpoint
 
-DRAIN_GRACE_FRACTION = 0.5
-"""Part of the drain grace in which a request may still be sent on a connection that is opened late.
+IDLE_TIMEOUT_FRACTION = 0.8
+"""Fraction of the upstream's idle timeout for which a connection is used.
 
-The list may have waited in a buffer before it was read, and the grace has run meanwhile.
+A request that is sent while the upstream closes the connection would end as a reset.
 """
 
+REUSE_DELAY_S = 0.02
+"""Minimum time between a response and the next request on its connection.
 
-class ConnectionBudget(Protocol):
-    """The limit on the open connections of all pools."""
+Stray bytes may follow a response by some milliseconds.
+"""
 
-    def has_capacity(self) -> bool:
-        """Whether one more connection may be opened."""
+DRAIN_GRACE_FRACTION = 0.5
+"""Fraction of the drain grace in which a request may be sent on a connection that was opened meanwhile.
 
-    def connection_opened(self) -> None:
-        """Count a connection that is being opened."""
+The upstream's grace began before this process read that the upstream drains: the endpoint list may have
+waited in a buffer.
+"""
 
-    def connection_closed(self) -> None:
-        """Count a connection that has closed."""
 
+class PoolTimeouts(NamedTuple):
+    """The time limits that all pools share.
 
-@dataclass(frozen=True, slots=True)
-class PoolTimes:
-    """The time limits that all pools share."""
+    Attributes:
+        connect_s: How long opening a connection may take.
+        idle_s: How long a connection may stay idle.
+        late_send_s: How long after the start of draining a request may still be sent on a new connection.
+    """
 
+    connect_s: float
     idle_s: float
-    """How long a connection may stay idle."""
     late_send_s: float
-    """How long after the start of draining a request may still be sent on a new connection."""
+
+    @classmethod
+    def from_configuration(cls, configuration: Configuration) -> PoolTimeouts:
+        """Derive the limits from the timeouts of the upstreams."""
+        return cls(
+            connect_s=configuration.connect_timeout_ms / 1000,
+            idle_s=IDLE_TIMEOUT_FRACTION * configuration.idle_timeout_ms / 1000,
+            late_send_s=DRAIN_GRACE_FRACTION * configuration.drain_grace_ms / 1000,
+        )
 
 
 class UpstreamPool:
-    """The connections to one upstream at one address since one start.
+    """The connections to one process of an upstream.
 
     Args:
-        address: Where the upstream listens.
-        started_at_ms: When the upstream's process started, as the endpoint list says.
-        budget: Counts and limits the connections of all pools.
+        address: The address at which the upstream listens.
+        started_at_ms: When the upstream's process started, according to the endpoint list.
+        loop: The event loop.
+        limit: Counts and limits the connections of all pools.
+        timeouts: The time limits.
+
+    Attributes:
+        connect_timeout_s: How long opening a connection may take.
+        draining_since: When the upstream was first seen to drain, in seconds of `time.monotonic`; None if
+            it does not drain.
     """
 
     def __init__(
@@ -71,16 +78,16 @@
         address: Address,
         started_at_ms: float,
         loop: asyncio.AbstractEventLoop,
-        budget: ConnectionBudget,
-        times: PoolTimes,
+        limit: ConnectionLimit,
+        timeouts: PoolTimeouts,
     ) -> None:
         self.address = address
         self.started_at_ms = started_at_ms
+        self.connect_timeout_s = timeouts.connect_s
         self.draining_since: float | None = None
-        """When the upstream was first seen to drain, in seconds of `time.monotonic`."""
         self._loop = loop
-        self._budget = budget
-        self._times = times
+        self._limit = limit
+        self._timeouts = timeouts
         self._idle_connections: list[UpstreamConnection] = []  # the most recently used last
         self._is_retired = False
 
@@ -90,22 +97,23 @@
         return tuple(self._idle_connections)
 
     @property
-    def longest_idle_connection(self) -> UpstreamConnection | None:
+    def oldest_idle_connection(self) -> UpstreamConnection | None:
         """The connection that has been idle for the longest time."""
         return self._idle_connections[0] if self._idle_connections else None
 
     def take_idle_connection(self) -> UpstreamConnection | None:
-        """Hand out the most recently used idle connection that is alive; dead ones are closed.
+        """Remove and return the most recently used idle connection that is alive; close dead ones.
 
-        Guards against bytes right behind a response that would be taken for the response to the next
-        request: a connection carries no further request before the time in which they could show.
+        Guards against stray bytes behind a response that would be taken for the response to the next
+        request: a connection carries no further request until `REUSE_DELAY_S` has passed, in which such
+        bytes show.
         """
         now = time.monotonic()
         for connection in reversed(self._idle_connections[:]):
             idle_s = now - connection.idle_since
             if idle_s < REUSE_DELAY_S:
                 continue
-            if idle_s < self._times.idle_s and connection.is_alive():
+            if idle_s < self._timeouts.idle_s and connection.is_alive():
                 self._idle_connections.remove(connection)
                 return connection
             connection.close()
@@ -116,14 +124,13 @@
 
         Raises:
             ConnectionLimitError: No further connection may be open.
-            OSError: The upstream cannot be reached, or a resource is missing here.
+            OSError: The upstream cannot be reached, or this process lacks a resource.
         """
-        # Guards against attempts that begin in one turn of the loop and all find capacity: asked here, each
-        # is counted before the next asks. The descriptors above the limit belong to discovery.
-        if not self._budget.has_capacity():
-            raise ConnectionLimitError
-        self._budget.connection_opened()
-        connection = UpstreamConnection(self.keep, self._forget)
+        # Guards against attempts that start in one turn of the event loop and all find the limit not reached:
+        # each connection is counted here, before the next attempt gets here. The descriptors above the limit
+        # belong to discovery.
+        self._limit.acquire()
+        connection = UpstreamConnection(self.add_idle_connection, self._forget)
         try:
             await self._loop.create_connection(lambda: connection, *self.address)
         except BaseException:
@@ -131,8 +138,8 @@
             raise
         return connection
 
-    def keep(self, connection: UpstreamConnection) -> None:
-        """Add a connection to the idle ones, unless the upstream has changed meanwhile."""
+    def add_idle_connection(self, connection: UpstreamConnection) -> None:
+        """Add a connection to the idle ones; close it if the upstream drains or was removed meanwhile."""
         if self._is_retired or self.draining_since is not None:
             connection.close()
             return
@@ -140,23 +147,23 @@
         self._idle_connections.append(connection)
 
     def may_send(self) -> bool:
-        """Whether the upstream does not drain, or its grace leaves time for a late request."""
+        """Return whether the upstream does not drain, or its grace leaves time for a late request."""
         if self.draining_since is None:
             return True
-        return time.monotonic() < self.draining_since + self._times.late_send_s
+        return time.monotonic() < self.draining_since + self._timeouts.late_send_s
 
     def stop_draining(self) -> None:
-        """The upstream is ready: connections are kept again."""
+        """Reuse connections from now on, since the upstream is ready."""
         self.draining_since = None
 
     def start_draining(self) -> None:
-        """The upstream drains: connections are not kept any more."""
+        """Close the idle connections and reuse none from now on, since the upstream drains."""
         if self.draining_since is None:
             self.draining_since = time.monotonic()
             self.close_idle_connections()
 
     def retire(self) -> None:
-        """The upstream was removed, moved or restarted: its connections are not used again."""
+        """Reuse no connection any more, since the upstream was removed, moved or restarted."""
         self._is_retired = True
         if self.draining_since is None:
             self.draining_since = time.monotonic()
@@ -168,31 +175,29 @@
             connection.close()
 
     def close_idle_since_before(self, limit: float) -> None:
-        """Close the connections that became idle before a time of `time.monotonic`."""
+        """Close the connections that became idle before `limit`, in seconds of `time.monotonic`."""
         while self._idle_connections and self._idle_connections[0].idle_since < limit:
             self._idle_connections[0].close()
 
     def _forget(self, connection: UpstreamConnection) -> None:
-        self._budget.connection_closed()
+        self._limit.release()
         if connection in self._idle_connections:
             self._idle_connections.remove(connection)
 
 
 class UpstreamPools:
-    """The pools of all upstreams on the endpoint list; limits their connections together."""
+    """The pools of all upstreams on the endpoint list.
+
+    Attributes:
+        connection_limit: Counts and limits the connections of all pools.
+    """
 
     def __init__(self, configuration: Configuration, loop: asyncio.AbstractEventLoop) -> None:
-        self.idle_s = IDLE_TIMEOUT_FRACTION * configuration.idle_timeout_ms / 1000
-        """How long a connection may stay idle."""
-        self.open_connections = 0
-        """How many connections are open or being opened."""
-        usable_descriptors = int(configuration.descriptor_limit * UPSTREAM_DESCRIPTORS_FRACTION)
-        self.connection_limit = max(usable_descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTION_LIMIT)
-        """How many connections may be open at a time."""
+        self.connection_limit = ConnectionLimit(
+            configuration.descriptor_limit, self._close_oldest_idle_connection
+        )
         self._loop = loop
-        self._connect_timeout_s = configuration.connect_timeout_ms / 1000
-        late_send_s = DRAIN_GRACE_FRACTION * configuration.drain_grace_ms / 1000
-        self._times = PoolTimes(self.idle_s, late_send_s)
+        self._timeouts = PoolTimeouts.from_configuration(configuration)
         self._pools: dict[str, UpstreamPool] = {}
 
     @property
@@ -200,30 +205,41 @@
         """The names of the endpoints that have a pool."""
         return set(self._pools)
 
+    @property
+    def open_connections(self) -> int:
+        """The number of connections that are open or being opened."""
+        return self.connection_limit.open_connections
+
     def pool(self, endpoint: str) -> UpstreamPool:
-        """The pool of one endpoint; KeyError if the list does not name it."""
+        """Return the pool of an endpoint that the endpoint list names."""
         return self._pools[endpoint]
 
-    def update_endpoints(self, endpoints: EndpointList) -> None:
-        """Follow the list: an upstream that was removed, moved or restarted loses its connections."""
-        if endpoints.is_complete:
-            listed_names = {listed.endpoint.name for listed in endpoints.endpoints}
-            for name in self._pools.keys() - listed_names:
+    def get(self, endpoint: str) -> UpstreamPool | None:
+        """Return the pool of an endpoint; None if the endpoint list does not name the endpoint."""
+        return self._pools.get(endpoint)
+
+    def update_endpoints(self, endpoint_list: EndpointList) -> None:
+        """Apply an endpoint list: retire the pools of upstreams that were removed, moved or restarted."""
+        if endpoint_list.is_complete:
+            names = {entry.endpoint.name for entry in endpoint_list.endpoints}
+            for name in self._pools.keys() - names:
                 self._retire(name)
-        for listed in endpoints.endpoints:
-            self._update_endpoint(listed)
+        for entry in endpoint_list.endpoints:
+            self._update_endpoint(entry)
 
-    def _update_endpoint(self, listed: ListedEndpoint) -> None:
-        endpoint = listed.endpoint
+    def _update_endpoint(self, entry: ListedEndpoint) -> None:
+        endpoint = entry.endpoint
         if endpoint.state is EndpointState.REMOVED:
             self._retire(endpoint.name)
             return
         pool = self._pools.get(endpoint.name)
-        if pool and (pool.address, pool.started_at_ms) != (listed.address, endpoint.started_at_ms):
+        if pool and (pool.address, pool.started_at_ms) != (entry.address, endpoint.started_at_ms):
             self._retire(endpoint.name)
             pool = None
         if pool is None:
-            pool = UpstreamPool(listed.address, endpoint.started_at_ms, self._loop, self, self._times)
+            pool = UpstreamPool(
+                entry.address, endpoint.started_at_ms, self._loop, self.connection_limit, self._timeouts
+            )
             self._pools[endpoint.name] = pool
         if endpoint.state is EndpointState.READY:
             pool.stop_draining()
@@ -235,33 +251,6 @@
         if pool is not None:
             pool.retire()
 
-    def start_attempt(
-        self,
-        endpoint: str,
-        timeout_s: float,
-        compose: Callable[[], bytes],
-        on_end: OnAttemptEnd,
-        wanted: Callable[[], bool] = lambda: True,
-    ) -> UpstreamAttempt | None:
-        """Start an attempt at an endpoint.
-
-        Args:
-            endpoint: The endpoint's name.
-            timeout_s: How long the attempt may take in all.
-            compose: Returns the bytes of the request; called as they are written.
-            on_end: Called exactly once with the outcome, after this has returned.
-            wanted: Whether the client still waits for a response.
-
-        Returns:
-            The attempt, or None for an endpoint that the list does not name any more.
-        """
-        pool = self._pools.get(endpoint)
-        if pool is None:
-            return None
-        attempt = UpstreamAttempt(self._loop, pool, self._connect_timeout_s, compose, on_end, wanted)
-        attempt.start(timeout_s)
-        return attempt
-
     def close_idle_connections(self, endpoint: str) -> None:
         """Close the idle connections to one endpoint."""
         if pool := self._pools.get(endpoint):
@@ -269,26 +258,16 @@
 
     def close_expired(self) -> None:
         """Close the connections that have been idle for too long, before the upstreams do."""
-        limit = time.monotonic() - self.idle_s
+        limit = time.monotonic() - self._timeouts.idle_s
         for pool in self._pools.values():
             pool.close_idle_since_before(limit)
 
-    def has_capacity(self) -> bool:
-        """Whether one more connection may be opened; at the limit the longest idle one is closed for it."""
-        if self.open_connections < self.connection_limit:
-            return True
-        candidates = (pool.longest_idle_connection for pool in self._pools.values())
+    def _close_oldest_idle_connection(self) -> bool:
+        """Close the connection that has been idle for the longest time; return false if there is none."""
+        candidates = (pool.oldest_idle_connection for pool in self._pools.values())
         idle_connections = (connection for connection in candidates if connection is not None)
-        longest_idle = min(idle_connections, key=lambda connection: connection.idle_since, default=None)
-        if longest_idle is None:
+        oldest = min(idle_connections, key=lambda connection: connection.idle_since, default=None)
+        if oldest is None:
             return False
-        longest_idle.close()
+        oldest.close()
         return True
-
-    def connection_opened(self) -> None:
-        """Count a connection that is being opened."""
-        self.open_connections += 1
-
-    def connection_closed(self) -> None:
-        """Count a connection that has closed."""
-        self.open_connections -= 1
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -102,7 +102,7 @@
     async def scenario() -> None:
         upstream = Upstream(never_respond)
         upstreams = make_pools(await upstream.start())
-        upstreams.connection_limit = 5
+        upstreams.connection_limit.max_connections = 5
         attempts = [ObservedAttempt(upstreams) for _ in range(12)]
         while upstream.connections < 5 or sum(bool(attempt.ends) for attempt in attempts) < 7:
             assert upstreams.open_connections <= 5
--- a/tests/network/test_upstreams.py
+++ b/tests/network/test_upstreams.py
@@ -11,6 +11,7 @@
 from loadbalancer.actions import Action, RejectRequest, StartAttempt
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.sockets import peek
+from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
 from tests.network.loopback import (
     ReceivedMessage,
@@ -125,7 +126,12 @@
         assert len(moved.received) == 1
         upstreams.update_endpoints(endpoint_list(whole=True))
         assert upstreams.open_connections == 0
-        assert upstreams.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
+        assert (
+            AttemptStarter(asyncio.get_running_loop(), upstreams).start(
+                "s0", 1.0, lambda: REQUEST, lambda outcome, reply: None
+            )
+            is None
+        )
 
     run(scenario())
 
@@ -135,9 +141,11 @@
         upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
         upstreams = make_pools(await upstream.start())
         upstreams.update_endpoints(endpoint_list(entry("s1", await other.start())))
-        upstreams.connection_limit = 1
+        upstreams.connection_limit.max_connections = 1
         assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-        attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
+        attempt = AttemptStarter(asyncio.get_running_loop(), upstreams).start(
+            "s1", 5.0, lambda: REQUEST, lambda outcome, reply: None
+        )
         assert attempt is not None
         await other.seen.wait()
         assert upstreams.open_connections == 1
--- a/tests/network/upstream_attempts.py
+++ b/tests/network/upstream_attempts.py
@@ -11,6 +11,7 @@
 from loadbalancer.configuration import EndpointList, read_configuration, read_endpoint_list
 from loadbalancer.events import Outcome
 from loadbalancer.network.upstream.attempt import UpstreamAttempt
+from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.network.upstream.response_reader import Response
 from tests.network.loopback import config_text, entry
@@ -38,7 +39,8 @@
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
         self.ends: list[Outcome] = []
         self.over = asyncio.Event()
-        attempt = pools.start_attempt("s0", timeout_s, lambda: request, self._record)
+        starter = AttemptStarter(asyncio.get_running_loop(), pools)
+        attempt = starter.start("s0", timeout_s, lambda: request, self._record)
         assert attempt is not None
         self.attempt: UpstreamAttempt = attempt
 
