--- /dev/null
+++ b/loadbalancer/network/discovery/retry_schedule.py
@@ -0,0 +1,103 @@
+"""The schedule of calls to discovery: how long a watch call waits, and when a failed call is repeated.
+
+A balancer learns of endpoints in one of two ways. Where it polls discovery, the policy decides when to call
+again after a failure, except shortly after a move to another discovery. Where an agent pushes endpoint lists,
+the watch repeats failed calls by itself.
+
+Requirements on the times, in seconds after discovery works again: a change of the list has to be known
+within 6 s after a failed call, within 2 s after the wait of a watch call that got no response, and within 4 s
+after a move.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+WATCH_WAIT_MS = 10_000
+"""Maximum wait of a watch call where discovery is polled; a change of the list ends it at once.
+
+Guards against a watch connection that stays open but silent, as after discovery was cut off from the
+network: until the wait has ended, changes of the list go unnoticed. Much shorter waits of many balancers
+would overload discovery, since each call costs it work.
+"""
+
+PUSH_WATCH_WAIT_MS = 3_000
+"""Maximum wait of a watch call where lists are pushed.
+
+A list has to be known 6 s after the agent has it, also if a watch call to the agent gets no response.
+"""
+
+RECOVERY_WAIT_MS = 1_500
+"""Maximum wait of the first watch call after a failed call, so that a missing response is noticed soon."""
+
+WAIT_JITTER = 0.2
+"""Maximum fraction by which a wait is shortened at random.
+
+Balancers that started together then do not call together.
+"""
+
+PUSH_RETRY_DELAY_S = 0.1
+"""Delay before a call after two or more consecutive failures, where lists are pushed."""
+
+MOVE_PERIOD_S = 4.0
+"""Time after a move (SIGHUP) in which the list of the new discovery has to be known."""
+
+MOVE_RETRY_DELAY_S = 0.5
+"""Mean delay before a call after a failure within `MOVE_PERIOD_S`, where discovery is polled."""
+
+
+class RetrySchedule:
+    """Computes waits and retry delays; it holds no state of the watch.
+
+    Args:
+        draw: Returns a random number, uniform in [0, 1).
+        polls_discovery: Whether discovery is polled; otherwise an agent pushes lists.
+    """
+
+    __slots__ = ("_draw", "_polls_discovery")
+
+    def __init__(self, draw: Callable[[], float], *, polls_discovery: bool) -> None:
+        self._draw = draw
+        self._polls_discovery = polls_discovery
+
+    def watch_wait_s(self, consecutive_failures: int) -> float:
+        """Return the wait of the next watch call in seconds.
+
+        Args:
+            consecutive_failures: The number of calls that have failed since the last successful one.
+        """
+        wait_ms = WATCH_WAIT_MS if self._polls_discovery else PUSH_WATCH_WAIT_MS
+        if consecutive_failures:
+            # Guards against a discovery that accepts calls and does not respond: a call that was sent just
+            # before it recovered must not be waited for until its list is overdue.
+            wait_ms = min(wait_ms, RECOVERY_WAIT_MS)
+        return wait_ms / 1000 * (1 - WAIT_JITTER * self._draw())
+
+    def retry_delay_s(
+        self, consecutive_failures: int, started_at_s: float, moved_at_s: float
+    ) -> float | None:
+        """Return the delay in seconds before the next call, after a call has failed.
+
+        Args:
+            consecutive_failures: The number of calls that have failed since the last successful one,
+                including this one.
+            started_at_s: When the failed call started.
+            moved_at_s: When the watch last moved to another discovery, on the same clock; minus infinity if
+                it never did.
+
+        Returns:
+            The delay; None if the policy decides when to call again.
+        """
+        if not self._polls_discovery:
+            # The time limit for the agent's list runs on meanwhile, so that a broken connection is no reason
+            # to wait.
+            return PUSH_RETRY_DELAY_S if consecutive_failures > 1 else 0.0
+        if started_at_s < moved_at_s + MOVE_PERIOD_S:
+            # Guards against a long delay because of failures before the move. Guards also against a timer
+            # that the policy set before the move, which would start a second chain of calls: that timer has
+            # fired by the end of this period.
+            return MOVE_RETRY_DELAY_S * (0.5 + self._draw())
+        return None
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,6 +1,8 @@
-"""The watch on discovery's endpoint list, which keeps it current.
+"""The watch on the endpoint list of discovery.
 
-A watch is a chain of calls: each waits at discovery until the list changes or its wait is over.
+A watch is a chain of HTTP calls, one at a time. The first call gets the complete list. Each later call names
+the index (version) of the known list and a wait: discovery responds when the list changes, or when the wait
+has ended.
 """
 
 from __future__ import annotations
@@ -9,63 +11,62 @@
 import json
 import math
 import random
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from loadbalancer.configuration import Address, Configuration, EndpointList, read_endpoint_list
+from loadbalancer.configuration import read_endpoint_list
 from loadbalancer.network.discovery.connection import DiscoveryConnection, DiscoveryStatusError
+from loadbalancer.network.discovery.retry_schedule import RetrySchedule
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from loadbalancer.configuration import Address, Configuration, EndpointList
 
-# The wait of one watch call; a change ends it at once.
-# Guards against a watch that went silent without a sign of it, as one does that was open while discovery was
-# cut off: until its wait is over, no endpoint's start or end is seen. Each call costs discovery work, though,
-# and much shorter waits of many balancers would overload it.
-WATCH_WAIT_MS = 10_000
-# The same where lists are pushed: what a silent agent has is due 6 s after it has it.
-PUSH_WATCH_WAIT_MS = 3_000
-# The wait of the first watch call after a failed call: if it gets no response, that has to show soon.
-RECOVERY_WAIT_MS = 1_500
-# A watch call has failed this long after its wait: what it would have brought is due a second later.
 WATCH_OVERDUE_S = 1.0
-# The part by which waits differ, so that balancers that started together do not call together.
-WAIT_JITTER = 0.2
-# A call without a wait has failed after this long: after a move to another discovery, its list is due in 4 s.
+"""Time after the wait of a watch call when the call counts as failed if it got no response.
+
+A list has to be known one second later still.
+"""
+
 RESPONSE_TIMEOUT_S = 2.5
-# A host that is down does not respond: a wait that has not begun must not be waited out.
+"""Timeout of a call without a wait: after a move to another discovery its list has to be known within 4 s."""
+
 CONNECT_TIMEOUT_S = 1.0
-# Where lists are pushed: the delay before a call after two or more failed ones in a row.
-PUSH_RETRY_DELAY_S = 0.1
-# After a move (SIGHUP), until the list of the new discovery is due.
-MOVE_PERIOD_S = 4.0
-# The mean delay between calls that fail in that time; the policy decides on all other delays.
-MOVE_RETRY_DELAY_S = 0.5
+"""Timeout of opening a connection, which is short since a host that is down never responds."""
 
 _NO_INDEX = -1  # before the first list of a discovery
 
 
 class EndpointWatch:
-    """Watches the endpoint list from `start_watch` on, until a call fails.
+    """Watches the endpoint list of discovery.
 
-    The policy decides when to start again, except after a move, and where lists are pushed.
+    Once started, it calls discovery again after each response. After a failed call it goes on or ends, as the
+    retry schedule says; if it ends, `start_watch` starts it again.
     """
 
     def __init__(
         self,
-        config: Configuration,
+        configuration: Configuration,
         on_update: Callable[[EndpointList], None],
         on_failed: Callable[[], None],
     ) -> None:
-        """Prepares the watch; no call is made before `start` or `start_watch`.
+        """Prepare the watch; no call is made before `start` or `start_watch`.
 
         Args:
-            config: Names discovery's address, and the list that is known already.
-            on_update: Called for each list or change of it.
-            on_failed: Called as the watch ends by a failed call.
+            configuration: Has the address of discovery, and the endpoint list that is known at the start.
+            on_update: Called with each response: the complete list, or the entries that have changed.
+            on_failed: Called when a failed call has ended the watch.
         """
         self._on_update = on_update
         self._on_failed = on_failed
-        self._address = config.discovery
-        self._polls_discovery = config.settings.polls_discovery
-        self._index = config.known_endpoints.index if config.known_endpoints.endpoints else _NO_INDEX
-        self._random = random.Random(config.seed)
+        self._address = configuration.discovery
+        self._polls_discovery = configuration.settings.polls_discovery
+        self._index = (
+            configuration.known_endpoints.index if configuration.known_endpoints.endpoints else _NO_INDEX
+        )
+        self._schedule = RetrySchedule(
+            random.Random(configuration.seed).random, polls_discovery=self._polls_discovery
+        )
         self._task: asyncio.Task[None] | None = None
         self._connection: DiscoveryConnection | None = None
         self._consecutive_failures = 0
@@ -77,7 +78,7 @@
         return self._connection
 
     def start(self) -> None:
-        """Start the watch where lists are pushed: the policy does not ask for it there."""
+        """Start the watch where lists are pushed: there the policy has no action that starts it."""
         if not self._polls_discovery:
             self.start_watch()
 
@@ -87,9 +88,10 @@
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def move_to(self, address: Address) -> None:
-        """Turn to another discovery at once, and get its whole list: the old index means nothing there.
+        """Watch another discovery at once, beginning with its complete list.
 
-        Guards against a late list of the old discovery, and against a retry delay that was meant for it.
+        The index of the old discovery's list has no meaning there. Guards against a list of the old discovery
+        that arrives late, and against a retry delay that was due to the old discovery.
         """
         if self._task is not None:
             self._task.cancel()
@@ -108,7 +110,7 @@
             try:
                 endpoint_list = await self._fetch()
             except Exception:
-                # Guards against a watch that ends unseen: whatever was wrong with a call, it has failed.
+                # Guards against a watch that ends without notice: a call that raises any error has failed.
                 retry_delay_s = self._record_failure(started_at_s)
                 if retry_delay_s is None:
                     self._task = None
@@ -124,28 +126,21 @@
         """Count a failed call and close its connection.
 
         Args:
-            started_at_s: When the call started, on the loop's clock.
+            started_at_s: When the call started, on the event loop's clock.
 
         Returns:
-            The delay before the next call in seconds; None if the policy is to decide when to call again.
+            The delay in seconds before the next call; None if the policy decides when to call again.
         """
         self._consecutive_failures += 1
         if self._connection is not None:
             self._connection.close()
-        if not self._polls_discovery:
-            # The agent's list goes on being due meanwhile: one that breaks is no reason to wait.
-            return PUSH_RETRY_DELAY_S if self._consecutive_failures > 1 else 0.0
-        if started_at_s < self._moved_at_s + MOVE_PERIOD_S:
-            # Guards against a delay by failures before the move, and against the policy's timer from before
-            # it beside a new one, each with its own calls: that timer has fired by the end of this time.
-            return MOVE_RETRY_DELAY_S * (0.5 + self._random.random())
-        return None
+        return self._schedule.retry_delay_s(self._consecutive_failures, started_at_s, self._moved_at_s)
 
     async def _fetch(self) -> EndpointList:
-        """Make one call: at once for the whole list, or waiting for what changes after the known index."""
+        """Make one call: for the complete list, or for the entries that change after the known index."""
         path, timeout_s = "/v1/servers", RESPONSE_TIMEOUT_S
         if self._index >= 0:
-            wait_s = self._choose_wait_s()
+            wait_s = self._schedule.watch_wait_s(self._consecutive_failures)
             path += f"?after={self._index}&wait_ms={wait_s * 1000:.0f}"
             timeout_s = wait_s + WATCH_OVERDUE_S
         host, port = self._address
@@ -156,20 +151,13 @@
             raise DiscoveryStatusError(response.status)
         return read_endpoint_list(json.loads(response.body))
 
-    def _choose_wait_s(self) -> float:
-        wait_ms = WATCH_WAIT_MS if self._polls_discovery else PUSH_WATCH_WAIT_MS
-        if self._consecutive_failures:
-            # Guards against a discovery that accepts calls and does not respond: a call that was sent just
-            # before it recovered must not be waited for until its list is overdue.
-            wait_ms = min(wait_ms, RECOVERY_WAIT_MS)
-        return wait_ms / 1000 * (1 - WAIT_JITTER * self._random.random())
-
     async def _connect(self) -> DiscoveryConnection:
-        """The connection that is up, or a new one."""
+        """Return the open connection, or open one."""
         if self._connection is not None and not self._connection.is_closed:
             return self._connection
         if self._connection is not None:
-            # Guards against a discovery that says it ends the connection and leaves it open, on each call.
+            # Guards against connections that pile up: discovery may announce after each call that it closes
+            # the connection, and leave it open.
             self._connection.close()
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, self._connection = await asyncio.get_running_loop().create_connection(
--- /dev/null
+++ b/tests/network/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the watch on discovery."""
--- /dev/null
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -0,0 +1,90 @@
+"""The waits of watch calls, and the delays after failed ones, as a table."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+
+import pytest
+
+from loadbalancer.network.discovery.retry_schedule import (
+    MOVE_PERIOD_S,
+    MOVE_RETRY_DELAY_S,
+    PUSH_RETRY_DELAY_S,
+    PUSH_WATCH_WAIT_MS,
+    RECOVERY_WAIT_MS,
+    WAIT_JITTER,
+    WATCH_WAIT_MS,
+    RetrySchedule,
+)
+
+NEVER_MOVED = -math.inf
+MOVED_AT_S = 100.0
+MAX_DRAW = math.nextafter(1.0, 0.0)
+
+
+def draw_nothing() -> float:
+    pytest.fail("a random number was drawn, which shifts all later draws of the same generator")
+
+
+def drawing(value: float) -> Callable[[], float]:
+    return lambda: value
+
+
+@pytest.mark.parametrize(
+    ("polls_discovery", "consecutive_failures", "wait_ms"),
+    [
+        (True, 0, WATCH_WAIT_MS),
+        (True, 1, RECOVERY_WAIT_MS),
+        (True, 7, RECOVERY_WAIT_MS),
+        (False, 0, PUSH_WATCH_WAIT_MS),
+        (False, 1, RECOVERY_WAIT_MS),
+        (False, 7, RECOVERY_WAIT_MS),
+    ],
+)
+@pytest.mark.parametrize("draw", [0.0, 0.25, MAX_DRAW])
+def test_waits_are_short_after_a_failure_and_shortened_at_random(
+    polls_discovery: bool, consecutive_failures: int, wait_ms: float, draw: float
+) -> None:
+    schedule = RetrySchedule(drawing(draw), polls_discovery=polls_discovery)
+    assert schedule.watch_wait_s(consecutive_failures) == wait_ms / 1000 * (1 - WAIT_JITTER * draw)
+
+
+@pytest.mark.parametrize(
+    ("consecutive_failures", "delay_s"), [(1, 0.0), (2, PUSH_RETRY_DELAY_S), (50, PUSH_RETRY_DELAY_S)]
+)
+@pytest.mark.parametrize("moved_at_s", [NEVER_MOVED, MOVED_AT_S])
+def test_where_lists_are_pushed_the_watch_repeats_each_failed_call(
+    consecutive_failures: int, delay_s: float, moved_at_s: float
+) -> None:
+    schedule = RetrySchedule(draw_nothing, polls_discovery=False)
+    assert schedule.retry_delay_s(consecutive_failures, MOVED_AT_S + 1.0, moved_at_s) == delay_s
+
+
+@pytest.mark.parametrize("consecutive_failures", [1, 2, 50])
+@pytest.mark.parametrize(
+    ("moved_at_s", "started_at_s"),
+    [
+        (NEVER_MOVED, 0.0),
+        (NEVER_MOVED, MOVED_AT_S),
+        (MOVED_AT_S, MOVED_AT_S + MOVE_PERIOD_S),
+        (MOVED_AT_S, MOVED_AT_S + 1_000.0),
+    ],
+)
+def test_where_discovery_is_polled_the_policy_decides_when_to_call_again(
+    moved_at_s: float, started_at_s: float, consecutive_failures: int
+) -> None:
+    schedule = RetrySchedule(draw_nothing, polls_discovery=True)
+    assert schedule.retry_delay_s(consecutive_failures, started_at_s, moved_at_s) is None
+
+
+@pytest.mark.parametrize("consecutive_failures", [1, 2, 50])
+@pytest.mark.parametrize("since_move_s", [0.0, 1.0, MOVE_PERIOD_S - 0.001])
+@pytest.mark.parametrize(("draw", "factor"), [(0.0, 0.5), (0.5, 1.0), (MAX_DRAW, 0.5 + MAX_DRAW)])
+def test_shortly_after_a_move_the_watch_repeats_failed_polls_at_random_delays(
+    since_move_s: float, consecutive_failures: int, draw: float, factor: float
+) -> None:
+    """The number of failures has no influence: those before the move were of another discovery."""
+    schedule = RetrySchedule(drawing(draw), polls_discovery=True)
+    delay_s = schedule.retry_delay_s(consecutive_failures, MOVED_AT_S + since_move_s, MOVED_AT_S)
+    assert delay_s == MOVE_RETRY_DELAY_S * factor
--- a/tests/network/test_endpoint_list_updates.py
+++ b/tests/network/test_endpoint_list_updates.py
@@ -7,6 +7,7 @@
 import pytest
 
 from loadbalancer.events import EndpointListKind
+from loadbalancer.network.discovery import retry_schedule
 from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.network.event_recorder import list_kinds, record_events
 from tests.network.loopback import TIMEOUT_S, Rig, Upstream, entry, reset, response, run, status
@@ -76,7 +77,7 @@
             line = await rig.discovery.calls.get()
             assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
             rig.discovery.responses.put_nowait(response(503, b""))
-            monkeypatch.setattr(endpoint_watch, "WATCH_WAIT_MS", 100)
+            monkeypatch.setattr(retry_schedule, "WATCH_WAIT_MS", 100)
             await rig.discovery.calls.get()  # never answered
             started = asyncio.get_running_loop().time()
             await rig.discovery.calls.get()
@@ -97,7 +98,7 @@
     """An update during a pause would use up the whole grace period that a draining upstream has."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(endpoint_watch, "PUSH_RETRY_DELAY_S", 2 * TIMEOUT_S)
+        monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TIMEOUT_S)
         async with Rig(Upstream(), discovery="push") as rig:
             for index in (8, 9):
                 await rig.discovery.calls.get()
@@ -121,7 +122,7 @@
             assert wait_ms / 1000 + endpoint_watch.WATCH_OVERDUE_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
             rig.discovery.publish(8)
             monkeypatch.setattr(endpoint_watch, "WATCH_OVERDUE_S", 0.1)
-            monkeypatch.setattr(endpoint_watch, "PUSH_WATCH_WAIT_MS", 100)
+            monkeypatch.setattr(retry_schedule, "PUSH_WATCH_WAIT_MS", 100)
             await rig.discovery.calls.get()
             rig.discovery.publish(9)
             await rig.discovery.calls.get()  # never answered
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -17,6 +17,7 @@
 from loadbalancer.actions import SetTimer
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.network.discovery import connection as discovery_connection
+from loadbalancer.network.discovery import retry_schedule
 from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.policy import poll_backoff
 from tests.network.configurations import config_text, configuration
@@ -179,7 +180,7 @@
         await asyncio.sleep(30.0)  # a timer that is left over does not disturb the watch
         assert loop.time() >= learned_at + 30.0
         assert [connection.after for connection in last.connections] == [last.index]
-        shortest_wait_s = endpoint_watch.WATCH_WAIT_MS / 1000 * (1 - endpoint_watch.WAIT_JITTER)
+        shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
         assert len(last.calls) - calls <= 30.0 / shortest_wait_s + 1
 
     run_simulated(scenario)
@@ -193,11 +194,11 @@
             async def wait_ms() -> float:
                 return float((await rig.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
 
-            assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
+            assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
             rig.discovery.responses.put_nowait(response(500, b"sorry"))
-            assert 0 < await wait_ms() <= endpoint_watch.RECOVERY_WAIT_MS
+            assert 0 < await wait_ms() <= retry_schedule.RECOVERY_WAIT_MS
             rig.discovery.publish(8)
-            assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
+            assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
     run(scenario())
 
@@ -234,23 +235,23 @@
     overdue_s = endpoint_watch.WATCH_OVERDUE_S
     rest_s = poll_backoff.MIN_POLL_PAUSE_MS / 1000 * MAX_DELAY_JITTER
     period_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
-    recovery_s = endpoint_watch.RECOVERY_WAIT_MS / 1000 + overdue_s
+    recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + overdue_s
     limit_s = LIST_DUE_S - MARGIN_S
     # Discovery is back, or the change there, just after a try began that is bound to fail.
     assert period_s + LIST_TRANSFER_S < limit_s, "it failed at once: the next one is due by its beginning"
     call_s = max(recovery_s, response_s)
     assert connect_s + call_s + rest_s + LIST_TRANSFER_S < limit_s, "it waited for connection and response"
-    push_delay_s = endpoint_watch.PUSH_RETRY_DELAY_S
+    push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
     # A watch that was open falls silent.
     assert overdue_s + rest_s + LIST_TRANSFER_S < SILENT_WATCH_DUE_S
-    assert limit_s > endpoint_watch.PUSH_WATCH_WAIT_MS / 1000 + overdue_s + LIST_TRANSFER_S
+    assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + overdue_s + LIST_TRANSFER_S
     # SIGHUP, and the new one's first call fails.
-    retry_delay_s = endpoint_watch.MOVE_RETRY_DELAY_S * MAX_DELAY_JITTER
-    assert endpoint_watch.MOVE_PERIOD_S <= MOVE_DUE_S
+    retry_delay_s = retry_schedule.MOVE_RETRY_DELAY_S * MAX_DELAY_JITTER
+    assert retry_schedule.MOVE_PERIOD_S <= MOVE_DUE_S
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MOVE_DUE_S
     assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
-    assert period_s < endpoint_watch.MOVE_PERIOD_S, "an earlier timer fires while the watch itself retries"
+    assert period_s < retry_schedule.MOVE_PERIOD_S, "an earlier timer fires while the watch itself retries"
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
