--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import cast
 
+from loadbalancer.errors import LoadBalancerError
 from loadbalancer.network.errors import ProtocolError
 from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
@@ -13,12 +14,20 @@
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(LoadBalancerError):
     """A call to discovery has failed."""
 
 
 class DiscoveryProtocolError(DiscoveryError):
-    """What discovery sent is no HTTP response, or a larger one than is read."""
+    """Discovery sent bytes that are not an HTTP response, or a response that exceeds the size limits.
+
+    Attributes:
+        cause: What is wrong with the bytes.
+    """
+
+    def __init__(self, cause: ProtocolError) -> None:
+        super().__init__(f"not a valid response: {cause!r}")
+        self.cause = cause
 
 
 class DiscoveryStatusError(DiscoveryError):
@@ -34,7 +43,10 @@
 
 
 class DiscoveryDisconnectedError(DiscoveryError):
-    """The connection is not up, or ended before the response did."""
+    """The connection was not established, or ended before the response was complete."""
+
+    def __init__(self) -> None:
+        super().__init__("not connected to discovery")
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -58,14 +70,14 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
-        self._transport = cast(asyncio.Transport, transport)
+        self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
         """Read on in the response."""
         try:
             response = self._reader.feed(data)
         except ProtocolError as error:
-            self._fail(DiscoveryProtocolError(f"not a response: {error!r}"))
+            self._fail(DiscoveryProtocolError(error))
             self.close()
             return
         if response is None:
@@ -78,7 +90,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the call that is waiting, if there is one."""
         self.is_closed = True
-        self._fail(exc or DiscoveryDisconnectedError("the connection ended"))
+        self._fail(exc or DiscoveryDisconnectedError())
 
     async def call(self, request: bytes, timeout_s: float) -> Response:
         """Send a request and wait for its response.
@@ -93,7 +105,7 @@
             TimeoutError: The response was not whole in time.
         """
         if self._transport is None:
-            raise DiscoveryDisconnectedError("the connection is not up")
+            raise DiscoveryDisconnectedError
         self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
         try:
--- a/loadbalancer/network/errors.py
+++ b/loadbalancer/network/errors.py
@@ -1,15 +1,17 @@
-"""The errors of the network layer."""
+"""The errors of the network code."""
 
 from __future__ import annotations
 
+from loadbalancer.errors import LoadBalancerError
 
-class ProtocolError(Exception):
+
+class ProtocolError(LoadBalancerError):
     """A message violates HTTP/1.1, or exceeds a size limit of this program."""
 
 
 class InvalidResponseError(ProtocolError):
-    """An upstream or discovery sent a response that must not be used."""
+    """A response of an upstream or of discovery must not be used."""
 
 
-class ConnectionLimitError(Exception):
-    """No further connection to an upstream may be opened within the limit on descriptors."""
+class ConnectionLimitError(LoadBalancerError):
+    """The limit on open connections to upstreams is reached."""
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
-from loadbalancer.network.client.incoming_request import IncomingRequest
-from loadbalancer.network.headers import Headers
 from loadbalancer.network.request_ids import RequestIds
-from loadbalancer.network.upstream.attempt import UpstreamAttempt
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Iterator
+
+    from loadbalancer.network.client.incoming_request import IncomingRequest
+    from loadbalancer.network.headers import Headers
+    from loadbalancer.network.upstream.attempt import UpstreamAttempt
 
 
 class ProxiedRequest:
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
 import socket
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 RESERVED_DESCRIPTORS = 24
 """Descriptors left unused both by clients and by upstreams.
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -9,13 +9,15 @@
 import asyncio
 import errno
 from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.errors import ConnectionLimitError
-from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.response_reader import Response
 
+if TYPE_CHECKING:
+    from loadbalancer.network.upstream.connection import UpstreamConnection
+
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -2,19 +2,23 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from functools import partial
+from typing import TYPE_CHECKING
 
-from loadbalancer.actions import CancelAttempt, StartAttempt
 from loadbalancer.events import NEVER_RAN, AttemptFinished, Event, Outcome
-from loadbalancer.network.client.incoming_request import IncomingRequest
-from loadbalancer.network.clock import Clock
 from loadbalancer.network.headers import end_to_end_headers
-from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
-from loadbalancer.network.upstream.attempt import UpstreamAttempt
-from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.request_bytes import UpstreamRequest
-from loadbalancer.network.upstream.response_reader import Response
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from loadbalancer.actions import CancelAttempt, StartAttempt
+    from loadbalancer.network.client.incoming_request import IncomingRequest
+    from loadbalancer.network.clock import Clock
+    from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
+    from loadbalancer.network.upstream.attempt import UpstreamAttempt
+    from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+    from loadbalancer.network.upstream.response_reader import Response
 
 
 class AttemptRunner:
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -4,13 +4,19 @@
 
 import asyncio
 import time
-from collections.abc import Callable
-from typing import Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
+from loadbalancer.errors import InvalidStateError
 from loadbalancer.network.errors import InvalidResponseError
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
 from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+
+_NOT_ESTABLISHED = "a request was sent before the connection was established"
+
 
 class ResponseHandler(Protocol):
     """What a connection reports to while it carries a request."""
@@ -59,7 +65,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Have writes reported exactly: any byte that stays in the buffer pauses writing."""
-        self._transport = cast(asyncio.Transport, transport)
+        self._transport = cast("asyncio.Transport", transport)
         set_no_delay(transport)
         self._transport.set_write_buffer_limits(high=0, low=0)
 
@@ -105,10 +111,10 @@
         """Write a request; its response goes to the handler.
 
         Raises:
-            RuntimeError: The connection has not been established.
+            InvalidStateError: The connection has not been established.
         """
         if self._transport is None:
-            raise RuntimeError("a request was sent before the connection was established")
+            raise InvalidStateError(_NOT_ESTABLISHED)
         self._handler = handler
         self._is_written = False
         self._reader = self._reader or ResponseReader()
@@ -129,7 +135,7 @@
         """Note that it carries no request from now on."""
         self.idle_since = time.monotonic()
 
-    def release(self, reuse: bool) -> None:
+    def release(self, *, reuse: bool) -> None:
         """End the current request: keep the connection if it may be used again, else close it.
 
         Args:
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -2,12 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from functools import partial
+from typing import TYPE_CHECKING
 
 from loadbalancer.events import Event, HealthCheckFinished, Outcome
-from loadbalancer.network.upstream.attempt_starter import AttemptStarter
-from loadbalancer.network.upstream.response_reader import Response
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+    from loadbalancer.network.upstream.response_reader import Response
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
 _REQUEST = b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import time
+from typing import TYPE_CHECKING
 
-from loadbalancer.network.client.incoming_request import IncomingRequest
+if TYPE_CHECKING:
+    from loadbalancer.network.client.incoming_request import IncomingRequest
 
 MIN_DEADLINE_US = 1.0  # X-Deadline has to be above 0
 
--- a/loadbalancer/network/upstream/response_reader.py
+++ b/loadbalancer/network/upstream/response_reader.py
@@ -14,6 +14,15 @@
 _FIRST_FINAL_STATUS = 200
 _STATUSES_WITHOUT_BODY = (204, 304)
 
+_HEADERS_TOO_LARGE = "headers too large"
+_INTERIM_RESPONSES_TOO_LARGE = "headers and interim responses too large"
+_BODY_TOO_LARGE = "body too large"
+_MORE_THAN_ONE_RESPONSE = "more than one response"
+_PROTOCOL_SWITCH = "a switch to another protocol, which was not requested"
+_MORE_THAN_ONE_LENGTH = "more than one length"
+_INVALID_LENGTH = "an invalid length"
+_NO_LENGTH = "no length, so that a truncated response could not be recognised"
+
 
 class Response:
     """One complete response, ready to be passed on."""
@@ -59,7 +68,7 @@
         self._bytes_since_response += len(data)
         self._parse(data)
         if self._response is None and self._bytes_since_response - self._body_bytes > MAX_HEAD_BYTES:
-            raise InvalidResponseError("headers and interim responses without end")
+            raise InvalidResponseError(_INTERIM_RESPONSES_TOO_LARGE)
         response, self._response = self._response, None
         if response is not None:
             self._bytes_since_response = 0
@@ -78,7 +87,7 @@
     def on_message_begin(self) -> None:
         """Discard the previous message, unless it is the final response: none may follow that."""
         if self._response is not None:
-            raise InvalidResponseError("more than one response")
+            raise InvalidResponseError(_MORE_THAN_ONE_RESPONSE)
         self._headers: Headers = []
         self._body_parts: list[bytes] = []
         self._body_bytes = 0
@@ -88,23 +97,23 @@
         """Keep a header, up to the size limit."""
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEAD_BYTES:
-            raise InvalidResponseError("headers too large")
+            raise InvalidResponseError(_HEADERS_TOO_LARGE)
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
         """Refuse a response that cannot be passed on before its body is read."""
         status = self._parser.get_status_code()
         if status == _SWITCHING_PROTOCOLS:
-            raise InvalidResponseError("a switch to another protocol, which was not requested")
+            raise InvalidResponseError(_PROTOCOL_SWITCH)
         lengths = [value for name, value in self._headers if name == b"content-length"]
         codings = [value.lower() for name, value in self._headers if name == b"transfer-encoding"]
         if (lengths and codings) or len(lengths) > 1 or codings not in ([], [b"chunked"]):
-            raise InvalidResponseError("more than one length")
+            raise InvalidResponseError(_MORE_THAN_ONE_LENGTH)
         if lengths and not self._is_valid_length(lengths[0]):
-            raise InvalidResponseError("an invalid length")
+            raise InvalidResponseError(_INVALID_LENGTH)
         has_body = status >= _FIRST_FINAL_STATUS and status not in _STATUSES_WITHOUT_BODY
         if has_body and not lengths and not codings:
-            raise InvalidResponseError("no length, so that a truncated response could not be recognised")
+            raise InvalidResponseError(_NO_LENGTH)
 
     def _is_valid_length(self, length: bytes) -> bool:
         if not length.isdigit() or len(length) > _MAX_LENGTH_DIGITS:
@@ -115,7 +124,7 @@
         """Keep a part of the body, up to the size limit."""
         self._body_bytes += len(data)
         if self._body_bytes > self._max_body_bytes:
-            raise InvalidResponseError("body too large")
+            raise InvalidResponseError(_BODY_TOO_LARGE)
         self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
