--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the policy sees: Unix milliseconds that never go backwards."""
+"""The clock of the policy: Unix time in milliseconds that never goes backwards."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 
 class Clock:
-    """Unix milliseconds at the start, plus what the monotonic clock has advanced since.
+    """The Unix time at the start, plus the time that has passed on the monotonic clock since.
 
-    It never goes backwards, and its times compare with the start times of endpoints (`since_ms`).
+    Changes of the system's clock after the start have no effect. The times can be compared with the start
+    times of endpoints, which are Unix times too.
     """
 
     def __init__(self) -> None:
         self._offset_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def now(self) -> float:
-        """The current time in milliseconds."""
+        """Return the current time in milliseconds."""
         return self._offset_ms + time.monotonic() * 1000
--- a/loadbalancer/network/discovery/__init__.py
+++ b/loadbalancer/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The side of discovery: the watch on the endpoint list."""
+"""Discovery: the watch on the endpoint list, and its connection."""
--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to discovery, and the errors of a call on it."""
+"""One HTTP connection to discovery, and the errors of its calls."""
 
 from __future__ import annotations
 
@@ -9,9 +9,14 @@
 from loadbalancer.network.errors import ProtocolError
 from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
-# From a response's first byte to its last: one that stops short is not waited for until the call's timeout.
 BODY_TIMEOUT_S = 0.5
+"""Time limit from the first byte of a response to its last.
+
+A response that stops part-way ends the call sooner than the call's own timeout, which covers a long wait.
+"""
+
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+"""Maximum size of a response; an endpoint list of 7,000 entries has 930 kB."""
 
 
 class DiscoveryError(LoadBalancerError):
@@ -22,7 +27,7 @@
     """Discovery sent bytes that are not an HTTP response, or a response that exceeds the size limits.
 
     Attributes:
-        cause: What is wrong with the bytes.
+        cause: The violation of the protocol.
     """
 
     def __init__(self, cause: ProtocolError) -> None:
@@ -31,7 +36,7 @@
 
 
 class DiscoveryStatusError(DiscoveryError):
-    """Discovery responded with another status than 200.
+    """Discovery responded with a status other than 200.
 
     Attributes:
         status: The status of the response.
@@ -65,7 +70,7 @@
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a response has begun and is not whole yet."""
+        """Whether a response has begun and is not complete."""
         return self._response is not None and not self._response.done() and self._timeout is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -73,7 +78,7 @@
         self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the response."""
+        """Parse the next bytes of the response."""
         try:
             response = self._reader.feed(data)
         except ProtocolError as error:
@@ -88,7 +93,7 @@
             self._response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call that is waiting, if there is one."""
+        """End the open call, if there is one, with an error."""
         self.is_closed = True
         self._fail(exc or DiscoveryDisconnectedError())
 
@@ -97,12 +102,13 @@
 
         Args:
             request: The bytes of the request.
-            timeout_s: For the response's beginning; from there on `BODY_TIMEOUT_S` holds, if that is sooner.
+            timeout_s: The time limit of the call. The response also has to be complete within
+                `BODY_TIMEOUT_S` of its first byte.
 
         Raises:
-            DiscoveryError: The connection ended, or carried something else than a response.
+            DiscoveryError: The connection ended, or carried bytes that are not a valid response.
             OSError: The connection broke.
-            TimeoutError: The response was not whole in time.
+            TimeoutError: The response was not complete in time.
         """
         if self._transport is None:
             raise DiscoveryDisconnectedError
@@ -121,7 +127,7 @@
             self._transport.abort()
 
     def _limit_body(self) -> None:
-        """Shorten the call's timeout, once, as the first bytes of its response have come."""
+        """Shorten the timeout of the call when the first bytes of its response arrive."""
         if self._timeout is None:
             return
         timeout, self._timeout = self._timeout, None
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -40,8 +40,8 @@
 class EndpointWatch:
     """Watches the endpoint list of discovery.
 
-    Once started, it calls discovery again after each response. After a failed call it goes on or ends, as the
-    retry schedule says; if it ends, `start_watch` starts it again.
+    Once started, it calls discovery again after each response. After a failed call, the retry schedule
+    decides whether the watch continues or ends; if it has ended, `start_watch` starts it again.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         """Watch another discovery at once, beginning with its complete list.
 
         The index of the old discovery's list has no meaning there. Guards against a list of the old discovery
-        that arrives late, and against a retry delay that was due to the old discovery.
+        that arrives late, and against a retry delay that failures of the old discovery caused.
         """
         if self._task is not None:
             self._task.cancel()
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, rate limited."""
+"""Log lines on standard error, with a limit on their rate."""
 
 from __future__ import annotations
 
@@ -7,27 +7,34 @@
 import time
 import traceback
 
-MAX_LINES = 50  # in each interval: what is written has to stay bounded, whatever goes wrong how often
 INTERVAL_S = 10.0
+"""Length of the intervals in which lines are counted."""
+
+MAX_LINES = 50
+"""Number of lines in each interval, so that the output stays bounded however often an error repeats."""
 
 
 class RateLimitedLog:
-    """Writes up to `MAX_LINES` lines to standard error in each interval, and drops the rest."""
+    """Writes up to `MAX_LINES` lines to standard error in each interval, and drops further ones.
+
+    Args:
+        name: The beginning of each line.
+    """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._interval = 0  # its number, counted on the monotonic clock
+        self._interval = 0  # number of the interval on the monotonic clock
         self._lines = 0
 
     def write(self, text: str) -> None:
-        """Write a line, unless the interval has had all its lines."""
+        """Write a line, unless the interval has reached its limit."""
         interval = int(time.monotonic() / INTERVAL_S)
         if interval != self._interval:
             self._interval = interval
             self._lines = 0
         self._lines += 1
         if self._lines <= MAX_LINES:
-            # Guards against a standard error that is closed: it must not end the balancer.
+            # Guards against a closed standard error, which must not end the process.
             with contextlib.suppress(OSError):
                 print(f"{self._name}: {text}", file=sys.stderr, flush=True)
 
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -1,4 +1,4 @@
-"""The table of requests that the proxy has accepted and not finished with yet."""
+"""The table of the requests that the proxy has accepted and that are not finished."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     """An accepted request with its attempts.
 
     Attributes:
-        number: Its number in the policy's events and actions.
-        incoming: The client's request, which is owed one response.
-        expires_at_ms: The moment of the policy's clock by which it has to be decided.
-        attempts: Its attempts in order; None for one that never started.
-        is_open: Whether its client still waits for the response.
+        number: The number of the request in the policy's events and actions.
+        incoming: The client's request, which gets exactly one response.
+        expires_at_ms: The policy's deadline, on the policy's clock.
+        attempts: The attempts in order; None for an attempt that never started.
+        is_open: Whether the client still waits for the response.
         may_have_run: Whether an attempt that has ended may have had an effect.
-        running_attempts: How many attempts have not ended.
-        queued_events: How many of its events the policy has not handled yet.
+        running_attempts: The number of attempts that have not ended.
+        queued_events: The number of events of the request that the policy has not handled.
     """
 
     __slots__ = (
@@ -53,11 +53,11 @@
         self._watchdog_timer: asyncio.TimerHandle | None = None
 
     def set_watchdog_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Keep the timer of the deadline watchdog, which is cancelled as the request closes."""
+        """Set the timer of the deadline watchdog, which is cancelled when the request is closed."""
         self._watchdog_timer = timer
 
     def close(self) -> None:
-        """Note that nobody waits for a response any more, or that it is about to be sent."""
+        """Mark the request as closed: the client has disconnected, or its response is sent next."""
         self.is_open = False
         if self._watchdog_timer is not None:
             self._watchdog_timer.cancel()
@@ -68,18 +68,21 @@
         self.incoming.respond(status, headers, body)
 
     def drop_unsent_attempts(self) -> None:
-        """End the attempts that have not been sent whole, also where a sent one must not be cancelled."""
+        """End the attempts whose request has not been sent completely.
+
+        Such an attempt may be ended also where the settings forbid to cancel attempts.
+        """
         for attempt in self.attempts:
             if attempt is not None:
                 attempt.withdraw()
 
     def is_finished(self) -> bool:
-        """Whether nothing more can come of it: no response, no attempt's end and no event."""
+        """Return whether the request is closed, and has no running attempt and no queued event."""
         return not (self.is_open or self.running_attempts or self.queued_events)
 
 
 class OpenRequests:
-    """The accepted requests by number, until they are finished."""
+    """The accepted requests by number, until they are finished, and the request ids in use."""
 
     def __init__(self) -> None:
         self._by_number: dict[int, ProxiedRequest] = {}
@@ -90,21 +93,21 @@
         return len(self._by_number)
 
     def __iter__(self) -> Iterator[int]:
-        """The numbers of the requests, as they are at this moment: the table may change meanwhile."""
+        """Iterate over a copy of the numbers of the requests, since the table may change meanwhile."""
         return iter(list(self._by_number))
 
     def __getitem__(self, number: int) -> ProxiedRequest:
         return self._by_number[number]
 
     def get(self, number: int | None) -> ProxiedRequest | None:
-        """The request of a number, or None if it is finished or there was none."""
+        """Return the request with a number; None if it is finished, or no request has the number."""
         return self._by_number.get(number) if number is not None else None
 
     def add(self, incoming: IncomingRequest, expires_at_ms: float) -> ProxiedRequest | None:
-        """Enter a request under a new number.
+        """Add a request with a new number.
 
         Returns:
-            The request, or None if its X-Request-Id is in use.
+            The request; None if its X-Request-Id is in use.
         """
         if not self._ids.add(incoming.request_id):
             return None
@@ -115,7 +118,7 @@
         return request
 
     def remove_if_finished(self, request: ProxiedRequest) -> None:
-        """Forget a request of which nothing more can come."""
+        """Remove a request if it is finished."""
         if request.is_finished():
             self._by_number.pop(request.number, None)
             self._ids.finish(request.incoming.request_id)
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -4,15 +4,18 @@
 
 import time
 
-GENERATION_S = 5.0  # finished ids are remembered for one to two generations
-MAX_FINISHED_IDS = 4_096  # in each generation
+GENERATION_S = 5.0
+"""Length of a generation; ids of finished requests are remembered for one to two generations."""
+
+MAX_FINISHED_IDS = 4_096
+"""Number of finished ids in a generation at which the next one begins."""
 
 
 class RequestIds:
-    """The X-Request-Ids in use: of open requests, and of those that finished recently.
+    """The X-Request-Ids in use: those of open requests, and of requests that finished recently.
 
-    Guards against a request with the id of another one, from whichever client: an effect could happen twice.
-    Finished ids are kept in two generations, so that the memory for them is bounded in time and number.
+    Guards against a second request with the id of another one, from the same or another client: its effect
+    could happen twice. Finished ids are remembered in two generations, which bounds their number and age.
     """
 
     def __init__(self) -> None:
@@ -32,14 +35,14 @@
         return len(self._recent) + len(self._older)
 
     def add(self, request_id: bytes) -> bool:
-        """Enter the id of a new request; false if it is in use."""
+        """Add the id of a new request; return false if the id is in use."""
         if request_id in self._open or request_id in self._recent or request_id in self._older:
             return False
         self._open.add(request_id)
         return True
 
     def finish(self, request_id: bytes) -> None:
-        """Note that a request is finished: it has no attempt out any more."""
+        """Move the id of an open request, which has no running attempt any more, to the finished ones."""
         self._open.discard(request_id)
         now_s = time.monotonic()
         age_s = now_s - self._generation_started_at_s
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -1,4 +1,4 @@
-"""Socket operations that the transports of asyncio do not offer, and the descriptors kept in reserve."""
+"""Socket operations that the transports of asyncio do not offer, and the reserve of file descriptors."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     import asyncio
 
 RESERVED_DESCRIPTORS = 24
-"""Descriptors left unused both by clients and by upstreams.
+"""Number of file descriptors that neither the connections of clients nor those to upstreams may use.
 
-They are for the event loop, the log, discovery and connections that are just closing.
+The event loop, the log, the connection to discovery and connections that are being closed need them.
 """
 
 
 class _BorrowedSocket(socket.socket):
-    """A socket on the descriptor of a transport; at the end of the context that stays open, as it was."""
+    """A socket on the descriptor of a transport; the descriptor stays open when the context ends."""
 
     __slots__ = ()
 
@@ -30,15 +30,15 @@
 
 
 def set_no_delay(transport: asyncio.BaseTransport) -> None:
-    """Have small messages sent at once (TCP_NODELAY)."""
+    """Set TCP_NODELAY, so that small messages are sent at once."""
     transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def peek(transport: asyncio.BaseTransport) -> bytes | None:
-    """Look at what the kernel has received and the event loop has not read yet.
+    """Look at the next byte that the kernel has received and the event loop has not read.
 
     Returns:
-        The first byte, `b""` if the connection has ended, or None if there is nothing.
+        The byte; `b""` if the connection has ended; None if there is neither a byte nor an end.
     """
     with _BorrowedSocket(transport) as borrowed:
         try:
@@ -50,12 +50,12 @@
 
 
 def shutdown_write(transport: asyncio.BaseTransport) -> None:
-    """Tell the peer at once that no more bytes come.
+    """End the sending side of a connection at once, before the event loop closes its socket.
 
-    Only for a transport with an empty write buffer; one that is closing is left alone.
+    The write buffer of the transport must be empty. A transport that is closing is not affected.
     """
     if transport.is_closing():
         return
-    # Guards against an error for a connection that has ended already.
+    # Guards against the error that the kernel reports for a connection that has ended already.
     with _BorrowedSocket(transport) as borrowed, contextlib.suppress(OSError):
         borrowed.shutdown(socket.SHUT_WR)
--- a/loadbalancer/network/upstream/__init__.py
+++ b/loadbalancer/network/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the upstreams: connection pools, and the attempts on their connections."""
+"""Upstreams: connection pools, and the attempts on their connections."""
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt to have a request processed by an upstream, and the outcome of each way it can end.
+"""One attempt to have a request processed by an upstream, and the outcome of each way in which it can end.
 
-Each attempt ends exactly once. Where the ending leaves a doubt, the request counts as one that may have
-been processed: the rule that a request which is not idempotent is processed at most once rests on that.
+Each attempt ends exactly once. Where it is uncertain whether the upstream processed the request, the outcome
+is one after which it may have: a request that is not idempotent must not be processed twice.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
-"""Errors of a connect that are due to this process or machine, not to the upstream."""
+"""Errors of connecting that are caused by this process or machine, not by the upstream."""
 
 _NOT_PROCESSED_HEADER = (b"x-not-run", b"1")
-"""With this header, a 503 or 504 says that the upstream did not begin to process the request."""
+"""The header of a 503 or 504 response which states that the upstream did not begin to process the request."""
 
 OnAttemptEnd = Callable[[Outcome, Response | None], None]
-"""Called with the outcome of an attempt, and with the response if it is complete."""
+"""A function that gets the outcome of an attempt, and the response if it is complete."""
 
 
 class ConnectionSource(Protocol):
-    """Where an attempt gets its connection from.
+    """The source of the connection of an attempt.
 
     Attributes:
         connect_timeout_s: How long opening a connection may take.
@@ -40,26 +40,26 @@
     connect_timeout_s: float
 
     def take_idle_connection(self) -> UpstreamConnection | None:
-        """Hand out an idle connection, if one may be used."""
+        """Remove and return an idle connection, if one may be used."""
 
     async def connect(self) -> UpstreamConnection:
         """Open a connection, or raise OSError or ConnectionLimitError."""
 
     def add_idle_connection(self, connection: UpstreamConnection) -> None:
-        """Take back a connection that may carry a further request."""
+        """Add a connection that may carry a further request to the idle ones."""
 
     def may_send(self) -> bool:
-        """Whether the upstream still accepts a request on a connection that has just been opened."""
+        """Return whether the upstream still accepts a request on a connection that has just been opened."""
 
 
 class UpstreamAttempt:
-    """One attempt at an upstream; owns its timer and the task that connects.
+    """One attempt at an upstream; it owns its timer and the task that connects.
 
     Args:
         loop: The event loop.
-        connections: Where the connection comes from.
+        connections: The source of the connection.
         compose: Returns the bytes of the request; called as they are written.
-        on_end: Called exactly once, whichever events coincide.
+        on_end: Called exactly once, also if several events coincide.
         is_wanted: Whether the client still waits for a response.
     """
 
@@ -106,13 +106,13 @@
             self._connect_task = self._loop.create_task(self._connect())
 
     def cancel(self) -> None:
-        """Stop waiting; the connection is closed, which tells the upstream."""
+        """End the attempt and close its connection, by which the upstream learns of it."""
         self._finish(Outcome.CANCELLED)
 
     def withdraw(self) -> None:
-        """End the attempt if its request has not left completely.
+        """End the attempt if the last byte of its request has not been written.
 
-        Unlike `cancel`, this never affects a request that the upstream may be processing.
+        Unlike `cancel`, this has no effect on a request that the upstream may be processing.
         """
         if self._connection is None or not self._connection.is_written():
             self._finish(Outcome.NOT_SENT)
@@ -122,11 +122,11 @@
         self._finish(_outcome_of_response(response), response)
 
     def handle_reset(self) -> None:
-        """End the attempt, as the connection ended or carried bytes that are not a valid response."""
+        """End the attempt, since the connection ended or carried bytes that are not a valid response."""
         self._finish(Outcome.RESET)
 
     def handle_timeout(self) -> None:
-        """End the attempt, as its time is up."""
+        """End the attempt, since its time limit has passed."""
         # Without a connection nothing was written, so that the upstream cannot have processed the request.
         self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
 
@@ -142,15 +142,15 @@
         self._send_on_new(connection)
 
     def _send_on_new(self, connection: UpstreamConnection) -> None:
-        if self._on_end is None:  # cancelled while the connection was being established
+        if self._on_end is None:  # the attempt ended while the connection was being established
             connection.close()
         elif not self._connections.may_send():
-            # Guards against a request that is sent late: the upstream began to drain during the connect.
+            # Guards against a late request: the upstream began to drain while the connection was opened.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
         elif not self._is_wanted():
-            # Guards against a request that nobody waits for: the client disconnected, or got its response
-            # from another attempt, during the connect.
+            # Guards against a request without a waiting client: while the connection was opened, the client
+            # disconnected, or got its response from another attempt.
             self._connections.add_idle_connection(connection)
             self._finish(Outcome.NOT_SENT)
         else:
@@ -171,7 +171,9 @@
             self._connect_task.cancel()
         if self._connection is not None:
             if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_written():
-                outcome = Outcome.CONNECT_FAILED  # without its last byte the request cannot have begun
+                outcome = (
+                    Outcome.CONNECT_FAILED
+                )  # an upstream does not process a request without its last byte
             self._connection.release(reuse=response is not None)
         on_end(outcome, response)
 
@@ -185,8 +187,8 @@
 
 
 def _outcome_of_failed_connect(error: Exception) -> Outcome:
-    # Guards against blaming the upstream for a resource that is missing here: the policy would learn that
-    # the upstream fails.
+    # Guards against a failure that is attributed to the upstream, though this process lacks a resource: the
+    # policy would count it against the endpoint.
     if isinstance(error, ConnectionLimitError):
         return Outcome.NOT_SENT
     if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs the attempts that the policy decides on, and reports how each of them ended."""
+"""Runs the attempts that the policy starts and cancels, and reports the outcome of each to the policy."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
         dispatch: Callable[[Event, ProxiedRequest], None],
         on_disconnect: Callable[[IncomingRequest], None],
     ) -> None:
-        """Connects the runner.
+        """Connect the runner to its surroundings.
 
         Args:
             requests: The table in which the policy's request numbers are looked up.
             starter: Starts attempts at endpoints.
             clock: The clock of the requests' `expires_at_ms`.
             dispatch: Passes an event of a request to the policy.
-            on_disconnect: Called for a client that turns out to have disconnected.
+            on_disconnect: Called with a request if its client turns out to have disconnected.
         """
         self._requests = requests
         self._starter = starter
@@ -53,16 +53,16 @@
         index = len(request.attempts)
         request.running_attempts += 1
         attempt: UpstreamAttempt | None = None
-        outcome = Outcome.NOT_SENT  # if nobody waits for the request any more
+        outcome = Outcome.NOT_SENT  # if the client does not wait any more
         if self._is_wanted(request):
             attempt = self._send(request, index, action)
-            outcome = Outcome.CONNECT_FAILED  # if no list names the endpoint any more
+            outcome = Outcome.CONNECT_FAILED  # if the endpoint list does not name the endpoint any more
         request.attempts.append(attempt)
         if attempt is None:
             self._on_finished(request, index, action.endpoint, outcome, None)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt, if it has not ended by itself."""
+        """Cancel an attempt, unless it has ended."""
         request = self._requests.get(action.request_id)
         attempt = request.attempts[action.attempt_index] if request is not None else None
         if attempt is not None:
@@ -80,7 +80,10 @@
         )
 
     def _is_wanted(self, request: ProxiedRequest) -> bool:
-        """Whether the client still waits, by a look at its socket: the loop may not have come to it yet."""
+        """Return whether the client still waits.
+
+        Looks at the client's socket, since the event loop may not have read the end of the connection yet.
+        """
         if request.is_open and request.incoming.is_client_gone():
             self._on_disconnect(request.incoming)
         return request.is_open
@@ -88,7 +91,10 @@
     def _on_finished(
         self, request: ProxiedRequest, index: int, endpoint: str, outcome: Outcome, response: Response | None
     ) -> None:
-        """Note the end of an attempt; the first successful response is sent before anything else is done."""
+        """Record the end of an attempt.
+
+        The first successful response is sent to the client before the policy gets the event.
+        """
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
         if request.is_open and outcome is Outcome.SUCCEEDED and response is not None:
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: writes a request, reads the response, reports what happens between."""
+"""One connection to an upstream: writes a request, and reports its response or its failure."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class ResponseHandler(Protocol):
-    """What a connection reports to while it carries a request."""
+    """Gets the result of the request that a connection carries."""
 
     def handle_response(self, response: Response) -> None:
-        """The response is complete."""
+        """Handle the complete response."""
 
     def handle_reset(self) -> None:
-        """The connection ended, or carried bytes that are not a valid response."""
+        """Handle the end of the connection, or bytes on it that are not a valid response."""
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -33,7 +33,10 @@
 
     Args:
         on_reusable: Called with the connection when it may carry a further request.
-        on_closed: Called with the connection exactly once, as it closes.
+        on_closed: Called with the connection exactly once, when it closes.
+
+    Attributes:
+        idle_since: When the connection last became idle, in seconds of `time.monotonic`.
     """
 
     def __init__(
@@ -42,7 +45,6 @@
         on_closed: Callable[[UpstreamConnection], None],
     ) -> None:
         self.idle_since = 0.0
-        """When it last became idle, in seconds of `time.monotonic`."""
         self._on_reusable = on_reusable
         self._on_closed = on_closed
         self._handler: ResponseHandler | None = None
@@ -58,22 +60,22 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """How many bytes of the request still wait in the buffer of this process."""
+        """The number of bytes of the request that are in the write buffer of this process."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
     # ---- callbacks of the event loop ------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have writes reported exactly: any byte that stays in the buffer pauses writing."""
+        """Set the limits of the write buffer to 0, so that `resume_writing` is called when it is empty."""
         self._transport = cast("asyncio.Transport", transport)
         set_no_delay(transport)
         self._transport.set_write_buffer_limits(high=0, low=0)
 
     def pause_writing(self) -> None:
-        """A part of the request is still in the buffer of this process."""
+        """Do nothing: `send` has seen that a part of the request is in the write buffer."""
 
     def resume_writing(self) -> None:
-        """The last byte of the request has left the buffer."""
+        """Record that the last byte of the request has left the write buffer."""
         self._is_written = self._handler is not None
 
     def data_received(self, data: bytes) -> None:
@@ -83,7 +85,7 @@
             self.close()
             return
         if not self._is_written:
-            # The request has not left completely: whatever these bytes are, they are not its response.
+            # Bytes that arrive before the request was written completely cannot be its response.
             handler.handle_reset()
             return
         try:
@@ -95,7 +97,7 @@
             handler.handle_response(response)
 
     def eof_received(self) -> None:
-        """The upstream has ended the connection; the transport closes by itself."""
+        """Report that the upstream has ended the connection; the transport closes by itself."""
         if self._handler is not None:
             self._handler.handle_reset()
 
@@ -122,21 +124,24 @@
         self._is_written = self.unsent_bytes == 0 and not self._transport.is_closing()
 
     def is_written(self) -> bool:
-        """Whether the last byte of the request has left the buffer of this process."""
+        """Return whether the last byte of the request has left the write buffer of this process."""
         return self._is_written
 
     def is_alive(self) -> bool:
-        """Look at the socket itself: the end may have come since the event loop last polled it."""
+        """Return whether the connection can carry a request.
+
+        Looks at the socket itself, since the connection may have ended after the event loop last polled it.
+        """
         if self._is_closed or self._transport is None or self._transport.is_closing():
             return False
-        return peek(self._transport) is None  # neither the end, nor bytes that belong to no request
+        return peek(self._transport) is None  # neither its end, nor bytes that belong to no request
 
     def mark_idle(self) -> None:
-        """Note that it carries no request from now on."""
+        """Record that the connection carries no request from now on."""
         self.idle_since = time.monotonic()
 
     def release(self, *, reuse: bool) -> None:
-        """End the current request: keep the connection if it may be used again, else close it.
+        """End the current request, and report the connection as reusable or close it.
 
         Args:
             reuse: Whether the request ended with a complete response.
@@ -148,10 +153,10 @@
             self.close()
 
     def close(self) -> None:
-        """Close at once, in a way that the upstream notices now.
+        """Close the connection, and its sending side before this returns.
 
-        Guards against two attempts in progress at a time: the event loop closes the socket in its next
-        turn, when a further attempt has begun already.
+        Guards against two attempts of a request that run at the same time: the event loop closes the socket
+        only in its next turn, when the next attempt may have been sent already.
         """
         self._report_closed()
         if self._transport is not None:
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: one GET /healthz to an upstream, reported to the policy as an event."""
+"""Health checks: each is one GET /healthz to an upstream, of which the policy gets the outcome."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
     from loadbalancer.network.upstream.response_reader import Response
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
+"""Time limit of a health check, including the time to connect."""
+
 _REQUEST = b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
 
 
@@ -22,14 +24,19 @@
 
 
 class HealthChecks:
-    """Starts health checks; `dispatch` gets a `HealthCheckFinished` for each."""
+    """Starts health checks.
+
+    Args:
+        starter: Starts attempts at endpoints.
+        dispatch: Passes an event to the policy: one `HealthCheckFinished` for each health check.
+    """
 
     def __init__(self, starter: AttemptStarter, dispatch: Callable[[Event], None]) -> None:
         self._starter = starter
         self._dispatch = dispatch
 
     def start(self, endpoint: str) -> None:
-        """Check an endpoint; one that is in no list any more counts as not sent."""
+        """Check an endpoint; the outcome is `NOT_SENT` if no endpoint list names the endpoint any more."""
         on_end = partial(self._on_end, endpoint)
         timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
         if self._starter.start(endpoint, timeout_s, _compose, on_end) is None:
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -1,4 +1,4 @@
-"""The request that one attempt sends to its upstream."""
+"""The bytes of the request that one attempt sends to its upstream."""
 
 from __future__ import annotations
 
@@ -8,11 +8,17 @@
 if TYPE_CHECKING:
     from loadbalancer.network.client.incoming_request import IncomingRequest
 
-MIN_DEADLINE_US = 1.0  # X-Deadline has to be above 0
+MIN_DEADLINE_US = 1.0
+"""Minimum value of X-Deadline, which has to be above 0."""
 
 
 class UpstreamRequest:
-    """A client's request as one attempt passes it on, with the time that this attempt has left."""
+    """A client's request as one attempt forwards it, with the remaining time of the attempt as X-Deadline.
+
+    Args:
+        incoming: The client's request.
+        timeout_ms: The time limit of the attempt, from now.
+    """
 
     __slots__ = ("_expires_at_s", "_incoming")
 
@@ -21,7 +27,7 @@
         self._expires_at_s = time.monotonic() + timeout_ms / 1000
 
     def compose(self) -> bytes:
-        """The bytes to send; called as they are sent, so that X-Deadline is what is left by then."""
+        """Return the bytes to send; to be called when they are sent, as X-Deadline is the time left then."""
         incoming = self._incoming
         remaining_us = max((self._expires_at_s - time.monotonic()) * 1_000_000, MIN_DEADLINE_US)
         return b"%bX-Deadline: %du\r\n%b\r\n%b" % (
--- a/loadbalancer/network/upstream/response_reader.py
+++ b/loadbalancer/network/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Parses HTTP/1.1 responses incrementally and validates them on the way."""
+"""An incremental parser of HTTP/1.1 responses, which validates them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
 
 _MAX_LENGTH_DIGITS = 19
-"""Content-Length values with more digits are refused before they are converted to an integer."""
+"""Number of digits above which a Content-Length is rejected before it is converted to an integer."""
 
 _SWITCHING_PROTOCOLS = 101
 _FIRST_FINAL_STATUS = 200
@@ -25,7 +25,7 @@
 
 
 class Response:
-    """One complete response, ready to be passed on."""
+    """One complete response."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -36,11 +36,14 @@
 
 
 class ResponseReader:
-    """Collects one response after another from the bytes of a connection.
+    """Parses the responses on a connection one after another.
 
-    Guards against headers and interim responses without end, invalid lengths and a body that exceeds the
-    limit: all are refused as soon as they are detected, so that time is left for another attempt. Bytes
-    that follow a complete response do not affect it, but the connection cannot be used again.
+    Guards against endless headers or interim responses, invalid lengths, and a body that exceeds the limit:
+    each is rejected as soon as it is detected, so that time is left for another attempt. Bytes that follow a
+    complete response do not affect it, but the connection cannot be used again.
+
+    Args:
+        max_body_bytes: The maximum size of a body.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -60,10 +63,10 @@
         """Parse further bytes of the connection.
 
         Returns:
-            The response, once it is complete.
+            The response if these bytes complete it; None otherwise.
 
         Raises:
-            InvalidResponseError: The bytes cannot become a response that may be passed on.
+            InvalidResponseError: The bytes are not the beginning of a valid response.
         """
         self._bytes_since_response += len(data)
         self._parse(data)
@@ -85,7 +88,7 @@
     # ---- callbacks of the parser ----------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Discard the previous message, unless it is the final response: none may follow that."""
+        """Discard the previous message if it was an interim response; no message may follow a final one."""
         if self._response is not None:
             raise InvalidResponseError(_MORE_THAN_ONE_RESPONSE)
         self._headers: Headers = []
@@ -94,14 +97,14 @@
         self._header_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header, up to the size limit."""
+        """Add a header, up to the size limit."""
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEAD_BYTES:
             raise InvalidResponseError(_HEADERS_TOO_LARGE)
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Refuse a response that cannot be passed on before its body is read."""
+        """Reject a response with an unusable head before its body is read."""
         status = self._parser.get_status_code()
         if status == _SWITCHING_PROTOCOLS:
             raise InvalidResponseError(_PROTOCOL_SWITCH)
@@ -121,14 +124,14 @@
         return int(length) <= self._max_body_bytes
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body, up to the size limit."""
+        """Add a part of the body, up to the size limit."""
         self._body_bytes += len(data)
         if self._body_bytes > self._max_body_bytes:
             raise InvalidResponseError(_BODY_TOO_LARGE)
         self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Keep a final response; an interim one (status 1xx) is ignored."""
+        """Store a final response; ignore an interim one (status 1xx)."""
         # Read here and not later: the parser resets its flags once the message is complete.
         self._may_reuse = self._parser.should_keep_alive()
         status = self._parser.get_status_code()
