--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,19 +1,30 @@
-"""Admission control: load is shed by priority weight, and by the quota of each tenant."""
+"""Admission control: shed load by priority weight, tenant quota and lateness.
+
+docs/POLICY.md has the formulas and the reasons for the constants.
+"""
 
 from loadbalancer.policy.arrivals import LONG_TERM_REQUESTS
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import RequestClass, Settings
 
-PRIORITY_EXPONENT = 1 / 3  # of the priority weight: each class counts by itself, too, and must not starve
-# Of the longest timeout that clients give a try; a shorter one tells a client's retry.
+# Exponent of the relative priority weight. Linear, a class of an eighth of the largest weight was shed like
+# requests over quota; with the square root it still fell below the service that each class must get.
+PRIORITY_EXPONENT = 1 / 3
+# Fraction of the longest client timeout of a class: a request with less time remaining is a client retry.
 FULL_TIMEOUT_FRACTION = 0.9
-MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS  # the longest timeout fades by 1/e over so many requests
-QUOTA_BURST_MS = 2_000.0  # a tenant may use this much of its quota at once
+# Requests of a class over which the longest timeout seen decays by 1/e, if clients shorten theirs.
+MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS
+# Bucket size as time, in ms: the quota of this span may be used at once. A bucket that grew with the
+# square root of the number of replicas made no difference.
+QUOTA_BURST_MS = 2_000.0
 
 
 class Quotas:
-    """Token buckets by tenant, for our part of its quota; a token is a request inside it."""
+    """Token buckets by tenant, one token a request, for this replica's part of the tenant's quota.
+
+    Assumes that a tenant's requests spread evenly over the replicas.
+    """
 
     def __init__(self, settings: Settings, peers: PeerEstimator) -> None:
         self._peers = peers
@@ -22,7 +33,7 @@
         self._updated_at: dict[str, float] = {}
 
     def is_over_quota(self, tenant: str | None, now: float) -> bool:
-        """Whether this tenant is past our part of its quota; tenants without one never are."""
+        """Return whether the tenant's bucket has no token; never for a tenant without a quota."""
         rate = self._per_ms.get(tenant or "")
         if rate is None or tenant is None:
             return False
@@ -34,13 +45,18 @@
         return self._tokens[tenant] < 1
 
     def spend(self, tenant: str | None) -> None:
-        """Count a request that was admitted inside the quota."""
+        """Take the token of a request that was admitted within the quota."""
         if tenant in self._tokens:
             self._tokens[tenant] -= 1
 
 
 class AdmissionControl:
-    """Lets requests in or sheds them: the more important a request, the more attempts may be open."""
+    """Admits requests or sheds them: the more important a request, the higher the load at which it is shed.
+
+    The importance, from 0 to 1, is the relative priority weight of the class to the power of
+    PRIORITY_EXPONENT, times `over_quota_weight` for a request over quota, times the class's `late_value`
+    for a late client retry.
+    """
 
     def __init__(self, settings: Settings, overload: OverloadDetector, quotas: Quotas) -> None:
         self._is_first_tier = settings.tier == 0
@@ -53,7 +69,10 @@
     def admits(
         self, request_class: RequestClass, tenant: str | None, remaining_ms: float, now: float
     ) -> bool:
-        """Whether a request that arrives now is let in; behind the first tier all are."""
+        """Return whether to admit a request that arrives now.
+
+        Behind the first tier every request is admitted: work done for it in the tiers before would be lost.
+        """
         if not self._is_first_tier:
             return True
         is_over_quota = self._quotas.is_over_quota(tenant, now)
@@ -63,18 +82,23 @@
             importance *= request_class.late_value
         if self._overload.is_overloaded(importance, now):
             return False
-        if not is_over_quota:  # what is shed uses up nothing: its client may ask again
+        # Guards against requests counted twice: a shed request spends no token, since its client may retry.
+        if not is_over_quota:
             self._quotas.spend(tenant)
         return True
 
     def _is_late_client_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
-        """Whether it is a client's retry, past its latency objective before it came.
+        """Return whether a client retries a request whose latency objective has passed.
+
+        The client's first attempt is estimated to have started at the class's deadline less `remaining_ms`
+        before now. A request that comes with nearly the longest timeout seen for its class is a first
+        attempt, however short that timeout.
 
-        Guards against clients that give each try a part of the deadline only: what is missing from it has
-        not passed. A retry gets less than a first try only where little is left of the deadline.
+        Guards against clients that give each attempt only a fraction of the deadline: the rest of the
+        deadline has not passed, and their first attempts would count as late retries.
         """
-        known = self._max_client_timeout_ms[request_class.name]
-        max_timeout_ms = max(remaining_ms, known * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS))
+        decayed_ms = self._max_client_timeout_ms[request_class.name] * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS)
+        max_timeout_ms = max(remaining_ms, decayed_ms)
         self._max_client_timeout_ms[request_class.name] = max_timeout_ms
         passed_ms = request_class.deadline_ms - remaining_ms
         is_retry = remaining_ms < FULL_TIMEOUT_FRACTION * max_timeout_ms
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Records attempts in the evidence: when they start, how they end, and what they leave open."""
+"""Records the start and the end of each attempt as evidence on endpoints, classes and connections."""
 
 import math
 
@@ -10,15 +10,19 @@
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.policy.service_times import ServiceTimes
 
-FULL_LOSS_SERVICE_TIMES = 2.0  # an attempt waited for over so many mean service times counts as lost in full
-REUSABLE_CONNECTION_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.ERROR})  # it can be used again
-# The outcomes that tell of an idle connection whether it was alive.
+# Mean service times of its request after which an unanswered attempt counts as lost in full; before that it
+# counts in proportion to the wait, since a short wait is hardly evidence.
+FULL_LOSS_SERVICE_TIMES = 2.0
+# Outcomes after which the connection can be used again.
+REUSABLE_CONNECTION_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.ERROR})
+# Outcomes that show whether an idle connection was alive.
 LIVENESS_EVIDENCE_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET})
-NO_EVIDENCE_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})  # they tell nothing of the endpoint
+# Outcomes that are no evidence on the endpoint: the attempt was ended by this replica.
+NO_EVIDENCE_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})
 
 
 class AttemptRecorder:
-    """Writes the evidence on endpoints, service times, sustainable and idle connections."""
+    """Writes the evidence on endpoints, service times, sustainable concurrency and idle connections."""
 
     def __init__(
         self,
@@ -31,24 +35,37 @@
         self._sustainable = sustainable
         self._idle_limit = idle_limit
         self._available = available
-        self._open_attempts = 0
+        self._in_flight = 0
 
     def start(
-        self, endpoint: EndpointStats, idle_ms: float, timeout_ms: float, is_shedding: bool, now: float
+        self, endpoint: EndpointStats, idle_ms: float, timeout_ms: float, now: float, *, is_shedding: bool
     ) -> Attempt:
-        """Start an attempt on a connection that was idle for so long.
+        """Record the start of an attempt and return it.
 
-        While we shed load it is no baseline: however little of the overload is ours, it takes longer.
+        An attempt counts toward the baseline service time if the replica has at most one attempt in flight
+        per unit of its part of the available capacity, and sheds no load: during an overload service times
+        are inflated, however little of the load comes from this replica.
+
+        Args:
+            endpoint: Where the attempt goes.
+            idle_ms: How long its connection has been idle; 0 if new, in use or not known.
+            timeout_ms: How long it may take.
+            now: The current time.
+            is_shedding: Whether load is being shed.
         """
         endpoint.catch_up(now)
         endpoint.in_flight += 1
-        self._open_attempts += 1
-        has_room = self._open_attempts <= max(self._available.weight / self._available.peers.count, 1.0)
-        is_baseline = has_room and not is_shedding
+        self._in_flight += 1
+        has_capacity = self._in_flight <= max(self._available.weight / self._available.peers.count, 1.0)
+        is_baseline = has_capacity and not is_shedding
         return Attempt(endpoint, idle_ms, now, now + timeout_ms, is_baseline)
 
     def record_end(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
-        """Count a served attempt; count a failed one with its full timeout: it must not look quick."""
+        """Record the end of an attempt.
+
+        Guards against endpoints that fail quickly and so look fast: a failed attempt adds the rest of its
+        timeout to the time that attempts spent at the endpoint, and no served work.
+        """
         endpoint, class_name = attempt.endpoint, request.request_class.name
         endpoint.catch_up(now)
         endpoint.last_used_at = now if outcome in REUSABLE_CONNECTION_OUTCOMES else math.inf
@@ -67,27 +84,29 @@
             else:
                 endpoint.record_outcome(class_name, served=0.0, lost=1.0)
         endpoint.in_flight -= 1
-        self._open_attempts -= 1
+        self._in_flight -= 1
 
     def record_abandoned(self, attempt: Attempt, request: Request, now: float) -> None:
-        """Count an attempt that is open still while another one brought the response."""
+        """Record that another attempt brought the response while this one was still unanswered."""
         self._idle_limit.record(attempt.idle_ms, is_silent=True)
         self._record_loss(attempt, request, now)
 
     def _record_loss(self, attempt: Attempt, request: Request, now: float) -> None:
-        """Count an attempt that was waited for in vain; one with hardly any time tells little."""
+        """Count an unanswered attempt as lost, in proportion to how long it was waited for."""
         class_name = request.request_class.name
-        patience = FULL_LOSS_SERVICE_TIMES * request.expected_work * self._service_times.mean_ms(class_name)
-        lost = min((now - attempt.sent_at) / patience, 1.0)
+        mean_ms = self._service_times.mean_ms(class_name)
+        full_loss_ms = FULL_LOSS_SERVICE_TIMES * request.expected_work * mean_ms
+        lost = min((now - attempt.sent_at) / full_loss_ms, 1.0)
         attempt.endpoint.record_outcome(class_name, served=0.0, lost=lost)
 
     def _record_success(self, attempt: Attempt, request: Request, now: float) -> None:
         class_name, expected_work = request.request_class.name, request.expected_work
-        elapsed, service_times = now - attempt.sent_at, self._service_times
+        elapsed_ms, service_times = now - attempt.sent_at, self._service_times
         if attempt.is_baseline:
-            service_times.record_baseline(class_name, elapsed / expected_work)
-        # Brings all endpoints up to date: it comes before this attempt counts as served there.
-        self._sustainable.record(expected_work * service_times.baseline_ms(class_name), now)
-        service_times.record(class_name, elapsed)
+            service_times.record_baseline(class_name, elapsed_ms / expected_work)
+        # Must come before `served` is increased: it may sum the available capacity, which decays the
+        # evidence of every endpoint up to `now`.
+        self._sustainable.record_completion(expected_work * service_times.baseline_ms(class_name), now)
+        service_times.record(class_name, elapsed_ms)
         attempt.endpoint.served += request.work
         attempt.endpoint.record_outcome(class_name, served=1.0, lost=0.0)
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -1,36 +1,49 @@
-"""The weight of the endpoints that can take requests."""
+"""The available capacity: the weight of the endpoints that can take requests."""
 
 import math
+from typing import TYPE_CHECKING
 
 from loadbalancer.policy.endpoint_set import EndpointSet
-from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.policy.outlier_detection import is_outlier
 from loadbalancer.policy.peers import PeerEstimator
 
-UPDATE_INTERVAL_MS = 100.0  # the available capacity is summed anew after this; it only saves work
+if TYPE_CHECKING:
+    from loadbalancer.policy.endpoint_stats import EndpointStats
+
+# Age, in ms, at which the sum is taken again: long enough to cost little at hundreds of requests a second,
+# short against the second in which overload builds up.
+UPDATE_INTERVAL_MS = 100.0
 
 
 class AvailableCapacity:
-    """The sum of weights over the endpoints that can take requests.
+    """Sums the weight of the endpoints that can take requests; the replica estimate follows each sum.
+
+    An endpoint in slow start counts with its weight times its warm-up fraction, an outlier not at all.
+    Weights are relative: the endpoint list gives an ordinary endpoint the weight 1.
+
+    Guards against limits that count capacity which is not there: requests meant for lost or warming
+    endpoints would all go to the others.
 
-    Endpoints that warm up count by their warm-up fraction, outliers not at all.
+    Attributes:
+        peers: The estimate of the replica count.
+        weight: The last sum; never 0, so that limits derived from it are not.
+        reachable: The ready endpoints whose connects succeed; all ready ones if connects fail at each.
     """
 
     def __init__(self, endpoints: EndpointSet, peers: PeerEstimator) -> None:
         self._endpoints = endpoints
         self._warmup = endpoints.warmup
-        self.peers = peers  # their estimate follows the sum
+        self.peers = peers
         self._updated_at = -math.inf
-        self.weight = 1.0  # the last sum; never 0
-        # The ready endpoints that connects do not fail at; all ready ones if they do at each.
+        self.weight = 1.0
         self.reachable: list[EndpointStats] = []
 
     def invalidate(self, now: float) -> None:
-        """The endpoint list has changed: sum anew when next asked."""
+        """Have the next call of `update` take the sum again: the endpoint list has changed."""
         self._updated_at = min(self._updated_at, now - UPDATE_INTERVAL_MS)
 
     def update(self, now: float) -> float:
-        """Return the sum, taken anew if the last one is old."""
+        """Return the sum, taken again if the last one is older than UPDATE_INTERVAL_MS."""
         if now - self._updated_at >= UPDATE_INTERVAL_MS:
             ready = self._endpoints.ready
             for endpoint in ready:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -172,7 +172,8 @@
         if hedge_delay_ms is not None:
             self._actions.append(SetTimer(now + hedge_delay_ms, HedgeTimer(request.id)))
         is_shedding = now <= self._shedding_until
-        request.attempts.append(self._recorder.start(endpoint, idle_ms, timeout_ms, is_shedding, now))
+        attempt = self._recorder.start(endpoint, idle_ms, timeout_ms, now, is_shedding=is_shedding)
+        request.attempts.append(attempt)
         self._slow_start.record_start(endpoint, now)
         self._actions.append(StartAttempt(request.id, endpoint.entry.name, timeout_ms))
         return True
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -1,4 +1,7 @@
-"""The learned capacity of each endpoint: work served a millisecond of our time there."""
+"""The learned capacity of each endpoint, in work per millisecond of attempt time.
+
+docs/POLICY.md has the formula, its source and the reasons for the constants.
+"""
 
 import math
 
@@ -6,31 +9,52 @@
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EVIDENCE_TIME_CONSTANT_MS, UPDATE_INTERVAL_MS, EndpointStats
 
-# Evidence is kept longer where fewer attempts than this an endpoint came within its usual memory.
+# Attempts that each endpoint of the subset gets, on average, within one time constant of its evidence.
 MIN_ATTEMPTS_PER_TIME_CONSTANT = 4.0
+# Upper bound of that time constant, in ms: an endpoint that has recovered must show it within a minute.
 MAX_CAPACITY_TIME_CONSTANT_MS = 20_000.0
-# The median counts as so many attempts, so that one slow response does not ruin an estimate.
+# Pseudo-observations: attempts at the prior's rate that are added to the evidence of each endpoint. With
+# two, one slow response at an endpoint with little evidence does not ruin its estimate.
 PSEUDO_OBSERVATIONS = 2.0
-MIN_SERVED_WORK = 0.5  # work that an endpoint must have served of late to count in the median
-MEDIAN_INTERVAL_MS = 500.0  # the median is taken anew after this; it only saves work
+# Work, in mean attempts, that an endpoint must have served recently for its estimate to enter the median.
+MIN_SERVED_WORK = 0.5
+# Age, in ms, at which the median is taken again; sorting all endpoints for each request costs too much.
+MEDIAN_INTERVAL_MS = 500.0
 
 
 class CapacityEstimator:
-    """Estimates the capacity of endpoints from what they served and the time our attempts spent there."""
+    """Estimates each endpoint's capacity, shrunk toward a prior where there is little evidence.
+
+        prior    = median * weight
+        capacity = (served + k) / (busy_ms + k / prior),  k = PSEUDO_OBSERVATIONS
+
+    `served` is the work that the endpoint served and `busy_ms` the time that our attempts spent there, both
+    decaying exponentially. Their quotient is work per millisecond of attempt time: by Little's law the
+    throughput of our attempts there over their mean number in flight. `median` is the median of
+    served / (busy_ms * weight) over the endpoints with evidence.
+
+    Guards against estimates from too little evidence: one of hundreds of replicas calls an endpoint too
+    seldom to learn its weight by itself.
+
+    Attributes:
+        median: Capacity per unit of weight, in work per ms; 0 until an endpoint has evidence.
+        served_per_ms: The mean rate of work that a warm endpoint of the subset serves for this replica.
+        time_constant_ms: The time constant by which evidence on capacity decays.
+    """
 
     def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate) -> None:
         self._endpoints = endpoints
         self._warmup = endpoints.warmup
         self._arrivals = arrivals
         self._median_at = -math.inf
-        self.median = 0.0  # of the known estimates for each unit of weight; 0 while none is known
-        self.served_per_ms = 0.0  # what a warm endpoint of the subset serves of our requests
-        self.time_constant_ms = EVIDENCE_TIME_CONSTANT_MS  # evidence on capacity fades by 1/e over this
+        self.median = 0.0
+        self.served_per_ms = 0.0
+        self.time_constant_ms = EVIDENCE_TIME_CONSTANT_MS
 
     def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
-        """For each endpoint served work over our time in flight there, leaning on `median` times its weight.
+        """Return the capacity of each endpoint, in the order given.
 
-        A balancer of hundreds calls an endpoint too seldom to learn its weight by itself.
+        The estimate of an endpoint in slow start is at most its warm-up fraction of the prior.
         """
         estimates = []
         is_any_warming_up = now < self._warmup.active_until
@@ -38,16 +62,18 @@
             if now - endpoint.updated_at >= UPDATE_INTERVAL_MS:
                 endpoint.catch_up(now)
             prior = median * endpoint.weight
-            estimate = (endpoint.served + PSEUDO_OBSERVATIONS) / (
-                endpoint.busy_ms + PSEUDO_OBSERVATIONS / prior
-            )
+            pseudo_busy_ms = PSEUDO_OBSERVATIONS / prior
+            estimate = (endpoint.served + PSEUDO_OBSERVATIONS) / (endpoint.busy_ms + pseudo_busy_ms)
             if is_any_warming_up and (fraction := self._warmup.fraction(endpoint, now)) < 1:
                 estimate = min(estimate, prior * fraction)
             estimates.append(estimate)
         return estimates
 
     def current_median(self, now: float) -> float:
-        """The median, taken anew if the last one is old; 1 while none is known."""
+        """Return the median, taken again if older than MEDIAN_INTERVAL_MS; 1 while there is no evidence.
+
+        Without evidence all endpoints are drawn by their weight alone, so any positive value serves.
+        """
         if now - self._median_at >= MEDIAN_INTERVAL_MS:
             self._median_at = now
             self._update(now)
@@ -59,10 +85,13 @@
             e.served / (e.busy_ms * e.weight) for e in ready if e.served > MIN_SERVED_WORK and e.busy_ms > 0
         )
         self.median = known[len(known) // 2] if known else self.median
+        # A sum that decays with the time constant T settles at T times its rate.
         if warm := [e.served for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_per_ms = sum(warm) / len(warm) / self.time_constant_ms
-        # Guards against evidence that fades between two attempts: of hundreds, one balancer makes few.
-        wanted = MIN_ATTEMPTS_PER_TIME_CONSTANT * self._arrivals.short_term_interarrival_ms * len(subset)
-        self.time_constant_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, wanted), MAX_CAPACITY_TIME_CONSTANT_MS)
+        # Guards against evidence that decays between two attempts: one of hundreds of replicas makes few.
+        interval_ms = self._arrivals.short_term_interarrival_ms
+        wanted_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
+        bounded_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, wanted_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
+        self.time_constant_ms = bounded_ms
         for endpoint in ready:
-            endpoint.capacity_time_constant_ms = self.time_constant_ms
+            endpoint.capacity_time_constant_ms = bounded_ms
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, and the subset of them that this balancer keeps to."""
+"""The endpoints of the list, and the subset of them that this replica sends requests to."""
 
 import math
 from random import Random
@@ -9,43 +9,65 @@
 from loadbalancer.policy.warmup import WarmupRamp
 from loadbalancer.settings import Settings
 
-MIN_SUBSET_SIZE = 12  # endpoints that a balancer keeps to at the least: losing a few must leave a choice
-# Balancers that keep to each endpoint: their random shares then even out to a fifth.
+# Smallest number of endpoints in the subset: the loss of a few must leave a choice.
+MIN_SUBSET_SIZE = 12
+# Mean number of replicas whose subsets an endpoint is in. It is a Poisson count, so its standard deviation
+# over the endpoints is 1 / sqrt(30), less than a fifth of the mean.
 BALANCERS_PER_ENDPOINT = 30
 
 
 class EndpointSet:
-    """The known endpoints."""
+    """The known endpoints: those of the list, and removed ones that have attempts in flight.
+
+    The subset holds the ready endpoints with the lowest ranks, as many as
+
+        max(MIN_SUBSET_SIZE, ready endpoints * BALANCERS_PER_ENDPOINT / replicas)
+
+    Each replica draws a rank for each endpoint once, so a subset is random but stable: a new endpoint
+    displaces at most one of its members.
+
+    Guards against many replicas that each call every endpoint, all of them too seldom to learn its capacity
+    or to use a connection twice.
+
+    Attributes:
+        warmup: The warm-up ramp of the endpoints in slow start.
+        by_name: All known endpoints.
+        ready: Those that take requests, by the endpoint list.
+        subset: Those of the ready ones that this replica sends requests to.
+    """
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.warmup = WarmupRamp(settings)
-        self._balancers = settings.balancers
+        self._replicas = settings.balancers
         self._random = random
         self.by_name: dict[str, EndpointStats] = {}
-        self.ready: list[EndpointStats] = []  # those that the list says take requests
-        self.subset: list[EndpointStats] = []  # those of them with the lowest ranks, which we keep to
+        self.ready: list[EndpointStats] = []
+        self.subset: list[EndpointStats] = []
 
     def update(self, event: EndpointListUpdate, now: float) -> None:
-        """Take over a whole list or the changes to it."""
+        """Apply a snapshot of the endpoint list, or a change to it."""
         if event.kind is not EndpointListKind.DELTA:
+            # An endpoint that is missing from a snapshot has been removed.
             for known in self.by_name.values():
-                known.is_ready = False  # missing from a whole list means removed
+                known.is_ready = False
         for entry in event.endpoints:
             self._update_entry(entry, now)
         self.by_name = {name: e for name, e in self.by_name.items() if e.is_ready or e.in_flight}
         self.ready = [e for e in self.by_name.values() if e.is_ready]
-        # A balancer of hundreds calls each of all too seldom to learn it, or to use a connection twice.
-        wanted = math.ceil(len(self.ready) * BALANCERS_PER_ENDPOINT / self._balancers)
         self.warmup.update(self.ready)
+        wanted = math.ceil(len(self.ready) * BALANCERS_PER_ENDPOINT / self._replicas)
         self.subset = sorted(self.ready, key=lambda e: e.rank)[: max(MIN_SUBSET_SIZE, wanted)]
 
     def _update_entry(self, entry: Endpoint, now: float) -> None:
         endpoint = self.by_name.get(entry.name)
         if endpoint is None:
             rank = self._random.random()
-            endpoint = self.by_name[entry.name] = EndpointStats(entry, now, rank, rank * 1e6 % 1.0)
+            # The digits behind the sixth are as good as a second draw.
+            slow_start_rank = rank * 1e6 % 1.0
+            endpoint = self.by_name[entry.name] = EndpointStats(entry, now, rank, slow_start_rank)
         if entry.started_at_ms > endpoint.entry.started_at_ms:
-            endpoint.reset(now)  # the same name, a new process
+            endpoint.reset(now)
         endpoint.entry = entry
         endpoint.is_ready = entry.state is EndpointState.READY
-        endpoint.weight = entry.weight if 0 < entry.weight < math.inf else 1.0  # a list may give odd ones
+        # The endpoint list does not rule out weights that are no positive finite number.
+        endpoint.weight = entry.weight if 0 < entry.weight < math.inf else 1.0
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -1,4 +1,8 @@
-"""The evidence on one endpoint: attempts served, time spent there, and attempts lost by class."""
+"""The evidence on one endpoint: work served, time spent there, and attempts lost by class.
+
+All of it decays exponentially. The amounts are kept as of `updated_at` and brought to the present by
+`EndpointStats.catch_up`, which each reader calls before it reads.
+"""
 
 import math
 from collections import deque
@@ -6,52 +10,79 @@
 
 from loadbalancer.endpoints import Endpoint
 
-# Evidence fades by 1/e over this: long enough for a few attempts, short enough to recover.
+# Time constant, in ms, by which evidence decays: long enough to hold a few attempts at an endpoint, short
+# enough that an ejected endpoint is selected again within seconds.
 EVIDENCE_TIME_CONSTANT_MS = 6_000.0
-# Those who read the evidence bring it up to date in steps of this; it only saves work.
+# Age, in ms, at which a reader brings the evidence up to date; small against the time constant.
 UPDATE_INTERVAL_MS = 20.0
-# More lost attempts than this are not remembered, so that an ejected endpoint is tried again within seconds.
+# Upper bound of the lost attempts, and of the failed connects, that are remembered: it limits how long an
+# endpoint that failed many attempts stays ejected.
 MAX_LOST_ATTEMPTS = 4.0
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class EndpointStats:
-    """One endpoint: its list entry, our attempts there and the evidence on its capacity."""
+    """One endpoint of the list, this replica's attempts there, and the evidence from them.
+
+    Attributes:
+        entry: Its entry in the endpoint list.
+        updated_at: The time up to which the evidence is decayed.
+        rank: Random, from 0 to 1; the endpoints with the lowest ranks are this replica's subset.
+        slow_start_rank: Random, from 0 to 1; the replicas with the lowest ones select the endpoint while it
+            is in slow start.
+        is_ready: Whether it takes requests, by the endpoint list.
+        weight: Its relative capacity, by the endpoint list.
+        in_flight: Attempts of this replica that are in flight there.
+        served: Work served, in mean attempts; decays.
+        busy_ms: Time that attempts spent there, summed over the attempts, those in flight included; decays.
+        capacity_time_constant_ms: The time constant by which `served` and `busy_ms` decay.
+        outcomes: Attempts served and lost, by class; decay.
+        connect_failures: Failed connects since its last response; decays.
+        last_used_at: When a connection to it last became idle in working order; infinity if none did.
+        recent_starts: Start times of attempts while it is in slow start.
+    """
 
-    entry: Endpoint  # what the list says of it
-    updated_at: float  # the moment that the evidence stands at
-    rank: float  # drawn once; the endpoints with the lowest ranks make up the subset
-    slow_start_rank: float  # from 0 to 1; the balancers with the lowest call it in its slow start
+    entry: Endpoint
+    updated_at: float
+    rank: float
+    slow_start_rank: float
     is_ready: bool = False
-    weight: float = 1.0  # as registered
-    in_flight: int = 0  # our open attempts there
-    served: float = 0.0  # work served of late, in mean attempts
-    busy_ms: float = 0.0  # time that our attempts spent there of late, summed over the attempts
-    capacity_time_constant_ms: float = (
-        EVIDENCE_TIME_CONSTANT_MS  # `served` and `busy_ms` fade by 1/e over this
-    )
-    outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)  # served and lost, by class
-    connect_failures: float = 0.0  # since it last responded; they fade, too
-    last_used_at: float = math.inf  # when a connection to it was last given back in working order
-    recent_starts: deque[float] = field(default_factory=deque)  # of attempts during its slow start
+    weight: float = 1.0
+    in_flight: int = 0
+    served: float = 0.0
+    busy_ms: float = 0.0
+    capacity_time_constant_ms: float = EVIDENCE_TIME_CONSTANT_MS
+    outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)
+    connect_failures: float = 0.0
+    last_used_at: float = math.inf
+    recent_starts: deque[float] = field(default_factory=deque)
 
     def reset(self, now: float) -> None:
-        """Drop the evidence: the process behind the name is a new one."""
+        """Drop the evidence: a new process runs under this name."""
         self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.outcomes, self.connect_failures = {}, 0.0
 
     def catch_up(self, now: float) -> None:
-        """Bring the evidence to `now`: open attempts add time, and all of it fades."""
-        fade = math.exp((self.updated_at - now) / self.capacity_time_constant_ms)
-        self.served *= fade
-        self.busy_ms = self.busy_ms * fade + self.in_flight * (now - self.updated_at)
-        fade = math.exp((self.updated_at - now) / EVIDENCE_TIME_CONSTANT_MS)
-        self.outcomes = {name: (served * fade, lost * fade) for name, (served, lost) in self.outcomes.items()}
-        self.connect_failures *= fade
+        """Bring the evidence up to date: decay all amounts, and add the time of attempts in flight.
+
+        An attempt in flight adds its time as it passes, so an endpoint that does not respond loses capacity
+        before its first attempt times out.
+        """
+        decay = math.exp((self.updated_at - now) / self.capacity_time_constant_ms)
+        self.served *= decay
+        self.busy_ms = self.busy_ms * decay + self.in_flight * (now - self.updated_at)
+        decay = math.exp((self.updated_at - now) / EVIDENCE_TIME_CONSTANT_MS)
+        self.outcomes = {
+            name: (served * decay, lost * decay) for name, (served, lost) in self.outcomes.items()
+        }
+        self.connect_failures *= decay
         self.updated_at = now
 
     def record_outcome(self, class_name: str, served: float, lost: float) -> None:
-        """Count an attempt, or the parts of it that were served and lost, by its class."""
+        """Count an attempt of a class as served, or the given fraction of it as lost.
+
+        Above MAX_LOST_ATTEMPTS both amounts are scaled down together, which keeps the fraction lost.
+        """
         old_served, old_lost = self.outcomes.get(class_name, (0.0, 0.0))
         served, lost = old_served + served, old_lost + lost
         scale = min(MAX_LOST_ATTEMPTS / lost, 1.0) if lost else 1.0
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -1,32 +1,49 @@
-"""Overload detection by our own open attempts, compared with capacity and with sustainable."""
+"""Overload detection: compare the attempts in flight with capacity and with what completions sustain.
+
+docs/POLICY.md derives both limits and has the reasons for the constants.
+"""
 
 import math
 
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
-# Open attempts for each unit of available capacity at which the least and the most important work is shed.
+# Limit on the attempts in flight of all replicas per unit of available capacity, for importance 0 and 1.
+# At 6 and 11, or 8 and 12, endpoints became slow and stayed so for tens of seconds; lower pairs served less.
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
-# So many open attempts of ours are no burst: one balancer of hundreds has them by chance.
-MIN_BURST_ATTEMPTS = 8
-# How many baseline service times attempts may take: for the least and for the most important work.
+# Limit on the latency inflation (mean latency over baseline service time), for importance 0 and 1.
+# Both 0.8 to 1.2 and 1.0 to 2.6 served less while the tier behind the endpoints was overloaded.
 MIN_LATENCY_INFLATION = 1.0
 MAX_LATENCY_INFLATION = 1.8
-# Attempts for each unit of available capacity taken as completed without evidence, over all balancers.
+# Standard deviations of a Poisson count above its limit at which the count is a burst, not a random peak.
+BURST_Z_SCORE = 1.0
+# Attempts: fewer in flight are never a burst. One of hundreds of replicas has a limit of less than one
+# attempt, for which the normal approximation of a Poisson count does not hold.
+MIN_BURST_ATTEMPTS = 8
+# Attempts per unit of available capacity, over all replicas, that count as sustainable without evidence:
+# an estimate that has decayed to zero must not stop the requests that would renew it.
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
-# Attempts are averaged over this: longer than a request takes, shorter than endpoints bear an overload.
+# Time constant, in ms, of the means over attempts: longer than a request takes, shorter than the time in
+# which an overload makes endpoints slow.
 AVERAGING_TIME_CONSTANT_MS = 1_000.0
-# Of the bound for the most important work (two attempts an endpoint) taken as completed before the first is.
+# Fraction of the largest sustainable concurrency that counts as sustainable before the first completion:
+# with a limit of 8 attempts per unit, two attempts an endpoint.
 INITIAL_SUSTAINABLE_FRACTION = 0.25
 
 
 class SustainableConcurrency:
-    """The attempts that would be open, were those served of late as quick as their baseline.
+    """Estimates how many attempts of this replica the endpoints, and all behind them, can sustain.
+
+    By Little's law that is the completion rate times the service time without load. Each completed attempt
+    adds its baseline service time over the time constant T, and the sum decays exponentially:
+
+        concurrency(t) = sum over completions i of baseline_ms[i] / T * exp(-(t - t[i]) / T)
+
+    Attempts in flight over this figure are the latency inflation: how many times longer than its baseline
+    service time an attempt takes. Assumes that a completed attempt cost its baseline service time.
 
-    Guards against overload behind the endpoints, whatever they hold themselves: open attempts over this tell
-    how many times longer than the baseline they take. A balancer knows nothing at its start, and hundreds
-    start at once: were all that the bound lets in taken as completed, endpoints would be overloaded before
-    the first responses tell.
+    Guards against overload behind the endpoints: a tier that only they call shows neither in the endpoint
+    list nor in the number of attempts that the endpoints can hold.
     """
 
     def __init__(self, available: AvailableCapacity) -> None:
@@ -34,63 +51,84 @@
         self._concurrency = 0.0
         self._updated_at = -math.inf
 
-    def reset(self, attempts: float, now: float) -> None:
-        """Take `attempts` as what was completed up to `now`."""
-        self._concurrency = attempts
+    def reset(self, concurrency: float, now: float) -> None:
+        """Set the estimate to a known value, in attempts."""
+        self._concurrency = concurrency
         self._updated_at = now
 
-    def current(self, now: float) -> float:
-        """The rate in open attempts, faded to `now` and held to our part of the bound."""
-        bound = MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.peers.count
+    def estimate(self, now: float) -> float:
+        """Return the concurrency in attempts, at most our part of the limit for the most important work.
+
+        Guards against replicas that start together: a replica without evidence begins at a fraction of the
+        limit, since all of them would otherwise fill it before the first responses show the load.
+        """
+        limit = MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.peers.count
         if self._updated_at == -math.inf:
-            self._concurrency = INITIAL_SUSTAINABLE_FRACTION * bound
+            self._concurrency = INITIAL_SUSTAINABLE_FRACTION * limit
         else:
-            fade = math.exp((self._updated_at - now) / AVERAGING_TIME_CONSTANT_MS)
-            self._concurrency = min(self._concurrency * fade, bound)
+            decay = math.exp((self._updated_at - now) / AVERAGING_TIME_CONSTANT_MS)
+            self._concurrency = min(self._concurrency * decay, limit)
         self._updated_at = now
         return self._concurrency
 
-    def record(self, baseline_ms: float, now: float) -> None:
-        """Count a served attempt by the time that it takes without load."""
-        self._concurrency = self.current(now) + baseline_ms / AVERAGING_TIME_CONSTANT_MS
+    def record_completion(self, baseline_ms: float, now: float) -> None:
+        """Count an attempt that succeeded, by its service time without load."""
+        self._concurrency = self.estimate(now) + baseline_ms / AVERAGING_TIME_CONSTANT_MS
 
 
 class OverloadDetector:
-    """Compares the open attempts with what the endpoints can hold."""
+    """Compares the attempts in flight with two limits: endpoint capacity and sustainable concurrency.
+
+    Guards against overload of any cause (more requests, fewer endpoints, slower endpoints) before endpoints
+    slow down. Latency alone shows it too late, and where the work of requests varies widely latency is high
+    without any overload.
+    """
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
         self.sustainable = SustainableConcurrency(available)
-        self._mean_in_flight = 0.0
+        self._mean_in_flight = 0.0  # of our own attempts, decaying exponentially
         self._updated_at = 0.0
 
     def is_overloaded(self, importance: float, now: float) -> bool:
-        """Whether too many attempts are open for work of this importance, from 0 to 1.
+        """Return whether work of this importance, from 0 (least) to 1 (most), is to be shed."""
+        capacity = self._available.update(now)
+        # Attempts at draining or unreachable endpoints put no load on those that can take requests.
+        in_flight = sum(e.in_flight for e in self._available.reachable)
+        self._update_mean(in_flight, now)
+        return self._exceeds_capacity(in_flight, importance, capacity) or self._exceeds_sustainable(
+            in_flight, importance, now
+        )
+
+    def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
+        """Return whether all replicas together have more attempts in flight than the endpoints can hold.
 
-        Guards against overload whatever its cause (too many requests, lost endpoints, slow ones) before the
-        endpoints slow down: late responses come too late to tell, and work of widely varying size looks late
-        without an overload. The open attempts of all balancers are judged by ours: each of the others is held
-        to have our mean, since what we have by chance at this moment they have not; a burst that all get
-        passes no chance (a square root). It harms where clients spread unevenly over the balancers.
+        Each other replica is estimated to have our mean. Our momentary count is one random sample: the
+        others do not have the same peak at the same time. A burst that all replicas get has not reached the
+        mean yet, so a count above the Poisson bound of our part of the limit is an overload by itself.
+        Assumes that clients spread evenly over the replicas; a replica with more than its part of them
+        sheds load too early.
         """
-        bound = (
+        per_capacity = (
             MIN_IN_FLIGHT_PER_CAPACITY
             + (MAX_IN_FLIGHT_PER_CAPACITY - MIN_IN_FLIGHT_PER_CAPACITY) * importance
         )
-        bound *= self._available.update(now)
-        # Attempts elsewhere put no load on the endpoints that are left.
-        in_flight = sum(e.in_flight for e in self._available.reachable)
-        self._update_mean(in_flight, now)
-        peers = self._available.peers.count
-        if in_flight + self._mean_in_flight * (peers - 1) >= bound or _exceeds_poisson_bound(
-            in_flight, bound / peers
-        ):
-            return True
-        # A tier behind the endpoints shows neither in their number nor in their list, but in their responses.
+        limit = per_capacity * capacity
+        replicas = self._available.peers.count
+        all_in_flight = in_flight + self._mean_in_flight * (replicas - 1)
+        return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / replicas)
+
+    def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
+        """Return whether attempts take too many times their baseline service time.
+
+        The momentary count and the mean must both exceed the limit: a count above it alone may be a random
+        peak, a mean above it alone belongs to attempts that have ended.
+        """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
-        sustainable = self.sustainable.current(now)
-        bound = inflation * (sustainable + MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / peers)
-        return min(in_flight, self._mean_in_flight) >= bound or _exceeds_poisson_bound(in_flight, bound)
+        concurrency = self.sustainable.estimate(now)
+        floor = MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.peers.count
+        limit = inflation * (concurrency + floor)
+        return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
 
     def _update_mean(self, in_flight: int, now: float) -> None:
         new_fraction = 1 - math.exp((self._updated_at - now) / AVERAGING_TIME_CONSTANT_MS)
@@ -98,6 +136,9 @@
         self._updated_at = now
 
 
-def _exceeds_poisson_bound(in_flight: int, bound: float) -> bool:
-    """Whether so many attempts are open that chance (a square root) does not explain them."""
-    return in_flight >= max(bound + math.sqrt(bound), MIN_BURST_ATTEMPTS)
+def _exceeds_poisson_bound(count: int, mean: float) -> bool:
+    """Return whether a count is too high for a Poisson variable of this mean.
+
+    The standard deviation of a Poisson count is the square root of its mean.
+    """
+    return count >= max(mean + BURST_Z_SCORE * math.sqrt(mean), MIN_BURST_ATTEMPTS)
--- a/loadbalancer/policy/peers.py
+++ b/loadbalancer/policy/peers.py
@@ -1,36 +1,51 @@
-"""How many balancers are at work, this one among them."""
+"""The number of balancer replicas that serve this tier, this one included."""
 
 import math
 
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.settings import Settings
 
-BASELINE_TIME_CONSTANT_MS = (
-    20_000.0  # the usual weight of all endpoints fades by 1/e over this once endpoints are lost
-)
+# Time constant, in ms, by which the baseline weight decays after a loss of endpoints. For about this long a
+# loss counts as one; after that the endpoints that are left are the new baseline.
+BASELINE_TIME_CONSTANT_MS = 20_000.0
 
 
 class PeerEstimator:
-    """Estimates how many balancers are left, which no message tells."""
+    """Estimates how many replicas serve requests, which no message reports.
+
+    Replicas and endpoints of a zone fail together, and the requests of the lost replicas come to the others.
+    So the estimate is the configured number, times the larger of two ratios (at most 1):
+
+        weight ratio        = weight of the healthy endpoints / its baseline
+        interarrival ratio  = short-term / long-term mean interarrival time
+
+    Both must fall for the estimate to fall. Assumes that zones have replicas in proportion to endpoints and
+    that clients spread over the replicas that are left.
+
+    Guards against staying within our part of capacity and quotas where the replicas of a lost zone no longer
+    use theirs. More requests alone may be a burst, and fewer endpoints alone take no replica with them.
+
+    Attributes:
+        count: The estimated number of replicas, this one included; at least 1, not necessarily an integer.
+    """
 
     def __init__(self, settings: Settings, arrivals: ArrivalRate) -> None:
         self._configured = settings.balancers
         self._arrivals = arrivals
         self._baseline_weight = 0.0
-        self.count = float(settings.balancers)  # at least 1
+        self.count = float(settings.balancers)
 
     def update(self, weight: float, updated_at: float, now: float) -> None:
-        """Estimate anew: as many balancers are left as endpoints, if requests say so too.
-
-        Guards against keeping to our part where a zone went with its balancers, whose requests come to us.
-        More requests alone may be a burst, and fewer endpoints alone take no balancer with them.
+        """Estimate the number again.
 
-        `weight` is that of the endpoints that can take requests, `updated_at` when it was last taken.
+        Args:
+            weight: The weight of the endpoints that can take requests.
+            updated_at: When that weight was last summed.
+            now: The current time.
         """
-        faded = self._baseline_weight * math.exp((updated_at - now) / BASELINE_TIME_CONSTANT_MS)
-        self._baseline_weight = max(weight, faded)
+        decayed = self._baseline_weight * math.exp((updated_at - now) / BASELINE_TIME_CONSTANT_MS)
+        self._baseline_weight = max(weight, decayed)
         weight_ratio = weight / (self._baseline_weight or 1.0)
-        pause_ratio = self._arrivals.short_term_interarrival_ms / (
-            self._arrivals.long_term_interarrival_ms or 1.0
-        )
-        self.count = max(self._configured * min(max(weight_ratio, pause_ratio), 1.0), 1.0)
+        long_term_ms = self._arrivals.long_term_interarrival_ms or 1.0
+        interarrival_ratio = self._arrivals.short_term_interarrival_ms / long_term_ms
+        self.count = max(self._configured * min(max(weight_ratio, interarrival_ratio), 1.0), 1.0)
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -1,15 +1,22 @@
-"""How long requests take: mean and baseline service time by class, and the work that cost hints tell."""
+"""Service times by class, with and without load, and the expected work of a request by its cost hint."""
 
 from loadbalancer.settings import Settings
 
-SMOOTHING_ATTEMPTS = 50.0  # means are smoothed over so many attempts
-# Of its latency objective a request takes this part at endpoints without load, until we know better.
+# Attempts over which the means are smoothed: each new one enters with a weight of 1/50.
+SMOOTHING_ATTEMPTS = 50.0
+# Fraction of the class's latency objective that a request takes without load, before any has been served.
 INITIAL_OBJECTIVE_FRACTION = 0.2
-PSEUDO_OBSERVATIONS = 2.0  # the first value counts as so many attempts
+# Pseudo-observations of the initial value in the mean of baseline service times.
+BASELINE_PSEUDO_OBSERVATIONS = 2.0
 
 
 class ServiceTimes:
-    """Mean service time of each class, over all attempts and over those at endpoints without load."""
+    """Averages the service time of each class: over all attempts, and over those that met no load.
+
+    Both are exponential moving averages over SMOOTHING_ATTEMPTS successful attempts, in ms, and begin at
+    INITIAL_OBJECTIVE_FRACTION of the class's latency objective. The baseline starts as an arithmetic mean,
+    with the initial value as BASELINE_PSEUDO_OBSERVATIONS, so that it is learned within a few attempts.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self._initial_ms = {
@@ -17,35 +24,43 @@
         }
         self._mean_ms = dict(self._initial_ms)
         self._baseline_ms = dict(self._initial_ms)
-        self._baseline_attempts = {c.name: PSEUDO_OBSERVATIONS for c in settings.classes}
+        self._baseline_attempts = {c.name: BASELINE_PSEUDO_OBSERVATIONS for c in settings.classes}
 
     def mean_ms(self, class_name: str) -> float:
-        """What an attempt of this class takes, by the last served ones."""
+        """Return the mean service time of the last successful attempts of a class."""
         return self._mean_ms[class_name]
 
     def baseline_ms(self, class_name: str) -> float:
-        """What an attempt takes at an endpoint that holds hardly another one; at least the initial value."""
+        """Return the service time of a class without load; at least the initial value.
+
+        The lower bound keeps the latency inflation of very short requests from counting as an overload.
+        """
         return max(self._baseline_ms[class_name], self._initial_ms[class_name])
 
     def record(self, class_name: str, elapsed_ms: float) -> None:
-        """Count a served attempt in the mean."""
+        """Count a successful attempt in the mean."""
         self._mean_ms[class_name] += (elapsed_ms - self._mean_ms[class_name]) / SMOOTHING_ATTEMPTS
 
     def record_baseline(self, class_name: str, elapsed_ms: float) -> None:
-        """Count a served attempt that met no load, `elapsed_ms` over its expected work."""
+        """Count a successful attempt that met no load.
+
+        Args:
+            class_name: The class of its request.
+            elapsed_ms: Its service time over the expected work of its request.
+        """
         attempts = min(self._baseline_attempts[class_name] + 1, SMOOTHING_ATTEMPTS)
         self._baseline_attempts[class_name] = attempts
         self._baseline_ms[class_name] += (elapsed_ms - self._baseline_ms[class_name]) / attempts
 
 
 class CostHints:
-    """The mean of the cost hints, to which each request's own is compared."""
+    """Compares the cost hint of each request with the exponential moving average of all of them."""
 
     def __init__(self) -> None:
         self._mean_ms = 0.0
 
     def relative_work(self, hint_ms: float) -> float:
-        """The work of a request over that of the mean request; 1 without a hint."""
+        """Return the work of a request in mean requests; 1 without a hint."""
         if hint_ms <= 0:
             return 1.0
         self._mean_ms += (hint_ms - self._mean_ms) / SMOOTHING_ATTEMPTS if self._mean_ms else hint_ms
