--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""What the policy's tests share: request classes, settings, and a harness around one balancer."""
+"""Shared by the policy's tests: request classes, settings, and a harness around one balancer."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from loadbalancer.endpoints import Endpoint
 from loadbalancer.events import (
     AttemptFinished,
+    ClientDisconnected,
     EndpointListKind,
     EndpointListUpdate,
     Event,
@@ -41,12 +42,12 @@
 
 
 def endpoint_list(count: int, **changes: Any) -> tuple[Endpoint, ...]:
-    """Endpoints s0, s1, ...: two zones in turn, two endpoints a cell."""
+    """Return endpoints s0, s1, ...: alternating between two zones, two endpoints a cell."""
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
 class PolicyHarness:
-    """A balancer with an endpoint list, a clock that the test moves, and request numbers.
+    """A balancer with an endpoint list, a clock that the test sets, and numbered requests.
 
     Attributes:
         balancer: The balancer under test.
@@ -74,13 +75,13 @@
     def request(
         self, request_class: RequestClass = READ, remaining_ms: float = 3_000, **more: Any
     ) -> tuple[int, list[Action]]:
-        """A request arrives: its number, and the actions that follow."""
+        """Have a request arrive; return its number and the actions that follow."""
         self._last_request_id += 1
         request_id = self._last_request_id
         return request_id, self.handle(RequestReceived(request_id, request_class.name, remaining_ms, **more))
 
     def finish(self, request_id: int, attempt_index: int, endpoint: str, outcome: Outcome) -> list[Action]:
-        """An attempt ends; a success is the final response."""
+        """Have an attempt end; a success is the final response."""
         is_answered = outcome is Outcome.SUCCEEDED
         return self.handle(AttemptFinished(request_id, attempt_index, endpoint, outcome, is_answered))
 
@@ -98,7 +99,7 @@
 
 
 def first_endpoint(actions: list[Action]) -> str:
-    """The endpoint of the first attempt that starts."""
+    """Return the endpoint of the first attempt that starts."""
     return started_attempts(actions)[0].endpoint
 
 
@@ -107,23 +108,33 @@
 
 
 def count_by_endpoint(harness: PolicyHarness, rounds: int) -> Counter[str]:
-    """Count by endpoint the requests of a run, served one at a time, all in the same time."""
+    """Serve requests one at a time, each in the same time; count them by endpoint."""
     return Counter(harness.serve(duration_ms=20.0) for _ in range(rounds))
 
 
 def serve_many(harness: PolicyHarness, times: dict[str, float], rounds: int = 400) -> None:
-    """Serve requests one at a time, each endpoint taking its own time."""
+    """Serve requests one at a time, each in the time that its endpoint takes."""
     for _ in range(rounds):
         harness.serve(duration_ms=times)
 
 
 def settled(harness: PolicyHarness) -> PolicyHarness:
-    """Serve many requests quickly, so that the balancer has left the limits of its start behind."""
+    """Serve many requests quickly, so that the limits of the balancer's start no longer apply."""
     for _ in range(400):
         harness.serve(duration_ms=0.1)
     return harness
 
 
+def settled_without_baseline(harness: PolicyHarness, in_flight: int = 2) -> PolicyHarness:
+    """Do what `settled` does while other requests are in flight, which keeps the initial baseline."""
+    others = [harness.request() for _ in range(in_flight)]
+    settled(harness)
+    for request_id, actions in others:
+        harness.handle(ClientDisconnected(request_id))
+        harness.finish(request_id, 0, first_endpoint(actions), Outcome.CANCELLED)
+    return harness
+
+
 def send_until_shed(
     harness: PolicyHarness, request_class: RequestClass = READ, tenant: str | None = None
 ) -> list[tuple[int, str]]:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Load is shed before endpoints are overloaded: the limit on requests in flight."""
+"""Overload detection: load is shed before endpoints are overloaded, and only then."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
     first_endpoint,
     send_until_shed,
     settled,
+    settled_without_baseline,
     started_attempts,
 )
 
@@ -41,12 +42,12 @@
 
 
 def test_a_burst_is_shed_before_endpoints_are_overloaded_and_admitted_as_requests_finish() -> None:
-    """By a mean over seconds a burst was admitted whole, and overloaded endpoints stay slow for long."""
+    """A limit on a mean over seconds admitted complete bursts, and overloaded endpoints stay slow."""
     harness = settled(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
-    assert 10 <= len(in_flight) <= 20, "a few for each endpoint, of which the other balancer sends its part"
+    assert 10 <= len(in_flight) <= 20, "eight for each of four endpoints, half of them for the other balancer"
     logs = [a for a in harness.actions if isinstance(a, LogMessage) and "shedding" in a.text]
-    assert len(logs) == 1, "one line for a whole time of shedding"
+    assert len(logs) == 1, "one line for all that is shed in succession"
     harness.now += 50
     for request, endpoint in in_flight[:5]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
@@ -55,9 +56,8 @@
 
 @pytest.mark.parametrize("duration_ms", [50.0, 950.0])
 def test_large_requests_are_no_overload_while_few_are_in_flight(duration_ms: float) -> None:
-    """Responses past half their objective shed half of the important requests at half idle endpoints."""
-    harness = PolicyHarness(4, balancers=2)
-    harness.balancer._overload.sustainable.reset(16.0, harness.now)  # the limit of its start is past
+    """A limit on latency shed half of the important requests while endpoints were half idle."""
+    harness = settled_without_baseline(PolicyHarness(4, balancers=2))
     in_flight: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = harness.request()
@@ -69,7 +69,7 @@
 
 
 def test_one_late_response_sheds_nothing() -> None:
-    """At light load a tenth was rejected: each late response shed load until many timely ones had come."""
+    """At light load a tenth was rejected: one late response raised mean latency above its limit for long."""
     harness = PolicyHarness(4)
     count_admitted(harness, 50.0, READ, 20)
     count_admitted(harness, 1_000.0, READ, 1)
@@ -77,7 +77,7 @@
 
 
 def test_shedding_ends_within_seconds_of_the_overload() -> None:
-    """The limit rose with responses only, and these were few because it was low."""
+    """A limit that rose with each response stayed low: it admitted few requests, so responses were few."""
     harness = PolicyHarness(8)
     apply_load(harness, 950.0, (READ, None))
     harness.now += 4_000
@@ -90,7 +90,7 @@
 
 
 def test_one_of_many_balancers_may_have_more_than_two_requests_in_flight() -> None:
-    """With hundreds of balancers, each one's part of a limit on requests in flight was filled by chance."""
+    """With hundreds of balancers, each one's part of the limit is less than one request."""
     harness = PolicyHarness(8, balancers=400)
     assert all(started_attempts(harness.request()[1]) for _ in range(8))
 
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_the_limit_on_requests_in_flight_does_not_grow_with_the_number_of_balancers(balancers: int) -> None:
-    """Eight that each balancer might have in any case were 11 an endpoint after the loss of a zone."""
+    """A minimum of eight for each balancer added up to 11 for each endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
         "four for each endpoint"
@@ -128,7 +128,7 @@
 def test_warming_endpoints_raise_the_limit_by_what_they_can_serve_only(
     change: dict[str, float], limit: int
 ) -> None:
-    """Warming endpoints admitted requests that only the others, slow already, could get."""
+    """Counted in full, warming endpoints raised the limit for requests that went to overloaded warm ones."""
     harness = PolicyHarness(6)
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, **change)[3:])
     assert len(send_until_shed(harness)) <= limit
@@ -136,7 +136,7 @@
 
 
 def test_endpoints_that_fail_all_requests_do_not_raise_the_limit() -> None:
-    """Until the list showed the loss of a zone, the other endpoints got the requests of its endpoints."""
+    """Until the list showed the loss of a zone, requests admitted for its endpoints went to the others."""
     harness = settled(PolicyHarness(6, max_attempts=1))
     in_flight = send_until_shed(harness)
     for request, endpoint in in_flight:
@@ -151,12 +151,12 @@
 
 
 def test_requests_at_draining_endpoints_do_not_count_against_the_limit() -> None:
-    """During a rollout the requests that old endpoints still held filled the limit of the others."""
+    """During a rollout, requests in flight at draining endpoints used up the limit of the others."""
     harness = PolicyHarness(6)
     endpoints = [first_endpoint(harness.request()[1]) for _ in range(24)]
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, state=EndpointState.DRAINING)[3:])
-    left = sum(endpoint in ("s0", "s1", "s2") for endpoint in endpoints)
-    assert left + len(send_until_shed(harness)) == pytest.approx(24, abs=1), (
+    remaining = sum(endpoint in ("s0", "s1", "s2") for endpoint in endpoints)
+    assert remaining + len(send_until_shed(harness)) == pytest.approx(24, abs=1), (
         "eight for each endpoint that is left"
     )
 
@@ -191,9 +191,9 @@
 
 @pytest.mark.parametrize(("duration_ms", "all_admitted"), [(150.0, True), (1_500.0, False)])
 def test_overload_behind_the_endpoints_shows_in_response_times(
-    duration_ms: float, all_admitted: bool
+    duration_ms: float, *, all_admitted: bool
 ) -> None:
-    """The limit goes by the endpoints themselves; those behind them were overloaded before it was reached."""
+    """The limit by capacity counts the endpoints alone: it let the tier behind them become overloaded."""
     harness = PolicyHarness(60, balancers=6)
     harness.now = 1_700_000_000_000.0  # Unix time, as in service: the first estimates must survive rounding
     apply_load(harness, 150.0, (READ, None), rounds=300)
@@ -203,7 +203,7 @@
 
 
 def test_the_baseline_service_time_is_learned_at_idle_endpoints() -> None:
-    """Large requests at idle endpoints are no overload, however much of their objective they take."""
+    """Large requests at idle endpoints are no overload, even if they take most of their latency objective."""
     harness = PolicyHarness(60, balancers=6)
     for _ in range(20):
         harness.serve(duration_ms=900.0)
@@ -211,7 +211,7 @@
 
 
 def test_balancers_that_start_together_do_not_fill_the_limit_before_the_first_responses() -> None:
-    """Each admitted all of the first second, and the endpoints behind them were overloaded by then."""
+    """Each admitted all requests of its first second, which overloaded the tier behind the endpoints."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
     assert 20 <= admitted <= 45, "the limit admits 80"
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -1,13 +1,38 @@
-"""What is learned of an endpoint's capacity, and from what."""
+"""Capacity estimates of endpoints, and the evidence that they are made from."""
 
 from __future__ import annotations
 
 from collections import Counter
+from random import Random
+from typing import TYPE_CHECKING
 
 import pytest
 
-from loadbalancer.events import Outcome
-from tests.policy.helpers import PAY, PolicyHarness, first_endpoint, serve_many, started_attempts
+from loadbalancer.events import EndpointListKind, EndpointListUpdate, Outcome
+from loadbalancer.policy.arrivals import ArrivalRate
+from loadbalancer.policy.attempt_recorder import AttemptRecorder
+from loadbalancer.policy.available_capacity import AvailableCapacity
+from loadbalancer.policy.endpoint_set import EndpointSet
+from loadbalancer.policy.idle_connections import IdleConnectionLimit
+from loadbalancer.policy.overload import SustainableConcurrency
+from loadbalancer.policy.peers import PeerEstimator
+from loadbalancer.policy.request import Request
+from loadbalancer.policy.service_times import CostHints, ServiceTimes
+from tests.policy.helpers import (
+    PAY,
+    PolicyHarness,
+    endpoint_list,
+    first_endpoint,
+    serve_many,
+    settings,
+    started_attempts,
+)
+
+if TYPE_CHECKING:
+    from loadbalancer.policy.endpoint_stats import EndpointStats
+
+START_MS = 1_000.0
+TIMEOUT_MS = 1_000.0  # the latency objective of PAY, whose late responses have no value
 
 
 def test_one_slow_response_does_not_ruin_a_capacity_estimate() -> None:
@@ -30,33 +55,58 @@
     assert counts[first] <= 2
 
 
+def recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
+    """Build the attempt recorder of a balancer that knows one endpoint, and the evidence on it."""
+    configured = settings()
+    endpoints = EndpointSet(configured, Random(1))
+    endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
+    available = AvailableCapacity(endpoints, PeerEstimator(configured, ArrivalRate(configured)))
+    recorder = AttemptRecorder(
+        ServiceTimes(configured), SustainableConcurrency(available), IdleConnectionLimit(), available
+    )
+    return recorder, endpoints.by_name["s0"]
+
+
 def test_a_failed_attempt_counts_its_full_timeout_as_busy_time() -> None:
     """A fast failure must not look like a fast response, nor like a request in flight."""
-    harness = PolicyHarness(1)
-    _, actions = harness.request(PAY)
-    harness.now += 5
-    harness.finish(1, 0, "s0", Outcome.ERROR)
-    endpoint = harness.balancer._endpoints.by_name["s0"]
+    recorder, endpoint = recorder_and_endpoint()
+    attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
+    assert endpoint.in_flight == 1
+    recorder.record_end(attempt, Outcome.ERROR, Request(1, PAY, START_MS + TIMEOUT_MS), START_MS + 5)
     assert endpoint.in_flight == 0
-    assert endpoint.busy_ms == pytest.approx(started_attempts(actions)[0].timeout_ms, rel=0.01)
+    assert endpoint.busy_ms == pytest.approx(TIMEOUT_MS, rel=0.01)
     assert endpoint.served == 0
 
 
+def test_a_fast_failure_takes_requests_from_an_endpoint() -> None:
+    """A fast failure counted as a fast response draws half of the requests to the endpoint that fails."""
+    harness = PolicyHarness(2)
+    serve_many(harness, {"s0": 20.0, "s1": 20.0}, 20)
+    request, actions = harness.request(PAY)
+    failed = first_endpoint(actions)
+    assert started_attempts(actions)[0].timeout_ms == TIMEOUT_MS
+    harness.now += 5
+    harness.finish(request, 0, failed, Outcome.ERROR)
+    counts = Counter(harness.serve(duration_ms=1.0) for _ in range(40))
+    assert counts[failed] <= 10, "1,200 of the 1,400 ms that attempts spent anywhere were spent there"
+
+
 def test_large_requests_by_their_cost_hint_do_not_make_an_endpoint_look_slow() -> None:
     """Heavy-tailed work that counted as one request each made capacity estimates fluctuate."""
-    harness = PolicyHarness(1)
-    for hint in (20.0, 20.0, 20.0, 200.0) * 50:
-        request, actions = harness.request(PAY, cost_hint_ms=hint)
-        harness.now += hint * 2
-        harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
-    endpoint = harness.balancer._endpoints.by_name["s0"]
-    mean = (20 * 3 + 200) / 4
-    endpoint.catch_up(harness.now)
-    assert endpoint.served / endpoint.busy_ms == pytest.approx(1 / (2 * mean), rel=0.25)
+    recorder, endpoint = recorder_and_endpoint()
+    cost_hints, now = CostHints(), START_MS
+    for request_id, hint_ms in enumerate((20.0, 20.0, 20.0, 200.0) * 50):
+        request = Request(request_id, PAY, now + TIMEOUT_MS, cost_hints.relative_work(hint_ms))
+        attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, now, is_shedding=False)
+        now += hint_ms * 2
+        recorder.record_end(attempt, Outcome.SUCCEEDED, request, now)
+    mean_ms = (20 * 3 + 200) / 4
+    endpoint.catch_up(now)
+    assert endpoint.served / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
 def test_evidence_on_an_endpoint_lasts_until_its_next_request_at_a_low_rate() -> None:
-    """With evidence that faded in 6 s one balancer of hundreds drew slow endpoints as often as fast ones."""
+    """With a time constant of 6 s, one of hundreds of balancers drew slow endpoints as often as fast ones."""
     harness = PolicyHarness(12)
     slow = "s3"
     counts: Counter[str] = Counter()
@@ -65,4 +115,4 @@
         counts[
             harness.serve(duration_ms={f"s{i}": 1_500.0 if f"s{i}" == slow else 100.0 for i in range(12)})
         ] += 1
-    assert 0 < counts[slow] <= 6, "a twelfth are 12 of 150"
+    assert 0 < counts[slow] <= 6, "drawn evenly, a twelfth of 150 is 12"
