--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -8,19 +8,22 @@
 from __future__ import annotations
 
 import enum
-from collections import Counter
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from loadbalancer.endpoints import Endpoint, EndpointState
 from loadbalancer.events import Outcome
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 
-GRACE_MS = 20.0  # how much later than its deadline a response may come
+if TYPE_CHECKING:
+    from collections import Counter
+
+GRACE_MS = 20.0  # a response may come this much after its deadline
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class FinalResponse(enum.Enum):
-    """What a client got."""
+    """The final response to a client."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -33,7 +36,7 @@
 
     endpoint: Endpoint
     started_at_ms: float
-    is_out: bool = True
+    is_in_flight: bool = True
     may_have_run: bool = True
 
 
@@ -48,8 +51,8 @@
     is_disconnected: bool = False
 
     @property
-    def is_over(self) -> bool:
-        """Whether nothing is owed to the client any more."""
+    def is_settled(self) -> bool:
+        """Whether the client has its final response or has disconnected."""
         return self.response is not None or self.is_disconnected
 
     def attempts_that_may_have_run(self) -> list[TrackedAttempt]:
@@ -57,7 +60,7 @@
 
 
 class RuleChecker:
-    """The rules, for one process of a balancer; `responses` counts the final responses."""
+    """Checks the actions of one balancer process; `responses` counts the final responses."""
 
     def __init__(
         self, settings: Settings, endpoints: dict[str, Endpoint], responses: Counter[FinalResponse]
@@ -67,7 +70,7 @@
         self._endpoints = endpoints
         self._responses = responses
         self._starts_ms: dict[str, list[float]] = {}  # of the attempts at each endpoint
-        self._busiest = 0  # the most attempts that a warm endpoint got within one window
+        self._max_warm_starts = 0  # attempts that one warm endpoint got within one window
 
     def start_attempt(self, request_id: int, name: str, now: float) -> int:
         """Check that an attempt may start now, record it and return its index."""
@@ -80,7 +83,7 @@
         assert endpoint is not None, "sent to what has been removed"
         assert endpoint.state is EndpointState.READY, "sent to what drains or has been removed"
         if not self._settings.may_hedge:
-            assert not any(attempt.is_out for attempt in request.attempts), "two attempts out"
+            assert not any(attempt.is_in_flight for attempt in request.attempts), "two attempts in flight"
         self._check_repetition(request, endpoint, now)
         self._check_warmup(endpoint, now)
         request.attempts.append(TrackedAttempt(endpoint, now))
@@ -101,15 +104,15 @@
                 assert attempt.endpoint.zone == endpoint.zone, "repeated outside the zone"
 
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
-        """A warming endpoint may get one attempt a window, or its part of what the busiest warm one got."""
+        """Check that a warming endpoint gets one attempt a window, or its part of the busiest warm one's."""
         starts_ms = self._starts_ms.setdefault(endpoint.name, [])
         recent = sum(start > now - self._settings.slow_start_window_ms for start in starts_ms)
         fraction = self._warmup_fraction(endpoint, now)
         if fraction < 1:
-            limit = max(1, self._settings.slow_start_overload_factor * fraction * self._busiest)
+            limit = max(1, self._settings.slow_start_overload_factor * fraction * self._max_warm_starts)
             assert 1 + recent <= limit, f"overloaded while warming: {1 + recent} attempts, at most {limit}"
         else:
-            self._busiest = max(self._busiest, recent)
+            self._max_warm_starts = max(self._max_warm_starts, recent)
         starts_ms.append(now)
 
     def _warmup_fraction(self, endpoint: Endpoint, now: float) -> float:
@@ -120,34 +123,34 @@
         return initial + (1 - initial) * age_ms / self._settings.slow_start_ms
 
     def forget_process(self, name: str) -> None:
-        """The endpoint has restarted: what went to the process before it is no load on the new one."""
+        """Forget the attempts at an endpoint that restarted: they are no load on the new process."""
         self._starts_ms[name] = []
 
     def cancel_attempt(self, request_id: int, attempt_index: int) -> bool:
-        """Check that an attempt may be cancelled, and return whether it is still out."""
+        """Check that an attempt may be cancelled, and return whether it is still in flight."""
         assert self._settings.may_cancel
         attempts = self.requests[request_id].attempts
         assert attempt_index < len(attempts), "cancelled an attempt never made"
-        return attempts[attempt_index].is_out
+        return attempts[attempt_index].is_in_flight
 
     def finish_attempt(self, request_id: int, attempt_index: int, outcome: Outcome, now: float) -> bool:
         """Record the end of an attempt, and the response that a success brings.
 
         Returns:
-            Whether the attempt was still out; one that has ended before changes nothing.
+            Whether the attempt was still in flight; one that has ended before changes nothing.
         """
         request = self.requests[request_id]
         attempt = request.attempts[attempt_index]
-        if not attempt.is_out:
+        if not attempt.is_in_flight:
             return False
-        attempt.is_out = False
+        attempt.is_in_flight = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        if outcome is Outcome.SUCCEEDED and not request.is_over:
+        if outcome is Outcome.SUCCEEDED and not request.is_settled:
             self._respond(request, FinalResponse.SERVED, now)
         return True
 
     def reject(self, request_id: int, now: float) -> None:
-        """Check that a client may be told that sending the request again is harmless."""
+        """Check that the response may say that sending the request again is harmless."""
         request = self.requests[request_id]
         request_class = request.request_class
         is_repeatable_anywhere = request_class.idempotency is Idempotency.SAFE or (
@@ -172,5 +175,5 @@
     def check_overdue(self, now: float) -> None:
         """Check that no request has been left without a response."""
         for request_id, request in self.requests.items():
-            is_overdue = not request.is_over and now > request.deadline_ms + GRACE_MS
+            is_overdue = not request.is_settled and now > request.deadline_ms + GRACE_MS
             assert not is_overdue, f"request {request_id} was lost"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -1,4 +1,4 @@
-"""What is shed first: low priority weights, tenants over their quota, and late retries of clients."""
+"""The order in which load is shed: low priority weights, tenants over quota, late client retries."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_a_class_of_low_priority_weight_is_not_shed_like_requests_over_quota() -> None:
-    """At an eighth of the largest weight it had the limit of weight zero: a third of it was rejected."""
+    """An eighth of the largest weight gave it almost the limit of weight zero: a third of it was rejected."""
     low, high = (
         replace(request_class, priority_weight=weight)
         for request_class, weight in ((LOW_PRIORITY, 1.0), (HIGH_PRIORITY, 8.0))
@@ -64,7 +64,7 @@
 
 
 def test_a_rejected_request_does_not_use_up_quota() -> None:
-    """Clients send a rejected request retries: one shed in an overload was counted twice."""
+    """Clients retry rejected requests: one that was shed in an overload spent two tokens of the quota."""
     harness = settled(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     in_flight = send_until_shed(harness)
     for _ in range(20):
@@ -77,7 +77,7 @@
 
 
 def test_a_late_client_retry_is_shed_before_requests_still_in_time() -> None:
-    """Requests that had timed out came again from the client, without value, and ranked as high as any."""
+    """Client retries past the latency objective, which have no value, ranked as high as first attempts."""
     harness = PolicyHarness(4)
     assert started_attempts(harness.request(remaining_ms=1_900)[1]), "nothing else asks for the capacity"
     for request, endpoint in send_until_shed(harness)[:6]:
@@ -88,8 +88,8 @@
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
 
-def test_a_first_request_with_a_part_of_the_deadline_is_no_late_retry() -> None:
-    """Clients that wait for six tenths of the deadline had each first request ranked as a late retry."""
+def test_a_first_request_with_a_fraction_of_the_deadline_is_no_late_retry() -> None:
+    """Each first attempt of clients that wait for six tenths of the deadline was taken for a late retry."""
     admitted = {}
     for remaining in (1_800.0, 3_000.0):
         harness, admitted[remaining] = PolicyHarness(4), 0
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, and polling for it."""
+"""Updates of the endpoint list, and its polling."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         assert timer.at_ms < harness.now + 5_000
         firing_times.add(timer.at_ms)
         assert WatchEndpoints() in harness.handle(TimerFired(timer.timer))
-        assert {harness.serve() for _ in range(30)} == {"s0", "s1"}, "the old list stands"
+        assert {harness.serve() for _ in range(30)} == {"s0", "s1"}, "the last list stays in use"
     assert len(firing_times) == 4
     for _ in range(2_000):  # an outage of hours
         actions = harness.handle(EndpointListUpdate(EndpointListKind.FAILED))
--- a/tests/policy/test_peers.py
+++ b/tests/policy/test_peers.py
@@ -1,4 +1,4 @@
-"""How many balancers are at work is inferred from the requests that come to this one."""
+"""The replica count is estimated from the endpoints that are left and the requests that arrive here."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 @pytest.mark.parametrize(
-    ("left", "interval_ms", "takes_over"),
+    ("remaining", "interval_ms", "takes_over"),
     [(5, 10.0, True), (10, 10.0, False), (5, 40.0, False), (10, 40.0, False)],
 )
 def test_a_balancer_that_gets_the_requests_of_a_lost_zone_counts_fewer_peers(
-    left: int, interval_ms: float, takes_over: bool
+    remaining: int, interval_ms: float, *, takes_over: bool
 ) -> None:
-    """Three balancers left of seven used three sevenths of the capacity that was left."""
+    """After the loss of a zone, three replicas of seven used only three sevenths of the capacity left."""
     harness = PolicyHarness(10, balancers=4)
     serve_at_interval(harness, 40.0, 10)
-    harness.update_endpoints(*endpoint_list(10)[:left])
+    harness.update_endpoints(*endpoint_list(10)[:remaining])
     serve_at_interval(harness, interval_ms, 3)
-    admitted_per_endpoint = len(send_until_shed(harness)) / left
+    admitted_per_endpoint = len(send_until_shed(harness)) / remaining
     assert (admitted_per_endpoint > 4) if takes_over else (admitted_per_endpoint < 3), (
         "of eight requests for each endpoint"
     )
