--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -1,28 +1,42 @@
-"""One HTTP connection to discovery, and the errors of a call on it."""
+"""One HTTP connection to discovery, and the errors of its calls."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import cast
 
+from loadbalancer.errors import LoadBalancerError
 from loadbalancer.network.errors import ProtocolError
 from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
-# From a response's first byte to its last: one that stops short is not waited for until the call's timeout.
 BODY_TIMEOUT_S = 0.5
+"""Time limit from the first byte of a response to its last.
+
+A response that stops part-way ends the call sooner than the call's own timeout, which covers a long wait.
+"""
+
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+"""Maximum size of a response; an endpoint list of 7,000 entries has 930 kB."""
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(LoadBalancerError):
     """A call to discovery has failed."""
 
 
 class DiscoveryProtocolError(DiscoveryError):
-    """What discovery sent is no HTTP response, or a larger one than is read."""
+    """Discovery sent bytes that are not an HTTP response, or a response that exceeds the size limits.
+
+    Attributes:
+        cause: The violation of the protocol.
+    """
+
+    def __init__(self, cause: ProtocolError) -> None:
+        super().__init__(f"not a valid response: {cause!r}")
+        self.cause = cause
 
 
 class DiscoveryStatusError(DiscoveryError):
-    """Discovery responded with another status than 200.
+    """Discovery responded with a status other than 200.
 
     Attributes:
         status: The status of the response.
@@ -34,7 +48,10 @@
 
 
 class DiscoveryDisconnectedError(DiscoveryError):
-    """The connection is not up, or ended before the response did."""
+    """The connection was not established, or ended before the response was complete."""
+
+    def __init__(self) -> None:
+        super().__init__("not connected to discovery")
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -53,19 +70,19 @@
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a response has begun and is not whole yet."""
+        """Whether a response has begun and is not complete."""
         return self._response is not None and not self._response.done() and self._timeout is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
-        self._transport = cast(asyncio.Transport, transport)
+        self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the response."""
+        """Parse the next bytes of the response."""
         try:
             response = self._reader.feed(data)
         except ProtocolError as error:
-            self._fail(DiscoveryProtocolError(f"not a response: {error!r}"))
+            self._fail(DiscoveryProtocolError(error))
             self.close()
             return
         if response is None:
@@ -76,24 +93,25 @@
             self._response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call that is waiting, if there is one."""
+        """End the open call, if there is one, with an error."""
         self.is_closed = True
-        self._fail(exc or DiscoveryDisconnectedError("the connection ended"))
+        self._fail(exc or DiscoveryDisconnectedError())
 
     async def call(self, request: bytes, timeout_s: float) -> Response:
         """Send a request and wait for its response.
 
         Args:
             request: The bytes of the request.
-            timeout_s: For the response's beginning; from there on `BODY_TIMEOUT_S` holds, if that is sooner.
+            timeout_s: The time limit of the call. The response also has to be complete within
+                `BODY_TIMEOUT_S` of its first byte.
 
         Raises:
-            DiscoveryError: The connection ended, or carried something else than a response.
+            DiscoveryError: The connection ended, or carried bytes that are not a valid response.
             OSError: The connection broke.
-            TimeoutError: The response was not whole in time.
+            TimeoutError: The response was not complete in time.
         """
         if self._transport is None:
-            raise DiscoveryDisconnectedError("the connection is not up")
+            raise DiscoveryDisconnectedError
         self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
         try:
@@ -109,7 +127,7 @@
             self._transport.abort()
 
     def _limit_body(self) -> None:
-        """Shorten the call's timeout, once, as the first bytes of its response have come."""
+        """Shorten the timeout of the call when the first bytes of its response arrive."""
         if self._timeout is None:
             return
         timeout, self._timeout = self._timeout, None
