--- /dev/null
+++ b/loadbalancer/network/client/accept_queue.py
@@ -0,0 +1,43 @@
+"""How long an accepted connection waited in the kernel's accept queue, from the TCP_INFO socket option."""
+
+from __future__ import annotations
+
+import socket
+import struct
+from typing import NamedTuple
+
+MAX_QUEUE_AGE_S = 60.0
+"""Longer ages are reported as this."""
+
+MS_PER_S = 1000
+_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv, in milliseconds before now
+
+
+class QueueAges(NamedTuple):
+    """How long a connection that is accepted now has been in the kernel's queue.
+
+    Attributes:
+        connected_s: Since the client connected.
+        request_s: Since the last bytes arrived; 0 if none have.
+    """
+
+    connected_s: float
+    request_s: float
+
+
+def queue_ages(accepted: socket.socket) -> QueueAges:
+    """Return how long a new connection and its first bytes waited to be accepted, as the kernel reports it.
+
+    Both ages are 0 where the kernel does not report them.
+    """
+    try:
+        tcp_info = accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
+        data_ms, ack_ms = _TCP_INFO.unpack(tcp_info)
+        has_data = bool(accepted.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+    except BlockingIOError:
+        has_data = False
+    except (AttributeError, OSError, struct.error):  # not on this system, or reset meanwhile
+        return QueueAges(0.0, 0.0)
+    connected_s = min(ack_ms / MS_PER_S, MAX_QUEUE_AGE_S)
+    request_s = min(data_ms / MS_PER_S, MAX_QUEUE_AGE_S) if has_data else 0.0
+    return QueueAges(connected_s, request_s)
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -6,21 +6,13 @@
 from collections.abc import Callable
 from typing import cast
 
+from loadbalancer.network.client import timeouts
 from loadbalancer.network.client.context import ConnectionContext
 from loadbalancer.network.client.incoming_request import Rejection
-from loadbalancer.network.client.pipeline import LINGER_TIMEOUT_S, RequestPipeline
+from loadbalancer.network.client.pipeline import RequestPipeline
 from loadbalancer.network.client.request_reader import RequestReader
 from loadbalancer.network.client.transport import ClientTransport
 
-# For a whole request, counted from connecting or from the request's first byte.
-REQUEST_TIMEOUT_S = 1.8
-# Between two looks at all connections for those that are slow or idle.
-SWEEP_INTERVAL_S = 0.1
-# A client that leaves its response unread for longer is disconnected.
-WRITE_STALL_TIMEOUT_S = 10.0
-# The linger after a connection on which no request has begun to arrive in time.
-SHORT_LINGER_TIMEOUT_S = 0.05
-
 REQUEST_TIMED_OUT = Rejection(408, "the request did not come to its end")
 
 
@@ -119,7 +111,7 @@
         The transport closes by itself once the client has read our last response.
         """
         self._disconnect()
-        self._transport.abort_after(WRITE_STALL_TIMEOUT_S)
+        self._transport.abort_after(timeouts.WRITE_STALL_TIMEOUT_S)
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Release what the connection holds."""
@@ -164,7 +156,7 @@
                 return False
             self.close_gracefully()
             return True
-        if self._pipeline.has_waiting_request() and now - self.idle_since > WRITE_STALL_TIMEOUT_S:
+        if self._pipeline.has_waiting_request() and now - self.idle_since > timeouts.WRITE_STALL_TIMEOUT_S:
             # The client does not read its responses: the requests that are queued would never be handled.
             self._transport.abort()
         return False
@@ -175,16 +167,16 @@
             return False
         # Guards against clients that send a byte at a time: while the loop is busy, each look would find
         # a byte that is not read yet. Once input was read after the time was up, no more is waited for.
-        grace_ends_at = started_at + REQUEST_TIMEOUT_S + SWEEP_INTERVAL_S
+        grace_ends_at = started_at + timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
         was_read_late = self._reader.last_received_at >= grace_ends_at
         if not was_read_late and self._transport.has_unread_bytes():
             return False
         if self._reader.has_partial_request:
             self._pipeline.reject(REQUEST_TIMED_OUT)
         else:
-            self.close_gracefully(SHORT_LINGER_TIMEOUT_S)
+            self.close_gracefully(timeouts.SHORT_LINGER_TIMEOUT_S)
         return True
 
-    def close_gracefully(self, linger_s: float = LINGER_TIMEOUT_S) -> None:
+    def close_gracefully(self, linger_s: float = timeouts.LINGER_TIMEOUT_S) -> None:
         """Close our side, and read and discard input for a moment, so that no reset loses a response."""
         self._transport.close_gracefully(linger_s)
--- /dev/null
+++ b/loadbalancer/network/client/connection_table.py
@@ -0,0 +1,65 @@
+"""The open client connections of a listener, and the setup of new ones."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Collection, Iterator
+from typing import TYPE_CHECKING
+
+from loadbalancer.network.client.accept_queue import queue_ages
+from loadbalancer.network.client.connection import ClientConnection
+
+if TYPE_CHECKING:
+    import socket
+
+    from loadbalancer.network.client.context import ConnectionContext
+
+
+class ConnectionTable(Collection[ClientConnection]):
+    """The connections that are open, from their acceptance until they are closed."""
+
+    def __init__(self, context: ConnectionContext, on_closed: Callable[[], None]) -> None:
+        """Create an empty table.
+
+        Args:
+            context: What the connections share.
+            on_closed: Called after a connection was closed and removed.
+        """
+        self._context = context
+        self._on_closed = on_closed
+        self._connections: set[ClientConnection] = set()
+        self._setup_tasks: set[asyncio.Task[None]] = set()
+
+    def __len__(self) -> int:
+        return len(self._connections)
+
+    def __iter__(self) -> Iterator[ClientConnection]:
+        return iter(self._connections)
+
+    def __contains__(self, connection: object) -> bool:
+        return connection in self._connections
+
+    def add(self, accepted: socket.socket) -> None:
+        """Add a connection for a socket that was just accepted, and start to set it up."""
+        accepted.setblocking(False)
+        now = time.monotonic()
+        ages = queue_ages(accepted)
+        request_sent_at = now - ages.request_s if ages.request_s else None
+        connection = ClientConnection(self._context, self._remove, now - ages.connected_s, request_sent_at)
+        self._connections.add(connection)
+        task = self._context.loop.create_task(self.set_up(connection, accepted))
+        self._setup_tasks.add(task)
+        task.add_done_callback(self._setup_tasks.discard)
+
+    async def set_up(self, connection: ClientConnection, accepted: socket.socket) -> None:
+        """Give a connection the transport of its socket; from then on it is read."""
+        try:
+            await self._context.loop.connect_accepted_socket(lambda: connection, accepted)
+        except OSError:
+            accepted.close()
+            self._remove(connection)
+
+    def _remove(self, connection: ClientConnection) -> None:
+        self._connections.discard(connection)
+        self._on_closed()
--- /dev/null
+++ b/loadbalancer/network/client/eviction.py
@@ -0,0 +1,63 @@
+"""Closes client connections that are slow or idle: at intervals, and sooner in favour of new connections."""
+
+from __future__ import annotations
+
+import math
+import time
+from typing import TYPE_CHECKING
+
+from loadbalancer.network.client import timeouts
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Collection
+
+    from loadbalancer.network.client.connection import ClientConnection
+
+EVICTION_DIVISOR = 4
+"""One eviction closes at most 1/4 of the connections, besides all whose request did not arrive in time."""
+
+
+class ConnectionEviction:
+    """Applies the time limits to all connections of a listener."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, connections: Collection[ClientConnection]) -> None:
+        self._loop = loop
+        self._connections = connections
+        self._evicted_at = -math.inf
+
+    def sweep(self) -> None:
+        """Close connections that are slow or idle for too long, now and from now on at intervals.
+
+        The time is counted from connecting, so that it includes the time in the kernel's queue.
+        """
+        self._loop.call_later(timeouts.SWEEP_INTERVAL_S, self.sweep)
+        now = time.monotonic()
+        for connection in list(self._connections):
+            connection.expire_if_slow(now, timeouts.REQUEST_TIMEOUT_S, timeouts.KEEP_ALIVE_TIMEOUT_S)
+
+    def evict(self) -> None:
+        """Close connections in favour of new ones, with shorter time limits than `sweep`.
+
+        All connections whose request did not arrive in time are closed, then the longest idle ones.
+        Guards against floods of connections that bring no request. A connection whose request is open is
+        never closed.
+        """
+        now = time.monotonic()
+        if now - self._evicted_at < timeouts.MIN_EVICTION_INTERVAL_S:
+            return
+        self._evicted_at = now
+        remaining_evictions = max(len(self._connections) // EVICTION_DIVISOR, 1)
+        for connection in sorted(self._connections, key=_closing_order):
+            if not connection.is_request_pending() and remaining_evictions <= 0:
+                break
+            remaining_evictions -= connection.expire_if_slow(
+                now,
+                timeouts.REQUEST_TIMEOUT_UNDER_PRESSURE_S,
+                timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S,
+            )
+
+
+def _closing_order(connection: ClientConnection) -> tuple[bool, float]:
+    """Return the sort key: connections without a complete request first, then the longest idle ones."""
+    return not connection.is_request_pending(), connection.idle_since
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import time
-from collections.abc import Set as AbstractSet
+from collections.abc import Collection
 from typing import Protocol
 
 from loadbalancer.network.client.connection import ClientConnection
@@ -31,7 +31,7 @@
     max_deadline_s: float
 
     @property
-    def connections(self) -> AbstractSet[ClientConnection]:
+    def connections(self) -> Collection[ClientConnection]:
         """The connections that are open now."""
 
     def accept_pending(self) -> bool:
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -4,6 +4,7 @@
 
 import time
 
+from loadbalancer.network.client import timeouts
 from loadbalancer.network.client.context import ConnectionContext
 from loadbalancer.network.client.incoming_request import IncomingRequest, Rejection
 from loadbalancer.network.client.request_reader import RequestReader
@@ -13,8 +14,6 @@
 
 # A connection that buffers no more than this is not rejected for want of memory.
 UNCONDITIONAL_BUFFER_BYTES = 16_384
-# Input is read and discarded for so long after our side is closed, so that no reset overtakes the response.
-LINGER_TIMEOUT_S = 0.5
 
 BUFFERS_FULL = Rejection(503, "too much is waiting here")
 
@@ -142,7 +141,7 @@
         self.idle_since = time.monotonic()
         self._transport.write(serialize_response(status, headers, body, closes_connection=is_final))
         if is_final:
-            self._transport.close_gracefully(LINGER_TIMEOUT_S)
+            self._transport.close_gracefully(timeouts.LINGER_TIMEOUT_S)
 
     def _update_buffer_account(self) -> None:
         current_bytes = self._current_request.size_bytes if self._current_request is not None else 0
--- a/tests/network/test_busy_event_loop.py
+++ b/tests/network/test_busy_event_loop.py
@@ -10,23 +10,21 @@
 
 import pytest
 
-from loadbalancer.network.client import connection as client_connection
-from loadbalancer.network.client import graceful_shutdown
-from loadbalancer.network.client import listener as listener_module
+from loadbalancer.network.client import graceful_shutdown, timeouts
 from loadbalancer.network.client.connection import ClientConnection
-from loadbalancer.network.client.listener import Listener
+from loadbalancer.network.client.connection_table import ConnectionTable
 from tests.network.disconnecting_clients import connect_client, request_bytes
 from tests.network.loopback import Rig, Upstream, run, status
 
 
 def set_request_timeout(monkeypatch: pytest.MonkeyPatch, timeout_s: float, sweep_interval_s: float) -> None:
-    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", timeout_s)
-    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", sweep_interval_s)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", timeout_s)
+    monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", sweep_interval_s)
 
 
 def set_timeouts_under_pressure(monkeypatch: pytest.MonkeyPatch, timeout_s: float) -> None:
-    monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_UNDER_PRESSURE_S", timeout_s)
-    monkeypatch.setattr(listener_module, "IDLE_TIMEOUT_UNDER_PRESSURE_S", timeout_s)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_UNDER_PRESSURE_S", timeout_s)
+    monkeypatch.setattr(timeouts, "IDLE_TIMEOUT_UNDER_PRESSURE_S", timeout_s)
 
 
 def before_each_expiry_check(
@@ -45,21 +43,21 @@
 
 
 def is_past_request_timeout(connection: ClientConnection, now: float) -> bool:
-    return now - connection.request_started_at >= client_connection.REQUEST_TIMEOUT_S
+    return now - connection.request_started_at >= timeouts.REQUEST_TIMEOUT_S
 
 
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Connections are accepted, but their transports are not set up until the event is set."""
     may_set_up = asyncio.Event()
-    connect = Listener._connect
+    set_up = ConnectionTable.set_up
 
-    async def connect_later(
-        listener: Listener, connection: ClientConnection, accepted: socket.socket
+    async def set_up_later(
+        connections: ConnectionTable, connection: ClientConnection, accepted: socket.socket
     ) -> None:
         await may_set_up.wait()
-        await connect(listener, connection, accepted)
+        await set_up(connections, connection, accepted)
 
-    monkeypatch.setattr(Listener, "_connect", connect_later)
+    monkeypatch.setattr(ConnectionTable, "set_up", set_up_later)
     return may_set_up
 
 
@@ -90,7 +88,7 @@
             def abort_then_be_busy() -> None:
                 abort_open_requests()
                 may_set_up.set()
-                busy_s = 2 * listener_module.ACCEPT_RETRY_INTERVAL_S
+                busy_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
                 asyncio.get_running_loop().call_soon(time.sleep, busy_s)
 
             monkeypatch.setattr(rig.proxy, "abort_open_requests", abort_then_be_busy)
@@ -208,7 +206,7 @@
             # At once, before the loop could read it.
             send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
             set_timeouts_under_pressure(monkeypatch, 0.0)
-            listener._evicted_at = -1.0
+            monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
             assert not listener.accept_pending()  # it looks for connections to evict
             may_set_up.set()
             assert status(await idle.read_response()) == 200
--- a/tests/network/test_client_disconnects.py
+++ b/tests/network/test_client_disconnects.py
@@ -16,8 +16,7 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network.client import connection as client_connection
-from loadbalancer.network.client import request_reader
+from loadbalancer.network.client import request_reader, timeouts
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
@@ -303,7 +302,7 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end is behind requests that are not read, and the sweep has not looked at the connection."""
-    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 3_600.0)
+    monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def scenario() -> None:
         async def fail_later(received: ReceivedMessage, writer: Any) -> None:
--- a/tests/network/test_connection_limit.py
+++ b/tests/network/test_connection_limit.py
@@ -11,7 +11,7 @@
 import time
 from typing import Any
 
-from loadbalancer.network.client import listener
+from loadbalancer.network.client import timeouts
 from tests.network.loopback import TIMEOUT_S, Rig, Upstream, config_text, free_port, run, status
 
 
@@ -32,7 +32,7 @@
 def test_idle_connections_are_evicted_early_for_waiting_clients() -> None:
     """With 168 connections that stay for 2 s each, no more than 84 requests a second would get through."""
     # A client whose request crosses the close sends it again on a new connection.
-    assert listener.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
+    assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
     async def scenario() -> None:
         async with Rig(Upstream(), tier=1) as rig:  # twenty requests at once are not shed in this tier
--- a/tests/network/test_connection_timeouts.py
+++ b/tests/network/test_connection_timeouts.py
@@ -8,9 +8,8 @@
 
 import pytest
 
-from loadbalancer.network.client import connection as client_connection
-from loadbalancer.network.client import listener
-from loadbalancer.network.client import pipeline as request_pipeline
+from loadbalancer.network.client import timeouts
+from loadbalancer.network.client.accept_queue import queue_ages
 from tests.network.loopback import Rig, Upstream, never_respond, response, run, status
 
 
@@ -30,9 +29,9 @@
     sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Silent clients and those that never finish a request are disconnected within 3 s."""
-    longest_s = client_connection.REQUEST_TIMEOUT_S + client_connection.SWEEP_INTERVAL_S
-    assert longest_s + request_pipeline.LINGER_TIMEOUT_S < 2.8
-    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
+    longest_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
+    assert longest_s + timeouts.LINGER_TIMEOUT_S < 2.8
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
         async with Rig(Upstream()) as rig:
@@ -52,7 +51,7 @@
                 time.sleep(0.1)  # the loop is busy and accepts nothing
                 accepted, _ = rig.proxy.listener._socket.accept()
                 with accepted:
-                    ages = listener.queue_ages(accepted)
+                    ages = queue_ages(accepted)
                     assert ages.connected_s >= 0.05
                     assert ages.request_s >= 0.05
 
@@ -62,8 +61,8 @@
 def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener, "KEEP_ALIVE_TIMEOUT_S", 0.1)
-    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(timeouts, "KEEP_ALIVE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
         upstream = Upstream(response(), never_respond)
@@ -77,7 +76,7 @@
             await upstream.seen.wait()
             assert await idle.reader.read() == b""
             for _ in range(3):
-                rig.proxy.listener.sweep()
+                rig.proxy.listener.eviction.sweep()
                 await asyncio.sleep(0.1)
             for writer in upstream.writers:
                 writer.write(response(200, b"at last"))
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -103,9 +103,11 @@
         f"loadbalancer.{name}"
         for name in (
             "__main__ actions configuration endpoints errors events network network.client "
-            "network.client.connection network.client.context network.client.graceful_shutdown "
+            "network.client.accept_queue network.client.connection network.client.connection_table "
+            "network.client.context network.client.eviction network.client.graceful_shutdown "
             "network.client.incoming_request network.client.listener network.client.pipeline "
-            "network.client.request_reader network.client.response_writer network.client.transport "
+            "network.client.request_reader network.client.response_writer network.client.timeouts "
+            "network.client.transport "
             "network.clock network.discovery network.discovery.connection network.discovery.watch "
             "network.errors network.headers network.log network.open_requests network.proxy "
             "network.request_ids network.sockets network.upstream network.upstream.attempt "
