--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from loadbalancer.errors import LoadBalancerError
 from loadbalancer.network.headers import MAX_BODY_BYTES, Headers, end_to_end_headers
 from loadbalancer.settings import Idempotency, RequestClass
 
@@ -43,7 +44,7 @@
     reason: str
 
 
-class RequestRejectedError(Exception):
+class RequestRejectedError(LoadBalancerError):
     """Raised while a request is read: the request is not acceptable.
 
     Attributes:
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -8,6 +8,7 @@
 
 import httptools
 
+from loadbalancer.errors import InvalidStateError
 from loadbalancer.network.client.incoming_request import IncomingRequest, Rejection, RequestRejectedError
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
 from loadbalancer.settings import RequestClass
@@ -20,6 +21,10 @@
 BODY_TOO_LARGE = Rejection(413, "body too large")
 
 
+class RequestReaderClosedError(InvalidStateError):
+    """Input was to be parsed after the reader was closed."""
+
+
 class RequestReader:
     """Parses the bytes of one connection into requests, and bounds how much it reads ahead.
 
@@ -145,7 +150,7 @@
 
     def _open_parser(self) -> httptools.HttpRequestParser:
         if self._parser is None:
-            raise RuntimeError("the request reader is closed")
+            raise RequestReaderClosedError
         return self._parser
 
     def _partial_body_bytes(self) -> int:
