--- a/tests/network/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.network.client import timeouts
 from loadbalancer.network.client.accept_queue import queue_ages
-from tests.network.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.loopback import Rig, Upstream, never_respond, response, status
 
 
 @pytest.mark.parametrize(
