--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -50,7 +50,8 @@
     """The host can't tell; the request may have had an effect."""
 
 
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+# A tuple and not a set: `in` compares members by identity, where a set calls `Enum.__hash__` for each look-up.
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 """The outcomes that prove that an attempt had no effect: it may be repeated whatever its idempotency."""
 
 
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -11,10 +11,11 @@
 from loadbalancer.policy.service_times import ServiceTimes
 
 FULL_LOSS_SERVICE_TIMES = 2.0  # an attempt waited for over so many mean service times counts as lost in full
-REUSABLE_CONNECTION_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.ERROR})  # it can be used again
+# Groups of outcomes are tuples, since a set calls `Enum.__hash__` for each look-up.
+REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)  # it can be used again
 # The outcomes that tell of an idle connection whether it was alive.
-LIVENESS_EVIDENCE_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET})
-NO_EVIDENCE_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})  # they tell nothing of the endpoint
+LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
+NO_EVIDENCE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)  # they tell nothing of the endpoint
 
 
 class AttemptRecorder:
