--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,6 +1,7 @@
 """How long idle connections live, learned from the attempts made on them."""
 
 import math
+from bisect import bisect_left
 from collections import deque
 
 IDLE_SAMPLES = 40  # so many last attempts on idle connections tell how long these live
@@ -25,11 +26,11 @@
         if not idle_ms:
             return
         self._samples.append((idle_ms, is_silent))
-        dead = sorted(idle for idle, was_silent in self._samples if was_silent)
-        as_long = {idle: sum(other >= idle for other, _ in self._samples) for idle in dead}
-        known = (
-            idle
-            for i, idle in enumerate(dead)
-            if len(dead) - i >= max(MIN_SILENT, MIN_SILENT_FRACTION * as_long[idle])
-        )
-        self.limit_ms = next(known, math.inf)
+        silent = sorted([idle for idle, was_silent in self._samples if was_silent])
+        idle_times = sorted([idle for idle, _ in self._samples]) if silent else []
+        self.limit_ms = math.inf
+        for i, idle in enumerate(silent):
+            at_least_as_long = len(idle_times) - bisect_left(idle_times, idle)
+            if len(silent) - i >= max(MIN_SILENT, MIN_SILENT_FRACTION * at_least_as_long):
+                self.limit_ms = idle
+                return
