--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -64,7 +64,7 @@
         endpoint = entry("s9", rig.entries[0]["address"])
         rig.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
         assert "after=2&" in await rig.discovery.calls.get()
-        assert set(rig.proxy.upstreams._pools) == {"s9"}
+        assert rig.proxy.upstreams.endpoint_names == {"s9"}
 
 
 async def test_a_list_that_is_being_received_at_a_sighup_is_ignored() -> None:
@@ -73,7 +73,7 @@
         await rig.discovery.calls.get()
         whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
         rig.discovery.responses.put_nowait(whole[:-5])
-        connection = rig.proxy._endpoint_watch._connection
+        connection = rig.proxy.endpoint_watch.connection
         assert connection is not None
         await wait_until(lambda: connection.is_receiving, "a part of the list is received")
         new = DiscoveryServer()
@@ -84,7 +84,7 @@
         new.publish(3, entry("new", rig.entries[0]["address"]), snapshot=True)
         assert "after=3&" in await new.calls.get()
         await rig.discovery.connection_closed.wait()
-        assert set(rig.proxy.upstreams._pools) == {"new"}
+        assert rig.proxy.upstreams.endpoint_names == {"new"}
 
 
 async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once() -> None:
@@ -92,9 +92,9 @@
     upstreams = make_pools(await upstream.start())
     attempt = ObservedAttempt(upstreams)
     await upstream.seen.wait()
-    connection = attempt.attempt._connection
+    connection = attempt.attempt.connection
     assert connection is not None
-    attempt.attempt._timed_out()
+    attempt.attempt.handle_timeout()
     connection.data_received(response())  # it was read before, and is passed on only now
     await upstream.connection_closed.wait()
     assert attempt.ends == [Outcome.TIMED_OUT]
@@ -108,7 +108,7 @@
     upstream = Upstream()
     async with Rig(upstream) as rig:
         assert status(await rig.send_request()) == 200
-        (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
+        (idle,) = rig.proxy.upstreams.pool("s0").idle_connections
         idle.idle_since -= 1.0
         is_alive = UpstreamConnection.is_alive
         checks: list[bool] = []
@@ -160,8 +160,8 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
-    )  # the fail-safe response comes too late
+        "loadbalancer.network.deadline_watchdog.WATCHDOG_MARGIN_MS", -1e6
+    )  # the watchdog's response comes too late
     async with Rig(Upstream()) as rig:
         handle = rig.proxy.balancer.handle
         events: list[Event] = []
