--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -50,7 +50,8 @@
     """The host can't tell; the request may have had an effect."""
 
 
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+# A tuple: a look-up in a set would call `Enum.__hash__`, which is a Python function.
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 """The outcomes that prove that an attempt had no effect: it may be repeated whatever its idempotency."""
 
 
