--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -13,12 +13,13 @@
 # Mean service times of its request after which an unanswered attempt counts as lost in full; before that it
 # counts in proportion to the wait, since a short wait is hardly evidence.
 FULL_LOSS_SERVICE_TIMES = 2.0
+# Groups of outcomes are tuples: a look-up in a set would call `Enum.__hash__`, which is a Python function.
 # Outcomes after which the connection can be used again.
-REUSABLE_CONNECTION_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.ERROR})
+REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
 # Outcomes that show whether an idle connection was alive.
-LIVENESS_EVIDENCE_OUTCOMES = frozenset({Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET})
+LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
 # Outcomes that are no evidence on the endpoint: the attempt was ended by this replica.
-NO_EVIDENCE_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.NOT_SENT})
+NO_EVIDENCE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 class AttemptRecorder:
