--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow balancers: the real watch and the real decisions, without clients."""
+"""Hollow balancers: the real watch and the real policy, without clients."""
 
 import asyncio
 from functools import partial
@@ -7,100 +7,101 @@
 import pytest
 
 from loadbalancer.configuration import read_configuration
-from loadbalancer.network.discovery import watch as client
+from loadbalancer.network.discovery import watch
 from testbed.balancer.hollow import Hollow
 from testbed.balancer.hollow_process import HollowProcess
 from testbed.discovery.agent_state import AgentMode, AgentState
 from testbed.discovery.service import Discovery
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
-from tests.support.loopback import run
-from tests.testbed.support.stand_ins import three, until
+from tests.support.waiting import wait_until
+from tests.testbed.support.endpoint_entries import three_entries
 
 
-@pytest.mark.parametrize("pushed", [True, False])
-def test_hollow_balancers_take_up_changes_through_the_real_watch(pushed: bool) -> None:
-    async def scenario() -> None:
-        discovery = Discovery()
-        in_force: list[list[int]] = [[], []]
-        first = discovery.replace_entries(endpoint_entries(20))
-        settings = balancer_settings(balancers=2, pushed=pushed)
-        hollows = []
-        for i in range(2):
-            text = configuration_text(
-                f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i
-            )
-            hollow = Hollow(
-                read_configuration(text, lambda note: None),
-                asyncio.get_running_loop(),
-                partial(lambda versions, index, at: versions.append(index), in_force[i]),
-            )
-            hollow.start()
-            hollows.append(hollow)
-        await until(lambda: all(agent.acknowledged_index == first for agent in discovery.agents.values()))
-        draining = endpoint_entries(20)[3] | {"status": "terminating"}
-        second = discovery.apply_changes([draining])
-        await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
-        assert in_force == [[0, first, second]] * 2
-        assert discovery.counts().snapshots == 2
-        for hollow in hollows:
-            assert len(hollow.proxy.balancer.ready_endpoints) == 19
-            assert len(hollow.proxy.upstreams.endpoint_names) == 20
-            assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
-            with pytest.raises(ConnectionError):  # no callers
-                await asyncio.open_connection(*hollow.proxy.listener.address)
+async def wait_until_acknowledged(discovery: Discovery, version: int) -> None:
+    await wait_until(
+        lambda: all(agent.acknowledged_index == version for agent in discovery.agents.values()),
+        f"every balancer has acknowledged version {version}",
+    )
 
-    run(scenario())
 
+def ignore_warning(text: str) -> None:
+    pass
 
-def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.policy.poll_backoff.POLL_BACKOFF_MS", 2.0)
-    monkeypatch.setattr(client, "RESPONSE_TIMEOUT_S", 0.05)
 
-    async def scenario() -> None:
-        discovery = Discovery()
-        in_force: list[int] = []
-        first = discovery.replace_entries(three())
-        address = discovery.agent_address(0)
-        discovery.set_state(AgentState(AgentMode.UNRESPONSIVE))
-        text = configuration_text(
-            "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
-        )
-        Hollow(
-            read_configuration(text, lambda note: None),
+@pytest.mark.parametrize("pushed", [True, False])
+async def test_hollow_balancers_apply_changes_through_the_real_watch(
+    discovery: Discovery, *, pushed: bool
+) -> None:
+    in_force: list[list[int]] = [[], []]
+    first = discovery.replace_entries(endpoint_entries(20))
+    settings = balancer_settings(balancers=2, pushed=pushed)
+    hollows = []
+    for i in range(2):
+        text = configuration_text(f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i)
+        hollow = Hollow(
+            read_configuration(text, ignore_warning),
             asyncio.get_running_loop(),
-            lambda index, at: in_force.append(index),
-        ).start()
-        # The first request was given up; a timer starts the next one.
-        await until(lambda: discovery.counts().requests == 2)
-        discovery.set_state(AgentState())
-        await until(lambda: first in in_force)
+            partial(lambda versions, index, at: versions.append(index), in_force[i]),
+        )
+        hollow.start()
+        hollows.append(hollow)
+    await wait_until_acknowledged(discovery, first)
+    draining = endpoint_entries(20)[3] | {"status": "terminating"}
+    second = discovery.apply_changes([draining])
+    await wait_until_acknowledged(discovery, second)
+    assert in_force == [[0, first, second]] * 2
+    assert discovery.counts().snapshots == 2
+    for hollow in hollows:
+        assert len(hollow.proxy.balancer.ready_endpoints) == 19
+        assert len(hollow.proxy.upstreams.endpoint_names) == 20
+        assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
+        with pytest.raises(ConnectionError):  # no clients
+            await asyncio.open_connection(*hollow.proxy.listener.address)
+
 
-    run(scenario())
+async def test_a_hollow_balancer_carries_out_timers_and_polls_again(
+    discovery: Discovery, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("loadbalancer.policy.poll_backoff.POLL_BACKOFF_MS", 2.0)
+    monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.05)
 
+    in_force: list[int] = []
+    first = discovery.replace_entries(three_entries())
+    address = discovery.agent_address(0)
+    discovery.set_state(AgentState(AgentMode.UNRESPONSIVE))
+    text = configuration_text(
+        "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
+    )
+    Hollow(
+        read_configuration(text, ignore_warning),
+        asyncio.get_running_loop(),
+        lambda index, at: in_force.append(index),
+    ).start()
+    # The first request times out; a timer starts the next one.
+    await wait_until(lambda: discovery.counts().requests == 2, "the balancer has polled again")
+    discovery.set_state(AgentState())
+    await wait_until(lambda: first in in_force, "the balancer has applied the list")
 
-def test_a_process_of_hollow_balancers_reports_when_changes_were_in_force() -> None:
-    async def scenario() -> None:
-        discovery = Discovery()
-        first = discovery.replace_entries(three())
-        texts = {
-            i: configuration_text(
-                f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], balancer_settings(balancers=3), seed=i
-            )
-            for i in range(3)
-        }
-        process = HollowProcess(texts)
-        await until(lambda: all(agent.acknowledged_index == first for agent in discovery.agents.values()))
-        began = process.report()
-        assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
-        assert set(began.indexes) == {0, first}
-        second = discovery.apply_changes([three()[1] | {"weight": 2.0}])
-        await until(lambda: all(agent.acknowledged_index == second for agent in discovery.agents.values()))
-        last = process.stop()
-        assert sorted(last.balancers) == [0, 1, 2]
-        assert set(last.indexes) == {second}
-        assert all(discovery.changed_at[second] <= at for at in last.times)
-        assert last.max_lag_s >= last.p99_lag_s >= 0
-        await discovery.stop()
-        assert not psutil.pid_exists(process.pid)
 
-    run(scenario())
+async def test_a_process_of_hollow_balancers_reports_when_changes_were_applied(discovery: Discovery) -> None:
+    first = discovery.replace_entries(three_entries())
+    texts = {
+        i: configuration_text(
+            f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], balancer_settings(balancers=3), seed=i
+        )
+        for i in range(3)
+    }
+    process = HollowProcess(texts)
+    await wait_until_acknowledged(discovery, first)
+    began = process.report()
+    assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
+    assert set(began.indexes) == {0, first}
+    second = discovery.apply_changes([three_entries()[1] | {"weight": 2.0}])
+    await wait_until_acknowledged(discovery, second)
+    last = process.stop()
+    assert sorted(last.balancers) == [0, 1, 2]
+    assert set(last.indexes) == {second}
+    assert all(discovery.changed_at[second] <= at for at in last.times)
+    assert last.max_lag_s >= last.p99_lag_s >= 0
+    await discovery.stop()
+    assert not psutil.pid_exists(process.pid)
--- /dev/null
+++ b/tests/testbed/conftest.py
@@ -0,0 +1,26 @@
+"""Fixtures of the testbed's tests."""
+
+from __future__ import annotations
+
+from collections.abc import AsyncIterator
+
+import pytest
+
+from testbed.discovery.service import Discovery
+from testbed.upstream.group import UpstreamGroup
+
+
+@pytest.fixture
+async def discovery() -> AsyncIterator[Discovery]:
+    """A discovery stand-in with an empty list, stopped after the test."""
+    service = Discovery()
+    yield service
+    await service.stop()
+
+
+@pytest.fixture
+async def upstreams() -> AsyncIterator[UpstreamGroup]:
+    """A group without upstreams yet, closed after the test."""
+    group = UpstreamGroup(seed=1)
+    yield group
+    group.close()
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -1,4 +1,4 @@
-"""Made-up changes of discovery's list."""
+"""Generated changes of the endpoint list, and their application."""
 
 import random
 from itertools import islice
@@ -7,7 +7,6 @@
 from testbed.discovery.service import Discovery
 from testbed.load.arrivals import arrival_times
 from testbed.settings import EndpointEntry, endpoint_entries
-from tests.support.loopback import run
 
 
 def test_churn_is_the_same_for_a_seed_and_keeps_the_list() -> None:
@@ -25,7 +24,7 @@
     status = {e["name"]: "in_service" for e in endpoint_entries(60)}
     seen, removed = set(), set()
     for (changed,) in played(1):
-        assert changed["name"] not in removed  # a new process bears a new name
+        assert changed["name"] not in removed  # a replacement has a new name
         before = status.pop(changed["name"], "new")
         seen.add((before, changed["status"], changed["since_ms"]))
         if changed["status"] != "terminated":
@@ -58,13 +57,11 @@
     )
 
 
-def test_churn_is_played_to_its_end() -> None:
-    async def scenario() -> None:
-        discovery = Discovery()
-        first = discovery.replace_entries(endpoint_entries(10))
-        late = await play_changes(discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9)
-        assert discovery.index == first + 4
-        assert late >= 0
-        assert {e["since_ms"] for e in discovery.entries} == {9}
-
-    run(scenario())
+async def test_changes_are_applied_until_there_are_no_more(discovery: Discovery) -> None:
+    first = discovery.replace_entries(endpoint_entries(10))
+    max_lateness_s = await play_changes(
+        discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9
+    )
+    assert discovery.index == first + 4
+    assert max_lateness_s >= 0
+    assert {e["since_ms"] for e in discovery.entries} == {9}
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -16,49 +16,43 @@
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
 from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup
-from tests.support.loopback import run
-from tests.testbed.support.loads import VirtualClock
+from tests.testbed.support.loads import SteppingClock
 
 LOG = structlog.wrap_logger(
     structlog.testing.CapturingLogger(), processors=[]
-)  # whatever is set up elsewhere
-
-
-def test_a_server_that_stalls_delays_no_send() -> None:
-    async def scenario() -> None:
-        upstreams = UpstreamGroup(seed=1)
-        (upstream,) = await upstreams.start(1, first_octet=82)
-        planned = len(list(arrival_times(4_000.0, 0.01, random.Random("7/calls"))))
-        assert planned > 20
-        all_came = asyncio.Event()
-
-        async def stall(request: ReceivedRequest, remaining_ms: float) -> int:
-            if upstream.counts.requests == planned:
-                all_came.set()
-            await all_came.wait()
-            return 200
-
-        upstream.forward = stall  # nothing gets a response before the last request has come
-        stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
-        report = (await play_streams([stream], 0.01, seed=7))["calls"]
-        assert report.sends == report.opened == planned
-        assert report.statuses == {200: planned}
-        assert report.unserved == []
-        await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL))
-        report = (await play_streams([stream], 0.01, seed=7))["calls"]
-        assert report.statuses == {500: planned}
-        assert report.served.count == 0
-        assert sorted(report.unserved) == pytest.approx(
-            list(arrival_times(4_000.0, 0.01, random.Random("7/calls")))
-        )
-        upstreams.close()
-
-    run(scenario())
+)  # independent of the configuration by other tests
+
+
+async def test_a_server_that_stalls_delays_no_send(upstreams: UpstreamGroup) -> None:
+    (upstream,) = await upstreams.start(1, first_octet=82)
+    planned = len(list(arrival_times(4_000.0, 0.01, random.Random("7/calls"))))
+    assert planned > 20
+    all_came = asyncio.Event()
+
+    async def stall(request: ReceivedRequest, remaining_ms: float) -> int:
+        if upstream.counts.requests == planned:
+            all_came.set()
+        await all_came.wait()
+        return 200
+
+    upstream.forward = stall  # no response is sent before the last request has been received
+    stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
+    report = (await play_streams([stream], 0.01, seed=7))["calls"]
+    assert report.sends == report.opened == planned
+    assert report.statuses == {200: planned}
+    assert report.unserved == []
+    await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL))
+    report = (await play_streams([stream], 0.01, seed=7))["calls"]
+    assert report.statuses == {500: planned}
+    assert report.served.count == 0
+    assert sorted(report.unserved) == pytest.approx(
+        list(arrival_times(4_000.0, 0.01, random.Random("7/calls")))
+    )
 
 
-def test_latency_runs_from_the_due_time_and_a_late_load_doubts_itself() -> None:
-    async def scenario(stall: float) -> StreamReport:
-        clock = VirtualClock(stall=stall)
+async def test_latency_is_measured_from_the_scheduled_time_and_a_late_load_is_invalid() -> None:
+    async def report_with(stall: float) -> StreamReport:
+        clock = SteppingClock(stall=stall)
         upstreams = UpstreamGroup(seed=1)
         (upstream,) = await upstreams.start(1, first_octet=82)
         stream = Stream("calls", [Client(upstream.address, clock)], 20.0, "read", 5_000.0)
@@ -66,26 +60,26 @@
         upstreams.close()
         return report
 
-    due = list(arrival_times(20.0, 1.0, random.Random("3/calls")))
-    late = run(scenario(3.0))  # the load's first wait takes 3 s too long, as if the machine had stalled
-    assert late.served.count == late.sends == len(due)
-    longest, shortest = late.served.quantile_ms(1.0), late.served.quantile_ms(0.0)
-    assert longest == pytest.approx(3_000, rel=0.01)
-    assert shortest == pytest.approx((3.0 + due[0] - due[-1]) * 1000, rel=0.01)
+    scheduled_s = list(arrival_times(20.0, 1.0, random.Random("3/calls")))
+    late = await report_with(3.0)  # the first sleep takes 3 s too long
+    assert late.served.count == late.sends == len(scheduled_s)
+    max_ms, min_ms = late.served.quantile_ms(1.0), late.served.quantile_ms(0.0)
+    assert max_ms == pytest.approx(3_000, rel=0.01)
+    assert min_ms == pytest.approx((3.0 + scheduled_s[0] - scheduled_s[-1]) * 1000, rel=0.01)
     assert late.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
-    (doubt,) = late.invalid_reasons("direct", late_ms=1.0)
-    assert doubt.startswith("direct: ")
-    assert "late" in doubt
-    assert run(scenario(0.0)).invalid_reasons("direct", late_ms=1.0) == []
+    (reason,) = late.invalid_reasons("direct", late_ms=1.0)
+    assert reason.startswith("direct: ")
+    assert "late" in reason
+    assert (await report_with(0.0)).invalid_reasons("direct", late_ms=1.0) == []
 
 
-def test_added_time_counts_both_ways_and_hands_on_the_doubts_about_the_load() -> None:
+def test_added_time_measures_both_paths_and_reports_why_the_load_is_invalid() -> None:
     plan = added_time.Plan(
         run="added_time",
         about="A trial.",
         seed=5,
         sizes=(3,),
-        per_s=50.0,  # one at a time: where requests overlap on a slow machine the balancer sheds some
+        per_s=50.0,  # one at a time: if requests overlap on a slow machine, the balancer sheds some
         class_name="look-up",
         deadline_ms=2_000.0,
         service_ms=0.0,
@@ -102,13 +96,13 @@
     assert row["served"] == row["calls"] <= row["calls"] * row["attempts_a_call"]
     assert row["processor_us_a_call"] > 0
     assert row["direct_50_ms"] > 0
-    assert [doubt.partition(": ")[0] for doubt in result.invalid_reasons if "late" in doubt] == [
+    assert [reason.partition(": ")[0] for reason in result.invalid_reasons if "late" in reason] == [
         "3 entries, direct",
         "3 entries, through",
     ]
 
 
-def test_real_depth_plays_each_fault_at_the_bottom_of_a_chain_of_real_balancers() -> None:
+def test_real_depth_plays_each_fault_at_the_last_tier_of_a_chain_of_real_balancers() -> None:
     plan = real_depth.Plan(
         run="real_depth",
         about="A trial.",
--- a/tests/testbed/support/loads.py
+++ b/tests/testbed/support/loads.py
@@ -1,4 +1,4 @@
-"""What the tests of the load and of the hollow upstreams share."""
+"""Clocks and requests for the tests of the load and of the hollow upstreams."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 IDS = request_ids(1)
 
 
-class VirtualClock:
-    """A clock that goes on only by sleeping on it, or by `step` s with each look."""
+class SteppingClock:
+    """A clock that advances by the length of each sleep, and by `step` seconds with each reading.
+
+    The first sleep takes `stall` seconds longer.
+    """
 
     def __init__(self, step: float = 0.0, stall: float = 0.0) -> None:
         self.now, self._step, self._stall = 0.0, step, stall
@@ -20,9 +23,9 @@
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        await asyncio.sleep(0)  # what is ready goes first
+        await asyncio.sleep(0)  # runs the callbacks that are ready
         self.now += max(seconds, 1e-4) + self._stall
-        self._stall = 0.0  # it happens once
+        self._stall = 0.0
 
 
 async def send_request(client: Client, deadline_ms: float = 5_000.0, key: str = "") -> int:
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -12,8 +12,8 @@
 from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup, UpstreamProcess
 from testbed.upstream.upstream import forward_through
-from tests.support.loopback import run
-from tests.testbed.support.loads import IDS, VirtualClock, send_request
+from tests.support.waiting import wait_until
+from tests.testbed.support.loads import IDS, SteppingClock, send_request
 
 
 @pytest.mark.parametrize(
@@ -32,51 +32,41 @@
         ),
     ],
 )
-def test_an_upstream_does_what_its_mode_says(
-    mode: UpstreamMode, status: int, health: int, counted: dict[str, int]
+async def test_an_upstream_behaves_according_to_its_mode(
+    upstreams: UpstreamGroup, mode: UpstreamMode, status: int, health: int, counted: dict[str, int]
 ) -> None:
-    async def scenario() -> None:
-        upstreams = UpstreamGroup(seed=1)
-        (upstream,) = await upstreams.start(1, first_octet=82)
-        assert upstream.address[0] == "127.82.0.1"
-        await upstream.set_behaviour(Behaviour(mode))
-        patience_ms = 20.0 if mode is UpstreamMode.HANG else 5_000.0
-        client = Client(upstream.address)
-        assert await send_request(client, patience_ms) == status
-        probe = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
-        assert (await client.send(probe, patience_ms / 1000)).status == health
-        # A call that found its kept connection broken is sent again: a reset one is requested only once.
-        expected = {"requests": 1, "health_checks": 1, "reset": 0, "abandoned": 0, "overlapping": 0} | counted
-        expected["reset"] = int(mode is UpstreamMode.RESET)
-        while upstream.connections and mode in (UpstreamMode.HANG, UpstreamMode.RESET):
-            await asyncio.sleep(0)
-        assert {name: getattr(upstream.counts, name) for name in expected} == expected
-        await upstream.set_behaviour(Behaviour())
-        assert await send_request(client) == 200  # at the same address
-        assert (await client.send(b"GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)).status == 404
-        upstreams.close()
-
-    run(scenario())
-
-
-def test_a_rejected_request_is_marked_as_never_run() -> None:
-    async def scenario() -> None:
-        upstreams = UpstreamGroup(seed=1)
-        (upstream,) = await upstreams.start(1, first_octet=82)
-        await upstream.set_behaviour(Behaviour(UpstreamMode.REJECT))
-        reader, writer = await asyncio.open_connection(*upstream.address)
-        writer.write(compose_request("read", next(IDS), 100.0))
-        head = await reader.readuntil(b"\r\n\r\n")
-        assert head.startswith(b"HTTP/1.1 503 ")
-        assert b"\r\nX-Not-Run: 1\r\n" in head
-        writer.close()
-        upstreams.close()
-
-    run(scenario())
-
-
-def test_a_fraction_of_the_requests_fails_as_the_seed_says() -> None:
-    async def scenario(seed: int) -> list[int]:
+    (upstream,) = await upstreams.start(1, first_octet=82)
+    assert upstream.address[0] == "127.82.0.1"
+    await upstream.set_behaviour(Behaviour(mode))
+    timeout_ms = 20.0 if mode is UpstreamMode.HANG else 5_000.0
+    client = Client(upstream.address)
+    assert await send_request(client, timeout_ms) == status
+    health_check = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
+    assert (await client.send(health_check, timeout_ms / 1000)).status == health
+    # A request that fails on a reused connection is sent again; one that is reset on a new connection is not.
+    expected = {"requests": 1, "health_checks": 1, "reset": 0, "abandoned": 0, "overlapping": 0} | counted
+    expected["reset"] = int(mode is UpstreamMode.RESET)
+    if mode in (UpstreamMode.HANG, UpstreamMode.RESET):
+        await wait_until(lambda: not upstream.connections, "the upstream has no connection")
+    assert {name: getattr(upstream.counts, name) for name in expected} == expected
+    await upstream.set_behaviour(Behaviour())
+    assert await send_request(client) == 200  # at the same address
+    assert (await client.send(b"GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)).status == 404
+
+
+async def test_a_rejected_request_is_marked_as_never_run(upstreams: UpstreamGroup) -> None:
+    (upstream,) = await upstreams.start(1, first_octet=82)
+    await upstream.set_behaviour(Behaviour(UpstreamMode.REJECT))
+    reader, writer = await asyncio.open_connection(*upstream.address)
+    writer.write(compose_request("read", next(IDS), 100.0))
+    head = await reader.readuntil(b"\r\n\r\n")
+    assert head.startswith(b"HTTP/1.1 503 ")
+    assert b"\r\nX-Not-Run: 1\r\n" in head
+    writer.close()
+
+
+async def test_a_fraction_of_the_requests_fails_as_drawn_from_the_seed() -> None:
+    async def statuses_with(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, first_octet=82)
         await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL, fraction=0.5))
@@ -86,66 +76,53 @@
         upstreams.close()
         return statuses
 
-    first = run(scenario(1))
+    first = await statuses_with(1)
     assert 16 < first.count(500) < 48
-    assert run(scenario(1)) == first != run(scenario(2))
-
-
-def test_a_chain_of_three_passes_the_time_that_remains_under_new_ids() -> None:
-    async def scenario() -> None:
-        clock = VirtualClock(step=0.1)
-        upstreams = UpstreamGroup(seed=1, clock=clock)
-        chain = await upstreams.start(3, first_octet=82)
-        received: list[ReceivedRequest] = []
-        for number, upstream in enumerate(chain):
-            upstream.on_request = received.append
-            if number < 2:
-                ids = request_ids(seed=10 + number)
-                upstream.forward = forward_through(Client(chain[number + 1].address), ids)
-        client = Client(chain[0].address)
-        assert await send_request(client, 4_000.0, key="k1") == 200
-        # The clock goes on by 0.1 s between a request's arrival and the call that it causes.
-        assert [request.deadline_ms for request in received] == pytest.approx([4_000.0, 3_900.0, 3_800.0])
-        assert len({request.request_id for request in received}) == 3
-        assert {(request.class_name, request.key) for request in received} == {("read", "k1")}
-        await chain[2].set_behaviour(Behaviour(UpstreamMode.REJECT))
-        assert await send_request(client) == 500  # it fails if a call fails
-        assert [upstream.counts.failed for upstream in chain] == [1, 1, 0]
-        assert await send_request(client, 50.0) == 500  # no time is left for a call: none is made
-        assert [upstream.counts.requests for upstream in chain] == [3, 2, 2]
-        upstreams.close()
-
-    run(scenario())
-
-
-def test_an_abandoned_request_is_cancelled_down_the_chain() -> None:
-    async def scenario() -> None:
-        upstreams = UpstreamGroup(seed=1)
-        top, bottom = await upstreams.start(2, first_octet=82)
-        top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
-        await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
-        call = asyncio.ensure_future(send_request(Client(top.address)))
-        while not bottom.counts.hung:
-            await asyncio.sleep(0)
-        call.cancel()
-        while not bottom.counts.abandoned:
-            await asyncio.sleep(0)
-        assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
-        upstreams.close()
-
-    run(scenario())
-
-
-def test_upstreams_in_a_process_of_their_own_serve_count_and_end() -> None:
-    async def scenario() -> None:
-        process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
-        try:
-            assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
-            counts = process.counts()
-            assert (counts.served, counts.connections) == (3, 3)
-        finally:
-            process.stop()
-        assert process.pid is not None
-        assert not psutil.pid_exists(process.pid)
-
-    run(scenario())
+    assert await statuses_with(1) == first != await statuses_with(2)
+
+
+async def test_a_chain_of_three_passes_the_time_that_remains_under_new_ids() -> None:
+    clock = SteppingClock(step=0.1)
+    upstreams = UpstreamGroup(seed=1, clock=clock)
+    chain = await upstreams.start(3, first_octet=82)
+    received: list[ReceivedRequest] = []
+    for number, upstream in enumerate(chain):
+        upstream.on_request = received.append
+        if number < 2:
+            ids = request_ids(seed=10 + number)
+            upstream.forward = forward_through(Client(chain[number + 1].address), ids)
+    client = Client(chain[0].address)
+    assert await send_request(client, 4_000.0, key="k1") == 200
+    # The clock advances by 0.1 s between the arrival of a request and the request to the next tier.
+    assert [request.deadline_ms for request in received] == pytest.approx([4_000.0, 3_900.0, 3_800.0])
+    assert len({request.request_id for request in received}) == 3
+    assert {(request.class_name, request.key) for request in received} == {("read", "k1")}
+    await chain[2].set_behaviour(Behaviour(UpstreamMode.REJECT))
+    assert await send_request(client) == 500  # an upstream fails if the next tier does
+    assert [upstream.counts.failed for upstream in chain] == [1, 1, 0]
+    assert await send_request(client, 50.0) == 500  # no time remains for a request to the next tier
+    assert [upstream.counts.requests for upstream in chain] == [3, 2, 2]
+    upstreams.close()
+
+
+async def test_an_abandoned_request_is_cancelled_down_the_chain(upstreams: UpstreamGroup) -> None:
+    top, bottom = await upstreams.start(2, first_octet=82)
+    top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
+    await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
+    call = asyncio.ensure_future(send_request(Client(top.address)))
+    await wait_until(lambda: bottom.counts.hung, "the last tier holds the request")
+    call.cancel()
+    await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
+    assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
+
+
+async def test_upstreams_in_a_process_of_their_own_serve_count_and_end() -> None:
+    process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
+    try:
+        assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
+        counts = process.counts()
+        assert (counts.served, counts.connections) == (3, 3)
+    finally:
+        process.stop()
+    assert process.pid is not None
+    assert not psutil.pid_exists(process.pid)
