--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -4,7 +4,7 @@
 
 import os
 import sys
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import psutil
 import pytest
@@ -14,6 +14,9 @@
 from tests.support.loopback import config_text
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 def configuration_on(host: str, **settings: object) -> str:
     text = config_text("127.0.0.1:1", [], **settings)
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -1,4 +1,4 @@
-"""Simulated chains: what a balancer's host passes on and carries out."""
+"""Simulated chains: the events that a balancer's host passes on, and the actions that it carries out."""
 
 from collections.abc import Callable
 from typing import Any
@@ -45,7 +45,7 @@
 
 
 class RecordedEvents:
-    """Balancers that note what they are told, by the tier they call from; the front's may act by a script."""
+    """Records the events of all balancers by tier; the front balancer may be replaced by a script."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, front: Script | None = None) -> None:
         self.events: list[tuple[int, float, Event]] = []
@@ -62,7 +62,7 @@
 
         monkeypatch.setattr("testbed.chain.host.LoadBalancer", RecordingBalancer)
 
-    def by(self, tier: int, *kinds: type) -> list[tuple[float, Any]]:
+    def events_of(self, tier: int, *kinds: type) -> list[tuple[float, Any]]:
         return [(now, event) for at, now, event in self.events if at == tier and isinstance(event, kinds)]
 
 
@@ -85,23 +85,23 @@
 ) -> None:
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(1, latency_objective_ms=500.0, max_attempts=1), 1)
-    assert [e.kind for _, e in recorded.by(0, EndpointListUpdate)] == [
+    assert [e.kind for _, e in recorded.events_of(0, EndpointListUpdate)] == [
         EndpointListKind.CACHED,
         EndpointListKind.SNAPSHOT,
     ]
     chain.set_behaviour(1, 2, behaviour)
     chain.send_request(0)
     play(chain)
-    [(at, ended)] = recorded.by(0, AttemptFinished)
+    [(at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
-    assert (ended.outcome, at, ended.is_answered) == (outcome, after_ms, served)
-    # Nothing is owed after an answer; a class that is safe to repeat is refused, not failed.
+    assert (finished.outcome, at, finished.is_answered) == (outcome, after_ms, served)
+    # A class that is safe to retry is rejected, not failed.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == after_ms
     assert all(front.open_requests == 0 for front in chain.fronts)
 
 
-def test_a_call_that_may_have_run_and_must_not_twice_fails() -> None:
+def test_a_request_that_may_have_run_and_is_not_idempotent_fails() -> None:
     chain = Chain(chain_settings(2, idempotency=Idempotency.NOT_IDEMPOTENT), 1)
     chain.set_behaviour(2, 2, Behaviour.FAILS)
     chain.send_request(0)
@@ -110,15 +110,15 @@
     assert chain.statistics.attempts_by_phase[0] == [1, 1]
 
 
-def test_a_server_fails_if_its_call_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever its own balancer says of the call, which here is harmless to repeat."""
+def test_a_server_fails_if_its_request_to_the_next_tier_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The response of its own balancer does not matter: here it says that a retry is harmless."""
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(2, max_attempts=1), 1)
     chain.set_behaviour(2, 2, Behaviour.REJECTS)
     chain.send_request(0)
     play(chain)
-    assert [e.outcome for _, e in recorded.by(1, AttemptFinished)] == [Outcome.REJECTED]
-    assert [e.outcome for _, e in recorded.by(0, AttemptFinished)] == [Outcome.ERROR]
+    assert [e.outcome for _, e in recorded.events_of(1, AttemptFinished)] == [Outcome.REJECTED]
+    assert [e.outcome for _, e in recorded.events_of(0, AttemptFinished)] == [Outcome.ERROR]
 
 
 def test_each_tier_gets_the_time_that_remains(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -126,8 +126,8 @@
     chain = Chain(chain_settings(4), 1)
     chain.send_request(0)
     play(chain)
-    arrived = [[e.remaining_ms for _, e in recorded.by(tier, RequestReceived)] for tier in range(4)]
-    # Each balancer keeps 10 ms for its answer; each server has worked 1 ms before it calls.
+    arrived = [[e.remaining_ms for _, e in recorded.events_of(tier, RequestReceived)] for tier in range(4)]
+    # Each balancer reserves 10 ms for its response; each server works for 1 ms before its own request.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
     assert chain.client_requests[0].status == 200
     assert chain.client_requests[0].finished_at_ms == 4 * (2 * HOP + SERVICE)
@@ -135,7 +135,7 @@
 
 
 def cancelling(at: float) -> Script:
-    """A front that sends a call at once and calls it off at a moment."""
+    """Return a front that starts an attempt at once and cancels it at a time."""
 
     def act(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -145,36 +145,40 @@
     return act
 
 
-def test_a_cancelled_call_is_called_off_tier_by_tier(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancelled_attempt_is_cancelled_tier_by_tier(monkeypatch: pytest.MonkeyPatch) -> None:
     recorded = RecordedEvents(monkeypatch, cancelling(100.0))
     chain = Chain(chain_settings(3), 1)
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     play(chain)
-    # The connection's end travels one hop to each server, whose balancer then calls off its own call.
-    assert [(now, e.outcome) for now, e in recorded.by(0, AttemptFinished)] == [(100.0, Outcome.CANCELLED)]
-    for tier, left in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
-        assert [now for now, _ in recorded.by(tier, ClientDisconnected)] == [left]
-        ended = [(now, e.outcome, e.is_answered) for now, e in recorded.by(tier, AttemptFinished)]
-        assert ended == [(left, Outcome.CANCELLED, True)]
+    # The end of the connection takes one hop to each server, whose balancer then cancels its own attempt.
+    assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
+        (100.0, Outcome.CANCELLED)
+    ]
+    for tier, disconnected_at in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
+        assert [now for now, _ in recorded.events_of(tier, ClientDisconnected)] == [disconnected_at]
+        finished = [(now, e.outcome, e.is_answered) for now, e in recorded.events_of(tier, AttemptFinished)]
+        assert finished == [(disconnected_at, Outcome.CANCELLED, True)]
     assert [server.in_service for tier in chain.tiers for server in tier] == [0] * 6
 
 
-def test_what_must_not_be_cancelled_goes_on_below(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempts_that_may_not_be_cancelled_continue_in_the_next_tier(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     recorded = RecordedEvents(monkeypatch, cancelling(100.0))
     chain = Chain(chain_settings(3, may_cancel=False), 1)
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     play(chain)
-    assert [now for now, _ in recorded.by(1, ClientDisconnected)] == [100.0 + HOP]
-    assert recorded.by(2, ClientDisconnected) == []
-    # The tier behind gave up by its own time, 500 came up, and nobody owed an answer any more.
-    [(_, ended)] = recorded.by(1, AttemptFinished)
-    assert ended.outcome is Outcome.ERROR
-    assert ended.is_answered
+    assert [now for now, _ in recorded.events_of(1, ClientDisconnected)] == [100.0 + HOP]
+    assert recorded.events_of(2, ClientDisconnected) == []
+    # The next tier timed out and responded 500, which was no longer needed.
+    [(_, finished)] = recorded.events_of(1, AttemptFinished)
+    assert finished.outcome is Outcome.ERROR
+    assert finished.is_answered
 
 
-def test_a_call_out_of_time_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_attempt_that_times_out_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
     def act(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [StartAttempt(event.request_id, "t1-0", 0.75 if event.request_id < 3 else 0.0)]
@@ -185,15 +189,16 @@
     for _ in range(3):
         chain.send_request(0)
     play(chain)
-    # The first is worked on to its end though nobody waits; the second is not; then comes the third.
-    assert [(e.request_id, now, e.outcome) for now, e in recorded.by(0, AttemptFinished)] == [
+    # The first is in service when it times out and keeps its slot until it is done; the second is queued and
+    # leaves the queue; the third is served after the first.
+    assert [(e.request_id, now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (1, 0.75, Outcome.TIMED_OUT),
         (2, 0.75, Outcome.TIMED_OUT),
         (3, 2 * HOP + 2 * SERVICE, Outcome.SUCCEEDED),
     ]
 
 
-def test_a_closed_request_takes_nothing_further(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_with_a_response_sends_no_further_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     served = 2 * HOP + SERVICE
 
     def act(event: Event, now: float) -> list[Action]:
@@ -206,7 +211,7 @@
             case TimerFired(HedgeTimer(3)):
                 return [StartAttempt(1, "t1-0", 0.0), StartAttempt(1, "t1-0", 0.0)]
             case AttemptFinished(attempt_index=3):
-                return [CancelAttempt(1, 4)]  # told only once both of them were carried out
+                return [CancelAttempt(1, 4)]  # handled only once both actions have been carried out
         return []
 
     recorded = RecordedEvents(monkeypatch, act)
@@ -215,11 +220,11 @@
     chain.set_behaviour(1, 1, Behaviour.SERVES)
     chain.send_request(0)
     play(chain)
-    ended = [(now, e.attempt_index, e.outcome) for now, e in recorded.by(0, AttemptFinished)]
-    assert ended == [
+    finished = [(now, e.attempt_index, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)]
+    assert finished == [
         (served, 0, Outcome.SUCCEEDED),
-        (served, 1, Outcome.NOT_SENT),  # its connection had not come up
-        (served + 1.0, 3, Outcome.NOT_SENT),  # decided too late
+        (served, 1, Outcome.NOT_SENT),  # not connected yet
+        (served + 1.0, 3, Outcome.NOT_SENT),  # started after the response
         (served + 1.0, 4, Outcome.NOT_SENT),
         (2 * served - HOP / 2, 2, Outcome.SUCCEEDED),
     ]
@@ -229,20 +234,20 @@
 
 @pytest.mark.parametrize(("sends", "status"), [(False, 503), (True, 502)])
 def test_the_host_responds_before_the_deadline(
-    monkeypatch: pytest.MonkeyPatch, sends: bool, status: int
+    monkeypatch: pytest.MonkeyPatch, status: int, *, sends: bool
 ) -> None:
-    def lazy(event: Event, now: float) -> list[Action]:
+    def delayed(event: Event, now: float) -> list[Action]:
         if sends and isinstance(event, RequestReceived):
             return [SetTimer(now, HedgeTimer(1))]
         return [StartAttempt(1, "t1-0", 0.0)] if isinstance(event, TimerFired) else []
 
-    recorded = RecordedEvents(monkeypatch, lazy)
+    recorded = RecordedEvents(monkeypatch, delayed)
     chain = Chain(chain_settings(1), 1)
     chain.set_behaviour(1, 2, Behaviour.HANGS)
     chain.send_request(0)
     play(chain)
     assert (chain.client_requests[0].status, chain.client_requests[0].finished_at_ms) == (status, 2995.0)
-    assert [now for now, _ in recorded.by(0, ClientDisconnected)] == [2995.0]
+    assert [now for now, _ in recorded.events_of(0, ClientDisconnected)] == [2995.0]
 
 
 def test_a_full_server_rejects() -> None:
@@ -250,9 +255,9 @@
     for _ in range(4):
         chain.send_request(0)
     play(chain)
-    # One at work, two waiting for their turn, the fourth turned away at once.
-    assert [call.status for call in chain.client_requests] == [200, 200, 200, 503]
-    assert [call.finished_at_ms for call in chain.client_requests] == [
+    # One in service, two queued, the fourth rejected at once.
+    assert [request.status for request in chain.client_requests] == [200, 200, 200, 503]
+    assert [request.finished_at_ms for request in chain.client_requests] == [
         *(2 * HOP + n * SERVICE for n in (1, 2, 3)),
         2 * HOP,
     ]
@@ -261,16 +266,16 @@
     for _ in range(4):
         wide.send_request(0)
     play(wide)
-    assert {call.finished_at_ms for call in wide.client_requests} == {2 * HOP + SERVICE}
+    assert {request.finished_at_ms for request in wide.client_requests} == {2 * HOP + SERVICE}
 
 
 @pytest.mark.parametrize("behaviour", [Behaviour.REFUSES, Behaviour.REJECTS])
-def test_calls_that_never_ran_take_all_attempts_that_the_cap_allows(behaviour: Behaviour) -> None:
-    for cap in (1, 3, 4):
-        chain = Chain(chain_settings(1, servers_per_tier=6, max_attempts=cap), 1)
+def test_requests_that_never_ran_get_all_attempts_that_the_limit_allows(behaviour: Behaviour) -> None:
+    for max_attempts in (1, 3, 4):
+        chain = Chain(chain_settings(1, servers_per_tier=6, max_attempts=max_attempts), 1)
         chain.set_behaviour(1, 6, behaviour)
         for _ in range(5):
             chain.send_request(0)
             play(chain)
-        assert chain.statistics.attempts_by_phase[0] == [5 * cap]
-        assert {call.last_tier_attempts for call in chain.client_requests} == {cap}
+        assert chain.statistics.attempts_by_phase[0] == [5 * max_attempts]
+        assert {request.last_tier_attempts for request in chain.client_requests} == {max_attempts}
--- a/tests/testbed/conftest.py
+++ b/tests/testbed/conftest.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import AsyncIterator
+from typing import TYPE_CHECKING
 
 import pytest
 
 from testbed.discovery.service import Discovery
 from testbed.upstream.group import UpstreamGroup
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
 
 @pytest.fixture
 async def discovery() -> AsyncIterator[Discovery]:
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -57,7 +57,7 @@
     )
 
 
-async def test_changes_are_applied_until_there_are_no_more(discovery: Discovery) -> None:
+async def test_changes_are_applied_until_the_last_one(discovery: Discovery) -> None:
     first = discovery.replace_entries(endpoint_entries(10))
     max_lateness_s = await play_changes(
         discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9
--- a/tests/testbed/load/test_arrivals.py
+++ b/tests/testbed/load/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Moments of independent arrivals."""
+"""Arrival times of a Poisson process."""
 
 import random
 
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import random
+from typing import TYPE_CHECKING
 
 import pytest
 import structlog
@@ -14,10 +15,12 @@
 from testbed.runs import added_time
 from testbed.runs.real_depth import run as real_depth
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
-from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup
 from tests.testbed.support.loads import SteppingClock
 
+if TYPE_CHECKING:
+    from testbed.upstream.connection import ReceivedRequest
+
 LOG = structlog.wrap_logger(
     structlog.testing.CapturingLogger(), processors=[]
 )  # independent of the configuration by other tests
--- a/tests/testbed/measurement/test_meter.py
+++ b/tests/testbed/measurement/test_meter.py
@@ -37,7 +37,7 @@
     assert own > 0
 
 
-def test_full_cores_are_a_doubt(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_saturated_cores_invalidate_results(monkeypatch: pytest.MonkeyPatch) -> None:
     readings: list[Any] = []
 
     def read(user: float, idle: float, steal: float, guest: float) -> None:
@@ -60,16 +60,16 @@
     calls: list[tuple[float, Callable[[], None]]] = []
     loop: Any = SimpleNamespace(now=0.0, time=lambda: loop.now)
 
-    def call_at(at: float, then: Callable[[], None]) -> Any:
-        calls.append((at, then))
+    def call_at(at: float, callback: Callable[[], None]) -> Any:
+        calls.append((at, callback))
         return SimpleNamespace(cancel=calls.clear)
 
     loop.call_at = call_at
     lag = LoopLag(loop)
     for late in (0.0, 0.0, 0.25, 0.0):
-        at, then = calls.pop()
+        at, callback = calls.pop()
         loop.now = at + late
-        then()
+        callback()
     assert lag.take() == pytest.approx((0.0, 0.25), abs=1e-9)
     assert lag.take() == (0.0, 0.0)
     lag.stop()
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -1,4 +1,4 @@
-"""The runs on the control plane: balancers at rest and under changes of the list."""
+"""The runs on the control plane: balancers at rest, and while the list changes."""
 
 import logging
 from dataclasses import astuple
@@ -15,14 +15,14 @@
 from testbed.runs.control.delays import Spread, VersionSeen, delays_ms, spread
 from testbed.settings import balancer_settings
 
-# Of its own: a test of the command line leaves the shared one with an output that is closed.
-SILENT_LOG = structlog.wrap_logger(
+# A logger of its own: tests of the command line leave the shared one with a closed output.
+DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
 
 
-def test_a_change_is_at_a_balancer_with_the_first_version_as_new() -> None:
-    # Versions 5, 6 and 7; balancer 1 hears of 5 and 6 at once, balancer 2 never of 7.
+def test_a_change_is_at_a_balancer_from_the_first_version_as_new() -> None:
+    # Versions 5, 6 and 7; balancer 1 gets 5 and 6 together, balancer 2 never gets 7.
     times = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
     seen = [VersionSeen(*time) for time in times]
     delays = delays_ms(seen, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
@@ -35,15 +35,15 @@
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
-    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
     rows = [row.columns() for row in result.rows]
     assert [(row["balancers"], row["multiple"]) for row in rows] == [
         (balancers, multiple) for balancers in (1, 3) for multiple in (200.0, 400.0)
     ]
     for row in rows:
         assert row["changes"] > 0
-        for told in ("in_force_ms", "taken_up_ms", "real_taken_up_ms"):
-            assert 0 < row[f"{told}_median"] <= row[f"{told}_longest"] < float("inf")
+        for column in ("in_force_ms", "taken_up_ms", "real_taken_up_ms"):
+            assert 0 < row[f"{column}_median"] <= row[f"{column}_longest"] < float("inf")
         assert row["in_force_ms_median"] <= row["everywhere_ms_median"] <= row["in_force_ms_longest"]
         assert row["core_percent"] > 0
         assert row["real_core_percent"] > 0
@@ -56,22 +56,22 @@
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
-    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
     assert [row.snapshots for row in result.rows] == [0] * 4
     assert {row.real_core_percent for row in result.rows} == {None}
 
 
-def test_the_run_at_rest_watches_a_real_balancer_of_each_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_run_at_rest_measures_a_real_balancer_of_each_size(monkeypatch: pytest.MonkeyPatch) -> None:
     modes = []
 
-    def noted(**more: Any) -> dict[str, Any]:
+    def recording_settings(**more: Any) -> dict[str, Any]:
         modes.append((more["balancers"], more["pushed"]))
         return balancer_settings(**more)
 
-    monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", noted)
+    monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", recording_settings)
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
-    result = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    result = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
     assert [(row.entries, row.mode) for row in result.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
     ]
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -17,14 +17,14 @@
         "seed": 1,
         "sizes": (1, 2),
         "warm_s": 1,
-        "trouble_s": 1,
-        "troubles": [{"name": "500", "behaviour": "fails"}],
+        "fault_s": 1,
+        "faults": [{"name": "500", "behaviour": "fails"}],
     }
     return depth_run.Plan.model_validate(base | changes)
 
 
 def found(**changes: Any) -> RunResult[Any]:
-    with capture_logs():  # the command line's tests leave a log on a stream of theirs
+    with capture_logs():  # tests of the command line leave the shared logger with a closed output
         return depth_run.play(plan(**changes), structlog.get_logger())
 
 
@@ -32,9 +32,9 @@
     return [row.columns() for row in found(**changes).rows]
 
 
-def test_the_first_call_at_a_lost_last_tier_multiplies_by_tiers() -> None:
-    troubles = [{"name": "refused", "behaviour": "refuses"}]
-    one, two = rows(single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, troubles=troubles)
+def test_the_attempts_for_one_request_to_a_failed_last_tier_multiply_by_tiers() -> None:
+    faults = [{"name": "refused", "behaviour": "refuses"}]
+    one, two = rows(single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults)
     assert (one["bottom_attempts_a_call"], two["bottom_attempts_a_call"]) == (4, 16)
     assert one["attempts_a_call_by_tier"] == [4]
     assert two["attempts_a_call_by_tier"] == [4, 16]
@@ -42,67 +42,67 @@
     assert one["served_while"] == 0.0
 
 
-def without_machine(played: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def without_measured_times(played: list[dict[str, Any]]) -> list[dict[str, Any]]:
     return [{name: v for name, v in row.items() if not name.startswith("machine")} for row in played]
 
 
 def test_the_same_seed_gives_the_same_rows() -> None:
     more: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_hedge": True}
-    first, again, other = (without_machine(rows(seed=seed, **more)) for seed in (5, 5, 6))
+    first, again, other = (without_measured_times(rows(seed=seed, **more)) for seed in (5, 5, 6))
     assert first == again
     assert first != other
     assert sum(row["calls"] for row in first) > 400
 
 
-def test_a_run_that_needs_too_many_events_says_so_and_is_not_fitted() -> None:
-    whole = found(sizes=(1, 2, 4))
-    assert not any(row.cut_short for row in whole.rows)
-    assert [(fit.x, fit.points) for fit in whole.fits] == [("depth", 3), ("depth", 3), ("ln depth", 3)] * 2
-    most = whole.rows[1].work.events
-    cut = found(sizes=(1, 2, 4), events_most=most)
+def test_a_simulation_that_reaches_the_limit_on_events_is_marked_and_not_fitted() -> None:
+    complete = found(sizes=(1, 2, 4))
+    assert not any(row.cut_short for row in complete.rows)
+    assert [(fit.x, fit.points) for fit in complete.fits] == [("depth", 3), ("depth", 3), ("ln depth", 3)] * 2
+    event_limit = complete.rows[1].work.events
+    cut = found(sizes=(1, 2, 4), events_max=event_limit)
     assert [row.cut_short for row in cut.rows] == [False, False, True]
-    assert cut.rows[2].work.events == most
+    assert cut.rows[2].work.events == event_limit
     assert {fit.points for fit in cut.fits} == {2}
     assert cut.rows[2].columns()["attempts_a_call_by_tier"][0] > 0
 
 
-def test_service_comes_back_with_the_servers() -> None:
+def test_service_recovers_with_the_servers() -> None:
     [row] = rows(
         sizes=(2,),
         warm_s=2,
-        trouble_s=2,
+        fault_s=2,
         after_s=12,
-        troubles=[{"name": "turned away", "behaviour": "turns away"}],
+        faults=[{"name": "rejected", "behaviour": "turns away"}],
     )
     assert (row["served_before"], row["served_while"]) == (1.0, 0.0)
     windows = row["served_after_by_window"]
-    back = round(row["back_after_s"] / 0.5)
+    recovered = round(row["back_after_s"] / 0.5)
     assert len(windows) == 24
-    assert windows[back - 1] == 1.0
-    assert max(windows[: back - 1], default=0.0) < 1.0
+    assert windows[recovered - 1] == 1.0
+    assert max(windows[: recovered - 1], default=0.0) < 1.0
 
 
-@pytest.mark.parametrize(("tier", "struck"), [("first", 1), ("middle", 2), ("bottom", 4)])
-def test_a_trouble_strikes_its_tier_and_number_of_servers(tier: str, struck: int) -> None:
-    trouble = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
-    one = depth_run.Fault.model_validate(trouble)
-    assert one.tier_of(4) == struck
+@pytest.mark.parametrize(("tier", "faulty_tier"), [("first", 1), ("middle", 2), ("bottom", 4)])
+def test_a_fault_affects_its_tier_and_number_of_servers(tier: str, faulty_tier: int) -> None:
+    fault = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
+    one = depth_run.Fault.model_validate(fault)
+    assert one.tier_of(4) == faulty_tier
     assert one.tier_of(1) == 1
-    [row] = rows(sizes=(4,), troubles=[trouble])
+    [row] = rows(sizes=(4,), faults=[fault])
     by_tier = row["attempts_a_call_by_tier"]
-    # Only there calls need a second attempt, until the lost server is known.
+    # Only at that tier do requests need a second attempt, until the faulty server is ejected.
     assert [n > before for before, n in zip([1.0, *by_tier], by_tier, strict=False)] == [
-        tier == struck for tier in (1, 2, 3, 4)
+        tier == faulty_tier for tier in (1, 2, 3, 4)
     ]
     assert row["served"] == 1.0
 
 
-def test_a_part_of_calls_fails_at_random_and_refusals_without_attempts_count_as_shed() -> None:
-    part = [{"name": "part", "behaviour": "fails", "part": 0.25}]
-    [row] = rows(sizes=(1,), attempts_cap=1, trouble_s=10, troubles=part)
+def test_a_fraction_of_requests_fails_at_random_and_rejections_without_attempts_count_as_shed() -> None:
+    fraction = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
+    [row] = rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fraction)
     assert 0.70 < row["served_while"] < 0.80
     assert row["bottom_attempts_a_call"] == 1.0
-    [hung] = rows(sizes=(1,), trouble_s=5, troubles=[{"name": "hang", "behaviour": "hangs"}])
+    [hung] = rows(sizes=(1,), fault_s=5, faults=[{"name": "hang", "behaviour": "hangs"}])
     assert hung["shed_while"] > 0.5
     assert hung["served_while"] == 0.0
     assert hung["bottom_attempts_a_call"] == pytest.approx(1 - hung["shed_while"])
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -18,13 +18,13 @@
 from testbed.runs.list_size.rows import CellName, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
-# Of its own: a test of the command line leaves the shared one with an output that is closed.
-SILENT_LOG = structlog.wrap_logger(
+# A logger of its own: tests of the command line leave the shared one with a closed output.
+DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
 
 
-def test_the_run_on_list_sizes_measures_every_part_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_run_on_list_sizes_measures_every_step_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_size, "reference_us", lambda: 50.0)
     plan = read_plan(FOLDER / "list_size.toml", RUNS)
     small = {
@@ -36,7 +36,7 @@
         "rounds": 1,
         "rounds_max": 1,
     }
-    result = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
+    result = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
     rows = [row.columns() for row in result.rows]
     lists = [row for row in rows if row["measured"] == "list"]
     decisions = [row for row in rows if row["measured"] == "decision"]
@@ -44,14 +44,14 @@
         (entries, keeps) for entries in (6, 40) for keeps in ("part", "all")
     ]
     assert [(row["calls"], row["shed"]) for row in decisions] == [(400, 0)] * 8
-    kept = {row["keeps"]: row["servers_called"] for row in decisions if row["entries"] == 40}
-    assert kept["part"] <= BALANCERS_PER_ENDPOINT < kept["all"]
+    called = {row["keeps"]: row["servers_called"] for row in decisions if row["entries"] == 40}
+    assert called["part"] <= BALANCERS_PER_ENDPOINT < called["all"]
     for row in lists:
         discovery = Discovery()
         discovery.replace_entries(endpoint_entries(row["entries"], seed=plan.seed))
         assert row["list_bytes"] == len(discovery.list_response(-1).body)
-        parts = sum(row[f"list_{part}_ms"] for part in ("parse", "read", "pools", "module"))
-        assert 0 < row["list_module_ms"] < parts
+        steps_ms = sum(row[f"list_{step}_ms"] for step in ("parse", "read", "pools", "module"))
+        assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
         assert row["memory_kib"] > row["entries"]  # the list alone takes less than 1 KiB an entry
     slopes = {fit.y: fit for fit in result.fits}
@@ -74,7 +74,7 @@
     )
 
 
-def test_growth_is_the_power_of_the_length_between_two_sizes() -> None:
+def test_growth_is_the_exponent_of_the_length_between_two_sizes() -> None:
     rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
     grown = [row.columns() for row in with_growth(rows)]
     assert "list_module_ms_growth" not in grown[0]
@@ -106,20 +106,20 @@
         return RoundsRow(round=list(quick_rounds), columns_of_rounds=columns)
 
 
-def test_only_rounds_beside_a_quick_core_count() -> None:
-    def played(enough: int, most: int, *readings: float) -> tuple[list[dict[str, Any]], list[str]]:
-        coming = iter([*[10.0] * INITIAL_REFERENCES, *readings])
-        rounds: Rounds[RoundsRow] = Rounds(enough, most, lambda: next(coming))
+def test_only_rounds_between_quick_references_count() -> None:
+    def play(quick_rounds: int, max_rounds: int, *readings: float) -> tuple[list[dict[str, Any]], list[str]]:
+        references = iter([*[10.0] * INITIAL_REFERENCES, *readings])
+        rounds: Rounds[RoundsRow] = Rounds(quick_rounds, max_rounds, lambda: next(references))
         rounds.play(CountedCell())
-        assert next(coming, None) is None
+        assert next(references, None) is None
         result = rounds.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
-    # A slow reference before or after a round leaves it out; enough quick ones end the play.
-    rows, doubts = played(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
+    # A slow reference before or after a round excludes the round; enough quick rounds end the measurement.
+    rows, reasons = play(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
-    assert doubts == []
-    assert played(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
-    # A quicker core seen later makes the earlier rounds slow ones.
-    rows, doubts = played(3, 3, 10.0, 10.0, 6.0, 6.0)
+    assert reasons == []
+    assert play(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
+    # A quicker reference later makes the earlier rounds slow.
+    rows, reasons = play(3, 3, 10.0, 10.0, 6.0, 6.0)
     assert [row["round"] for row in rows] == [[3.0]]
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -13,11 +13,11 @@
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.glob("*.toml")), ids=lambda path: path.stem)
-def test_an_experiment_that_comes_along_is_listed_with_its_question(path: Path) -> None:
+def test_the_list_has_each_experiment_of_the_package_with_its_question(path: Path) -> None:
     plan = read_plan(path, RUNS)
-    listed = CliRunner().invoke(app, ["list"])
-    assert listed.exit_code == 0
-    assert f"{path.stem:24} {plan.about}" in listed.output.splitlines()
+    result = CliRunner().invoke(app, ["list"])
+    assert result.exit_code == 0
+    assert f"{path.stem:24} {plan.about}" in result.output.splitlines()
 
 
 def test_a_result_is_written_for_each_experiment_that_is_run(
@@ -40,7 +40,7 @@
             assert stored["plan"]["about"] == "Nothing."
 
 
-def test_the_command_line_says_what_is_wrong_in_one_line(tmp_path: Path) -> None:
+def test_an_error_is_reported_in_one_line(tmp_path: Path) -> None:
     missing = CliRunner().invoke(app, ["run", str(tmp_path / "no.toml")])
     assert missing.exit_code == 2
     assert missing.output.startswith("testbed: no.toml: ")
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -16,15 +16,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PartRow(Row):
+class InnerRow(Row):
     a: int | None = None
     b: int | None = field(default=None, metadata=OMITTED_IF_NONE)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WholeRow(Row):
+class OuterRow(Row):
     first: int
-    part: PartRow | None = field(default=None, metadata=OMITTED_IF_NONE)
+    part: InnerRow | None = field(default=None, metadata=OMITTED_IF_NONE)
     last: int
 
 
@@ -33,10 +33,10 @@
 
 
 def test_a_row_s_columns_are_its_fields_and_those_of_its_parts_in_their_order() -> None:
-    whole = WholeRow(first=1, part=PartRow(a=2, b=3), last=4)
-    assert list(whole.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
-    assert WholeRow(first=1, part=PartRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
-    assert WholeRow(first=1, last=4).columns() == {"first": 1, "last": 4}
+    row = OuterRow(first=1, part=InnerRow(a=2, b=3), last=4)
+    assert list(row.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
+    assert OuterRow(first=1, part=InnerRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
+    assert OuterRow(first=1, last=4).columns() == {"first": 1, "last": 4}
 
 
 def test_a_fit_gives_the_slope_and_its_error() -> None:
@@ -44,7 +44,7 @@
     assert (exact.y, exact.x, exact.points) == ("ms", "n", 4)
     assert (exact.slope, exact.intercept) == pytest.approx((3.0, 2.0))
     assert exact.slope_error == pytest.approx(0.0, abs=1e-9)
-    # By hand: residuals -0.5, 1, -0.5 of one degree of freedom, over a spread of 2.
+    # Calculated by hand: residuals -0.5, 1, -0.5 of one degree of freedom, over a spread of 2.
     noisy = fit_columns(points((0, 0.0), (1, 2.0), (2, 1.0)), "ms", "n", label="ms (noisy)")
     assert noisy == fit_line([0, 1, 2], [0.0, 2.0, 1.0], x="n", y="ms (noisy)")
     assert (noisy.slope, noisy.intercept) == pytest.approx((0.5, 0.5))
@@ -53,7 +53,7 @@
         fit_columns(points((1, 1.0)), "ms", "n")
 
 
-def test_a_run_that_doubts_itself_gives_no_figures(tmp_path: Path) -> None:
+def test_the_result_of_an_invalid_run_has_no_rows_and_fits(tmp_path: Path) -> None:
     result = RunResult(points((1, 2.0), (2, 4.0)))
     result.fits.append(fit_columns(result.rows, "ms", "n"))
     write(tmp_path / "good.json", "good", {"about": "A line."}, result)
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -1,4 +1,4 @@
-"""Stored results keep their columns: what a run gives today can stand beside them."""
+"""Stored results have the columns of today's rows, so that they can be compared."""
 
 import json
 from collections.abc import Iterator
@@ -32,7 +32,7 @@
 
 
 def column_names(row_type: type[Row]) -> Iterator[str]:
-    """All columns that rows of a type can have, in their order."""
+    """Yield the columns that rows of a type can have, in their order."""
     hints = get_type_hints(row_type)
     for column in fields(row_type):
         types = get_args(hints[column.name]) or (hints[column.name],)
@@ -47,7 +47,7 @@
     return list(row) == [name for name in names if name in row]
 
 
-def test_there_is_a_stored_result_of_every_run() -> None:
+def test_every_run_has_a_stored_result() -> None:
     runs = {json.loads(path.read_text(encoding="utf-8"))["plan"]["run"] for path in PATHS}
     assert runs == RUNS.keys() == ROW_TYPES.keys()
 
--- a/tests/testbed/test_virtual_clock.py
+++ b/tests/testbed/test_virtual_clock.py
@@ -1,9 +1,11 @@
+"""The virtual clock of simulations."""
+
 from __future__ import annotations
 
 from testbed.virtual_clock import VirtualClock
 
 
-def test_callbacks_run_in_the_order_of_their_moments_and_then_of_scheduling() -> None:
+def test_callbacks_run_in_the_order_of_their_times_and_then_of_scheduling() -> None:
     clock = VirtualClock()
     ran: list[tuple[float, str]] = []
 
@@ -17,7 +19,7 @@
     assert ran == [(1.0, "first"), (1.0, "second"), (2.0, "last")]
 
 
-def test_a_callback_for_a_moment_that_has_passed_runs_at_the_current_one() -> None:
+def test_a_callback_for_a_time_that_has_passed_runs_at_the_current_time() -> None:
     clock = VirtualClock(now=5.0)
     ran: list[float] = []
     clock.schedule(1.0, lambda _: ran.append(clock.now), None)
@@ -25,7 +27,7 @@
     assert ran == [5.0]
 
 
-def test_run_says_when_the_limit_of_events_cut_it_short() -> None:
+def test_run_reports_when_it_reached_the_limit_on_events() -> None:
     clock = VirtualClock()
     ran: list[int] = []
     for number in range(3):
@@ -36,15 +38,15 @@
     assert clock.run(max_events=3)
 
 
-def test_run_until_runs_what_is_due_by_then_and_sets_the_clock() -> None:
+def test_run_until_runs_callbacks_up_to_a_time_and_sets_the_clock() -> None:
     clock = VirtualClock()
     ran: list[str] = []
     clock.schedule(1.0, ran.append, "before")
-    clock.schedule(2.0, ran.append, "at the moment")
+    clock.schedule(2.0, ran.append, "at the time")
     clock.schedule(2.5, ran.append, "after")
     clock.run_until(2.0)
-    assert ran == ["before", "at the moment"]
+    assert ran == ["before", "at the time"]
     assert clock.now == 2.0
     clock.run_until(2.25)
     assert clock.now == 2.25
-    assert ran == ["before", "at the moment"]
+    assert ran == ["before", "at the time"]
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -3,18 +3,21 @@
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
 import psutil
 import pytest
 
 from testbed.http.client import NO_RESPONSE, Client, compose_request, request_ids
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
-from testbed.upstream.connection import ReceivedRequest
 from testbed.upstream.group import UpstreamGroup, UpstreamProcess
 from testbed.upstream.upstream import forward_through
 from tests.support.waiting import wait_until
 from tests.testbed.support.loads import IDS, SteppingClock, send_request
 
+if TYPE_CHECKING:
+    from testbed.upstream.connection import ReceivedRequest
+
 
 @pytest.mark.parametrize(
     ("mode", "status", "health", "counted"),
