--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -27,12 +27,12 @@
     def __init__(
         self,
         service_times: ServiceTimes,
-        sustainable: SustainableConcurrency,
+        sustainable_concurrency: SustainableConcurrency,
         idle_limit: IdleConnectionLimit,
         available: AvailableCapacity,
     ) -> None:
         self._service_times = service_times
-        self._sustainable = sustainable
+        self._sustainable_concurrency = sustainable_concurrency
         self._idle_limit = idle_limit
         self._available = available
         self._in_flight = 0
@@ -104,9 +104,11 @@
         elapsed_ms, service_times = now - attempt.sent_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
-        # Must come before `served` is increased: it may sum the available capacity, which decays the
+        # Must come before `served_work` is increased: it may sum the available capacity, which decays the
         # evidence of every endpoint up to `now`.
-        self._sustainable.record_completion(expected_work * service_times.baseline_ms(class_name), now)
+        self._sustainable_concurrency.record_completion(
+            expected_work * service_times.baseline_ms(class_name), now
+        )
         service_times.record(class_name, elapsed_ms)
-        attempt.endpoint.served += request.work
+        attempt.endpoint.served_work += request.work
         attempt.endpoint.record_outcome(class_name, served=1.0, lost=0.0)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -81,7 +81,7 @@
         self._service_times = ServiceTimes(settings)
         self._idle_limit = IdleConnectionLimit()
         self._recorder = AttemptRecorder(
-            self._service_times, self._overload.sustainable, self._idle_limit, self._available
+            self._service_times, self._overload.sustainable_concurrency, self._idle_limit, self._available
         )
         self._retry_budgets = RetryBudgets()
         self._hedging = Hedging(settings, self._service_times)
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -26,12 +26,12 @@
     """Estimates each endpoint's capacity, shrunk toward a prior where there is little evidence.
 
         prior    = median * weight
-        capacity = (served + k) / (busy_ms + k / prior),  k = PSEUDO_OBSERVATIONS
+        capacity = (served_work + k) / (busy_ms + k / prior),  k = PSEUDO_OBSERVATIONS
 
-    `served` is the work that the endpoint served and `busy_ms` the time that our attempts spent there, both
-    decaying exponentially. Their quotient is work per millisecond of attempt time: by Little's law the
-    throughput of our attempts there over their mean number in flight. `median` is the median of
-    served / (busy_ms * weight) over the endpoints with evidence.
+    `served_work` is the work that the endpoint served and `busy_ms` the time that our attempts spent there,
+    both decaying exponentially. Their quotient is work per millisecond of attempt time: by Little's law the
+    throughput of our attempts there over their mean number in flight. `median` is the median of served_work /
+    (busy_ms * weight) over the endpoints with evidence.
 
     Guards against estimates from too little evidence: one of hundreds of replicas calls an endpoint too
     seldom to learn its weight by itself.
@@ -63,7 +63,7 @@
                 endpoint.catch_up(now)
             prior = median * endpoint.weight
             pseudo_busy_ms = PSEUDO_OBSERVATIONS / prior
-            estimate = (endpoint.served + PSEUDO_OBSERVATIONS) / (endpoint.busy_ms + pseudo_busy_ms)
+            estimate = (endpoint.served_work + PSEUDO_OBSERVATIONS) / (endpoint.busy_ms + pseudo_busy_ms)
             if is_any_warming_up and (fraction := self._warmup.fraction(endpoint, now)) < 1:
                 estimate = min(estimate, prior * fraction)
             estimates.append(estimate)
@@ -82,11 +82,13 @@
     def _update(self, now: float) -> None:
         ready, subset = self._endpoints.ready, self._endpoints.subset
         known = sorted(
-            e.served / (e.busy_ms * e.weight) for e in ready if e.served > MIN_SERVED_WORK and e.busy_ms > 0
+            e.served_work / (e.busy_ms * e.weight)
+            for e in ready
+            if e.served_work > MIN_SERVED_WORK and e.busy_ms > 0
         )
         self.median = known[len(known) // 2] if known else self.median
         # A sum that decays with the time constant T settles at T times its rate.
-        if warm := [e.served for e in subset if self._warmup.fraction(e, now) >= 1]:
+        if warm := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_per_ms = sum(warm) / len(warm) / self.time_constant_ms
         # Guards against evidence that decays between two attempts: one of hundreds of replicas makes few.
         interval_ms = self._arrivals.short_term_interarrival_ms
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -33,10 +33,10 @@
         is_ready: Whether it takes requests, by the endpoint list.
         weight: Its relative capacity, by the endpoint list.
         in_flight: Attempts of this replica that are in flight there.
-        served: Work served, in mean attempts; decays.
+        served_work: Work served, in mean attempts; decays.
         busy_ms: Time that attempts spent there, summed over the attempts, those in flight included; decays.
-        capacity_time_constant_ms: The time constant by which `served` and `busy_ms` decay.
-        outcomes: Attempts served and lost, by class; decay.
+        capacity_time_constant_ms: The time constant by which `served_work` and `busy_ms` decay.
+        outcomes: By class, the attempts served and the attempts lost; both decay.
         connect_failures: Failed connects since its last response; decays.
         last_used_at: When a connection to it last became idle in working order; infinity if none did.
         recent_starts: Start times of attempts while it is in slow start.
@@ -49,7 +49,7 @@
     is_ready: bool = False
     weight: float = 1.0
     in_flight: int = 0
-    served: float = 0.0
+    served_work: float = 0.0
     busy_ms: float = 0.0
     capacity_time_constant_ms: float = EVIDENCE_TIME_CONSTANT_MS
     outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -59,7 +59,7 @@
 
     def reset(self, now: float) -> None:
         """Drop the evidence: a new process runs under this name."""
-        self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
+        self.served_work, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.outcomes, self.connect_failures = {}, 0.0
 
     def catch_up(self, now: float) -> None:
@@ -69,7 +69,7 @@
         before its first attempt times out.
         """
         decay = math.exp((self.updated_at - now) / self.capacity_time_constant_ms)
-        self.served *= decay
+        self.served_work *= decay
         self.busy_ms = self.busy_ms * decay + self.in_flight * (now - self.updated_at)
         decay = math.exp((self.updated_at - now) / EVIDENCE_TIME_CONSTANT_MS)
         self.outcomes = {
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -86,7 +86,7 @@
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
-        self.sustainable = SustainableConcurrency(available)
+        self.sustainable_concurrency = SustainableConcurrency(available)
         self._mean_in_flight = 0.0  # of our own attempts, decaying exponentially
         self._updated_at = 0.0
 
@@ -125,7 +125,7 @@
         peak, a mean above it alone belongs to attempts that have ended.
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
-        concurrency = self.sustainable.estimate(now)
+        concurrency = self.sustainable_concurrency.estimate(now)
         floor = MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.peers.count
         limit = inflation * (concurrency + floor)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -75,7 +75,7 @@
     recorder.record_end(attempt, Outcome.ERROR, Request(1, PAY, START_MS + TIMEOUT_MS), START_MS + 5)
     assert endpoint.in_flight == 0
     assert endpoint.busy_ms == pytest.approx(TIMEOUT_MS, rel=0.01)
-    assert endpoint.served == 0
+    assert endpoint.served_work == 0
 
 
 def test_a_fast_failure_takes_requests_from_an_endpoint() -> None:
@@ -102,7 +102,7 @@
         recorder.record_end(attempt, Outcome.SUCCEEDED, request, now)
     mean_ms = (20 * 3 + 200) / 4
     endpoint.catch_up(now)
-    assert endpoint.served / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
+    assert endpoint.served_work / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
 def test_evidence_on_an_endpoint_lasts_until_its_next_request_at_a_low_rate() -> None:
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -55,7 +55,8 @@
     """One of two balancers sent nearly all to the one endpoint of its zone; two zones were idle."""
     harness = PolicyHarness(0, zone="a", balancers=2, may_hedge=False)
     harness.update_endpoints(*(Endpoint(zone, zone=zone) for zone in "abcd"))
-    harness.balancer._overload.sustainable.reset(16.0, harness.now)  # the limit of its start is past
+    # The limit of the balancer's start no longer applies.
+    harness.balancer._overload.sustainable_concurrency.reset(16.0, harness.now)
     counts = Counter(first_endpoint(harness.request(PAY)[1]) for _ in range(16))
     assert counts.keys() == {"a", "b", "c", "d"}
     assert max(counts.values()) == counts["a"] < 12
