--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -100,7 +100,7 @@
     """Each was admitted before the first had opened its connection: all that started at once got one."""
     upstream = Upstream(never_respond)
     upstreams = make_pools(await upstream.start())
-    upstreams.connection_limit = 5
+    upstreams.connection_limit.max_connections = 5
     attempts = [ObservedAttempt(upstreams) for _ in range(12)]
 
     def all_started_or_ended() -> bool:
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -39,7 +39,7 @@
         rig.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
         kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
         assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-        assert set(rig.proxy.upstreams._pools) == {"s1"}
+        assert rig.proxy.upstreams.endpoint_names == {"s1"}
 
 
 async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(tmp_path: Path) -> None:
