--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -13,8 +13,8 @@
 # Mean service times of its request after which an unanswered attempt counts as lost in full; before that it
 # counts in proportion to the wait, since a short wait is hardly evidence.
 FULL_LOSS_SERVICE_TIMES = 2.0
-# Groups of outcomes are tuples: a look-up in a set would call `Enum.__hash__`, which is a Python function.
-# Outcomes after which the connection can be used again.
+# Outcomes after which the connection can be used again. This group and the two below are tuples: a look-up in
+# a set would call `Enum.__hash__`, which is a Python function.
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
 # Outcomes that show whether an idle connection was alive.
 LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
@@ -105,8 +105,8 @@
         elapsed_ms, service_times = now - attempt.sent_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
-        # Must come before `served_work` is increased: it may sum the available capacity, which decays the
-        # evidence of every endpoint up to `now`.
+        # May sum the available capacity, which brings the evidence of every endpoint up to date and reads its
+        # outcomes. The attempt is added to the evidence after that.
         self._sustainable_concurrency.record_completion(
             expected_work * service_times.baseline_ms(class_name), now
         )
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -48,6 +48,7 @@
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
+        # Finite from the start: an infinite estimate would decay to NaN, which limits nothing.
         self._concurrency = 0.0
         self._updated_at = -math.inf
 
@@ -117,7 +118,8 @@
         """Return whether attempts take too many times their baseline service time.
 
         The momentary count and the mean must both exceed the limit: a count above it alone may be a random
-        peak, a mean above it alone belongs to attempts that have ended.
+        peak, a mean above it alone belongs to attempts that have ended. A count above the Poisson bound of
+        the limit is an overload by itself, as for the limit by capacity.
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
