--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -4,8 +4,8 @@
 
 from loadbalancer.settings import Settings
 
-# Requests over which the interarrival time is averaged. Short term: a burst shows within seconds at a few
-# requests a second. Long term: the baseline, which a burst of tens of requests hardly moves.
+# Requests over which the interarrival time is averaged. Short term: a change shows within seconds at tens
+# of requests a second. Long term: the baseline, which a burst of tens of requests hardly moves.
 SHORT_TERM_REQUESTS = 30
 LONG_TERM_REQUESTS = 1_000
 
