--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -21,12 +21,15 @@
 MAX_LOGGED_EVENT_CHARS = 500
 """Length at which the line on an event that the policy failed to handle is cut."""
 
+_NOT_CONNECTED = "an event was dispatched before the dispatcher was connected"
+
 
 class EventDispatcher:
     """Queues events for the policy.
 
-    An event that an action causes while it is performed waits in the queue until all actions before it have
-    been performed. A failure of the policy, or of an action, is logged and ends only its own request.
+    An event that arises while another one is handled, for instance because an action has an immediate result,
+    waits in the queue: the policy gets it after all actions for the current event have been performed. A
+    failure of the policy, or of an action, is logged and ends only its own request.
 
     Args:
         balancer: The policy.
@@ -84,6 +87,7 @@
             try:
                 self._perform(action)
             except Exception:
+                # Guards against a fault in one action: the actions after it are still performed.
                 self._log.exception(f"could not perform {action!r}")
                 self._end_failed_request(_request_number(action))
         if request is not None:
@@ -101,8 +105,7 @@
 
 
 def _raise_not_connected(_: object) -> None:
-    message = "an event was dispatched before the dispatcher was connected"
-    raise InvalidStateError(message)
+    raise InvalidStateError(_NOT_CONNECTED)
 
 
 def _request_number(action: Action) -> int | None:
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -171,9 +171,8 @@
             self._connect_task.cancel()
         if self._connection is not None:
             if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_written():
-                outcome = (
-                    Outcome.CONNECT_FAILED
-                )  # an upstream does not process a request without its last byte
+                # The upstream cannot have processed a request of which the last byte was not sent.
+                outcome = Outcome.CONNECT_FAILED
             self._connection.release(reuse=response is not None)
         on_end(outcome, response)
 
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -14,7 +14,6 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-
 _NOT_ESTABLISHED = "a request was sent before the connection was established"
 
 
@@ -72,7 +71,7 @@
         self._transport.set_write_buffer_limits(high=0, low=0)
 
     def pause_writing(self) -> None:
-        """Do nothing: `send` has seen that a part of the request is in the write buffer."""
+        """Do nothing: `send` checks by itself whether a part of the request is in the write buffer."""
 
     def resume_writing(self) -> None:
         """Record that the last byte of the request has left the write buffer."""
