--- a/loadbalancer/network/discovery/retry_schedule.py
+++ b/loadbalancer/network/discovery/retry_schedule.py
@@ -92,12 +92,12 @@
             The delay; None if the policy decides when to call again.
         """
         if not self._polls_discovery:
-            # The time limit for the agent's list runs on meanwhile, so that a broken connection is no reason
-            # to wait.
+            # The balancer has to know the agent's list in time also while connections to it break, so that
+            # the call is repeated at once.
             return PUSH_RETRY_DELAY_S if consecutive_failures > 1 else 0.0
         if started_at_s < moved_at_s + MOVE_PERIOD_S:
-            # Guards against a long delay because of failures before the move. Guards also against a timer
-            # that the policy set before the move, which would start a second chain of calls: that timer has
-            # fired by the end of this period.
+            # Guards against a long delay because of failures before the move. Guards also against two timers
+            # of the policy, one set before the move and one set after this failure, each of which would start
+            # calls: the earlier one has fired by the end of this period.
             return MOVE_RETRY_DELAY_S * (0.5 + self._draw())
         return None
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -23,9 +23,9 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
 WATCH_OVERDUE_S = 1.0
-"""Time after the wait of a watch call when the call counts as failed if it got no response.
+"""Time after the end of a watch call's wait at which the call fails if it got no response.
 
-A list has to be known one second later still.
+A list that the call should have returned has to be known one second after that.
 """
 
 RESPONSE_TIMEOUT_S = 2.5
