--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,13 +1,13 @@
-"""What a list's length costs a balancer: decisions, changes, whole lists, memory and bytes.
+"""The costs of a balancer over the length of its list: decisions, deltas, snapshots, memory and bytes.
 
-In-process, with the real policy and the real connection pools' part on a virtual clock. Each size is played
-with as many balancers as endpoints, each of which keeps to a part of them, and as the only balancer, which
-keeps to all.
+The run measures the real policy and the real connection pools in one process, on a virtual clock. Each size
+is measured for a balancer that uses a subset of the endpoints, with as many balancers as endpoints, and for
+the only balancer, which uses all endpoints.
 """
 
 from __future__ import annotations
 
-from structlog.typing import FilteringBoundLogger
+from typing import TYPE_CHECKING
 
 from testbed.measurement.meter import CoresWatch
 from testbed.results import Fit, RunResult, fit_columns
@@ -17,6 +17,9 @@
 from testbed.runs.list_size.rounds import Rounds, reference_us
 from testbed.runs.list_size.rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
 __all__ = ["Plan", "play"]
 
 _KEEPS: tuple[Keeps, ...] = ("part", "all")
@@ -40,7 +43,7 @@
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
-    """Measure every size, kept in part and in all, at every tier."""
+    """Measure every size with a subset and with all endpoints, at every tier."""
     cores = CoresWatch()
     rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
@@ -51,7 +54,7 @@
             log.info("measured", entries=entries, keeps=keeps)
     result = rounds.result()
     missing_rows = bool(result.invalid_reasons)
-    result.invalid_reasons = cores.doubts("whole run") + result.invalid_reasons
+    result.invalid_reasons = cores.invalid_reasons("whole run") + result.invalid_reasons
     if missing_rows:
         return result
     result.rows = with_growth(result.rows)
@@ -61,7 +64,7 @@
 
 
 def _fits(plan: Plan, rows: list[ListSizeRow], keeps: Keeps) -> list[Fit]:
-    """Fit the costs of balancers that keep to so much of the list over its length."""
+    """Fit costs over the length of the list, for balancers with a subset or with all endpoints."""
     fits = []
     matching = [row for row in rows if row.cell.keeps == keeps]
     for tier in plan.tiers:
