--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -1,4 +1,7 @@
-"""Builds what deploy/balancer.toml says, starts it, and checks its replies to a batch and a health check."""
+"""Build what deploy/balancer.toml names, and check that simulator host and balancer respond.
+
+A check that fails raises `DeployFileError`, or the error of the command that failed.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 import signal
 import socket
 import subprocess
+import sys
 import tempfile
 import time
 import tomllib
@@ -22,11 +26,17 @@
 POLL_INTERVAL_S = 0.05
 
 
+class DeployFileError(Exception):
+    """What the deploy file names is missing, or does not behave as it should."""
+
+
 def read_deploy_file() -> dict[str, Any]:
-    """The deploy file; every file that it names must exist."""
+    """Return the deploy file. Every file that it names must exist."""
     deploy = tomllib.loads(DEPLOY_FILE.read_text(encoding="utf-8"))
     missing = [name for name in deploy["policy"] + deploy["node"] if not Path(name).exists()]
-    assert not missing, f"the deploy file names files that are not there: {missing}"
+    if missing:
+        message = f"the deploy file names files that do not exist: {missing}"
+        raise DeployFileError(message)
     return deploy
 
 
@@ -36,7 +46,7 @@
 
 
 def check_simulator(command: str) -> None:
-    """Send an empty batch on the simulator's wire; it must be answered by an empty reply."""
+    """Send an empty batch to the simulator host, which must reply that it has no actions."""
     done = subprocess.run(
         ["/bin/sh", "-c", command],
         input="sync time=1.0 batch=1\neob\n",
@@ -45,11 +55,13 @@
         check=True,
         timeout=SIMULATOR_TIMEOUT_S,
     )
-    assert done.stdout == "yield batch=1\n", f"an empty batch was answered by {done.stdout!r}"
+    if done.stdout != "yield batch=1\n":
+        message = f"the simulator host replied {done.stdout!r} to an empty batch"
+        raise DeployFileError(message)
 
 
 def check_balancer(command: str) -> None:
-    """Start a balancer, wait until its health check succeeds, and end it by SIGTERM."""
+    """Start a balancer, wait until its health check succeeds, and check that SIGTERM ends it normally."""
     port = free_port()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
@@ -59,13 +71,15 @@
             wait_until_ready(balancer, port)
             balancer.send_signal(signal.SIGTERM)
             status = balancer.wait(timeout=SHUTDOWN_TIMEOUT_S)
-            assert status == 0, f"after SIGTERM run ended with {status}"
+            if status != 0:
+                message = f"the balancer ended with status {status} after SIGTERM"
+                raise DeployFileError(message)
         finally:
             balancer.kill()
 
 
 def configuration(port: int) -> dict[str, Any]:
-    """A configuration with one class, no endpoints, and a discovery address at which nobody listens."""
+    """Return a configuration with one class, no endpoints, and a discovery address where nothing listens."""
     request_class = {"name": "read", "target": 100.0, "deadline": 500.0, "effect": "retryable"}
     return {
         "name": "n1",
@@ -80,13 +94,17 @@
     """Wait until the health check succeeds."""
     deadline = time.monotonic() + READY_TIMEOUT_S
     while (status := health_status(port)) != http.HTTPStatus.OK:
-        assert balancer.poll() is None, f"run ended with {balancer.returncode}"
-        assert time.monotonic() < deadline, f"/healthz responds {status}"
+        if balancer.poll() is not None:
+            message = f"the balancer ended with status {balancer.returncode} before it served"
+            raise DeployFileError(message)
+        if time.monotonic() > deadline:
+            message = f"/healthz still responds {status} after {READY_TIMEOUT_S:.0f} s"
+            raise DeployFileError(message)
         time.sleep(POLL_INTERVAL_S)
 
 
 def health_status(port: int) -> int:
-    """The status of the balancer's response to a health check; 0 while nothing listens."""
+    """Return the status of the response to a health check, or 0 while nothing listens."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=HEALTH_CHECK_TIMEOUT_S)
     try:
         connection.request("GET", "/healthz")
@@ -98,7 +116,7 @@
 
 
 def free_port() -> int:
-    """A port on which nothing listens at this moment."""
+    """Return a port on which nothing listens at this moment."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -110,7 +128,7 @@
     build(deploy["build"])
     check_simulator(deploy["sim"])
     check_balancer(deploy["run"])
-    print("the deploy file builds, and what it starts answers")
+    sys.stdout.write("deploy file: built, started and checked\n")
 
 
 if __name__ == "__main__":
