--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -5,18 +5,28 @@
 import ast
 import os
 import re
-from collections.abc import Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
 RECORDS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
 OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
 NAME_MAY_STAND_IN = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
 NOT_OF_THE_TREE = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
-NOT_OF_THE_TREE_PREFIXES = (".venv-", ".mypy_cache", ".ruff_cache", ".pytest_cache", ".hypothesis")
+NOT_OF_THE_TREE_PREFIXES = (
+    ".venv-",
+    ".mypy_cache",
+    ".ruff_cache",
+    ".import_linter_cache",
+    ".pytest_cache",
+    ".hypothesis",
+)
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
 MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
 
--- /dev/null
+++ b/tests/test_import_contracts.py
@@ -0,0 +1,59 @@
+"""The contract types for import-linter that the project defines itself."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import grimp
+import pytest
+
+from tests.import_contracts import AcyclicModulesContract, StandardLibraryOnlyContract
+
+if TYPE_CHECKING:
+    from importlinter import Contract, ContractCheck
+
+
+@pytest.fixture
+def graph() -> grimp.ImportGraph:
+    """A package `app` with two subpackages that import from each other, without a cycle of modules."""
+    graph = grimp.ImportGraph()
+    for module in ("app", "app.a", "app.a.top", "app.a.bottom", "app.b", "app.b.middle"):
+        graph.add_module(module)
+    for module in ("math", "httptools"):
+        graph.add_module(module, is_squashed=True)
+    graph.add_import(importer="app.a.top", imported="app.b.middle")
+    graph.add_import(importer="app.b.middle", imported="app.a.bottom")
+    graph.add_import(importer="app.a.bottom", imported="math")
+    return graph
+
+
+def check(contract_type: type[Contract], graph: grimp.ImportGraph) -> ContractCheck:
+    contract = contract_type("contract", {"root_packages": ["app"]}, {"packages": ["app"]})
+    return contract.check(graph, verbose=False)
+
+
+@pytest.mark.parametrize("contract_type", [AcyclicModulesContract, StandardLibraryOnlyContract])
+def test_a_contract_is_kept(contract_type: type[Contract], graph: grimp.ImportGraph) -> None:
+    assert check(contract_type, graph).kept
+
+
+def test_a_cycle_over_several_modules_is_found(graph: grimp.ImportGraph) -> None:
+    graph.add_import(importer="app.a.bottom", imported="app.a.top")
+    result = check(AcyclicModulesContract, graph)
+    assert not result.kept
+    assert "app.a.bottom -> app.a.top -> app.b.middle -> app.a.bottom" in result.metadata["lines"]
+
+
+def test_a_cycle_over_the_init_module_of_a_package_is_found(
+    graph: grimp.ImportGraph,
+) -> None:
+    graph.add_import(importer="app.a", imported="app.a.top")
+    graph.add_import(importer="app.a.top", imported="app.a")
+    assert "app.a -> app.a.top -> app.a" in check(AcyclicModulesContract, graph).metadata["lines"]
+
+
+def test_an_import_of_a_third_party_module_is_found(graph: grimp.ImportGraph) -> None:
+    graph.add_import(importer="app.b.middle", imported="httptools")
+    result = check(StandardLibraryOnlyContract, graph)
+    assert not result.kept
+    assert result.metadata["lines"] == ["app.b.middle imports httptools"]
