--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -15,6 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
+DECISIONS = sorted((ROOT / "docs" / "decisions").glob("*.md"))
 RECORDS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
 OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
 NAME_MAY_STAND_IN = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
@@ -58,14 +59,14 @@
     assert found == []
 
 
-@pytest.mark.parametrize("page", PAGES + RECORDS, ids=page_name)
+@pytest.mark.parametrize("page", PAGES + DECISIONS + RECORDS, ids=page_name)
 def test_links_lead_somewhere(page: Path) -> None:
     targets = re.findall(r"\]\(([^)#\s]+)[^)]*\)", page.read_text(encoding="utf-8"))
     missing = [t for t in targets if "://" not in t and not (page.parent / t).exists()]
     assert missing == []
 
 
-@pytest.mark.parametrize("page", PAGES, ids=page_name)
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
 def test_paths_exist(page: Path) -> None:
     paths = re.findall(
         r"`((?:loadbalancer|testbed|tests|docs|deploy|\.ci)/[\w./-]*)`", page.read_text(encoding="utf-8")
@@ -74,6 +75,13 @@
     assert missing == []
 
 
+def test_the_index_of_decisions_has_every_record() -> None:
+    index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
+    records = [path.name for path in DECISIONS if path.name != "README.md"]
+    assert records
+    assert [name for name in records if f"]({name})" not in index] == []
+
+
 def test_the_architecture_page_names_every_module() -> None:
     page = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
     modules = [
