--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -61,9 +61,20 @@
 
 @pytest.mark.parametrize("page", PAGES + DECISIONS + RECORDS, ids=page_name)
 def test_links_lead_somewhere(page: Path) -> None:
-    targets = re.findall(r"\]\(([^)#\s]+)[^)]*\)", page.read_text(encoding="utf-8"))
-    missing = [t for t in targets if "://" not in t and not (page.parent / t).exists()]
-    assert missing == []
+    links = re.findall(r"\]\(([^)#\s]*)(?:#([^)\s]+))?[^)]*\)", page.read_text(encoding="utf-8"))
+    assert [link for link in links if "://" not in link[0] and not leads_somewhere(page, *link)] == []
+
+
+def leads_somewhere(page: Path, target: str, anchor: str) -> bool:
+    """Whether the target of a link exists, and has a heading with the link's anchor if it has one."""
+    path = page.parent / target if target else page
+    return path.exists() and (not anchor or anchor in anchors(path))
+
+
+def anchors(page: Path) -> set[str]:
+    """The anchors of a page's headings, as code hosts derive them from the text."""
+    headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
+    return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
 
 @pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
