--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,12 +1,72 @@
 """A load balancer for services that call services.
 
-`LoadBalancer` makes the decisions of one balancer instance, with `Settings` to configure it. It takes the
-events of `loadbalancer.events` and returns the actions of `loadbalancer.actions`, and does no input or output
-itself: `loadbalancer.network` carries the actions out over HTTP, `loadbalancer.simulator` on the wire of a
-simulator.
+`LoadBalancer` makes the decisions of one balancer instance, with `Settings` to configure it. It takes events
+and returns actions, and does no input or output itself: `loadbalancer.network` carries the actions out over
+HTTP, `loadbalancer.simulator` on the wire of a simulator.
+
+The names below are the package's public interface. Modules inside the package import each name from the
+module that defines it.
 """
 
+from loadbalancer.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    WatchEndpoints,
+)
+from loadbalancer.endpoints import Endpoint, EndpointState
+from loadbalancer.events import (
+    AttemptFinished,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    HealthCheckFinished,
+    Outcome,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
 from loadbalancer.policy.balancer import LoadBalancer
-from loadbalancer.settings import Settings
+from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings, Tenant
+from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
-__all__ = ["LoadBalancer", "Settings"]
+__all__ = [
+    "Action",
+    "AttemptFinished",
+    "CancelAttempt",
+    "ClientDisconnected",
+    "CloseIdleConnections",
+    "Endpoint",
+    "EndpointListKind",
+    "EndpointListTimer",
+    "EndpointListUpdate",
+    "EndpointState",
+    "Event",
+    "FailRequest",
+    "HealthCheckFinished",
+    "HedgeTimer",
+    "Idempotency",
+    "IdempotencyScope",
+    "LoadBalancer",
+    "LogMessage",
+    "Outcome",
+    "RejectRequest",
+    "RequestClass",
+    "RequestReceived",
+    "ResponseStarted",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "StartHealthCheck",
+    "Tenant",
+    "Timer",
+    "TimerFired",
+    "WatchEndpoints",
+]
