--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import json
 import os
 import signal
@@ -17,8 +18,8 @@
 from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.network.configurations import configuration
-from tests.network.loopback import (
+from tests.support.configurations import configuration
+from tests.support.loopback import (
     DiscoveryServer,
     Rig,
     Upstream,
@@ -30,15 +31,17 @@
     response,
     status,
 )
-from tests.network.program import program_with_open_request, read_log_line
-from tests.network.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
+from tests.support.program import program_with_open_request, read_log_line
+from tests.support.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
+from tests.support.waiting import wait_until
 
 
-async def connect_until_refused(port: int) -> None:
-    while True:
-        _, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.close()
-        await asyncio.sleep(0.02)
+def is_refused(port: int) -> bool:
+    """Return whether a connection to the port is refused; it must be either refused or accepted."""
+    with socket.socket() as client:
+        error = client.connect_ex(("127.0.0.1", port))
+    assert error in (0, errno.ECONNREFUSED)
+    return error != 0
 
 
 async def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(tmp_path: Path) -> None:
@@ -48,8 +51,7 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             program.process.send_signal(number)
         assert b"configuration reloaded" in await read_log_line(program.process)
-        with pytest.raises(ConnectionRefusedError):
-            await connect_until_refused(program.port)
+        await wait_until(lambda: is_refused(program.port), "connections are refused", poll_interval_s=0.02)
         await program.respond_and_check()
         program.client.writer.close()
         assert await program.process.wait() == 0
@@ -62,7 +64,7 @@
         endpoint = entry("s9", rig.entries[0]["address"])
         rig.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
         assert "after=2&" in await rig.discovery.calls.get()
-        assert set(rig.proxy.upstreams._pools) == {"s9"}
+        assert rig.proxy.upstreams.endpoint_names == {"s9"}
 
 
 async def test_a_list_that_is_being_received_at_a_sighup_is_ignored() -> None:
@@ -71,10 +73,9 @@
         await rig.discovery.calls.get()
         whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
         rig.discovery.responses.put_nowait(whole[:-5])
-        connection = rig.proxy._endpoint_watch._connection
+        connection = rig.proxy.endpoint_watch.connection
         assert connection is not None
-        while not connection.is_receiving:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: connection.is_receiving, "a part of the list is received")
         new = DiscoveryServer()
         text = config_text(await new.start(), [])
         connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
@@ -83,7 +84,7 @@
         new.publish(3, entry("new", rig.entries[0]["address"]), snapshot=True)
         assert "after=3&" in await new.calls.get()
         await rig.discovery.connection_closed.wait()
-        assert set(rig.proxy.upstreams._pools) == {"new"}
+        assert rig.proxy.upstreams.endpoint_names == {"new"}
 
 
 async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once() -> None:
@@ -91,9 +92,9 @@
     upstreams = make_pools(await upstream.start())
     attempt = ObservedAttempt(upstreams)
     await upstream.seen.wait()
-    connection = attempt.attempt._connection
+    connection = attempt.attempt.connection
     assert connection is not None
-    attempt.attempt._timed_out()
+    attempt.attempt.handle_timeout()
     connection.data_received(response())  # it was read before, and is passed on only now
     await upstream.connection_closed.wait()
     assert attempt.ends == [Outcome.TIMED_OUT]
@@ -107,7 +108,7 @@
     upstream = Upstream()
     async with Rig(upstream) as rig:
         assert status(await rig.send_request()) == 200
-        (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
+        (idle,) = rig.proxy.upstreams.pool("s0").idle_connections
         idle.idle_since -= 1.0
         is_alive = UpstreamConnection.is_alive
         checks: list[bool] = []
@@ -159,8 +160,8 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
-    )  # the fail-safe response comes too late
+        "loadbalancer.network.deadline_watchdog.WATCHDOG_MARGIN_MS", -1e6
+    )  # the watchdog's response comes too late
     async with Rig(Upstream()) as rig:
         handle = rig.proxy.balancer.handle
         events: list[Event] = []
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -5,7 +5,7 @@
 import pytest
 
 from loadbalancer.network.request_ids import RequestIds
-from tests.network.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.loopback import Rig, Upstream, never_respond, response, status
 
 
 async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
@@ -33,5 +33,5 @@
         assert not ids.add(request_id)
         ids.finish(request_id)
         assert not ids.add(request_id)
-    assert len(ids._recent) + len(ids._older) <= 21
-    assert not ids._open
+    assert ids.finished_count <= 21
+    assert ids.open_count == 0
