--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -1,4 +1,4 @@
-"""A child process of hollow balancers, which reports when lists were in force."""
+"""A child process of hollow balancers, which reports when each list was applied."""
 
 from __future__ import annotations
 
@@ -6,41 +6,44 @@
 import gc
 from dataclasses import dataclass
 from functools import partial
-from multiprocessing.connection import Connection
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 import numpy as np
-from numpy.typing import NDArray
 
 from loadbalancer.configuration import read_configuration
 from testbed.balancer.hollow import Hollow
 from testbed.child_process import ChildProcess, run_child, serve_pipe
 from testbed.measurement.meter import LoopLag
 
+if TYPE_CHECKING:
+    from multiprocessing.connection import Connection
+
+    from numpy.typing import NDArray
+
 
 @dataclass(frozen=True, slots=True)
 class HollowReport:
-    """What the balancers of one process recorded since the report before.
+    """The lists that the balancers of one process applied since the previous report.
 
-    `balancers`, `indexes` and `times` are columns of one table.
+    `balancers`, `indexes` and `times` are the columns of one table with a row for each applied list.
 
     Attributes:
         balancers: The number of the balancer.
-        indexes: The version of the list that it had in force.
-        times: Since when, in seconds of the system's monotonic clock.
-        lag_99_s: How late the event loop ran 99 in 100 of its timers, at most.
-        lag_longest_s: How late it ran the latest.
+        indexes: The version of the list.
+        times: When the list was applied, in seconds of the system's monotonic clock.
+        p99_lag_s: The 99th percentile of the event loop's lag.
+        max_lag_s: The maximum of the event loop's lag.
     """
 
     balancers: NDArray[np.int32]
     indexes: NDArray[np.int64]
     times: NDArray[np.float64]
-    lag_99_s: float
-    lag_longest_s: float
+    p99_lag_s: float
+    max_lag_s: float
 
 
 class _ListInForce(NamedTuple):
-    """A list that came into force at a balancer."""
+    """A list that a balancer applied."""
 
     balancer: int
     list_index: int
@@ -55,15 +58,13 @@
     """
 
     def __init__(self, configuration_texts: dict[int, str]) -> None:
-        """Start it, with the configuration texts by the balancers' numbers."""
+        """Start the process, with the configuration texts by balancer number."""
         self._child = ChildProcess(_run, configuration_texts)
         self.pid = self._child.pid
 
     def report(self) -> HollowReport:
-        """Return what was recorded since the last report; waits for the process's event loop."""
-        report = self._child.request("report")
-        assert isinstance(report, HollowReport)
-        return report
+        """Return the report since the previous one; blocks until the child responds."""
+        return cast("HollowReport", self._child.request("report"))
 
     def stop(self) -> HollowReport:
         """End the process and return the last report."""
@@ -74,30 +75,30 @@
 
 
 class _Recorder:
-    """Records the lists that come into force."""
+    """Records the lists that balancers apply."""
 
     def __init__(self) -> None:
         self._rows: list[_ListInForce] = []
 
     def record(self, balancer: int, index: int, time_s: float) -> None:
-        """Record that a list is in force at a balancer."""
+        """Record that a balancer has applied a list."""
         self._rows.append(_ListInForce(balancer, index, time_s))
 
     def take_report(self, lag: LoopLag) -> HollowReport:
-        """Return what was recorded since the last report, and the lag of the event loop."""
+        """Return the report since the previous one, with the lag of the event loop."""
         rows, self._rows = self._rows, []
-        lag_99_s, lag_longest_s = lag.take()
+        p99_lag_s, max_lag_s = lag.take()
         return HollowReport(
             np.array([row.balancer for row in rows], dtype=np.int32),
             np.array([row.list_index for row in rows], dtype=np.int64),
             np.array([row.time_s for row in rows], dtype=np.float64),
-            lag_99_s,
-            lag_longest_s,
+            p99_lag_s,
+            max_lag_s,
         )
 
 
 def _ignore(_warning: str) -> None:
-    """Take no notice of warnings on the configuration: it is generated."""
+    """Ignore warnings about the configuration, which is generated."""
 
 
 def _run(pipe: Connection, configuration_texts: dict[int, str]) -> None:
@@ -113,5 +114,5 @@
         Hollow(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
     gc.freeze()  # as the program does once it has started
-    lag = LoopLag(loop)  # the start of the balancers does not count as lag
+    lag = LoopLag(loop)  # created after the balancers, so that their start does not count as lag
     await serve_pipe(pipe, partial(recorder.take_report, lag))
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -1,4 +1,4 @@
-"""Real balancers as child processes: started as the deploy file says, polled until ready, and stopped."""
+"""Real balancers as child processes: started with the deploy file's command, and polled until ready."""
 
 from __future__ import annotations
 
@@ -15,56 +15,78 @@
 from typing import Any
 
 from loadbalancer.configuration import Address, read_address
+from testbed.errors import TestbedError
 
 ROOT = Path(__file__).parents[2]
 SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
-"""A command that runs the balancer of this tree on the running Python, without the deploy file's build."""
+"""The command that runs the balancer from this tree with the running Python interpreter."""
 
 MAX_RUNNING = 150
-"""The limit on balancers that run at the same time: each takes some 40 MiB."""
+"""The limit on balancers that run at the same time: each uses about 40 MiB of memory."""
 
 _HEALTH_POLL_S = 0.02
 _HEALTH_TIMEOUT_S = 5.0
 _KILL_AFTER_S = 10.0
 _LOG_TAIL = 500
-"""Characters of a log that an error quotes."""
+"""The number of characters at the end of a log that an error quotes."""
 
 _running: set[int] = set()
 
 
-class RealError(RuntimeError):
-    """A balancer could not be started, or ended early; the text holds the end of its log."""
+class BalancerProcessError(TestbedError, RuntimeError):
+    """Base class of the errors of balancer processes."""
+
+
+class TooManyBalancersError(BalancerProcessError):
+    """`MAX_RUNNING` balancers are running already."""
+
+    def __init__(self) -> None:
+        super().__init__(f"{MAX_RUNNING} balancers run already")
+
+
+class BalancerExitedError(BalancerProcessError):
+    """A balancer exited before it was ready; the text holds the end of its log."""
+
+    def __init__(self, status: int, log: str) -> None:
+        super().__init__(f"ended with {status}: {log[-_LOG_TAIL:]}")
+
+
+class BalancerNotReadyError(BalancerProcessError):
+    """A balancer was not ready in time; the text holds the end of its log."""
+
+    def __init__(self, timeout_s: float, log: str) -> None:
+        super().__init__(f"not ready after {timeout_s} s: {log[-_LOG_TAIL:]}")
 
 
 def deploy_command() -> str:
-    """Return the deploy file's `run` command; its `build` has to have been done."""
+    """Return the deploy file's `run` command, which needs the result of its `build` command."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
 
 
 def free_address(host: str) -> str:
-    """Return `host:port` on a loopback host, with a port that is free now."""
+    """Return `host:port` with a port that is currently free."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         return f"{host}:{probe.getsockname()[1]}"
 
 
-def _write_files(folder: Path, config: dict[str, Any], config_text: str) -> dict[str, str]:
-    """Write a balancer's configuration into a folder, and return the environment variables that name it."""
-    config_path, private_folder = folder / "config.json", folder / "tmp"
-    config_path.write_text(config_text, encoding="utf-8")
+def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
+    """Write a balancer's configuration into a folder, and return the environment variables for it."""
+    configuration_path, private_folder = folder / "config.json", folder / "tmp"
+    configuration_path.write_text(configuration_text, encoding="utf-8")
     private_folder.mkdir()
     return {
-        "LB_NAME": str(config["name"]),
-        "LB_LISTEN": str(config["listen"]),
-        "LB_DISCOVERY": str(config["discovery"]),
-        "LB_CONFIG": str(config_path),
+        "LB_NAME": str(configuration["name"]),
+        "LB_LISTEN": str(configuration["listen"]),
+        "LB_DISCOVERY": str(configuration["discovery"]),
+        "LB_CONFIG": str(configuration_path),
         "TMPDIR": str(private_folder),
     }
 
 
 class RealBalancer:
-    """One balancer process; `start` starts it, `stop` ends it and removes its temporary files.
+    """One balancer process; `start` starts it, `stop` terminates it and removes its temporary files.
 
     Attributes:
         pid: Its process id.
@@ -78,22 +100,22 @@
         self.address = address
 
     @classmethod
-    async def start(cls, config_text: str, command: str | None = None) -> RealBalancer:
+    async def start(cls, configuration_text: str, command: str | None = None) -> RealBalancer:
         """Start a balancer.
 
         Args:
-            config_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
-            command: Is given to `/bin/sh -c` in the repository's root and has to `exec` the program; the
-                deploy file's `run` if not given.
+            configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
+            command: A command for `/bin/sh -c` in the repository's root, which has to `exec` the program; by
+                default the deploy file's `run` command.
 
         Raises:
-            RealError: `MAX_RUNNING` balancers run already.
+            TooManyBalancersError: `MAX_RUNNING` balancers run already.
         """
         if len(_running) >= MAX_RUNNING:
-            raise RealError(f"{MAX_RUNNING} balancers run already")
-        config = json.loads(config_text)
+            raise TooManyBalancersError
+        configuration = json.loads(configuration_text)
         folder = Path(tempfile.mkdtemp(prefix="balancer-"))
-        environment = _write_files(folder, config, config_text)
+        environment = _write_files(folder, configuration, configuration_text)
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
@@ -109,22 +131,23 @@
         return cls(process, folder, read_address(environment["LB_LISTEN"]))
 
     async def ready(self, timeout_s: float = 30.0) -> None:
-        """Return once the response to `GET /healthz` is 200.
+        """Wait until the response to `GET /healthz` is 200.
 
         Raises:
-            RealError: The process ends or the time passes before.
+            BalancerExitedError: The process exited first.
+            BalancerNotReadyError: The timeout expired first.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while await self._health_status() != 200:
             if self._process.returncode is not None:
-                raise RealError(f"ended with {self._process.returncode}: {self.log()[-_LOG_TAIL:]}")
+                raise BalancerExitedError(self._process.returncode, self.log())
             if loop.time() > deadline:
-                raise RealError(f"not ready after {timeout_s} s: {self.log()[-_LOG_TAIL:]}")
+                raise BalancerNotReadyError(timeout_s, self.log())
             await asyncio.sleep(_HEALTH_POLL_S)
 
     async def _health_status(self) -> int:
-        """Return the status of one health check, 0 without a response."""
+        """Return the response status of one health check, or 0 without a response."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
@@ -139,11 +162,11 @@
             writer.close()
 
     def log(self) -> str:
-        """Return what it wrote on standard output and error so far."""
+        """Return the output of the process so far, standard output and error."""
         return (self._folder / "log").read_text(encoding="utf-8", errors="replace")
 
     async def stop(self, kill_after_s: float = _KILL_AFTER_S) -> int:
-        """End it by SIGTERM, or by SIGKILL after `kill_after_s`, and remove its files; return its status."""
+        """Send SIGTERM, and SIGKILL after `kill_after_s`; remove the files and return the exit status."""
         with suppress(ProcessLookupError):
             self._process.terminate()
         try:
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from loadbalancer.network.client import listener
+from loadbalancer.network.client import timeouts
 from tests.support.configurations import LISTEN_ANYWHERE
 from tests.support.loopback import Client, Rig, Upstream, config_text, free_port, status
 from tests.support.program import running_program
@@ -27,7 +27,7 @@
 async def test_idle_connections_are_evicted_early_for_waiting_clients() -> None:
     """With 168 connections that stay for 2 s each, no more than 84 requests a second would get through."""
     # A client whose request crosses the close sends it again on a new connection.
-    assert listener.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
+    assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
     async with Rig(Upstream(), tier=1) as rig:  # twenty requests at once are not shed in this tier
         rig.proxy.listener.connection_limit = 20
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -28,7 +28,7 @@
     delays = delays_ms(seen, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
     assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
     assert astuple(spread(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
-    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, longest=None)
+    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, maximum=None)
 
 
 def test_the_run_under_change_sees_every_change_at_every_balancer() -> None:
@@ -48,7 +48,7 @@
         assert row["core_percent"] > 0
         assert row["real_core_percent"] > 0
         assert row["bytes_per_s"] > 0
-    assert {row.whole_lists for row in result.rows} == {0}  # all followed the list from the start
+    assert {row.snapshots for row in result.rows} == {0}  # all followed the list from the start
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in result.fits}
 
 
@@ -57,7 +57,7 @@
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
     result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), SILENT_LOG)
-    assert [row.whole_lists for row in result.rows] == [0] * 4
+    assert [row.snapshots for row in result.rows] == [0] * 4
     assert {row.real_core_percent for row in result.rows} == {None}
 
 
