--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -1,4 +1,4 @@
-"""What following the list costs a real balancer at rest, by the length of the list."""
+"""What following an unchanged list costs a real balancer without load, over the length of the list."""
 
 from __future__ import annotations
 
@@ -6,17 +6,15 @@
 import time
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Annotated, Literal
+from typing import TYPE_CHECKING, Annotated, Literal
 
 from pydantic import Field
-from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
-from testbed.discovery.agent_state import RequestCounts
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
 from testbed.results import Row, RunResult, fit_columns
 from testbed.runs.control.group import (
-    LATE_S,
+    MAX_LATENESS_S,
     BalancerGroup,
     run_scenario,
     start_discovery,
@@ -24,47 +22,52 @@
     sum_counts,
 )
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+    from testbed.discovery.agent_state import RequestCounts
+
 _MIB = 1 << 20
 
 
 class Plan(experiment.Plan):
-    """Sizes count the entries of the list; there are as many balancers as entries, as the settings say."""
+    """The measurement; sizes count the entries of the list, and the settings give as many balancers."""
 
     span_s: Annotated[float, Field(gt=0)]
-    """How long each is watched, in seconds."""
+    """The length of the measurement in seconds."""
     settle_s: Annotated[float, Field(ge=0)]
-    """From when all follow the list to the start of the watch, in seconds."""
+    """The time between the start of the balancers and that of the measurement, in seconds."""
     hollow: Annotated[int, Field(gt=0)]
-    """Hollow balancers of each size, whose calls and bytes are counted."""
+    """The number of hollow balancers for each size, whose requests and bytes are counted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RestRow(Row):
-    """A real balancer at rest under a list of one length, beside hollow balancers under the same list."""
+    """A real balancer without load, and hollow balancers, with a list of one length."""
 
     entries: int
     """The length of the list."""
     mode: Literal["push", "ask"]
-    """Whether discovery pushes the list or the balancer polls it."""
+    """Whether discovery pushes the list or the balancer polls for it."""
     core_percent: float
-    """Processor time of the real balancer, in hundredths of a core."""
+    """Processor time of the real balancer, as a percentage of a core."""
     resident_mib: float
     """Resident memory of the real balancer, in MiB."""
     descriptors: int
     """Open descriptors of the real balancer."""
     calls_per_s: float
-    """Calls of the real balancer at discovery."""
+    """Requests of the real balancer to discovery."""
     bytes_per_s: float
-    """Bytes of those calls, both ways."""
+    """Bytes of these requests and their responses."""
     hollow_calls_per_s: float
-    """Calls of a hollow balancer at discovery, the mean of all."""
+    """Requests of a hollow balancer to discovery, the mean over all."""
     hollow_bytes_per_s: float
-    """Bytes of those calls, both ways."""
+    """Bytes of these requests and their responses."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """What the balancers of a group have used and exchanged with discovery up to a moment."""
+    """The usage of a group's balancers so far, and their exchange with discovery."""
 
     processor_s: float
     """Processor time of the real balancer."""
@@ -73,7 +76,7 @@
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
-    """Measure a real balancer of each size at rest, all sizes side by side; first pushed, then polling."""
+    """Measure all sizes concurrently, first with pushed lists and then with polling."""
     return run_scenario(_play(plan, log))
 
 
@@ -82,10 +85,11 @@
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
             groups = [
-                await _start(stack, plan, place, entries, pushed) for place, entries in enumerate(plan.sizes)
+                await _start(stack, plan, place, entries, pushed=pushed)
+                for place, entries in enumerate(plan.sizes)
             ]
             await asyncio.sleep(plan.settle_s)
-            await _measure(plan, pushed, groups, result)
+            await _measure(plan, groups, result, pushed=pushed)
         for row in result.rows[-len(plan.sizes) :]:
             log.info("at rest", **row.columns())
     for mode in ("push", "ask"):
@@ -95,31 +99,41 @@
     return result
 
 
-async def _start(stack: AsyncExitStack, plan: Plan, place: int, entries: int, pushed: bool) -> BalancerGroup:
-    """Start the balancers of one size under a discovery of their own; `place` numbers the sizes."""
+async def _start(
+    stack: AsyncExitStack, plan: Plan, place: int, entries: int, *, pushed: bool
+) -> BalancerGroup:
+    """Start the balancers of one size with a discovery of their own; `place` is the index of the size."""
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{place}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
-    site = settings.balancer_settings(balancers=entries, pushed=pushed)
+    balancer_settings = settings.balancer_settings(balancers=entries, pushed=pushed)
     return await start_group(
-        stack, discovery, hollow=plan.hollow, processes=1, real=1, site=site, seed=plan.seed
+        stack,
+        discovery,
+        hollow=plan.hollow,
+        processes=1,
+        real=1,
+        balancer_settings=balancer_settings,
+        seed=plan.seed,
     )
 
 
-async def _measure(plan: Plan, pushed: bool, groups: list[BalancerGroup], result: RunResult[RestRow]) -> None:
-    """Watch all sizes over the span and add a row for each."""
+async def _measure(
+    plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
+) -> None:
+    """Measure all sizes over the span and add a row for each."""
     lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
     began = time.monotonic()
     before = [_read(group) for group in groups]
     await asyncio.sleep(plan.span_s)
     span_s = time.monotonic() - began
     for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
-        result.rows.append(_row(entries, pushed, group, reading, span_s))
+        result.rows.append(_row(entries, group, reading, span_s, pushed=pushed))
     late_s, _ = lag.take()
     lag.stop()
     phase = f"at rest, {'pushed' if pushed else 'asked for'}"
-    result.invalid_reasons += cores.doubts(phase)
-    if late_s >= LATE_S:
+    result.invalid_reasons += cores.invalid_reasons(phase)
+    if late_s >= MAX_LATENESS_S:
         result.invalid_reasons.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
 
 
@@ -130,7 +144,7 @@
     return _Reading(processor_s, real, hollow)
 
 
-def _row(entries: int, pushed: bool, group: BalancerGroup, before: _Reading, span_s: float) -> RestRow:
+def _row(entries: int, group: BalancerGroup, before: _Reading, span_s: float, *, pushed: bool) -> RestRow:
     now = _read(group)
     real = now.real - before.real
     hollow = now.hollow - before.hollow
