--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -1,22 +1,25 @@
-"""What a failing server or tier costs in chains of different depths: policies alone, on a virtual clock.
+"""What a failing server or tier costs in chains of different depths, simulated on a virtual clock.
 
-Sizes are depths in tiers. Calls come from outside at random moments, whatever becomes of them, and nobody
-outside tries again. Each row is one depth under one fault; its attempts are those of the calls that came
-while the fault lasted. A run that needs more than `events_max` events is cut short: its row says so, its
-attempts are then lower bounds, and no fit uses it.
+Sizes are depths in tiers. Outside requests arrive as a Poisson process, independent of the responses, and
+clients do not retry. Each row is one depth under one fault; its attempts are those of the requests that
+arrived during the fault. A simulation that needs more than `events_max` events is cut short: its row is
+marked, its attempts are lower bounds, and the fits leave it out.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Sequence
-
-from structlog.typing import FilteringBoundLogger
+from typing import TYPE_CHECKING
 
 from testbed.results import Fit, RunResult, fit_line
 from testbed.runs.depth.plan import Fault, Plan
 from testbed.runs.depth.simulation import DepthRow, Simulation
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from structlog.typing import FilteringBoundLogger
+
 __all__ = ["Fault", "Plan", "play"]
 
 _FITTED = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
@@ -45,8 +48,8 @@
 
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
-    """Fit growth over depth: as a line, an exponential (ln n over depth) and a power (ln n over ln depth)."""
-    fitted = [row for row in rows if row.trouble == fault and not row.cut_short and row.columns()[column]]
+    """Fit the growth over depth as linear, as exponential (ln n over depth) and as power law (log-log)."""
+    fitted = [row for row in rows if row.fault == fault and not row.cut_short and row.columns()[column]]
     depths = [row.depth for row in fitted]
     if len(set(depths)) < 2:
         return []
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -1,13 +1,12 @@
-"""What a decision costs a balancer whose list has a certain length."""
+"""The processing time of the policy's decisions with an endpoint list of a given length."""
 
 from __future__ import annotations
 
 import heapq
 import random
 import time
-from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import numpy as np
 
@@ -22,9 +21,13 @@
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed.runs.list_size.plan import Keeps, Plan, configuration, freeze_collector
-from testbed.runs.list_size.rounds import RoundColumns
 from testbed.runs.list_size.rows import CellName, DecisionRow
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from testbed.runs.list_size.rounds import RoundColumns
+
 _BEGIN_MS = 1_000_000.0
 _ATTEMPT = 0
 _US_NS = 1e3
@@ -32,18 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionRound:
-    """What one round measured."""
+    """The measurements of one round."""
 
     arrivals_ns: list[int] = field(default_factory=list)
-    """How long the policy took for each request's arrival."""
+    """The policy's processing time of each `RequestReceived`."""
     ends_ns: list[int] = field(default_factory=list)
-    """How long the policy took for each attempt's end."""
+    """The policy's processing time of each `AttemptFinished`."""
     shed: list[bool] = field(default_factory=list)
-    """Whether no attempt was made, by request."""
+    """For each request, whether the policy made no attempt."""
 
 
 class _End(NamedTuple):
-    """An attempt that will end."""
+    """The scheduled end of an attempt."""
 
     at_ms: float
     request: int
@@ -51,26 +54,26 @@
 
 
 class DecisionCell:
-    """Arrivals and ends of attempts that succeed, at a warm policy under a steady light load."""
+    """Measures a warmed-up policy under a light load of which all attempts succeed."""
 
     def __init__(self, plan: Plan, entries: int, keeps: Keeps, tier: int) -> None:
         self._plan = plan
         self.name = CellName(measured="decision", entries=entries, keeps=keeps, tier=tier)
-        config = configuration(plan, entries, keeps, tier)
-        self._classes = config.settings.classes
-        self._balancer = LoadBalancer(config.settings, config.seed)
+        read = configuration(plan, entries, keeps, tier)
+        self._classes = read.settings.classes
+        self._balancer = LoadBalancer(read.settings, read.seed)
         self._random = random.Random(plan.seed)
         self._now_ms = _BEGIN_MS
         self._last_request = 0
         self._ends: list[_End] = []
         self._called: set[str] = set()
-        endpoints = tuple([e.endpoint for e in config.known_endpoints.endpoints])
+        endpoints = tuple([e.endpoint for e in read.known_endpoints.endpoints])
         self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints), self._now_ms)
         freeze_collector()
         self._play_calls(plan.warm_calls)
 
     def play(self) -> DecisionRound:
-        """Play the calls of one round."""
+        """Run the requests of one round."""
         return self._play_calls(self._plan.calls)
 
     def _play_calls(self, calls: int) -> DecisionRound:
@@ -82,14 +85,16 @@
         return measured
 
     def _play_ends(self, measured: DecisionRound) -> None:
-        """End the attempts whose time has come."""
+        """Finish the attempts that end before the current time."""
         while self._ends and self._ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._ends)
-            finished = AttemptFinished(end.request, _ATTEMPT, end.endpoint, Outcome.SUCCEEDED, True)
+            finished = AttemptFinished(
+                end.request, _ATTEMPT, end.endpoint, Outcome.SUCCEEDED, is_answered=True
+            )
             self._handle(finished, end.at_ms, measured.ends_ns)
 
     def _play_arrival(self, measured: DecisionRound) -> None:
-        """Have the next request arrive, and note when the attempts made for it will end."""
+        """Pass the next request to the policy, and schedule the ends of its attempts."""
         self._last_request += 1
         request_class = self._classes[self._last_request % len(self._classes)]
         received = RequestReceived(self._last_request, request_class.name, request_class.deadline_ms)
@@ -103,24 +108,24 @@
             heapq.heappush(self._ends, _End(ends_ms, self._last_request, attempt.endpoint))
 
     def _handle(self, event: Event, now_ms: float, spans_ns: list[int]) -> Sequence[Action]:
-        """Have the policy handle an event, and note how long it took."""
+        """Pass an event to the policy, and record the processing time."""
         began = time.perf_counter_ns()
         actions = self._balancer.handle(event, now_ms)
         spans_ns.append(time.perf_counter_ns() - began)
         return actions
 
     def row(self, quick_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
-        """Make the row of the quick rounds together."""
+        """Return one row for all quick rounds."""
         arrivals_ns = [span for measured in quick_rounds for span in measured.arrivals_ns]
         ends_ns = [span for measured in quick_rounds for span in measured.ends_ns]
         return DecisionRow(
             cell=self.name,
             arrival_us_median=float(np.median(arrivals_ns)) / _US_NS,
             arrival_us_mean=float(np.mean(arrivals_ns)) / _US_NS,
-            arrival_us_99=float(np.percentile(arrivals_ns, 99)) / _US_NS,
+            p99_arrival_us=float(np.percentile(arrivals_ns, 99)) / _US_NS,
             end_us_median=float(np.median(ends_ns)) / _US_NS,
             end_us_mean=float(np.mean(ends_ns)) / _US_NS,
-            end_us_99=float(np.percentile(ends_ns, 99)) / _US_NS,
+            p99_end_us=float(np.percentile(ends_ns, 99)) / _US_NS,
             calls=len(arrivals_ns),
             shed=sum(sum(measured.shed) for measured in quick_rounds),
             servers_called=len(self._called),
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -5,18 +5,29 @@
 import ast
 import os
 import re
-from collections.abc import Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
+DECISIONS = sorted((ROOT / "docs" / "decisions").glob("*.md"))
 RECORDS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
 OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
 NAME_MAY_STAND_IN = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
 NOT_OF_THE_TREE = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
-NOT_OF_THE_TREE_PREFIXES = (".venv-", ".mypy_cache", ".ruff_cache", ".pytest_cache", ".hypothesis")
+NOT_OF_THE_TREE_PREFIXES = (
+    ".venv-",
+    ".mypy_cache",
+    ".ruff_cache",
+    ".import_linter_cache",
+    ".pytest_cache",
+    ".hypothesis",
+)
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
 MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
 
@@ -48,14 +59,25 @@
     assert found == []
 
 
-@pytest.mark.parametrize("page", PAGES + RECORDS, ids=page_name)
+@pytest.mark.parametrize("page", PAGES + DECISIONS + RECORDS, ids=page_name)
 def test_links_lead_somewhere(page: Path) -> None:
-    targets = re.findall(r"\]\(([^)#\s]+)[^)]*\)", page.read_text(encoding="utf-8"))
-    missing = [t for t in targets if "://" not in t and not (page.parent / t).exists()]
-    assert missing == []
+    links = re.findall(r"\]\(([^)#\s]*)(?:#([^)\s]+))?[^)]*\)", page.read_text(encoding="utf-8"))
+    assert [link for link in links if "://" not in link[0] and not leads_somewhere(page, *link)] == []
+
+
+def leads_somewhere(page: Path, target: str, anchor: str) -> bool:
+    """Whether the target of a link exists, and has a heading with the link's anchor if it has one."""
+    path = page.parent / target if target else page
+    return path.exists() and (not anchor or anchor in anchors(path))
 
 
-@pytest.mark.parametrize("page", PAGES, ids=page_name)
+def anchors(page: Path) -> set[str]:
+    """The anchors of a page's headings, as code hosts derive them from the text."""
+    headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
+    return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
+
+
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
 def test_paths_exist(page: Path) -> None:
     paths = re.findall(
         r"`((?:loadbalancer|testbed|tests|docs|deploy|\.ci)/[\w./-]*)`", page.read_text(encoding="utf-8")
@@ -64,6 +86,13 @@
     assert missing == []
 
 
+def test_the_index_of_decisions_has_every_record() -> None:
+    index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
+    records = [path.name for path in DECISIONS if path.name != "README.md"]
+    assert records
+    assert [name for name in records if f"]({name})" not in index] == []
+
+
 def test_the_architecture_page_names_every_module() -> None:
     page = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
     modules = [
