--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -48,14 +48,10 @@
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
+        # Finite from the start: an infinite estimate would decay to NaN, which limits nothing.
         self._concurrency = 0.0
         self._updated_at = -math.inf
 
-    def reset(self, concurrency: float, now: float) -> None:
-        """Set the estimate to a known value, in attempts."""
-        self._concurrency = concurrency
-        self._updated_at = now
-
     def estimate(self, now: float) -> float:
         """Return the concurrency in attempts, at most our part of the limit for the most important work.
 
@@ -86,7 +82,7 @@
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
-        self.sustainable = SustainableConcurrency(available)
+        self.sustainable_concurrency = SustainableConcurrency(available)
         self._mean_in_flight = 0.0  # of our own attempts, decaying exponentially
         self._updated_at = 0.0
 
@@ -122,10 +118,11 @@
         """Return whether attempts take too many times their baseline service time.
 
         The momentary count and the mean must both exceed the limit: a count above it alone may be a random
-        peak, a mean above it alone belongs to attempts that have ended.
+        peak, a mean above it alone belongs to attempts that have ended. A count above the Poisson bound of
+        the limit is an overload by itself, as for the limit by capacity.
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
-        concurrency = self.sustainable.estimate(now)
+        concurrency = self.sustainable_concurrency.estimate(now)
         floor = MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.peers.count
         limit = inflation * (concurrency + floor)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
