--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -78,7 +78,7 @@
     all_valid = True
     for path, plan in plans:
         log.info("begins", experiment=path.stem, run=plan.run, seed=plan.seed)
-        result = RUNS[plan.run].play(plan, log)
+        result = RUNS[plan.run].measure(plan, log)
         results.write(out / f"{path.stem}.json", path.stem, plan.model_dump(mode="json"), result)
         log.info("ended", experiment=path.stem, rows=len(result.rows), doubts=result.invalid_reasons)
         all_valid = all_valid and result.is_valid
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -153,7 +153,9 @@
         yield tuple([entry | {"status": IN_SERVICE, "since_ms": since_ms} for entry in batch])
 
 
-async def play_changes(discovery: Discovery, changes: Iterator[Change], times_s: Iterable[float]) -> float:
+async def apply_changes_over_time(
+    discovery: Discovery, changes: Iterator[Change], times_s: Iterable[float]
+) -> float:
     """Apply a change at each of the given times, without waiting for the balancers.
 
     Args:
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A kind of experiment: the model of its file, and the function that plays it."""
+    """A kind of experiment: the model of its file, and the function that measures it."""
 
     plan: type[Plan]
-    play: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
+    measure: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
 
 
 def read_plan(path: Path, runs: dict[str, Run]) -> Plan:
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -105,7 +105,7 @@
         self._start = 0.0
         self.reports = {stream.name: StreamReport(opened=-stream.opened_connections) for stream in streams}
 
-    async def play(self, schedule: Iterator[_PlannedRequest], start: float, sleep: Sleep) -> None:
+    async def send_requests(self, schedule: Iterator[_PlannedRequest], start: float, sleep: Sleep) -> None:
         """Send each request at its scheduled time after `start`, without waiting for responses."""
         self._start = start
         for planned in schedule:
@@ -138,7 +138,7 @@
             self.reports[stream.name].opened += stream.opened_connections
 
 
-async def play_streams(
+async def run_streams(
     streams: Sequence[Stream],
     seconds: float,
     seed: int,
@@ -161,6 +161,6 @@
     plans = [_plan(stream, index, seconds, seed) for index, stream in enumerate(streams)]
     start = clock()
     with closing(KernelTimer()) as timer:
-        await run.play(heapq.merge(*plans), start, sleep or timer.sleep)
+        await run.send_requests(heapq.merge(*plans), start, sleep or timer.sleep)
     await run.finish()
     return run.reports
--- a/testbed/runs/__init__.py
+++ b/testbed/runs/__init__.py
@@ -11,10 +11,10 @@
 from testbed.runs.real_depth import run as real_depth_run
 
 RUNS: dict[str, Run] = {
-    "added_time": Run(added_time.Plan, added_time.play),
-    "control_change": Run(control_change.Plan, control_change.play),
-    "control_rest": Run(control_rest.Plan, control_rest.play),
-    "depth": Run(depth_run.Plan, depth_run.play),
-    "list_size": Run(list_size_run.Plan, list_size_run.play),
-    "real_depth": Run(real_depth_run.Plan, real_depth_run.play),
+    "added_time": Run(added_time.Plan, added_time.measure),
+    "control_change": Run(control_change.Plan, control_change.measure),
+    "control_rest": Run(control_rest.Plan, control_rest.measure),
+    "depth": Run(depth_run.Plan, depth_run.measure),
+    "list_size": Run(list_size_run.Plan, list_size_run.measure),
+    "real_depth": Run(real_depth_run.Plan, real_depth_run.measure),
 }
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -92,12 +92,12 @@
     """The fraction of core time that was busy, from 0 to 1."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
     """Measure each size, and fit lines over the sizes."""
     result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            measured = runner.run(_play_size(plan, size))
+            measured = runner.run(_measure_size(plan, size))
         result.add(measured)
         log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
     if len(plan.sizes) > 1:
@@ -105,7 +105,7 @@
     return result
 
 
-async def _play_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
+async def _measure_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
     """Start upstreams, discovery and a balancer, and measure it."""
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
@@ -126,7 +126,7 @@
         balancer = await RealBalancer.start(text, SAME_PYTHON)
         try:
             await balancer.ready()
-            return await _Measurement(plan, size, upstreams, balancer).play()
+            return await _Measurement(plan, size, upstreams, balancer).run()
         finally:
             await balancer.stop()
     finally:
@@ -160,17 +160,17 @@
             load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
         ]
 
-    async def play(self) -> Measured[AddedTimeRow]:
+    async def run(self) -> Measured[AddedTimeRow]:
         """Warm up, measure without load, and measure under load."""
         plan = self._plan
-        await load.play_streams(self._streams, plan.warm_s, plan.seed + 1)
+        await load.run_streams(self._streams, plan.warm_s, plan.seed + 1)
         rest_us_a_s = await self._rest()
         gc.collect()
         gc.freeze()  # keeps collections during the measurement short
         cores = CoresWatch()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
-        reports = await load.play_streams(self._streams, plan.measure_s, plan.seed)
+        reports = await load.run_streams(self._streams, plan.measure_s, plan.seed)
         usage_after = self._usage()
         counts_after = self._upstreams.counts()
         gc.unfreeze()
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -14,7 +14,7 @@
 from pydantic import Field
 
 from testbed import experiment, settings
-from testbed.discovery.churn import play_changes, single_changes
+from testbed.discovery.churn import apply_changes_over_time, single_changes
 from testbed.load.arrivals import arrival_times
 from testbed.results import Measured, RunResult, fit_columns
 from testbed.runs.control.change_measurement import ChangeMeasurement, ChangeRow
@@ -59,20 +59,20 @@
     """Whether discovery pushes lists; else balancers poll for them."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
     """Measure every number of balancers at every rate of change."""
-    return run_scenario(_play(plan, log))
+    return run_scenario(_measure_all(plan, log))
 
 
-async def _play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
+async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
     result: RunResult[ChangeRow] = RunResult()
     for balancers in plan.sizes:
-        await _play_size(plan, balancers, result, log)
+        await _measure_size(plan, balancers, result, log)
     _add_fits(plan, result)
     return result
 
 
-async def _play_size(
+async def _measure_size(
     plan: Plan, balancers: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
     """Start a number of hollow balancers and measure each rate, one after another."""
@@ -98,12 +98,12 @@
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
         for multiple, span_s in zip(plan.multiples, plan.spans_s, strict=True):
-            measured = await _play_rate(plan, group, multiple, span_s, changes, watch_calls)
+            measured = await _measure_rate(plan, group, multiple, span_s, changes, watch_calls)
             result.add(measured)
             log.info("under change", **measured.row.columns())
 
 
-async def _play_rate(
+async def _measure_rate(
     plan: Plan,
     group: BalancerGroup,
     multiple: float,
@@ -116,7 +116,7 @@
     rate_per_s = multiple * plan.changes_per_day / DAY_S
     seed = plan.seed + round(1000 * multiple) + group.hollow
     moments_s = arrival_times(rate_per_s, span_s, random.Random(seed))
-    max_lateness_s = await play_changes(group.discovery, changes, moments_s)
+    max_lateness_s = await apply_changes_over_time(group.discovery, changes, moments_s)
     await asyncio.sleep(max(span_s - measurement.elapsed_s, 0.0))
     await wait_until(
         lambda: all_follow(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -75,12 +75,12 @@
     hollow: RequestCounts
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
     """Measure all sizes concurrently, first with pushed lists and then with polling."""
-    return run_scenario(_play(plan, log))
+    return run_scenario(_measure_all(plan, log))
 
 
-async def _play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
     result: RunResult[RestRow] = RunResult()
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -20,12 +20,12 @@
 
     from structlog.typing import FilteringBoundLogger
 
-__all__ = ["Fault", "Plan", "play"]
+__all__ = ["Fault", "Plan", "measure"]
 
 _FITTED = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[DepthRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[DepthRow]:
     """Simulate each fault at each depth."""
     result: RunResult[DepthRow] = RunResult()
     for fault in plan.faults:
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -70,21 +70,21 @@
         endpoints = tuple([e.endpoint for e in read.known_endpoints.endpoints])
         self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints), self._now_ms)
         freeze_collector()
-        self._play_calls(plan.warm_calls)
+        self._run_requests(plan.warm_calls)
 
-    def play(self) -> DecisionRound:
+    def run_round(self) -> DecisionRound:
         """Run the requests of one round."""
-        return self._play_calls(self._plan.calls)
+        return self._run_requests(self._plan.calls)
 
-    def _play_calls(self, calls: int) -> DecisionRound:
+    def _run_requests(self, calls: int) -> DecisionRound:
         measured = DecisionRound()
         for _ in range(calls):
             self._now_ms += self._random.expovariate(self._plan.calls_per_s / 1000)
-            self._play_ends(measured)
-            self._play_arrival(measured)
+            self._finish_attempts(measured)
+            self._receive_request(measured)
         return measured
 
-    def _play_ends(self, measured: DecisionRound) -> None:
+    def _finish_attempts(self, measured: DecisionRound) -> None:
         """Finish the attempts that end before the current time."""
         while self._ends and self._ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._ends)
@@ -93,7 +93,7 @@
             )
             self._handle(finished, end.at_ms, measured.ends_ns)
 
-    def _play_arrival(self, measured: DecisionRound) -> None:
+    def _receive_request(self, measured: DecisionRound) -> None:
         """Pass the next request to the policy, and schedule the ends of its attempts."""
         self._last_request += 1
         request_class = self._classes[self._last_request % len(self._classes)]
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -97,7 +97,7 @@
         in_policy = time.perf_counter_ns()
         return UpdateTimes(parsed - began, was_read - parsed, in_pools - was_read, in_policy - in_pools)
 
-    def play(self) -> ListRound:
+    def run_round(self) -> ListRound:
         """Apply the snapshots of one round, then its deltas."""
         measured = ListRound()
         for _ in range(self._plan.lists):
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -51,7 +51,7 @@
     def name(self) -> Row:
         """The columns that identify the cell."""
 
-    def play(self) -> RoundT:
+    def run_round(self) -> RoundT:
         """Run one round."""
 
     def row(self, quick_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Played:
+class _MeasuredRound:
     """A round, and the longer of the references before and after it."""
 
     reference_us: float
@@ -87,28 +87,28 @@
 
     def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
         self._quick_rounds, self._max_rounds, self._reference = quick_rounds, max_rounds, reference
-        self._played: list[tuple[Cell[Any, RowT], list[_Played]]] = []
+        self._measured_cells: list[tuple[Cell[Any, RowT], list[_MeasuredRound]]] = []
         self._min_reference_us = min([reference() for _ in range(INITIAL_REFERENCES)])
 
-    def _is_quick(self, played: _Played) -> bool:
-        return played.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
+    def _is_quick(self, measured_round: _MeasuredRound) -> bool:
+        return measured_round.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
 
-    def play(self, cell: Cell[Any, RowT]) -> None:
+    def measure(self, cell: Cell[Any, RowT]) -> None:
         """Run rounds of a cell until enough were quick by the current minimum, or the limit is reached."""
-        rounds: list[_Played] = []
+        rounds: list[_MeasuredRound] = []
         before = self._reference()
         while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
-            measured = cell.play()
+            measured = cell.run_round()
             after = self._reference()
             self._min_reference_us = min(self._min_reference_us, after)
-            rounds.append(_Played(max(before, after), measured))
+            rounds.append(_MeasuredRound(max(before, after), measured))
             before = after
-        self._played.append((cell, rounds))
+        self._measured_cells.append((cell, rounds))
 
     def result(self) -> RunResult[RowT]:
         """Return the rows of all cells; the result is invalid if a cell has no quick round."""
         result: RunResult[RowT] = RunResult()
-        for cell, rounds in self._played:
+        for cell, rounds in self._measured_cells:
             quick = list(filter(self._is_quick, rounds))
             if not quick:
                 result.invalid_reasons.append(
@@ -118,7 +118,7 @@
             columns = RoundColumns(
                 rounds=len(quick),
                 rounds_played=len(rounds),
-                reference_us=max(played.reference_us for played in quick),
+                reference_us=max(each.reference_us for each in quick),
             )
-            result.rows.append(cell.row([played.measured for played in quick], columns))
+            result.rows.append(cell.row([each.measured for each in quick], columns))
         return result
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-__all__ = ["Plan", "play"]
+__all__ = ["Plan", "measure"]
 
 _KEEPS: tuple[Keeps, ...] = ("part", "all")
 _DECISION_COSTS = ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean")
@@ -42,15 +42,15 @@
 )
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
     """Measure every size with a subset and with all endpoints, at every tier."""
     cores = CoresWatch()
     rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
         for keeps in _KEEPS:
             for tier in plan.tiers:
-                rounds.play(DecisionCell(plan, entries, keeps, tier))
-            rounds.play(ListCell(plan, entries, keeps))
+                rounds.measure(DecisionCell(plan, entries, keeps, tier))
+            rounds.measure(ListCell(plan, entries, keeps))
             log.info("measured", entries=entries, keeps=keeps)
     result = rounds.result()
     missing_rows = bool(result.invalid_reasons)
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -107,30 +107,30 @@
     """The fraction of core time that was busy, from 0 to 1."""
 
 
-def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
     """Measure each size and phase, and fit lines over the phases without fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(_play_depth(plan, depth, result, log))
+            runner.run(_measure_depth(plan, depth, result, log))
     calm = [row for row in result.rows if row.phase == _CALM_PHASE]
     if len(calm) > 1:
         result.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
     return result
 
 
-async def _play_depth(
+async def _measure_depth(
     plan: Plan, depth: int, result: RunResult[RealDepthRow], log: FilteringBoundLogger
 ) -> None:
     """Start a chain and measure its phases."""
     chain = Chain(plan.seed, depth)
     try:
         await chain.start()
-        await load.play_streams(_streams(plan, chain), plan.warm_s, plan.seed)
+        await load.run_streams(_streams(plan, chain), plan.warm_s, plan.seed)
         for number, (phase, behaviour) in enumerate(_PHASES if depth in plan.faults_at else _PHASES[:1]):
             for upstream in chain.tiers[-1]:
                 await upstream.set_behaviour(behaviour)
-            measured = await _play_phase(plan, chain, phase, plan.seed + 1 + number)
+            measured = await _measure_phase(plan, chain, phase, plan.seed + 1 + number)
             result.rows.append(measured.row)
             result.invalid_reasons += [
                 f"depth {depth}, {phase}: {reason}" for reason in measured.invalid_reasons
@@ -160,14 +160,14 @@
     reports: dict[str, load.StreamReport]
 
 
-async def _play_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
+async def _measure_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
     """Run the load of one phase and return its row."""
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
     cores = CoresWatch()
     usage_before = usage(pids)
     attempts_before = chain.attempts()
-    reports = await load.play_streams(_streams(plan, chain), plan.phase_s, seed)
+    reports = await load.run_streams(_streams(plan, chain), plan.phase_s, seed)
     usage_after = usage(pids)
     busy = cores.busy()
     attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -27,7 +27,7 @@
         "troubles": troubles,
     }
     with capture_logs():
-        result = depth.play(depth.Plan.model_validate(base | changes), structlog.get_logger())
+        result = depth.measure(depth.Plan.model_validate(base | changes), structlog.get_logger())
     return [row.columns() for row in result.rows]
 
 
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -66,7 +66,7 @@
         return [(now, event) for at, now, event in self.events if at == tier and isinstance(event, kinds)]
 
 
-def play(chain: Chain, events: int = 100_000) -> None:
+def run_to_end(chain: Chain, events: int = 100_000) -> None:
     assert chain.clock.run(events)
 
 
@@ -91,7 +91,7 @@
     ]
     chain.set_behaviour(1, 2, behaviour)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     [(at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
     assert (finished.outcome, at, finished.is_answered) == (outcome, after_ms, served)
@@ -105,7 +105,7 @@
     chain = Chain(chain_settings(2, idempotency=Idempotency.NOT_IDEMPOTENT), 1)
     chain.set_behaviour(2, 2, Behaviour.FAILS)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     assert chain.client_requests[0].status == 502
     assert chain.statistics.attempts_by_phase[0] == [1, 1]
 
@@ -116,7 +116,7 @@
     chain = Chain(chain_settings(2, max_attempts=1), 1)
     chain.set_behaviour(2, 2, Behaviour.REJECTS)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     assert [e.outcome for _, e in recorded.events_of(1, AttemptFinished)] == [Outcome.REJECTED]
     assert [e.outcome for _, e in recorded.events_of(0, AttemptFinished)] == [Outcome.ERROR]
 
@@ -125,7 +125,7 @@
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(4), 1)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     arrived = [[e.remaining_ms for _, e in recorded.events_of(tier, RequestReceived)] for tier in range(4)]
     # Each balancer reserves 10 ms for its response; each server works for 1 ms before its own request.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
@@ -150,7 +150,7 @@
     chain = Chain(chain_settings(3), 1)
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     # The end of the connection takes one hop to each server, whose balancer then cancels its own attempt.
     assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (100.0, Outcome.CANCELLED)
@@ -169,7 +169,7 @@
     chain = Chain(chain_settings(3, may_cancel=False), 1)
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     assert [now for now, _ in recorded.events_of(1, ClientDisconnected)] == [100.0 + HOP]
     assert recorded.events_of(2, ClientDisconnected) == []
     # The next tier timed out and responded 500, which was no longer needed.
@@ -188,7 +188,7 @@
     chain = Chain(chain_settings(1, workers=1), 1)
     for _ in range(3):
         chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     # The first is in service when it times out and keeps its slot until it is done; the second is queued and
     # leaves the queue; the third is served after the first.
     assert [(e.request_id, now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
@@ -219,7 +219,7 @@
     chain.set_behaviour(1, 2, Behaviour.REFUSES)
     chain.set_behaviour(1, 1, Behaviour.SERVES)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     finished = [(now, e.attempt_index, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)]
     assert finished == [
         (served, 0, Outcome.SUCCEEDED),
@@ -245,7 +245,7 @@
     chain = Chain(chain_settings(1), 1)
     chain.set_behaviour(1, 2, Behaviour.HANGS)
     chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     assert (chain.client_requests[0].status, chain.client_requests[0].finished_at_ms) == (status, 2995.0)
     assert [now for now, _ in recorded.events_of(0, ClientDisconnected)] == [2995.0]
 
@@ -254,7 +254,7 @@
     chain = Chain(chain_settings(1, servers_per_tier=1, workers=1, queue=2, max_attempts=1), 1)
     for _ in range(4):
         chain.send_request(0)
-    play(chain)
+    run_to_end(chain)
     # One in service, two queued, the fourth rejected at once.
     assert [request.status for request in chain.client_requests] == [200, 200, 200, 503]
     assert [request.finished_at_ms for request in chain.client_requests] == [
@@ -265,7 +265,7 @@
     wide = Chain(chain_settings(1, servers_per_tier=1, workers=0, queue=0, max_attempts=1), 1)
     for _ in range(4):
         wide.send_request(0)
-    play(wide)
+    run_to_end(wide)
     assert {request.finished_at_ms for request in wide.client_requests} == {2 * HOP + SERVICE}
 
 
@@ -276,6 +276,6 @@
         chain.set_behaviour(1, 6, behaviour)
         for _ in range(5):
             chain.send_request(0)
-            play(chain)
+            run_to_end(chain)
         assert chain.statistics.attempts_by_phase[0] == [5 * max_attempts]
         assert {request.last_tier_attempts for request in chain.client_requests} == {max_attempts}
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -3,17 +3,17 @@
 import random
 from itertools import islice
 
-from testbed.discovery.churn import play_changes, restarts, single_changes
+from testbed.discovery.churn import apply_changes_over_time, restarts, single_changes
 from testbed.discovery.service import Discovery
 from testbed.load.arrivals import arrival_times
 from testbed.settings import EndpointEntry, endpoint_entries
 
 
 def test_churn_is_the_same_for_a_seed_and_keeps_the_list() -> None:
-    def played(seed: int) -> list[tuple[EndpointEntry, ...]]:
+    def first_changes(seed: int) -> list[tuple[EndpointEntry, ...]]:
         return list(islice(single_changes(endpoint_entries(60), seed, lambda: 7.0), 500))
 
-    assert played(1) == played(1) != played(2)
+    assert first_changes(1) == first_changes(1) != first_changes(2)
     assert (
         list(arrival_times(5.0, 10.0, random.Random(1)))
         == list(arrival_times(5.0, 10.0, random.Random(1)))
@@ -23,7 +23,7 @@
     assert max(arrival_times(5.0, 10.0, random.Random(1))) < 10.0
     status = {e["name"]: "in_service" for e in endpoint_entries(60)}
     seen, removed = set(), set()
-    for (changed,) in played(1):
+    for (changed,) in first_changes(1):
         assert changed["name"] not in removed  # a replacement has a new name
         before = status.pop(changed["name"], "new")
         seen.add((before, changed["status"], changed["since_ms"]))
@@ -59,7 +59,7 @@
 
 async def test_changes_are_applied_until_the_last_one(discovery: Discovery) -> None:
     first = discovery.replace_entries(endpoint_entries(10))
-    max_lateness_s = await play_changes(
+    max_lateness_s = await apply_changes_over_time(
         discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9
     )
     assert discovery.index == first + 4
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -11,7 +11,7 @@
 
 from testbed.http.client import Client
 from testbed.load.arrivals import arrival_times
-from testbed.load.streams import Stream, StreamReport, play_streams
+from testbed.load.streams import Stream, StreamReport, run_streams
 from testbed.runs import added_time
 from testbed.runs.real_depth import run as real_depth
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
@@ -40,12 +40,12 @@
 
     upstream.forward = stall  # no response is sent before the last request has been received
     stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
-    report = (await play_streams([stream], 0.01, seed=7))["calls"]
+    report = (await run_streams([stream], 0.01, seed=7))["calls"]
     assert report.sends == report.opened == planned
     assert report.statuses == {200: planned}
     assert report.unserved == []
     await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL))
-    report = (await play_streams([stream], 0.01, seed=7))["calls"]
+    report = (await run_streams([stream], 0.01, seed=7))["calls"]
     assert report.statuses == {500: planned}
     assert report.served.count == 0
     assert sorted(report.unserved) == pytest.approx(
@@ -59,7 +59,7 @@
         upstreams = UpstreamGroup(seed=1)
         (upstream,) = await upstreams.start(1, first_octet=82)
         stream = Stream("calls", [Client(upstream.address, clock)], 20.0, "read", 5_000.0)
-        report = (await play_streams([stream], 1.0, seed=3, clock=clock, sleep=clock.sleep))["calls"]
+        report = (await run_streams([stream], 1.0, seed=3, clock=clock, sleep=clock.sleep))["calls"]
         upstreams.close()
         return report
 
@@ -92,7 +92,7 @@
         measure_s=0.4,
         late_ms=0.0,
     )
-    result = added_time.play(plan, LOG)
+    result = added_time.measure(plan, LOG)
     (row,) = [row.columns() for row in result.rows]
     assert row["entries"] == 3
     assert row["calls"] == len(list(arrival_times(50.0, 0.4, random.Random("5/through"))))
@@ -105,7 +105,7 @@
     ]
 
 
-def test_real_depth_plays_each_fault_at_the_last_tier_of_a_chain_of_real_balancers() -> None:
+def test_real_depth_measures_each_fault_at_the_last_tier_of_a_chain_of_real_balancers() -> None:
     plan = real_depth.Plan(
         run="real_depth",
         about="A trial.",
@@ -119,7 +119,7 @@
         phase_s=0.05,
         late_ms=1_000.0,
     )
-    rows = {row.phase: row.columns() for row in real_depth.play(plan, LOG).rows}
+    rows = {row.phase: row.columns() for row in real_depth.measure(plan, LOG).rows}
     assert next(iter(rows)) == "calm"
     assert len(rows) == 7
     for phase, row in rows.items():
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -35,7 +35,9 @@
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
-    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
+    result = control_change.measure(
+        control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG
+    )
     rows = [row.columns() for row in result.rows]
     assert [(row["balancers"], row["multiple"]) for row in rows] == [
         (balancers, multiple) for balancers in (1, 3) for multiple in (200.0, 400.0)
@@ -56,7 +58,9 @@
     plan = read_plan(FOLDER / "control_change.toml", RUNS)
     small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
-    result = control_change.play(control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
+    result = control_change.measure(
+        control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG
+    )
     assert [row.snapshots for row in result.rows] == [0] * 4
     assert {row.real_core_percent for row in result.rows} == {None}
 
@@ -71,7 +75,7 @@
     monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", recording_settings)
     plan = read_plan(FOLDER / "control_rest.toml", RUNS)
     small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
-    result = control_rest.play(control_rest.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
+    result = control_rest.measure(control_rest.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
     assert [(row.entries, row.mode) for row in result.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
     ]
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -25,7 +25,7 @@
 
 def found(**changes: Any) -> RunResult[Any]:
     with capture_logs():  # tests of the command line leave the shared logger with a closed output
-        return depth_run.play(plan(**changes), structlog.get_logger())
+        return depth_run.measure(plan(**changes), structlog.get_logger())
 
 
 def rows(**changes: Any) -> list[dict[str, Any]]:
@@ -42,8 +42,8 @@
     assert one["served_while"] == 0.0
 
 
-def without_measured_times(played: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    return [{name: v for name, v in row.items() if not name.startswith("machine")} for row in played]
+def without_measured_times(rows_of_run: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    return [{name: v for name, v in row.items() if not name.startswith("machine")} for row in rows_of_run]
 
 
 def test_the_same_seed_gives_the_same_rows() -> None:
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -36,7 +36,7 @@
         "rounds": 1,
         "rounds_max": 1,
     }
-    result = list_size.play(list_size.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
+    result = list_size.measure(list_size.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
     rows = [row.columns() for row in result.rows]
     lists = [row for row in rows if row["measured"] == "list"]
     decisions = [row for row in rows if row["measured"] == "decision"]
@@ -98,7 +98,7 @@
         self.name = EntriesRow(entries=6)
         self.rounds = 0
 
-    def play(self) -> float:
+    def run_round(self) -> float:
         self.rounds += 1
         return float(self.rounds)
 
@@ -107,19 +107,21 @@
 
 
 def test_only_rounds_between_quick_references_count() -> None:
-    def play(quick_rounds: int, max_rounds: int, *readings: float) -> tuple[list[dict[str, Any]], list[str]]:
+    def measure_rounds(
+        quick_rounds: int, max_rounds: int, *readings: float
+    ) -> tuple[list[dict[str, Any]], list[str]]:
         references = iter([*[10.0] * INITIAL_REFERENCES, *readings])
         rounds: Rounds[RoundsRow] = Rounds(quick_rounds, max_rounds, lambda: next(references))
-        rounds.play(CountedCell())
+        rounds.measure(CountedCell())
         assert next(references, None) is None
         result = rounds.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
     # A slow reference before or after a round excludes the round; enough quick rounds end the measurement.
-    rows, reasons = play(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
+    rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
-    assert play(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
+    assert measure_rounds(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
     # A quicker reference later makes the earlier rounds slow.
-    rows, reasons = play(3, 3, 10.0, 10.0, 6.0, 6.0)
+    rows, reasons = measure_rounds(3, 3, 10.0, 10.0, 6.0, 6.0)
     assert [row["round"] for row in rows] == [[3.0]]
