--- /dev/null
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -0,0 +1,76 @@
+"""The runs that load real balancers: added time and real depth."""
+
+from __future__ import annotations
+
+import random
+
+import structlog
+
+from testbed.load.arrivals import arrival_times
+from testbed.runs import added_time
+from testbed.runs.real_depth import run as real_depth
+
+LOG = structlog.wrap_logger(
+    structlog.testing.CapturingLogger(), processors=[]
+)  # independent of the configuration by other tests
+
+
+def test_added_time_measures_both_paths_and_reports_why_the_load_is_invalid() -> None:
+    plan = added_time.Plan(
+        run="added_time",
+        about="A trial.",
+        seed=5,
+        sizes=(3,),
+        per_s=50.0,  # one at a time: if requests overlap on a slow machine, the balancer sheds some
+        class_name="look-up",
+        deadline_ms=2_000.0,
+        service_ms=0.0,
+        direct_servers=2,
+        warm_s=0.08,
+        rest_s=0.01,
+        measure_s=0.4,
+        late_ms=0.0,
+    )
+    result = added_time.measure(plan, LOG)
+    (row,) = [row.columns() for row in result.rows]
+    assert row["entries"] == 3
+    assert row["calls"] == len(list(arrival_times(50.0, 0.4, random.Random("5/through"))))
+    assert row["served"] == row["calls"] <= row["calls"] * row["attempts_a_call"]
+    assert row["processor_us_a_call"] > 0
+    assert row["direct_50_ms"] > 0
+    assert [reason.partition(": ")[0] for reason in result.invalid_reasons if "late" in reason] == [
+        "3 entries, direct",
+        "3 entries, through",
+    ]
+
+
+def test_real_depth_measures_each_fault_at_the_last_tier_of_a_chain_of_real_balancers() -> None:
+    plan = real_depth.Plan(
+        run="real_depth",
+        about="A trial.",
+        seed=5,
+        sizes=(2,),
+        faults_at=(2,),
+        per_s=100.0,
+        class_name="look-up",
+        deadline_ms=1_000.0,
+        warm_s=0.02,
+        phase_s=0.05,
+        late_ms=1_000.0,
+    )
+    rows = {row.phase: row.columns() for row in real_depth.measure(plan, LOG).rows}
+    assert next(iter(rows)) == "calm"
+    assert len(rows) == 7
+    for phase, row in rows.items():
+        assert row["calls"] == row["served"] + row["refused"] + row["failed"] > 0
+        top, bottom = row["attempts_by_tier"]
+        assert top >= row["calls"]
+        assert (row["attempts_top"], row["attempts_bottom"]) == (
+            top / row["calls"],
+            bottom / row["calls"],
+        )
+        if phase in ("fails all", "hangs"):
+            assert row["served"] == 0
+    calm = rows["calm"]
+    assert calm["served"] == calm["calls"]
+    assert 0 < calm["bottom_deadline_50_ms"] < 1_000
