--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,8 +10,7 @@
 import pytest
 import uvloop
 
-ASYNC_TEST_TIMEOUT_S = 10.0
-"""Time limit of an asynchronous test; only a test that hangs comes near it."""
+from tests.support.waiting import TEST_TIMEOUT_S
 
 
 def pytest_asyncio_loop_factories() -> Mapping[str, Callable[[], asyncio.AbstractEventLoop]]:
@@ -33,7 +32,7 @@
 def _with_time_limit(test: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
     @functools.wraps(test)
     async def limited_test(*args: object, **kwargs: object) -> None:
-        async with asyncio.timeout(ASYNC_TEST_TIMEOUT_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test(*args, **kwargs)
 
     return limited_test
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -16,7 +16,9 @@
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.listener import Listener
 from tests.support.disconnecting_clients import connect_client, request_bytes
-from tests.support.loopback import Rig, Upstream, status
+from tests.support.http_messages import status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
 
@@ -78,13 +80,13 @@
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
 
-    async with Rig(Upstream()) as rig:
+    async with ProxyHarness(Upstream()) as harness:
         may_set_up = delay_connection_setup(monkeypatch)
-        listener = rig.proxy.listener
-        client = connect_client(rig)
+        listener = harness.proxy.listener
+        client = connect_client(harness)
         client.sendall(request_bytes("/read", 1))
         await wait_until(lambda: listener.connections, "the client is accepted")
-        abort_open_requests = rig.proxy.abort_open_requests
+        abort_open_requests = harness.proxy.abort_open_requests
 
         def abort_then_be_busy() -> None:
             abort_open_requests()
@@ -92,7 +94,7 @@
             busy_s = 2 * listener_module.ACCEPT_RETRY_INTERVAL_S
             asyncio.get_running_loop().call_soon(time.sleep, busy_s)
 
-        monkeypatch.setattr(rig.proxy, "abort_open_requests", abort_then_be_busy)
+        monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
         await listener.shut_down()
         client.setblocking(False)  # the process is over: what is not there now never comes
         assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
@@ -108,7 +110,7 @@
     sweeps = set[float]()
     before_each_expiry_check(monkeypatch, lambda _, now: sweeps.add(now))
     upstream = Upstream()
-    async with Rig(upstream) as rig:
+    async with ProxyHarness(upstream) as harness:
         await asyncio.sleep(0)  # it listens, and sweeps from now on
         response_starts = {
             b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
@@ -117,7 +119,7 @@
             request_bytes("/read", 1)[:-2]: b"HTTP/1.1 408 ",
             request_bytes("/pay", 2, b"debit")[:-1]: b"HTTP/1.1 408 ",
         }
-        clients = [connect_client(rig) for _ in response_starts]
+        clients = [connect_client(harness) for _ in response_starts]
         for client, sent in zip(clients, response_starts, strict=True):
             client.sendall(sent)
         time.sleep(0.3)  # the loop is busy
@@ -140,8 +142,8 @@
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     checks = list[float]()
-    async with Rig(Upstream()) as rig:
-        client = connect_client(rig)
+    async with ProxyHarness(Upstream()) as harness:
+        client = connect_client(harness)
         client.sendall(b"GET /read?")
 
         def send_a_byte(connection: ClientConnection, now: float) -> None:
@@ -162,8 +164,8 @@
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     rests = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
-    async with Rig(Upstream()) as rig:
-        client = await rig.client()
+    async with ProxyHarness(Upstream()) as harness:
+        client = await harness.client()
         client.writer.write(request_bytes("/read", 1)[:-2])
         client_socket = client.writer.transport.get_extra_info("socket")
 
@@ -183,14 +185,14 @@
     """One is not set up yet, the request of another is not read yet; a third waits to be accepted."""
     set_timeouts_under_pressure(monkeypatch, 60.0)
 
-    async with Rig(Upstream()) as rig:
-        listener = rig.proxy.listener
+    async with ProxyHarness(Upstream()) as harness:
+        listener = harness.proxy.listener
         listener.connection_limit = 2
-        idle = await rig.client()
+        idle = await harness.client()
         idle.send()
         assert status(await idle.read_response()) == 200
         may_set_up = delay_connection_setup(monkeypatch)
-        accepted = connect_client(rig)
+        accepted = connect_client(harness)
         accepted.sendall(request_bytes("/read", 1))
         await wait_until(
             lambda: len(listener.connections) >= 2,
@@ -198,7 +200,7 @@
             state=lambda: listener.connections,
             poll_interval_s=0.0,
         )
-        waiting = connect_client(rig)
+        waiting = connect_client(harness)
         waiting.sendall(request_bytes("/read", 2))
         # At once, before the loop could read it.
         send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -21,6 +21,7 @@
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
+from tests.support.configurations import entry
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
     connect_client,
@@ -29,17 +30,10 @@
     until_disconnected,
     until_idle,
 )
-from tests.support.loopback import (
-    ReceivedMessage,
-    Rig,
-    Upstream,
-    entry,
-    never_respond,
-    reset,
-    response,
-    status,
-)
+from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream, never_respond, reset
 from tests.support.waiting import wait_until
 
 Disconnect = Callable[[socket.socket], None]
@@ -87,24 +81,26 @@
     return by_id
 
 
-async def open_idle_connections(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
+async def open_idle_connections(harness: ProxyHarness, monkeypatch: pytest.MonkeyPatch) -> None:
     """Have an idle connection to each upstream, which retries use as well."""
-    while not all(upstream.received for upstream in rig.upstreams):
-        assert status(await rig.send_request()) == 200
-    monkeypatch.setattr(rig.proxy.upstreams, "close_idle_connections", lambda server: None)
-    pass_reuse_delay(rig)
+    while not all(upstream.received for upstream in harness.upstreams):
+        assert status(await harness.send_request()) == 200
+    monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
+    pass_reuse_delay(harness)
 
 
-def ids_of_attempts(rig: Rig) -> list[str]:
+def ids_of_attempts(harness: ProxyHarness) -> list[str]:
     """The id of each request that an upstream has received, in no particular order."""
-    return [request.headers["x-request-id"] for upstream in rig.upstreams for request in upstream.received]
+    return [
+        request.headers["x-request-id"] for upstream in harness.upstreams for request in upstream.received
+    ]
 
 
-async def ids_received(rig: Rig) -> list[str]:
+async def ids_received(harness: ProxyHarness) -> list[str]:
     """The ids of the test's own requests that reached upstreams, once all in flight have arrived."""
-    pass_reuse_delay(rig)
-    assert status(await rig.send_request()) == 200
-    ids = ids_of_attempts(rig)
+    pass_reuse_delay(harness)
+    assert status(await harness.send_request()) == 200
+    ids = ids_of_attempts(harness)
     return sorted(name for name in ids if len(name) < 8)
 
 
@@ -113,14 +109,14 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
-    async with Rig(Upstream()) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client = connect_client(rig)
+    async with ProxyHarness(Upstream()) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client = connect_client(harness)
         client.sendall(request_bytes("/read", 1))
         disconnect(client)
-        await rig.send_request()  # its connection came later
-        await until_disconnected(rig)
-        assert await ids_received(rig) == []
+        await harness.send_request()  # its connection came later
+        await until_disconnected(harness)
+        assert await ids_received(harness) == []
 
 
 @WAYS_TO_DISCONNECT
@@ -128,9 +124,9 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
-    async with Rig(Upstream()) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, left = connect_client(rig), asyncio.Event()
+    async with ProxyHarness(Upstream()) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client, left = connect_client(harness), asyncio.Event()
 
         def hold(event: Event, now: float) -> list[Action]:
             if isinstance(event, RequestReceived):
@@ -142,12 +138,12 @@
                 left.set()
             return []
 
-        handle = replace_policy(rig, hold)
+        handle = replace_policy(harness, hold)
         client.sendall(request_bytes("/read", 1))
         await left.wait()
-        await until_idle(rig)
-        replace_policy(rig, handle)
-        assert await ids_received(rig) == []
+        await until_idle(harness)
+        replace_policy(harness, handle)
+        assert await ids_received(harness) == []
 
 
 @WAYS_TO_DISCONNECT
@@ -166,38 +162,40 @@
     request_bytes: bytes, script: Any, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client disconnects as its first attempt fails; a retry would be written at once."""
-    async with Rig(Upstream(for_first_request(script)), Upstream(for_first_request(script))) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, ends = connect_client(rig), list[AttemptFinished]()
+    async with ProxyHarness(
+        Upstream(for_first_request(script)), Upstream(for_first_request(script))
+    ) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client, ends = connect_client(harness), list[AttemptFinished]()
 
         def disconnect_once(event: AttemptFinished) -> None:
             ends.append(event)
             if len(ends) == 1:
                 disconnect(client)
 
-        before_event(rig, AttemptFinished, disconnect_once)
+        before_event(harness, AttemptFinished, disconnect_once)
         client.sendall(request_bytes)
         await wait_until(lambda: ends, "the client has disconnected")
-        await until_idle(rig)
-        assert await ids_received(rig) == ["1"]
+        await until_idle(harness)
+        assert await ids_received(harness) == ["1"]
 
 
 async def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
     """The test above rests on it: only the disconnect keeps the retry back."""
     script = for_first_request(response(500))
-    async with Rig(Upstream(script), Upstream(script)) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client = connect_client(rig)
+    async with ProxyHarness(Upstream(script), Upstream(script)) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client = connect_client(harness)
         client.sendall(request_bytes("/read", 1))
         await wait_until(
-            lambda: ids_of_attempts(rig).count("1") >= 2,
+            lambda: ids_of_attempts(harness).count("1") >= 2,
             "the request is hedged",
-            state=lambda: ids_of_attempts(rig),
+            state=lambda: ids_of_attempts(harness),
         )
         client.close()
 
 
-def record_hedge_timers(rig: Rig) -> list[HedgeTimer]:
+def record_hedge_timers(harness: ProxyHarness) -> list[HedgeTimer]:
     """A list to which every hedge timer that the policy sets is appended."""
     timers = list[HedgeTimer]()
 
@@ -206,7 +204,7 @@
         timers.extend(a.timer for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, HedgeTimer))
         return actions
 
-    handle = replace_policy(rig, record_and_handle)
+    handle = replace_policy(harness, record_and_handle)
     return timers
 
 
@@ -216,15 +214,15 @@
 ) -> None:
     """Its timer fires before the event loop has read the client's end."""
     script = for_first_request(never_respond)
-    async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, timers = connect_client(rig), record_hedge_timers(rig)
+    async with ProxyHarness(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client, timers = connect_client(harness), record_hedge_timers(harness)
         client.sendall(request_bytes("/read", 1))
         await wait_until(lambda: timers, "the policy has set a hedge timer")
         if disconnect is not None:
             disconnect(client)
-        rig.proxy._dispatch(TimerFired(timers[0]))
-        assert await ids_received(rig) == ["1"] * (1 if disconnect else 2)
+        harness.proxy._dispatch(TimerFired(timers[0]))
+        assert await ids_received(harness) == ["1"] * (1 if disconnect else 2)
 
 
 async def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
@@ -232,17 +230,19 @@
 ) -> None:
     """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
     script = for_first_request(never_respond)
-    async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, timers, left = connect_client(rig), record_hedge_timers(rig), asyncio.Event()
-        before_event(rig, ClientDisconnected, lambda event: left.set())
+    async with ProxyHarness(
+        Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
+    ) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client, timers, left = connect_client(harness), record_hedge_timers(harness), asyncio.Event()
+        before_event(harness, ClientDisconnected, lambda event: left.set())
         client.sendall(request_bytes("/read", 1))
         await wait_until(lambda: timers, "the policy has set a hedge timer")
         client.close()
         await left.wait()
-        rig.proxy._dispatch(TimerFired(timers[0]))
-        assert rig.proxy.open_requests, "the first attempt is still in progress"
-        assert await ids_received(rig) == ["1"]
+        harness.proxy._dispatch(TimerFired(timers[0]))
+        assert harness.proxy.open_requests, "the first attempt is still in progress"
+        assert await ids_received(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
@@ -252,11 +252,11 @@
 ) -> None:
     """Where the first attempt goes on, its response must not start the next request."""
     upstream = Upstream(for_first_request(never_respond))
-    async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
-        await open_idle_connections(rig, monkeypatch)
+    async with ProxyHarness(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as harness:
+        await open_idle_connections(harness, monkeypatch)
         left = asyncio.Event()
-        before_event(rig, ClientDisconnected, lambda event: left.set())
-        client = connect_client(rig)
+        before_event(harness, ClientDisconnected, lambda event: left.set())
+        client = connect_client(harness)
         client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
         await wait_until(
             lambda: upstream.received[-1].headers["x-request-id"] == "1",
@@ -266,8 +266,8 @@
         await left.wait()
         for writer in upstream.writers:
             writer.write(response())
-        await until_idle(rig)
-        assert await ids_received(rig) == ["1"]
+        await until_idle(harness)
+        assert await ids_received(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
@@ -281,23 +281,25 @@
         failing.append(writer)
 
     failing = list[Any]()
-    async with Rig(
+    async with ProxyHarness(
         Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
-    ) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client = connect_client(rig)
+    ) as harness:
+        await open_idle_connections(harness, monkeypatch)
+        client = connect_client(harness)
         many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
         client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
         await wait_until(
-            lambda: failing and any(c.is_reading_paused for c in rig.proxy.listener.connections),
+            lambda: failing and any(c.is_reading_paused for c in harness.proxy.listener.connections),
             "an attempt is in progress and the balancer pauses reading",
             state=lambda: failing,
         )
-        before_event(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
+        before_event(
+            harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client)
+        )
         failing[0].write(response(500))
-        await until_idle(rig)
-        await until_disconnected(rig)
-        assert await ids_received(rig) == ["1"]
+        await until_idle(harness)
+        await until_disconnected(harness)
+        assert await ids_received(harness) == ["1"]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -321,11 +323,11 @@
         listener.listen()
         listener.setblocking(False)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        rig = Rig(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
-        rig.entries.append(entry("s0", address))
-        async with rig:
-            client, left = connect_client(rig), asyncio.Event()
-            before_event(rig, ClientDisconnected, lambda event: left.set())
+        harness = ProxyHarness(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
+        harness.entries.append(entry("s0", address))
+        async with harness:
+            client, left = connect_client(harness), asyncio.Event()
+            before_event(harness, ClientDisconnected, lambda event: left.set())
             client.setblocking(False)
             await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
             await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
@@ -338,4 +340,4 @@
             head, _, body = got.partition(b"\r\n\r\n")
             assert head.startswith(b"POST /pay ")
             assert len(body) < MAX_BODY_BYTES
-            assert not rig.proxy.open_requests
+            assert not harness.proxy.open_requests
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -11,7 +11,9 @@
 from loadbalancer.network.client import connection as client_connection
 from loadbalancer.network.client import listener
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.support.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.http_messages import response, status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream, never_respond
 
 
 @pytest.mark.parametrize(
@@ -34,19 +36,19 @@
     assert longest_s + request_pipeline.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
-    async with Rig(Upstream()) as rig:
-        client = await rig.client()
+    async with ProxyHarness(Upstream()) as harness:
+        client = await harness.client()
         client.writer.write(sent)
         assert (await client.reader.read())[:12] == response_start
         client.writer.close()
 
 
 async def test_time_in_the_accept_queue_counts() -> None:
-    async with Rig(Upstream()) as rig:
-        with socket.create_connection(rig.proxy.listener.address[:2]) as client:
+    async with ProxyHarness(Upstream()) as harness:
+        with socket.create_connection(harness.proxy.listener.address[:2]) as client:
             client.sendall(b"x")
             time.sleep(0.1)  # the loop is busy and accepts nothing
-            accepted, _ = rig.proxy.listener._socket.accept()
+            accepted, _ = harness.proxy.listener._socket.accept()
             with accepted:
                 ages = listener.queue_ages(accepted)
                 assert ages.connected_s >= 0.05
@@ -60,17 +62,17 @@
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     upstream = Upstream(response(), never_respond)
-    async with Rig(upstream) as rig:
-        idle = await rig.client()
+    async with ProxyHarness(upstream) as harness:
+        idle = await harness.client()
         idle.send()
         assert status(await idle.read_response()) == 200
         upstream.seen.clear()
-        busy = await rig.client()
+        busy = await harness.client()
         busy.send("/pay/x", b"debit")
         await upstream.seen.wait()
         assert await idle.reader.read() == b""
         for _ in range(3):
-            rig.proxy.listener.sweep()
+            harness.proxy.listener.sweep()
             await asyncio.sleep(0.1)
         for writer in upstream.writers:
             writer.write(response(200, b"at last"))
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -10,7 +10,10 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import graceful_shutdown
 from tests.support.event_recorder import outcomes, record_events
-from tests.support.loopback import Client, Rig, Upstream, never_respond, response, status
+from tests.support.http_client import Client
+from tests.support.http_messages import response, status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
 
@@ -32,9 +35,9 @@
             monkeypatch.setattr(graceful_shutdown, name, value)
 
 
-async def client_with_a_response(rig: Rig) -> Client:
+async def client_with_a_response(harness: ProxyHarness) -> Client:
     """A client whose first request has got its response."""
-    client = await rig.client()
+    client = await harness.client()
     client.send()
     assert status(await client.read_response()) == 200
     return client
@@ -43,10 +46,10 @@
 async def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     """While another balancer restarts, clients whose connections closed would have nowhere to go."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
-    async with Rig(Upstream()) as rig:
-        listener = rig.proxy.listener
+    async with ProxyHarness(Upstream()) as harness:
+        listener = harness.proxy.listener
         listener.max_deadline_s = 120.0
-        client = await client_with_a_response(rig)
+        client = await client_with_a_response(harness)
         shutdown = asyncio.ensure_future(listener.shut_down())
         await wait_until(lambda: listener.is_closed, "the listener is closed")
         for _ in range(2):
@@ -65,12 +68,12 @@
 ) -> None:
     """The platform kills the process soon after the longest deadline: what arrives later is lost."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
-    async with Rig(Upstream()) as rig:
-        client = await client_with_a_response(rig)
-        rig.proxy.listener.max_deadline_s = 0.2
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+    async with ProxyHarness(Upstream()) as harness:
+        client = await client_with_a_response(harness)
+        harness.proxy.listener.max_deadline_s = 0.2
+        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
         assert await client.reader.read() == b""  # a clean end
-        assert rig.proxy.listener.context.closes_connections, "not closed as an idle one"
+        assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
         client.writer.close()
         await shutdown
 
@@ -78,17 +81,17 @@
 async def test_open_requests_and_new_connections_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
     upstream = Upstream(response(), never_respond, response())
-    async with Rig(upstream) as rig:
-        idle = await rig.client()
-        busy = await rig.client()
+    async with ProxyHarness(upstream) as harness:
+        idle = await harness.client()
+        busy = await harness.client()
         idle.send()
         assert status(await idle.read_response()) == 200
         upstream.seen.clear()
         busy.send("/pay/x", b"debit")
         await upstream.seen.wait()
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
         await asyncio.sleep(0)
-        assert status(await rig.send_request()) == 200
+        assert status(await harness.send_request()) == 200
         assert await idle.reader.read() == b""  # a clean end, no reset
         upstream.writers[-1].write(b"")
         for writer in upstream.writers:
@@ -104,8 +107,8 @@
 async def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
     """The client has sent all of it, though its connection was not accepted yet."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-    async with Rig(Upstream()) as rig:
-        listener = rig.proxy.listener
+    async with ProxyHarness(Upstream()) as harness:
+        listener = harness.proxy.listener
         clients = list[socket.socket]()
         accept_pending = listener.accept_pending
 
@@ -132,13 +135,13 @@
     """What is left in the queue is reset when the listening socket closes."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
-    async with Rig(upstream) as rig:
-        listener = rig.proxy.listener
+    async with ProxyHarness(upstream) as harness:
+        listener = harness.proxy.listener
         listener.connection_limit = 1
-        busy = await rig.client()
+        busy = await harness.client()
         busy.send("/pay/x", b"debit")
         await upstream.seen.wait()
-        queued = await rig.client()  # in the kernel's queue
+        queued = await harness.client()  # in the kernel's queue
         queued.send()
         shutdown = asyncio.ensure_future(listener.shut_down())
         await wait_until(
@@ -157,9 +160,9 @@
 async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
     """The process ends before an upstream could respond to it."""
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        client = await rig.client()
-        rig.proxy.abort_open_requests()
+    async with ProxyHarness(upstream) as harness:
+        client = await harness.client()
+        harness.proxy.abort_open_requests()
         client.send()
         assert status(await client.read_response()) == 503
         assert not upstream.connections
@@ -170,12 +173,12 @@
 ) -> None:
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
     upstream = Upstream(never_respond)
-    async with Rig(upstream) as rig:
-        client = await rig.client()
+    async with ProxyHarness(upstream) as harness:
+        client = await harness.client()
         client.send("/pay/x", b"debit")
         await upstream.seen.wait()
-        events = record_events(rig)
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        events = record_events(harness)
+        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
         assert status(await client.read_response()) == 502
         await shutdown
         assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
@@ -186,9 +189,9 @@
 ) -> None:
     """The kernel holds it, unread, while the connection is judged to be idle."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-    async with Rig(Upstream()) as rig:
-        client = await client_with_a_response(rig)
-        (connection,) = rig.proxy.listener.connections
+    async with ProxyHarness(Upstream()) as harness:
+        client = await client_with_a_response(harness)
+        (connection,) = harness.proxy.listener.connections
         is_idle = connection.is_idle
         has_crossed = asyncio.Event()
 
@@ -199,7 +202,7 @@
             return is_idle()
 
         monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
+        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
         reply = await client.read_response()
         assert status(reply) == 200
         assert reply.headers["connection"] == "close"
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -10,23 +10,26 @@
 
 from loadbalancer.network.client import pipeline as request_pipeline
 from tests.support.disconnecting_clients import until_disconnected
-from tests.support.loopback import Client, Rig, Upstream, never_respond, status
+from tests.support.http_client import Client
+from tests.support.http_messages import status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
 
 async def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
     """Sixteen bodies read ahead on every connection would exceed a small memory limit."""
     upstream = Upstream(never_respond)
-    async with Rig(upstream) as rig:
-        listener = rig.proxy.listener
+    async with ProxyHarness(upstream) as harness:
+        listener = harness.proxy.listener
         buffers = listener.context.buffers
         buffers.limit_bytes = 200_000
         clients: list[Client] = []
         for _ in range(4):
-            clients.append(await rig.client())
+            clients.append(await harness.client())
             for _ in range(4):
                 clients[-1].send("/pay/x", b"x" * 60_000)
-        health_client = await rig.client()
+        health_client = await harness.client()
         await wait_until(
             lambda: any(connection.discards_input for connection in listener.connections),
             "a connection discards what it receives",
@@ -53,12 +56,12 @@
             type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("loadbalancer")
         )
 
-    async with Rig(Upstream(), max_attempts=3) as rig:
+    async with ProxyHarness(Upstream(), max_attempts=3) as harness:
 
         async def send_requests(times: int) -> None:
             for _ in range(times):
-                assert status(await rig.send_request()) == 200
-            await until_disconnected(rig)
+                assert status(await harness.send_request()) == 200
+            await until_disconnected(harness)
 
         await send_requests(20)
         gc.collect()
@@ -72,5 +75,5 @@
         finally:
             gc.enable()
         assert all(n < 20 for n in growth.values()), growth
-        assert rig.proxy.balancer.open_requests == 0
-        assert not rig.proxy.open_requests
+        assert harness.proxy.balancer.open_requests == 0
+        assert not harness.proxy.open_requests
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -6,7 +6,10 @@
 
 import pytest
 
-from tests.support.loopback import Client, Rig, Upstream, status
+from tests.support.http_client import Client
+from tests.support.http_messages import status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream
 
 
 def valid_headers(class_name: bytes = b"read", deadline: bytes = b"900m") -> bytes:
@@ -64,13 +67,13 @@
     raw: bytes, expected_status: int
 ) -> None:
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        client = await rig.client()
+    async with ProxyHarness(upstream) as harness:
+        client = await harness.client()
         client.writer.write(raw)
         assert status(await client.read_response()) == expected_status
         assert await client.reader.read() == b""
         assert upstream.connections == 0
-        assert not rig.proxy.open_requests
+        assert not harness.proxy.open_requests
 
 
 @pytest.mark.parametrize(
@@ -92,8 +95,8 @@
 )
 async def test_a_rejected_request_reaches_no_upstream(raw: bytes, expected_status: int) -> None:
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        client = await rig.client()
+    async with ProxyHarness(upstream) as harness:
+        client = await harness.client()
         client.writer.write(raw)
         assert status(await client.read_response()) == expected_status
         assert not upstream.received
@@ -101,11 +104,11 @@
 
 
 async def test_input_after_a_rejection_is_neither_buffered_nor_parsed() -> None:
-    async with Rig(Upstream()) as rig:
-        client = await rig.client()
+    async with ProxyHarness(Upstream()) as harness:
+        client = await harness.client()
         client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
         client.writer.write(b"x" * 6_000_000)
         assert status(await client.read_response()) == 413
-        assert rig.proxy.listener.context.buffers.used_bytes == 0
+        assert harness.proxy.listener.context.buffers.used_bytes == 0
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await read_for_ever(client)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -20,8 +20,10 @@
 from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.policy import poll_backoff
 from tests.policy.helpers import PolicyHarness, of_type
-from tests.support.configurations import config_text, configuration
-from tests.support.loopback import Rig, Upstream, entry, read_message, response
+from tests.support.configurations import config_text, configuration, entry
+from tests.support.http_messages import read_message, response
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream
 from tests.support.simulated_discovery import (
     FAULTS,
     SimulatedDiscovery,
@@ -187,16 +189,16 @@
 
 
 async def test_the_first_watch_after_a_failure_does_not_wait_long() -> None:
-    async with Rig(Upstream()) as rig:
-        await rig.send_request()
+    async with ProxyHarness(Upstream()) as harness:
+        await harness.send_request()
 
         async def wait_ms() -> float:
-            return float((await rig.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
+            return float((await harness.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
 
         assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
-        rig.discovery.responses.put_nowait(response(500, b"sorry"))
+        harness.discovery.responses.put_nowait(response(500, b"sorry"))
         assert 0 < await wait_ms() <= endpoint_watch.RECOVERY_WAIT_MS
-        rig.discovery.publish(8)
+        harness.discovery.publish(8)
         assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
 
 
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -10,7 +10,9 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import request_reader
 from tests.support.event_recorder import outcomes, record_events
-from tests.support.loopback import ReceivedMessage, Rig, Upstream, response, status
+from tests.support.http_messages import ReceivedMessage, response, status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
 
@@ -18,8 +20,8 @@
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, received.line.encode()))
 
-    async with Rig(Upstream(echo)) as rig:
-        client = await rig.client()
+    async with ProxyHarness(Upstream(echo)) as harness:
+        client = await harness.client()
         for i in range(40):
             client.send(f"/read/{i}")
         for i in range(40):
@@ -28,8 +30,8 @@
 
 async def test_input_after_a_request_with_connection_close_is_ignored() -> None:
     """Parsed in a later slice, it would get a response after our side of the connection is closed."""
-    async with Rig() as rig:
-        client = await rig.client()
+    async with ProxyHarness() as harness:
+        client = await harness.client()
         head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
         head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
         errors: list[object] = []
@@ -45,25 +47,25 @@
 ) -> None:
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
     upstream = Upstream()
-    async with Rig(upstream) as rig:
+    async with ProxyHarness(upstream) as harness:
         for _ in range(3):
-            assert status(await rig.send_request("/pay/x", b"debit")) == 200
+            assert status(await harness.send_request("/pay/x", b"debit")) == 200
         assert upstream.connections == 1
         upstream.writers[0].close()
         await upstream.writers[0].wait_closed()
-        events = record_events(rig)
-        assert status(await rig.send_request("/pay/x", b"debit")) == 200
+        events = record_events(harness)
+        assert status(await harness.send_request("/pay/x", b"debit")) == 200
         assert outcomes(events) == [Outcome.SUCCEEDED]
         assert upstream.connections == 2
 
 
 async def test_tcp_no_delay_is_set_on_both_sides() -> None:
-    async with Rig(Upstream()) as rig:
-        client = await rig.client()
+    async with ProxyHarness(Upstream()) as harness:
+        client = await harness.client()
         client.send()
         await client.read_response()
-        (client_connection,) = rig.proxy.listener.connections
-        upstream_connection = rig.proxy.upstreams._pools["s0"].idle_connections[0]
+        (client_connection,) = harness.proxy.listener.connections
+        upstream_connection = harness.proxy.upstreams._pools["s0"].idle_connections[0]
         for transport in (upstream_connection._transport, client_connection.transport):
             assert transport is not None
             sock = transport.get_extra_info("socket")
@@ -72,9 +74,9 @@
 
 async def test_a_graceful_close_reaches_an_idle_client_at_once() -> None:
     """In a later turn of the loop, a request that arrives before it would be read and discarded."""
-    async with Rig(Upstream()) as rig:
-        client = socket.create_connection(rig.proxy.listener.address[:2])
-        (connection,) = await wait_until(lambda: rig.proxy.listener.connections, "the client is accepted")
+    async with ProxyHarness(Upstream()) as harness:
+        client = socket.create_connection(harness.proxy.listener.address[:2])
+        (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
         await wait_until(connection.may_close, "the connection may be closed")
         connection.close_gracefully()
         assert client.recv(1, socket.MSG_DONTWAIT) == b""
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -11,17 +11,13 @@
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
-from tests.support.loopback import (
-    Client,
-    DiscoveryServer,
-    Upstream,
-    config_text,
-    entry,
-    free_port,
-    never_respond,
-    status,
-)
+from tests.support.configurations import config_text, entry
+from tests.support.http_client import Client
+from tests.support.http_messages import status
 from tests.support.program import read_log_line, running_program
+from tests.support.scripted_discovery import DiscoveryServer
+from tests.support.scripted_upstream import Upstream, never_respond
+from tests.support.sockets import free_port
 from tests.support.upstream_attempts import ObservedAttempt, make_pools
 from tests.support.waiting import wait_until
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -18,20 +18,13 @@
 from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.support.configurations import configuration
-from tests.support.loopback import (
-    DiscoveryServer,
-    Rig,
-    Upstream,
-    config_text,
-    entry,
-    list_response,
-    never_respond,
-    record_events,
-    response,
-    status,
-)
+from tests.support.configurations import config_text, configuration, entry
+from tests.support.event_recorder import record_events
+from tests.support.http_messages import response, status
 from tests.support.program import program_with_open_request, read_log_line
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_discovery import DiscoveryServer, list_response
+from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
 from tests.support.waiting import wait_until
 
@@ -58,33 +51,33 @@
 
 
 async def test_a_list_may_be_indented_and_have_a_lower_index_than_before() -> None:
-    async with Rig(Upstream()) as rig:
-        await rig.send_request()
-        assert "after=7&" in await rig.discovery.calls.get()
-        endpoint = entry("s9", rig.entries[0]["address"])
-        rig.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
-        assert "after=2&" in await rig.discovery.calls.get()
-        assert set(rig.proxy.upstreams._pools) == {"s9"}
+    async with ProxyHarness(Upstream()) as harness:
+        await harness.send_request()
+        assert "after=7&" in await harness.discovery.calls.get()
+        endpoint = entry("s9", harness.entries[0]["address"])
+        harness.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
+        assert "after=2&" in await harness.discovery.calls.get()
+        assert set(harness.proxy.upstreams._pools) == {"s9"}
 
 
 async def test_a_list_that_is_being_received_at_a_sighup_is_ignored() -> None:
-    async with Rig(Upstream()) as rig:
-        await rig.send_request()
-        await rig.discovery.calls.get()
+    async with ProxyHarness(Upstream()) as harness:
+        await harness.send_request()
+        await harness.discovery.calls.get()
         whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
-        rig.discovery.responses.put_nowait(whole[:-5])
-        connection = rig.proxy._endpoint_watch._connection
+        harness.discovery.responses.put_nowait(whole[:-5])
+        connection = harness.proxy._endpoint_watch._connection
         assert connection is not None
         await wait_until(lambda: connection.is_receiving, "a part of the list is received")
         new = DiscoveryServer()
         text = config_text(await new.start(), [])
         connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
-        rig.proxy.reconfigure(configuration(text))
+        harness.proxy.reconfigure(configuration(text))
         await new.calls.get()
-        new.publish(3, entry("new", rig.entries[0]["address"]), snapshot=True)
+        new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
         assert "after=3&" in await new.calls.get()
-        await rig.discovery.connection_closed.wait()
-        assert set(rig.proxy.upstreams._pools) == {"new"}
+        await harness.discovery.connection_closed.wait()
+        assert set(harness.proxy.upstreams._pools) == {"new"}
 
 
 async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once() -> None:
@@ -106,9 +99,9 @@
 ) -> None:
     """A request that is not idempotent fails, and is sent once."""
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        assert status(await rig.send_request()) == 200
-        (idle,) = rig.proxy.upstreams._pools["s0"].idle_connections
+    async with ProxyHarness(upstream) as harness:
+        assert status(await harness.send_request()) == 200
+        (idle,) = harness.proxy.upstreams._pools["s0"].idle_connections
         idle.idle_since -= 1.0
         is_alive = UpstreamConnection.is_alive
         checks: list[bool] = []
@@ -121,8 +114,8 @@
             return checks[-1]
 
         monkeypatch.setattr(UpstreamConnection, "is_alive", check_and_end)
-        events = record_events(rig.proxy)
-        assert status(await rig.send_request("/pay/x", b"debit")) == 502
+        events = record_events(harness)
+        assert status(await harness.send_request("/pay/x", b"debit")) == 502
         assert checks == [True]
         outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
         assert outcomes == [Outcome.RESET]
@@ -162,8 +155,8 @@
     monkeypatch.setattr(
         "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
     )  # the fail-safe response comes too late
-    async with Rig(Upstream()) as rig:
-        handle = rig.proxy.balancer.handle
+    async with ProxyHarness(Upstream()) as harness:
+        handle = harness.proxy.balancer.handle
         events: list[Event] = []
 
         def faulty(event: Event, now: float) -> list[Action]:
@@ -175,12 +168,12 @@
                 raise RuntimeError("a fault of the policy")
             return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
 
-        rig.proxy.balancer.handle = faulty  # type: ignore[method-assign]
-        assert status(await rig.send_request()) == 503
+        harness.proxy.balancer.handle = faulty  # type: ignore[method-assign]
+        assert status(await harness.send_request()) == 503
         of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
         assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
-        assert status(await rig.send_request()) == 200
-        assert not rig.proxy.open_requests
+        assert status(await harness.send_request()) == 200
+        assert not harness.proxy.open_requests
     assert "a fault of the policy" in capsys.readouterr().err
 
 
@@ -203,15 +196,15 @@
     ],
 )
 async def test_the_proxy_serves_with_any_settings_that_are_allowed(settings: dict[str, Any]) -> None:
-    async with Rig(Upstream(), **settings) as rig:
-        assert status(await rig.send_request(deadline="5000m")) == 200
+    async with ProxyHarness(Upstream(), **settings) as harness:
+        assert status(await harness.send_request(deadline="5000m")) == 200
 
 
 async def test_the_proxy_serves_with_the_smallest_limits() -> None:
     upstream = Upstream()
     document = json.loads(config_text("127.0.0.1:9", [entry("s0", await upstream.start())]))
     document["limits"] = {"memory_mb": 32, "sockets": 50}
-    rig = Rig()
-    rig.proxy = Proxy(configuration(json.dumps(document)), asyncio.get_running_loop())
-    rig.proxy.start()
-    assert status(await rig.send_request()) == 200
+    harness = ProxyHarness()
+    harness.proxy = Proxy(configuration(json.dumps(document)), asyncio.get_running_loop())
+    harness.proxy.start()
+    assert status(await harness.send_request()) == 200
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network.clock import Clock
-from tests.support.loopback import config_text
+from tests.support.configurations import config_text
 
 
 def test_a_configuration_error_is_one_line_and_an_exit_code(tmp_path: Path) -> None:
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -16,9 +16,12 @@
 
 import pytest
 
-from tests.support.configurations import LISTEN_ANYWHERE
-from tests.support.loopback import TIMEOUT_S, Client, config_text, entry, free_port, status
+from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
+from tests.support.http_client import Client
+from tests.support.http_messages import status
 from tests.support.program import running_program
+from tests.support.sockets import free_port
+from tests.support.waiting import TEST_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
 ENTRIES = 7_000  # the longest list that is expected
@@ -50,7 +53,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=TIMEOUT_S,
+        timeout=TEST_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 0, done.stderr
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -8,38 +8,33 @@
 
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.network.discovery import watch as endpoint_watch
-from tests.support.configurations import configuration
-from tests.support.loopback import (
-    DiscoveryServer,
-    Rig,
-    Upstream,
-    config_text,
-    entry,
-    never_respond,
-    record_events,
-    status,
-)
+from tests.support.configurations import config_text, configuration, entry
+from tests.support.event_recorder import record_events
+from tests.support.http_messages import status
 from tests.support.program import program_with_open_request, read_log_line
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_discovery import DiscoveryServer
+from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.upstream_attempts import full_backlog
 
 
 async def test_a_new_discovery_is_asked_at_once_for_a_snapshot_and_the_old_one_closed() -> None:
     first, second = Upstream(), Upstream(never_respond)
-    async with Rig(first) as rig:
-        events = record_events(rig.proxy)
-        assert status(await rig.send_request()) == 200
-        await rig.discovery.calls.get()
+    async with ProxyHarness(first) as harness:
+        events = record_events(harness)
+        assert status(await harness.send_request()) == 200
+        await harness.discovery.calls.get()
         for index in (3, 1):  # twice in a row; its versions are smaller than those of the one before
             new = DiscoveryServer()
-            rig.proxy.reconfigure(configuration(config_text(await new.start(), [])))
+            harness.proxy.reconfigure(configuration(config_text(await new.start(), [])))
             assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
             new.publish(index, entry("s1", await second.start()), snapshot=True)
             assert f"?after={index}&" in await new.calls.get()
-        await rig.discovery.connection_closed.wait()
-        rig.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
+        await harness.discovery.connection_closed.wait()
+        harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
         kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
         assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-        assert set(rig.proxy.upstreams._pools) == {"s1"}
+        assert set(harness.proxy.upstreams._pools) == {"s1"}
 
 
 async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(tmp_path: Path) -> None:
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -5,14 +5,16 @@
 import pytest
 
 from loadbalancer.network.request_ids import RequestIds
-from tests.support.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.http_messages import response, status
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Upstream, never_respond
 
 
 async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
     upstream = Upstream(never_respond)
-    async with Rig(upstream) as rig:
-        first = await rig.client()
-        second = await rig.client()
+    async with ProxyHarness(upstream) as harness:
+        first = await harness.client()
+        second = await harness.client()
         first.send("/pay/x", b"debit", x_request_id="same")
         await upstream.seen.wait()
         second.send("/pay/x", b"debit", x_request_id="same")
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -11,7 +11,9 @@
 
 import pytest
 
-from tests.support.loopback import TIMEOUT_S, DiscoveryServer, config_text, entry
+from tests.support.configurations import config_text, entry
+from tests.support.scripted_discovery import DiscoveryServer
+from tests.support.waiting import TEST_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
 
@@ -77,7 +79,7 @@
         env=os.environ | {"LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
-        timeout=TIMEOUT_S,
+        timeout=TEST_TIMEOUT_S,
         check=False,
     )
 
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -12,17 +12,11 @@
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.sockets import peek
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
-from tests.support.loopback import (
-    ReceivedMessage,
-    Rig,
-    Script,
-    Upstream,
-    entry,
-    never_respond,
-    response,
-    status,
-)
+from tests.support.configurations import entry
+from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_upstream import Script, Upstream, never_respond
 from tests.support.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
 
@@ -127,8 +121,8 @@
 
 async def test_attempt_of_a_request_that_has_its_response_is_not_sent() -> None:
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        proxy, events = rig.proxy, list[Event]()
+    async with ProxyHarness(upstream) as harness:
+        proxy, events = harness.proxy, list[Event]()
 
         def respond_then_send(event: Event, now: float) -> list[Action]:
             events.append(event)
@@ -139,8 +133,8 @@
                 ]
             return []
 
-        replace_policy(rig, respond_then_send)
-        reply = await rig.send_request()
+        replace_policy(harness, respond_then_send)
+        reply = await harness.send_request()
         assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
         assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
         assert not upstream.received
@@ -148,9 +142,9 @@
 
 
 async def test_cached_endpoint_list_is_applied_before_discovery_is_called() -> None:
-    async with Rig(Upstream()) as rig:
-        assert rig.proxy.balancer.ready_endpoints  # before a single turn of the loop
-        assert rig.discovery.calls.empty()
+    async with ProxyHarness(Upstream()) as harness:
+        assert harness.proxy.balancer.ready_endpoints  # before a single turn of the loop
+        assert harness.discovery.calls.empty()
 
 
 @pytest.mark.parametrize(
@@ -165,9 +159,9 @@
 async def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(behind: bytes) -> None:
     """They replaced the response, made it a reset, or were taken for the response to the next request."""
     upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
-    async with Rig(upstream) as rig:
-        assert (await rig.send_request()).body == b"the answer"
-        assert (await rig.send_request()).body == b"the next"
+    async with ProxyHarness(upstream) as harness:
+        assert (await harness.send_request()).body == b"the answer"
+        assert (await harness.send_request()).body == b"the next"
         assert upstream.connections == 2  # the first carries nothing more
 
 
@@ -186,22 +180,22 @@
 async def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins() -> None:
     """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
-    async with Rig(*upstreams) as rig:
+    async with ProxyHarness(*upstreams) as harness:
         ended = list[bool]()
 
         def look_at_the_upstream(event: AttemptFinished) -> None:
             seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
             ended.append(seen == b"")
 
-        before_event(rig, AttemptFinished, look_at_the_upstream)
-        assert status(await rig.send_request("/pay/x", b"debit", deadline="200m")) == 502
+        before_event(harness, AttemptFinished, look_at_the_upstream)
+        assert status(await harness.send_request("/pay/x", b"debit", deadline="200m")) == 502
         assert ended == [True]
 
 
 async def test_interim_responses_are_ignored() -> None:
     upstream = Upstream(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * 3 + response(200, b"final"))
-    async with Rig(upstream) as rig:
-        assert (await rig.send_request()).body == b"final"
+    async with ProxyHarness(upstream) as harness:
+        assert (await harness.send_request()).body == b"final"
 
 
 async def test_bytes_before_the_request_was_written_are_no_response() -> None:
@@ -254,12 +248,14 @@
     def received(cls: str) -> int:
         return sum(one.headers["x-class"] == cls for one in failing.received)
 
-    async with Rig(failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE) as rig:
+    async with ProxyHarness(
+        failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE
+    ) as harness:
 
         async def rounds(count: int) -> None:
             for _ in range(count):
-                pays = [rig.send_request("/pay/x", body=b"1") for _ in range(4)]
-                await asyncio.gather(rig.send_request("/read/x"), *pays)
+                pays = [harness.send_request("/pay/x", body=b"1") for _ in range(4)]
+                await asyncio.gather(harness.send_request("/read/x"), *pays)
 
         await rounds(20)
         lost, paid = received("read"), received("pay")
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.support.loopback import Rig
+from tests.support.proxy_harness import ProxyHarness
 from tests.support.waiting import wait_until
 
 HEDGING_LIMITS = {
@@ -31,29 +31,31 @@
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-def connect_client(rig: Rig) -> socket.socket:
+def connect_client(harness: ProxyHarness) -> socket.socket:
     """A client outside the event loop: all that it does takes effect at once."""
-    return socket.create_connection(rig.proxy.listener.address[:2])
+    return socket.create_connection(harness.proxy.listener.address[:2])
 
 
-async def until_idle(rig: Rig) -> None:
+async def until_idle(harness: ProxyHarness) -> None:
     """Wait until no request is open and no attempt in progress."""
     await wait_until(
-        lambda: not rig.proxy.open_requests, "no request is open", state=lambda: rig.proxy.open_requests
+        lambda: not harness.proxy.open_requests,
+        "no request is open",
+        state=lambda: harness.proxy.open_requests,
     )
 
 
-async def until_disconnected(rig: Rig) -> None:
+async def until_disconnected(harness: ProxyHarness) -> None:
     """Wait until the proxy has no connection to a client."""
-    listener = rig.proxy.listener
+    listener = harness.proxy.listener
     await wait_until(
         lambda: not listener.connections, "no client is connected", state=lambda: listener.connections
     )
 
 
-def pass_reuse_delay(rig: Rig) -> None:
+def pass_reuse_delay(harness: ProxyHarness) -> None:
     """Let idle connections to upstreams carry a further request at once."""
-    pools = rig.proxy.upstreams
+    pools = harness.proxy.upstreams
     for name in pools.endpoint_names:
         for connection in pools.pool(name).idle_connections:
             connection.idle_since -= 1.0
--- a/tests/support/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -4,19 +4,19 @@
 
 from loadbalancer.actions import Action
 from loadbalancer.events import AttemptFinished, EndpointListKind, EndpointListUpdate, Event, Outcome
-from tests.support.loopback import Rig
+from tests.support.proxy_harness import ProxyHarness
 
 
-def record_events(rig: Rig) -> list[Event]:
+def record_events(harness: ProxyHarness) -> list[Event]:
     """Return a list to which every further event is appended."""
     events: list[Event] = []
-    handle = rig.proxy.balancer.handle
+    handle = harness.proxy.balancer.handle
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
         events.append(event)
         return handle(event, now)
 
-    rig.proxy.balancer.handle = record_and_handle  # type: ignore[method-assign]
+    harness.proxy.balancer.handle = record_and_handle  # type: ignore[method-assign]
     return events
 
 
--- /dev/null
+++ b/tests/support/http_client.py
@@ -0,0 +1,59 @@
+"""A client of a balancer on one connection."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+
+from tests.support.http_messages import ReceivedMessage, read_message
+from tests.support.sockets import connect_if_accepted
+from tests.support.waiting import wait_until
+
+_REQUEST_NUMBERS = itertools.count(1)  # an id is new with every request
+
+
+class Client:
+    """A client on one connection."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+    @classmethod
+    async def of_program(cls, port: int) -> Client:
+        """Connect to a program that was started just now, as soon as it listens."""
+        connected = await wait_until(
+            lambda: connect_if_accepted(port), "the program accepts connections", poll_interval_s=0.01
+        )
+        client = cls()
+        client.reader, client.writer = await asyncio.open_connection(sock=connected)
+        return client
+
+    def send(
+        self,
+        path: str = "/read/x?y=1",
+        body: bytes = b"",
+        deadline: str = "4000m",
+        **headers: str,
+    ) -> None:
+        """Send a request: POST if it has a body, else GET.
+
+        Args:
+            path: Its target; the first part is its class.
+            body: Its body.
+            deadline: Its X-Deadline.
+            headers: Further headers, or other values for the default ones; an empty one is left out.
+        """
+        method = "POST" if body else "GET"
+        named = {
+            "x-request-id": f"{next(_REQUEST_NUMBERS):08x}",
+            "x-class": path[1:].partition("/")[0],
+            "x-deadline": deadline,
+        }
+        named |= {n.replace("_", "-"): v for n, v in headers.items()}
+        lines = [f"{method} {path} HTTP/1.1", "Host: h", *[f"{n}: {v}" for n, v in named.items() if v]]
+        lines.append(f"Content-Length: {len(body)}")
+        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
+
+    async def read_response(self) -> ReceivedMessage:
+        """Read the next response."""
+        return await read_message(self.reader)
--- /dev/null
+++ b/tests/support/http_messages.py
@@ -0,0 +1,33 @@
+"""HTTP messages as the tests write and read them."""
+
+from __future__ import annotations
+
+import asyncio
+
+
+class ReceivedMessage:
+    """A request as an upstream received it, or a response as a client did."""
+
+    def __init__(self, head: bytes, body: bytes) -> None:
+        self.line, *rest = head.decode("latin-1").split("\r\n")
+        self.headers = {n.lower(): v for n, _, v in (line.partition(": ") for line in rest if line)}
+        self.body = body
+
+
+async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
+    """Read one whole message."""
+    head = await reader.readuntil(b"\r\n\r\n")
+    message = ReceivedMessage(head[:-4], b"")
+    message.body = await reader.readexactly(int(message.headers.get("content-length", "0")))
+    return message
+
+
+def response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
+    """The bytes of a response; headers are whole lines."""
+    lines = [f"HTTP/1.1 {status} Any", f"Content-Length: {len(body)}", *headers]
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+
+
+def status(reply: ReceivedMessage) -> int:
+    """The status of a response."""
+    return int(reply.line.split(" ")[1])
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -7,19 +7,19 @@
 
 from loadbalancer.actions import Action
 from loadbalancer.events import Event
-from tests.support.loopback import Rig
+from tests.support.proxy_harness import ProxyHarness
 
 EventHandler = Callable[[Event, float], list[Action]]
 
 
-def replace_policy(rig: Rig, handler: EventHandler) -> EventHandler:
+def replace_policy(harness: ProxyHarness, handler: EventHandler) -> EventHandler:
     """Have a function handle all further events; returns what handled them until now."""
-    previous: EventHandler = rig.proxy.balancer.handle
-    rig.proxy.balancer.handle = handler  # type: ignore[method-assign, assignment]
+    previous: EventHandler = harness.proxy.balancer.handle
+    harness.proxy.balancer.handle = handler  # type: ignore[method-assign, assignment]
     return previous
 
 
-def before_event(rig: Rig, event_type: type, act: Callable[[Any], None]) -> None:
+def before_event(harness: ProxyHarness, event_type: type, act: Callable[[Any], None]) -> None:
     """Call a function with each event of one type before the policy handles it."""
 
     def act_then_handle(event: Event, now: float) -> list[Action]:
@@ -27,4 +27,4 @@
             act(event)
         return handle(event, now)
 
-    handle = replace_policy(rig, act_then_handle)
+    handle = replace_policy(harness, act_then_handle)
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -11,16 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.configurations import LISTEN_ANYWHERE, config_text
-from tests.support.loopback import (
-    Client,
-    DiscoveryServer,
-    Upstream,
-    entry,
-    free_port,
-    never_respond,
-    response,
-)
+from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
+from tests.support.http_client import Client
+from tests.support.http_messages import response
+from tests.support.scripted_discovery import DiscoveryServer
+from tests.support.scripted_upstream import Upstream, never_respond
+from tests.support.sockets import free_port
 
 
 @asynccontextmanager
--- /dev/null
+++ b/tests/support/scripted_discovery.py
@@ -0,0 +1,63 @@
+"""A discovery that responds by a script."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+from tests.support.http_messages import read_message, response
+from tests.support.sockets import socket_address
+
+
+class DiscoveryServer:
+    """Discovery: each call gets the next response put in; with none there it waits, as a watch does.
+
+    Attributes:
+        responses: The responses to come, as bytes.
+        calls: The request lines of the calls that have come.
+        connection_closed: Set when a connection has ended.
+    """
+
+    def __init__(self) -> None:
+        self.responses: asyncio.Queue[bytes] = asyncio.Queue()
+        self.calls: asyncio.Queue[str] = asyncio.Queue()
+        self.connection_closed = asyncio.Event()
+
+    async def start(self) -> str:
+        """Listen; the result is the address."""
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        return socket_address(self.server)
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        try:
+            while True:
+                call = await read_message(reader)
+                self.calls.put_nowait(call.line)
+                reply = asyncio.ensure_future(self.responses.get())
+                # The balancer sends nothing before it has the response: what can be read is the end.
+                end = asyncio.ensure_future(reader.read(1))
+                await asyncio.wait((reply, end), return_when=asyncio.FIRST_COMPLETED)
+                if end.done():
+                    reply.cancel()
+                    break
+                end.cancel()
+                await asyncio.wait((end,))
+                writer.write(reply.result())
+        except (asyncio.IncompleteReadError, ConnectionError):
+            pass
+        self.connection_closed.set()
+        writer.close()
+
+    def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
+        """Respond to the next call by an endpoint list, or a change of it."""
+        self.responses.put_nowait(list_response(index, *entries, snapshot=snapshot))
+
+
+def list_response(
+    index: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
+) -> bytes:
+    """A response of discovery with an endpoint list, or a change of it."""
+    document = {"index": index, "snapshot": snapshot, "endpoints": entries}
+    return response(200, json.dumps(document, indent=indent).encode())
--- /dev/null
+++ b/tests/support/scripted_upstream.py
@@ -0,0 +1,63 @@
+"""An upstream that responds by a script."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from tests.support.http_messages import ReceivedMessage, read_message, response
+from tests.support.sockets import socket_address
+
+Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
+"""Responds to a request, or does not."""
+
+
+class Upstream:
+    """A server that responds to its nth request by the nth script, and to all later ones by the last.
+
+    Attributes:
+        received: The requests that it received.
+        connections: How many connections it accepted.
+        writers: The sending side of each of them.
+        seen: Set with the first request.
+        connection_closed: Set when the balancer has ended a connection.
+    """
+
+    def __init__(self, *scripts: Script | bytes) -> None:
+        self._scripts = scripts or (response(),)
+        self.received: list[ReceivedMessage] = []
+        self.connections = 0
+        self.writers: list[asyncio.StreamWriter] = []
+        self.seen = asyncio.Event()
+        self.connection_closed = asyncio.Event()
+
+    async def start(self) -> str:
+        """Listen; the result is the address."""
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        return socket_address(self.server)
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
+        self.writers.append(writer)
+        try:
+            while True:
+                request = await read_message(reader)
+                script = self._scripts[min(len(self.received), len(self._scripts) - 1)]
+                self.received.append(request)
+                self.seen.set()
+                if isinstance(script, bytes):
+                    writer.write(script)
+                else:
+                    await script(request, writer)
+        except (asyncio.IncompleteReadError, ConnectionError):
+            self.connection_closed.set()
+            writer.close()
+
+
+async def never_respond(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    """Never respond."""
+
+
+async def reset(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection instead of a response."""
+    writer.transport.abort()
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -17,8 +17,9 @@
 from loadbalancer.events import EndpointListUpdate, Event
 from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.network.proxy import Proxy
-from tests.support.configurations import DEFAULT_SEED, config_text, configuration
-from tests.support.loopback import entry, list_response, response
+from tests.support.configurations import DEFAULT_SEED, config_text, configuration, entry
+from tests.support.http_messages import response
+from tests.support.scripted_discovery import list_response
 
 FAULTS = ("refuses", "resets", "away", "late", "silent", "error", "half")
 CONNECT_FAULTS = ("refuses", "away", "late")  # the faults that show as soon as a connection is opened
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -13,7 +13,7 @@
 from loadbalancer.network.upstream.attempt import UpstreamAttempt
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.network.upstream.response_reader import Response
-from tests.support.loopback import config_text, entry
+from tests.support.configurations import config_text, entry
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
 
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -10,6 +10,9 @@
 
 T = TypeVar("T")
 
+TEST_TIMEOUT_S = 10.0
+"""Time limit of an asynchronous test; only a test that hangs comes near it."""
+
 WAIT_TIMEOUT_S = 8.0
 """How long a condition may take: less than the time limit of a test, so that this message comes first."""
 
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -12,7 +12,8 @@
 
 from testbed.balancer import real
 from testbed.balancer.real import RealBalancer, RealError
-from tests.support.loopback import config_text, run
+from tests.support.configurations import config_text
+from tests.support.loopback import run
 
 
 def _started(host: str, **settings: object) -> str:
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -9,7 +9,8 @@
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
-from tests.support.loopback import ReceivedMessage, read_message, run
+from tests.support.http_messages import ReceivedMessage, read_message
+from tests.support.loopback import run
 from tests.testbed.support.stand_ins import three, until
 
 Known = dict[str, EndpointEntry]
--- a/tests/testbed/http/test_http_client.py
+++ b/tests/testbed/http/test_http_client.py
@@ -4,8 +4,9 @@
 
 from loadbalancer.configuration import read_address
 from testbed.http.client import Client
-from tests.support.loopback import Upstream as Scripted
-from tests.support.loopback import response, run
+from tests.support.http_messages import response
+from tests.support.loopback import run
+from tests.support.scripted_upstream import Upstream as Scripted
 from tests.testbed.support.loads import send_request
 
 
