--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -15,11 +15,11 @@
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
     DelayedConnects,
-    connect_client,
     pass_reuse_delay,
     request_bytes,
     until_idle,
 )
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
 from tests.support.proxy_harness import ProxyHarness
@@ -27,28 +27,31 @@
 from tests.support.waiting import wait_until
 
 
-async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request() -> None:
+async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
+    start_proxy: StartProxy,
+) -> None:
     """The policy sends a moment later; the event loop has not read the disconnect yet."""
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        client = connect_client(harness)
+    harness = await start_proxy(upstream)
+    client = harness.connect_socket()
 
-        def hold(event: Event, now: float) -> list[Action]:
-            if isinstance(event, RequestReceived):
-                return [SetTimer(now, HedgeTimer(event.request_id))]
-            if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
-                client.close()
-                return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
-            return []
+    def hold(event: Event, now: float) -> list[Action]:
+        if isinstance(event, RequestReceived):
+            return [SetTimer(now, HedgeTimer(event.request_id))]
+        if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
+            client.close()
+            return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
+        return []
 
-        replace_policy(harness, hold)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
-        await until_idle(harness)
-        assert not upstream.connections
+    replace_policy(harness, hold)
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
+    await until_idle(harness)
+    assert not upstream.connections
 
 
 async def test_not_retried_when_the_client_disconnects_while_the_retry_connects(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The retry opens a connection of its own; the client disconnects as that is established."""
@@ -58,39 +61,41 @@
         writer.write(response(503, b"", "X-Not-Run: 1") if is_rejected else response())
 
     upstreams = Upstream(by_class), Upstream(by_class)
-    async with ProxyHarness(*upstreams) as harness:
-        while not all(upstream.received for upstream in upstreams):
-            assert status(await harness.send_request()) == 200
-        pass_reuse_delay(harness)
-        client, connects = connect_client(harness), DelayedConnects(monkeypatch)
-        connects.on_established = client.close
-        connects.allowed.set()
-        client.sendall(request_bytes("/pay", 1, b"debit"))
-        await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
-        await until_idle(harness)
-        assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
-        received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
-        assert received.count("pay") == 1
-
-
-async def test_pipelined_request_is_not_sent_when_the_client_disconnects_before_it() -> None:
+    harness = await start_proxy(*upstreams)
+    while not all(upstream.received for upstream in upstreams):
+        assert status(await harness.send_request()) == 200
+    pass_reuse_delay(harness)
+    client, connects = harness.connect_socket(), DelayedConnects(monkeypatch)
+    connects.on_established = client.close
+    connects.allowed.set()
+    client.sendall(request_bytes("/pay", 1, b"debit"))
+    await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
+    await until_idle(harness)
+    assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
+    received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
+    assert received.count("pay") == 1
+
+
+async def test_pipelined_request_is_not_sent_when_the_client_disconnects_before_it(
+    start_proxy: StartProxy,
+) -> None:
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        client = connect_client(harness)
-        arrived = list[int]()
+    harness = await start_proxy(upstream)
+    client = harness.connect_socket()
+    arrived = list[int]()
 
-        def disconnect_at_the_second(event: RequestReceived) -> None:
-            arrived.append(event.request_id)
-            if len(arrived) == 2:
-                pass_reuse_delay(harness)
-                client.close()
+    def disconnect_at_the_second(event: RequestReceived) -> None:
+        arrived.append(event.request_id)
+        if len(arrived) == 2:
+            pass_reuse_delay(harness)
+            client.close()
 
-        before_event(harness, RequestReceived, disconnect_at_the_second)
-        client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
-        await wait_until(lambda: len(arrived) >= 2, "the policy has got both requests", state=lambda: arrived)
-        await until_idle(harness)
-        assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
-        assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
+    before_event(harness, RequestReceived, disconnect_at_the_second)
+    client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
+    await wait_until(lambda: len(arrived) >= 2, "the policy has got both requests", state=lambda: arrived)
+    await until_idle(harness)
+    assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
+    assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
 
 
 async def client_with_unread_response(harness: ProxyHarness) -> socket.socket:
@@ -107,88 +112,95 @@
     return client
 
 
-async def test_pipelined_request_is_processed_once_the_response_before_it_is_read() -> None:
+async def test_pipelined_request_is_processed_once_the_response_before_it_is_read(
+    start_proxy: StartProxy,
+) -> None:
     """Nothing reported that the rest of the response had left: the next request waited for further bytes."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
-    async with ProxyHarness(upstream) as harness:
-        client, got = await client_with_unread_response(harness), b""
-        while not got.endswith(b"the second"):
-            got += await asyncio.get_running_loop().sock_recv(client, 65_536)
-        client.close()
+    harness = await start_proxy(upstream)
+    client, got = await client_with_unread_response(harness), b""
+    while not got.endswith(b"the second"):
+        got += await asyncio.get_running_loop().sock_recv(client, 65_536)
+    client.close()
 
 
-async def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response() -> None:
+async def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response(
+    start_proxy: StartProxy,
+) -> None:
     """The end was read, but the connection stayed until the response had left; then the next one was sent."""
     upstream = Upstream(response(200, b"x" * 60_000))
-    async with ProxyHarness(upstream) as harness:
-        client = await client_with_unread_response(harness)
-        (connection,) = harness.proxy.listener.connections
-        client.shutdown(socket.SHUT_WR)
-        await wait_until(
-            lambda: connection.transport and connection.transport.is_closing(), "the connection closes"
-        )
-        while await asyncio.get_running_loop().sock_recv(client, 65_536):
-            pass
-        client.close()
-        assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
-        assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
-
-
-async def test_disconnect_is_noticed_while_reading_is_paused() -> None:
+    harness = await start_proxy(upstream)
+    client = await client_with_unread_response(harness)
+    (connection,) = harness.proxy.listener.connections
+    client.shutdown(socket.SHUT_WR)
+    await wait_until(
+        lambda: connection.transport and connection.transport.is_closing(), "the connection closes"
+    )
+    while await asyncio.get_running_loop().sock_recv(client, 65_536):
+        pass
+    client.close()
+    assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
+    assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
+
+
+async def test_disconnect_is_noticed_while_reading_is_paused(start_proxy: StartProxy) -> None:
     """The socket was not polled any more, and all pipelined requests were sent, one after another."""
     upstream = Upstream(never_respond, response())
-    async with ProxyHarness(upstream, tier=1) as harness:
-        client = connect_client(harness)
-        many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-        client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
-        await upstream.seen.wait()
-        (connection,) = harness.proxy.listener.connections
-        await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
-        client.close()
-        await until_idle(harness)  # it is noticed, though its request has no response yet
-        await upstream.connection_closed.wait()
-        assert len(upstream.received) == 1
+    harness = await start_proxy(upstream, tier=1)
+    client = harness.connect_socket()
+    many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+    client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
+    await upstream.seen.wait()
+    (connection,) = harness.proxy.listener.connections
+    await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
+    client.close()
+    await until_idle(harness)  # it is noticed, though its request has no response yet
+    await upstream.connection_closed.wait()
+    assert len(upstream.received) == 1
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_not_sent_when_the_client_disconnects_while_an_upstream_connection_opens(
-    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where attempts must not be cancelled, it was written once the connection was established."""
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
-    async with ProxyHarness(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as harness:
-        left = asyncio.Event()
-        before_event(harness, ClientDisconnected, lambda event: left.set())
-        client = connect_client(harness)
-        client.sendall(request_bytes("/pay", 1, b"debit"))
-        await connects.is_waiting.wait()
-        client.close()
-        await left.wait()
-        connects.allowed.set()
-        await until_idle(harness)
-        assert status(await harness.send_request()) == 200
-        assert len(upstream.received) == 1
+    harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
+    left = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: left.set())
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/pay", 1, b"debit"))
+    await connects.is_waiting.wait()
+    client.close()
+    await left.wait()
+    connects.allowed.set()
+    await until_idle(harness)
+    assert status(await harness.send_request()) == 200
+    assert len(upstream.received) == 1
 
 
 async def test_connection_is_kept_when_the_client_disconnects_as_it_is_established(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
-    async with ProxyHarness(upstream) as harness:
-        client = connect_client(harness)
-        client.sendall(request_bytes("/pay", 1, b"debit"))
-        await connects.is_waiting.wait()
-        connects.on_established = client.close
-        connects.allowed.set()
-        await until_idle(harness)
-        connects.on_established = lambda: None
-        pass_reuse_delay(harness)
-        assert status(await harness.send_request()) == 200
-        assert len(upstream.received) == 1
-        assert upstream.connections == 1, "the connection carries the next request"
-
-
-async def test_not_retried_after_a_disconnect_where_attempts_must_not_be_cancelled() -> None:
+    harness = await start_proxy(upstream)
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/pay", 1, b"debit"))
+    await connects.is_waiting.wait()
+    connects.on_established = client.close
+    connects.allowed.set()
+    await until_idle(harness)
+    connects.on_established = lambda: None
+    pass_reuse_delay(harness)
+    assert status(await harness.send_request()) == 200
+    assert len(upstream.received) == 1
+    assert upstream.connections == 1, "the connection carries the next request"
+
+
+async def test_not_retried_after_a_disconnect_where_attempts_must_not_be_cancelled(
+    start_proxy: StartProxy,
+) -> None:
     """The first attempt stays in progress; its failure causes no further one."""
 
     async def fail_later(received: ReceivedMessage, writer: Any) -> None:
@@ -197,36 +209,37 @@
 
     failing, seen = list[Any](), asyncio.Event()
     upstreams = Upstream(fail_later), Upstream(fail_later)
-    async with ProxyHarness(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as harness:
-        left = asyncio.Event()
-        before_event(harness, ClientDisconnected, lambda event: left.set())
-        client = connect_client(harness)
-        client.sendall(request_bytes("/pay", 1, b"debit"))
-        await seen.wait()
-        client.close()
-        await left.wait()
-        failing[0].write(response(503, b"", "X-Not-Run: 1"))
-        await until_idle(harness)
-        assert sum(len(upstream.received) for upstream in upstreams) == 1
+    harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
+    left = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: left.set())
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/pay", 1, b"debit"))
+    await seen.wait()
+    client.close()
+    await left.wait()
+    failing[0].write(response(503, b"", "X-Not-Run: 1"))
+    await until_idle(harness)
+    assert sum(len(upstream.received) for upstream in upstreams) == 1
 
 
 async def test_hedged_request_that_is_still_connecting_is_not_sent_after_the_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It was sent on after the final response, which the other attempt had brought meanwhile."""
     connects = DelayedConnects(monkeypatch, first=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
-    async with ProxyHarness(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False}) as harness:
-        client = await harness.client()
-        client.send(deadline="1200m")
-        await connects.is_waiting.wait()  # the hedged request connects
-        first = next(upstream for upstream in upstreams if upstream.received)
-        first.writers[0].write(response(200, b"first"))
-        assert (await client.read_response()).body == b"first"
-        connects.allowed.set()
-        await until_idle(harness)
-        other = await harness.client()
-        other.send(deadline="400m")
-        await other.read_response()  # whatever its outcome, all that was in flight has arrived by now
-        received = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.received]
-        assert received.count(first.received[0].headers["x-request-id"]) == 1
+    harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
+    client = await harness.client()
+    client.send(deadline="1200m")
+    await connects.is_waiting.wait()  # the hedged request connects
+    first = next(upstream for upstream in upstreams if upstream.received)
+    first.writers[0].write(response(200, b"first"))
+    assert (await client.read_response()).body == b"first"
+    connects.allowed.set()
+    await until_idle(harness)
+    other = await harness.client()
+    other.send(deadline="400m")
+    await other.read_response()  # whatever its outcome, all that was in flight has arrived by now
+    received = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.received]
+    assert received.count(first.received[0].headers["x-request-id"]) == 1
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -15,9 +15,9 @@
 from loadbalancer.network.client import listener as listener_module
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.listener import Listener
-from tests.support.disconnecting_clients import connect_client, request_bytes
+from tests.support.disconnecting_clients import request_bytes
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
@@ -73,6 +73,7 @@
 
 
 async def test_a_connection_that_is_not_set_up_at_the_end_of_the_shutdown_gets_a_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A busy loop uses up the last pause; if the program ended then, the unread request would be reset."""
@@ -80,28 +81,29 @@
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
 
-    async with ProxyHarness(Upstream()) as harness:
-        may_set_up = delay_connection_setup(monkeypatch)
-        listener = harness.proxy.listener
-        client = connect_client(harness)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: listener.connections, "the client is accepted")
-        abort_open_requests = harness.proxy.abort_open_requests
+    harness = await start_proxy(Upstream())
+    may_set_up = delay_connection_setup(monkeypatch)
+    listener = harness.proxy.listener
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: listener.connections, "the client is accepted")
+    abort_open_requests = harness.proxy.abort_open_requests
 
-        def abort_then_be_busy() -> None:
-            abort_open_requests()
-            may_set_up.set()
-            busy_s = 2 * listener_module.ACCEPT_RETRY_INTERVAL_S
-            asyncio.get_running_loop().call_soon(time.sleep, busy_s)
+    def abort_then_be_busy() -> None:
+        abort_open_requests()
+        may_set_up.set()
+        busy_s = 2 * listener_module.ACCEPT_RETRY_INTERVAL_S
+        asyncio.get_running_loop().call_soon(time.sleep, busy_s)
 
-        monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
-        await listener.shut_down()
-        client.setblocking(False)  # the process is over: what is not there now never comes
-        assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
-        assert client.recv(1) == b""
+    monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
+    await listener.shut_down()
+    client.setblocking(False)  # the process is over: what is not there now never comes
+    assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
+    assert client.recv(1) == b""
 
 
 async def test_invalid_and_slow_clients_get_their_errors_as_soon_as_the_loop_runs_again(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """They connect while the loop is busy for longer than the request timeout, which counts for them."""
@@ -110,106 +112,109 @@
     sweeps = set[float]()
     before_each_expiry_check(monkeypatch, lambda _, now: sweeps.add(now))
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        await asyncio.sleep(0)  # it listens, and sweeps from now on
-        response_starts = {
-            b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
-            b"": b"",
-            b"GET /read HT": b"HTTP/1.1 408 ",
-            request_bytes("/read", 1)[:-2]: b"HTTP/1.1 408 ",
-            request_bytes("/pay", 2, b"debit")[:-1]: b"HTTP/1.1 408 ",
-        }
-        clients = [connect_client(harness) for _ in response_starts]
-        for client, sent in zip(clients, response_starts, strict=True):
-            client.sendall(sent)
-        time.sleep(0.3)  # the loop is busy
-        for client in clients:
-            client.setblocking(False)
-        loop = asyncio.get_running_loop()
-        replies = [await loop.sock_recv(client, 65_536) for client in clients]
-        for reply, start in zip(replies, response_starts.values(), strict=True):
-            assert reply.startswith(start)
-            assert bool(reply) == bool(start)
-        # With a timeout that began when they were accepted there would be ten sweeps.
-        assert len(sweeps) <= 6
-        assert not upstream.connections
+    harness = await start_proxy(upstream)
+    await asyncio.sleep(0)  # it listens, and sweeps from now on
+    response_starts = {
+        b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
+        b"": b"",
+        b"GET /read HT": b"HTTP/1.1 408 ",
+        request_bytes("/read", 1)[:-2]: b"HTTP/1.1 408 ",
+        request_bytes("/pay", 2, b"debit")[:-1]: b"HTTP/1.1 408 ",
+    }
+    clients = [harness.connect_socket() for _ in response_starts]
+    for client, sent in zip(clients, response_starts, strict=True):
+        client.sendall(sent)
+    time.sleep(0.3)  # the loop is busy
+    for client in clients:
+        client.setblocking(False)
+    loop = asyncio.get_running_loop()
+    replies = [await loop.sock_recv(client, 65_536) for client in clients]
+    for reply, start in zip(replies, response_starts.values(), strict=True):
+        assert reply.startswith(start)
+        assert bool(reply) == bool(start)
+    # With a timeout that began when they were accepted there would be ten sweeps.
+    assert len(sweeps) <= 6
+    assert not upstream.connections
 
 
 async def test_a_client_that_sends_single_bytes_to_a_busy_loop_times_out(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each check finds a byte that is not read yet, which must not put the timeout off."""
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     checks = list[float]()
-    async with ProxyHarness(Upstream()) as harness:
-        client = connect_client(harness)
-        client.sendall(b"GET /read?")
+    harness = await start_proxy(Upstream())
+    client = harness.connect_socket()
+    client.sendall(b"GET /read?")
 
-        def send_a_byte(connection: ClientConnection, now: float) -> None:
-            if is_past_request_timeout(connection, now) and not connection.discards_input:
-                checks.append(now)
-                client.send(b"x")
+    def send_a_byte(connection: ClientConnection, now: float) -> None:
+        if is_past_request_timeout(connection, now) and not connection.discards_input:
+            checks.append(now)
+            client.send(b"x")
 
-        before_each_expiry_check(monkeypatch, send_a_byte)
-        client.setblocking(False)
-        reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
-        assert reply.startswith(b"HTTP/1.1 408 ")
-        assert len(checks) <= 4
+    before_each_expiry_check(monkeypatch, send_a_byte)
+    client.setblocking(False)
+    reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
+    assert reply.startswith(b"HTTP/1.1 408 ")
+    assert len(checks) <= 4
 
 
 async def test_the_rest_of_a_request_that_arrives_by_the_last_check_is_read(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     rests = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
-    async with ProxyHarness(Upstream()) as harness:
-        client = await harness.client()
-        client.writer.write(request_bytes("/read", 1)[:-2])
-        client_socket = client.writer.transport.get_extra_info("socket")
+    harness = await start_proxy(Upstream())
+    client = await harness.client()
+    client.writer.write(request_bytes("/read", 1)[:-2])
+    client_socket = client.writer.transport.get_extra_info("socket")
 
-        def send_the_rest(connection: ClientConnection, now: float) -> None:
-            if connection.is_request_pending() and is_past_request_timeout(connection, now) and rests:
-                send_at_once(client_socket, rests.pop())
+    def send_the_rest(connection: ClientConnection, now: float) -> None:
+        if connection.is_request_pending() and is_past_request_timeout(connection, now) and rests:
+            send_at_once(client_socket, rests.pop())
 
-        before_each_expiry_check(monkeypatch, send_the_rest)
-        assert status(await client.read_response()) == 200
-        client.writer.write(request_bytes("/read", 2)[:-2])  # each request has a timeout of its own
-        assert status(await client.read_response()) == 200
+    before_each_expiry_check(monkeypatch, send_the_rest)
+    assert status(await client.read_response()) == 200
+    client.writer.write(request_bytes("/read", 2)[:-2])  # each request has a timeout of its own
+    assert status(await client.read_response()) == 200
 
 
 async def test_no_connection_is_evicted_while_its_request_is_arriving(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One is not set up yet, the request of another is not read yet; a third waits to be accepted."""
     set_timeouts_under_pressure(monkeypatch, 60.0)
 
-    async with ProxyHarness(Upstream()) as harness:
-        listener = harness.proxy.listener
-        listener.connection_limit = 2
-        idle = await harness.client()
-        idle.send()
-        assert status(await idle.read_response()) == 200
-        may_set_up = delay_connection_setup(monkeypatch)
-        accepted = connect_client(harness)
-        accepted.sendall(request_bytes("/read", 1))
-        await wait_until(
-            lambda: len(listener.connections) >= 2,
-            "both clients are accepted",
-            state=lambda: listener.connections,
-            poll_interval_s=0.0,
-        )
-        waiting = connect_client(harness)
-        waiting.sendall(request_bytes("/read", 2))
-        # At once, before the loop could read it.
-        send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
-        set_timeouts_under_pressure(monkeypatch, 0.0)
-        listener._evicted_at = -1.0
-        assert not listener.accept_pending()  # it looks for connections to evict
-        may_set_up.set()
-        assert status(await idle.read_response()) == 200
-        for client in (accepted, waiting):
-            client.setblocking(False)
-            reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
-            assert reply.startswith(b"HTTP/1.1 200 ")
+    harness = await start_proxy(Upstream())
+    listener = harness.proxy.listener
+    listener.connection_limit = 2
+    idle = await harness.client()
+    idle.send()
+    assert status(await idle.read_response()) == 200
+    may_set_up = delay_connection_setup(monkeypatch)
+    accepted = harness.connect_socket()
+    accepted.sendall(request_bytes("/read", 1))
+    await wait_until(
+        lambda: len(listener.connections) >= 2,
+        "both clients are accepted",
+        state=lambda: listener.connections,
+        poll_interval_s=0.0,
+    )
+    waiting = harness.connect_socket()
+    waiting.sendall(request_bytes("/read", 2))
+    # At once, before the loop could read it.
+    send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
+    set_timeouts_under_pressure(monkeypatch, 0.0)
+    listener._evicted_at = -1.0
+    assert not listener.accept_pending()  # it looks for connections to evict
+    may_set_up.set()
+    assert status(await idle.read_response()) == 200
+    for client in (accepted, waiting):
+        client.setblocking(False)
+        reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
+        assert reply.startswith(b"HTTP/1.1 200 ")
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -24,12 +24,12 @@
 from tests.support.configurations import entry
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
-    connect_client,
     pass_reuse_delay,
     request_bytes,
     until_disconnected,
     until_idle,
 )
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
 from tests.support.proxy_harness import ProxyHarness
@@ -106,44 +106,44 @@
 
 @WAYS_TO_DISCONNECT
 async def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
-    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
-    async with ProxyHarness(Upstream()) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client = connect_client(harness)
-        client.sendall(request_bytes("/read", 1))
-        disconnect(client)
-        await harness.send_request()  # its connection came later
-        await until_disconnected(harness)
-        assert await ids_received(harness) == []
+    harness = await start_proxy(Upstream())
+    await open_idle_connections(harness, monkeypatch)
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1))
+    disconnect(client)
+    await harness.send_request()  # its connection came later
+    await until_disconnected(harness)
+    assert await ids_received(harness) == []
 
 
 @WAYS_TO_DISCONNECT
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
-    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
-    async with ProxyHarness(Upstream()) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client, left = connect_client(harness), asyncio.Event()
-
-        def hold(event: Event, now: float) -> list[Action]:
-            if isinstance(event, RequestReceived):
-                return [SetTimer(now, HedgeTimer(event.request_id))]
-            if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
-                disconnect(client)
-                return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
-            if isinstance(event, ClientDisconnected):
-                left.set()
-            return []
-
-        handle = replace_policy(harness, hold)
-        client.sendall(request_bytes("/read", 1))
-        await left.wait()
-        await until_idle(harness)
-        replace_policy(harness, handle)
-        assert await ids_received(harness) == []
+    harness = await start_proxy(Upstream())
+    await open_idle_connections(harness, monkeypatch)
+    client, left = harness.connect_socket(), asyncio.Event()
+
+    def hold(event: Event, now: float) -> list[Action]:
+        if isinstance(event, RequestReceived):
+            return [SetTimer(now, HedgeTimer(event.request_id))]
+        if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
+            disconnect(client)
+            return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
+        if isinstance(event, ClientDisconnected):
+            left.set()
+        return []
+
+    handle = replace_policy(harness, hold)
+    client.sendall(request_bytes("/read", 1))
+    await left.wait()
+    await until_idle(harness)
+    replace_policy(harness, handle)
+    assert await ids_received(harness) == []
 
 
 @WAYS_TO_DISCONNECT
@@ -159,40 +159,44 @@
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
 async def test_not_retried_when_the_client_disconnects_as_its_attempt_fails(
-    request_bytes: bytes, script: Any, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy,
+    request_bytes: bytes,
+    script: Any,
+    disconnect: Disconnect,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The client disconnects as its first attempt fails; a retry would be written at once."""
-    async with ProxyHarness(
-        Upstream(for_first_request(script)), Upstream(for_first_request(script))
-    ) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client, ends = connect_client(harness), list[AttemptFinished]()
+    harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
+    await open_idle_connections(harness, monkeypatch)
+    client, ends = harness.connect_socket(), list[AttemptFinished]()
 
-        def disconnect_once(event: AttemptFinished) -> None:
-            ends.append(event)
-            if len(ends) == 1:
-                disconnect(client)
+    def disconnect_once(event: AttemptFinished) -> None:
+        ends.append(event)
+        if len(ends) == 1:
+            disconnect(client)
 
-        before_event(harness, AttemptFinished, disconnect_once)
-        client.sendall(request_bytes)
-        await wait_until(lambda: ends, "the client has disconnected")
-        await until_idle(harness)
-        assert await ids_received(harness) == ["1"]
+    before_event(harness, AttemptFinished, disconnect_once)
+    client.sendall(request_bytes)
+    await wait_until(lambda: ends, "the client has disconnected")
+    await until_idle(harness)
+    assert await ids_received(harness) == ["1"]
 
 
-async def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_same_failures_are_retried_while_the_client_stays(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The test above rests on it: only the disconnect keeps the retry back."""
     script = for_first_request(response(500))
-    async with ProxyHarness(Upstream(script), Upstream(script)) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client = connect_client(harness)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(
-            lambda: ids_of_attempts(harness).count("1") >= 2,
-            "the request is hedged",
-            state=lambda: ids_of_attempts(harness),
-        )
-        client.close()
+    harness = await start_proxy(Upstream(script), Upstream(script))
+    await open_idle_connections(harness, monkeypatch)
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(
+        lambda: ids_of_attempts(harness).count("1") >= 2,
+        "the request is hedged",
+        state=lambda: ids_of_attempts(harness),
+    )
+    client.close()
 
 
 def record_hedge_timers(harness: ProxyHarness) -> list[HedgeTimer]:
@@ -210,69 +214,70 @@
 
 @pytest.mark.parametrize("disconnect", [None, close, half_close, reset_by_client, close_behind_bytes])
 async def test_hedged_request_is_sent_only_while_the_client_is_connected(
-    disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its timer fires before the event loop has read the client's end."""
     script = for_first_request(never_respond)
-    async with ProxyHarness(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client, timers = connect_client(harness), record_hedge_timers(harness)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: timers, "the policy has set a hedge timer")
-        if disconnect is not None:
-            disconnect(client)
-        harness.proxy._dispatch(TimerFired(timers[0]))
-        assert await ids_received(harness) == ["1"] * (1 if disconnect else 2)
+    harness = await start_proxy(Upstream(script), Upstream(script), limits=HEDGING_LIMITS)
+    await open_idle_connections(harness, monkeypatch)
+    client, timers = harness.connect_socket(), record_hedge_timers(harness)
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: timers, "the policy has set a hedge timer")
+    if disconnect is not None:
+        disconnect(client)
+    harness.proxy._dispatch(TimerFired(timers[0]))
+    assert await ids_received(harness) == ["1"] * (1 if disconnect else 2)
 
 
 async def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
     script = for_first_request(never_respond)
-    async with ProxyHarness(
+    harness = await start_proxy(
         Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
-    ) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client, timers, left = connect_client(harness), record_hedge_timers(harness), asyncio.Event()
-        before_event(harness, ClientDisconnected, lambda event: left.set())
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: timers, "the policy has set a hedge timer")
-        client.close()
-        await left.wait()
-        harness.proxy._dispatch(TimerFired(timers[0]))
-        assert harness.proxy.open_requests, "the first attempt is still in progress"
-        assert await ids_received(harness) == ["1"]
+    )
+    await open_idle_connections(harness, monkeypatch)
+    client, timers, left = harness.connect_socket(), record_hedge_timers(harness), asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: left.set())
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: timers, "the policy has set a hedge timer")
+    client.close()
+    await left.wait()
+    harness.proxy._dispatch(TimerFired(timers[0]))
+    assert harness.proxy.open_requests, "the first attempt is still in progress"
+    assert await ids_received(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_pipelined_requests_are_not_sent_after_a_disconnect(
-    may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where the first attempt goes on, its response must not start the next request."""
     upstream = Upstream(for_first_request(never_respond))
-    async with ProxyHarness(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        left = asyncio.Event()
-        before_event(harness, ClientDisconnected, lambda event: left.set())
-        client = connect_client(harness)
-        client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
-        await wait_until(
-            lambda: upstream.received[-1].headers["x-request-id"] == "1",
-            "the upstream has received the first request",
-        )
-        disconnect(client)
-        await left.wait()
-        for writer in upstream.writers:
-            writer.write(response())
-        await until_idle(harness)
-        assert await ids_received(harness) == ["1"]
+    harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
+    await open_idle_connections(harness, monkeypatch)
+    left = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: left.set())
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
+    await wait_until(
+        lambda: upstream.received[-1].headers["x-request-id"] == "1",
+        "the upstream has received the first request",
+    )
+    disconnect(client)
+    await left.wait()
+    for writer in upstream.writers:
+        writer.write(response())
+    await until_idle(harness)
+    assert await ids_received(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
 async def test_not_retried_after_a_disconnect_while_reading_is_paused(
-    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end is behind requests that are not read, and the sweep has not looked at the connection."""
     monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 3_600.0)
@@ -281,30 +286,28 @@
         failing.append(writer)
 
     failing = list[Any]()
-    async with ProxyHarness(
+    harness = await start_proxy(
         Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
-    ) as harness:
-        await open_idle_connections(harness, monkeypatch)
-        client = connect_client(harness)
-        many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-        client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
-        await wait_until(
-            lambda: failing and any(c.is_reading_paused for c in harness.proxy.listener.connections),
-            "an attempt is in progress and the balancer pauses reading",
-            state=lambda: failing,
-        )
-        before_event(
-            harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client)
-        )
-        failing[0].write(response(500))
-        await until_idle(harness)
-        await until_disconnected(harness)
-        assert await ids_received(harness) == ["1"]
+    )
+    await open_idle_connections(harness, monkeypatch)
+    client = harness.connect_socket()
+    many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+    client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
+    await wait_until(
+        lambda: failing and any(c.is_reading_paused for c in harness.proxy.listener.connections),
+        "an attempt is in progress and the balancer pauses reading",
+        state=lambda: failing,
+    )
+    before_event(harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
+    failing[0].write(response(500))
+    await until_idle(harness)
+    await until_disconnected(harness)
+    assert await ids_received(harness) == ["1"]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
-    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The upstream never gets the last byte, without which it does not begin to process a request."""
     made, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
@@ -323,21 +326,21 @@
         listener.listen()
         listener.setblocking(False)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        harness = ProxyHarness(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
-        harness.entries.append(entry("s0", address))
-        async with harness:
-            client, left = connect_client(harness), asyncio.Event()
-            before_event(harness, ClientDisconnected, lambda event: left.set())
-            client.setblocking(False)
-            await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
-            await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
-            client.close()
-            await left.wait()
-            upstream, got = (await loop.sock_accept(listener))[0], b""
-            with upstream:
-                while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
-                    got += part
-            head, _, body = got.partition(b"\r\n\r\n")
-            assert head.startswith(b"POST /pay ")
-            assert len(body) < MAX_BODY_BYTES
-            assert not harness.proxy.open_requests
+        harness = await start_proxy(
+            more_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
+        )
+        client, left = harness.connect_socket(), asyncio.Event()
+        before_event(harness, ClientDisconnected, lambda event: left.set())
+        client.setblocking(False)
+        await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
+        await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
+        client.close()
+        await left.wait()
+        upstream, got = (await loop.sock_accept(listener))[0], b""
+        with upstream:
+            while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
+                got += part
+        head, _, body = got.partition(b"\r\n\r\n")
+        assert head.startswith(b"POST /pay ")
+        assert len(body) < MAX_BODY_BYTES
+        assert not harness.proxy.open_requests
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -9,53 +9,53 @@
 
 from loadbalancer.network.client import listener
 from tests.support.configurations import LISTEN_ANYWHERE, config_text
+from tests.support.fixture_types import StartProxy
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import running_program
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream
 from tests.support.sockets import free_port
 
 
-async def test_silent_connections_are_evicted_for_a_client_with_a_request() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        harness.proxy.listener.connection_limit = 20
-        clients = [await harness.client() for _ in range(100)]
-        started_at = time.monotonic()
-        assert status(await harness.send_request()) == 200
-        assert time.monotonic() - started_at < 3.0  # the client's time limit
-        for client in clients:
-            assert await client.reader.read() == b""
+async def test_silent_connections_are_evicted_for_a_client_with_a_request(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    harness.proxy.listener.connection_limit = 20
+    clients = [await harness.client() for _ in range(100)]
+    started_at = time.monotonic()
+    assert status(await harness.send_request()) == 200
+    assert time.monotonic() - started_at < 3.0  # the client's time limit
+    for client in clients:
+        assert await client.reader.read() == b""
 
 
-async def test_idle_connections_are_evicted_early_for_waiting_clients() -> None:
+async def test_idle_connections_are_evicted_early_for_waiting_clients(start_proxy: StartProxy) -> None:
     """With 168 connections that stay for 2 s each, no more than 84 requests a second would get through."""
     # A client whose request crosses the close sends it again on a new connection.
     assert listener.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
-    async with ProxyHarness(
-        Upstream(), tier=1
-    ) as harness:  # twenty requests at once are not shed in this tier
-        harness.proxy.listener.connection_limit = 20
-        clients = [await harness.client() for _ in range(60)]
-        for client in clients:
-            client.send(deadline="4000m")
-        for client in clients:
-            assert status(await client.read_response()) == 200
+    harness = await start_proxy(Upstream(), tier=1)  # twenty requests at once are not shed in this tier
+    harness.proxy.listener.connection_limit = 20
+    clients = [await harness.client() for _ in range(60)]
+    for client in clients:
+        client.send(deadline="4000m")
+    for client in clients:
+        assert status(await client.read_response()) == 200
 
 
-async def test_clients_beyond_the_limit_wait_until_an_idle_connection_is_evicted() -> None:
+async def test_clients_beyond_the_limit_wait_until_an_idle_connection_is_evicted(
+    start_proxy: StartProxy,
+) -> None:
     """Accepting is tried again after connections have become idle, not only when one closes."""
-    async with ProxyHarness(Upstream()) as harness:
-        harness.proxy.listener.connection_limit = 2
-        first = await harness.client()
-        second = await harness.client()
-        for client in (first, second):
-            client.send()
-            assert status(await client.read_response()) == 200
-        # Accepted once a connection has been idle for a while.
-        assert status(await harness.send_request()) == 200
-        assert await first.reader.read() == b""
+    harness = await start_proxy(Upstream())
+    harness.proxy.listener.connection_limit = 2
+    first = await harness.client()
+    second = await harness.client()
+    for client in (first, second):
+        client.send()
+        assert status(await client.read_response()) == 200
+    # Accepted once a connection has been idle for a while.
+    assert status(await harness.send_request()) == 200
+    assert await first.reader.read() == b""
 
 
 async def test_accepting_goes_on_after_running_out_of_file_descriptors(tmp_path: Path) -> None:
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 import time
 
 import pytest
@@ -11,8 +10,8 @@
 from loadbalancer.network.client import connection as client_connection
 from loadbalancer.network.client import listener
 from loadbalancer.network.client import pipeline as request_pipeline
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import response, status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond
 
 
@@ -29,51 +28,52 @@
     ],
 )
 async def test_a_connection_without_a_whole_request_is_closed_after_the_timeout(
-    sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Silent clients and those that never finish a request are disconnected within 3 s."""
     longest_s = client_connection.REQUEST_TIMEOUT_S + client_connection.SWEEP_INTERVAL_S
     assert longest_s + request_pipeline.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
-    async with ProxyHarness(Upstream()) as harness:
-        client = await harness.client()
-        client.writer.write(sent)
-        assert (await client.reader.read())[:12] == response_start
-        client.writer.close()
+    harness = await start_proxy(Upstream())
+    client = await harness.client()
+    client.writer.write(sent)
+    assert (await client.reader.read())[:12] == response_start
+    client.writer.close()
 
 
-async def test_time_in_the_accept_queue_counts() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        with socket.create_connection(harness.proxy.listener.address[:2]) as client:
-            client.sendall(b"x")
-            time.sleep(0.1)  # the loop is busy and accepts nothing
-            accepted, _ = harness.proxy.listener._socket.accept()
-            with accepted:
-                ages = listener.queue_ages(accepted)
-                assert ages.connected_s >= 0.05
-                assert ages.request_s >= 0.05
+async def test_time_in_the_accept_queue_counts(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    with harness.connect_socket() as client:
+        client.sendall(b"x")
+        time.sleep(0.1)  # the loop is busy and accepts nothing
+        accepted, _ = harness.proxy.listener._socket.accept()
+        with accepted:
+            ages = listener.queue_ages(accepted)
+            assert ages.connected_s >= 0.05
+            assert ages.request_s >= 0.05
 
 
 async def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener, "KEEP_ALIVE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.1)
 
     upstream = Upstream(response(), never_respond)
-    async with ProxyHarness(upstream) as harness:
-        idle = await harness.client()
-        idle.send()
-        assert status(await idle.read_response()) == 200
-        upstream.seen.clear()
-        busy = await harness.client()
-        busy.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        assert await idle.reader.read() == b""
-        for _ in range(3):
-            harness.proxy.listener.sweep()
-            await asyncio.sleep(0.1)
-        for writer in upstream.writers:
-            writer.write(response(200, b"at last"))
-        assert (await busy.read_response()).body == b"at last"
+    harness = await start_proxy(upstream)
+    idle = await harness.client()
+    idle.send()
+    assert status(await idle.read_response()) == 200
+    upstream.seen.clear()
+    busy = await harness.client()
+    busy.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    assert await idle.reader.read() == b""
+    for _ in range(3):
+        harness.proxy.listener.sweep()
+        await asyncio.sleep(0.1)
+    for writer in upstream.writers:
+        writer.write(response(200, b"at last"))
+    assert (await busy.read_response()).body == b"at last"
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -10,6 +10,7 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import graceful_shutdown
 from tests.support.event_recorder import outcomes, record_events
+from tests.support.fixture_types import StartProxy
 from tests.support.http_client import Client
 from tests.support.http_messages import response, status
 from tests.support.proxy_harness import ProxyHarness
@@ -43,168 +44,176 @@
     return client
 
 
-async def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_clients_keep_their_connections_for_a_while(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """While another balancer restarts, clients whose connections closed would have nowhere to go."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
-    async with ProxyHarness(Upstream()) as harness:
-        listener = harness.proxy.listener
-        listener.max_deadline_s = 120.0
-        client = await client_with_a_response(harness)
-        shutdown = asyncio.ensure_future(listener.shut_down())
-        await wait_until(lambda: listener.is_closed, "the listener is closed")
-        for _ in range(2):
-            client.send()
-            reply = await client.read_response()
-            assert status(reply) == 200
-            assert "connection" not in reply.headers
-        set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-        assert await client.reader.read() == b""  # a clean end, once the time is up
-        client.writer.close()
-        await shutdown
+    harness = await start_proxy(Upstream())
+    listener = harness.proxy.listener
+    listener.max_deadline_s = 120.0
+    client = await client_with_a_response(harness)
+    shutdown = asyncio.ensure_future(listener.shut_down())
+    await wait_until(lambda: listener.is_closed, "the listener is closed")
+    for _ in range(2):
+        client.send()
+        reply = await client.read_response()
+        assert status(reply) == 200
+        assert "connection" not in reply.headers
+    set_shutdown_times(monkeypatch, keep_alive_s=0.0)
+    assert await client.reader.read() == b""  # a clean end, once the time is up
+    client.writer.close()
+    await shutdown
 
 
 async def test_connections_stay_open_for_half_the_longest_deadline_at_most(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The platform kills the process soon after the longest deadline: what arrives later is lost."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
-    async with ProxyHarness(Upstream()) as harness:
-        client = await client_with_a_response(harness)
-        harness.proxy.listener.max_deadline_s = 0.2
-        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
-        assert await client.reader.read() == b""  # a clean end
-        assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
-        client.writer.close()
-        await shutdown
-
-
-async def test_open_requests_and_new_connections_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = await start_proxy(Upstream())
+    client = await client_with_a_response(harness)
+    harness.proxy.listener.max_deadline_s = 0.2
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    assert await client.reader.read() == b""  # a clean end
+    assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
+    client.writer.close()
+    await shutdown
+
+
+async def test_open_requests_and_new_connections_get_responses(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
     upstream = Upstream(response(), never_respond, response())
-    async with ProxyHarness(upstream) as harness:
-        idle = await harness.client()
-        busy = await harness.client()
-        idle.send()
-        assert status(await idle.read_response()) == 200
-        upstream.seen.clear()
-        busy.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
-        await asyncio.sleep(0)
-        assert status(await harness.send_request()) == 200
-        assert await idle.reader.read() == b""  # a clean end, no reset
-        upstream.writers[-1].write(b"")
-        for writer in upstream.writers:
-            writer.write(response(200, b"at last"))
-        reply = await busy.read_response()
-        assert (status(reply), reply.body) == (200, b"at last")
-        assert reply.headers["connection"] == "close"
-        busy.writer.close()
-        idle.writer.close()
-        await shutdown
-
-
-async def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = await start_proxy(upstream)
+    idle = await harness.client()
+    busy = await harness.client()
+    idle.send()
+    assert status(await idle.read_response()) == 200
+    upstream.seen.clear()
+    busy.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    await asyncio.sleep(0)
+    assert status(await harness.send_request()) == 200
+    assert await idle.reader.read() == b""  # a clean end, no reset
+    upstream.writers[-1].write(b"")
+    for writer in upstream.writers:
+        writer.write(response(200, b"at last"))
+    reply = await busy.read_response()
+    assert (status(reply), reply.body) == (200, b"at last")
+    assert reply.headers["connection"] == "close"
+    busy.writer.close()
+    idle.writer.close()
+    await shutdown
+
+
+async def test_a_request_in_the_accept_queue_gets_a_response(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The client has sent all of it, though its connection was not accepted yet."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-    async with ProxyHarness(Upstream()) as harness:
-        listener = harness.proxy.listener
-        clients = list[socket.socket]()
-        accept_pending = listener.accept_pending
-
-        def connect_then_accept() -> bool:
-            clients.append(socket.create_connection(listener.address))
-            clients[0].sendall(
-                b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
-            )
-            return accept_pending()
-
-        monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
-        shutdown = asyncio.ensure_future(listener.shut_down())
-        await wait_until(lambda: clients, "the client has connected", poll_interval_s=0.0)
-        clients[0].setblocking(False)
-        reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
-        assert reply.startswith(b"HTTP/1.1 200")
-        clients[0].close()
-        await shutdown
+    harness = await start_proxy(Upstream())
+    listener = harness.proxy.listener
+    clients = list[socket.socket]()
+    accept_pending = listener.accept_pending
+
+    def connect_then_accept() -> bool:
+        clients.append(socket.create_connection(listener.address))
+        clients[0].sendall(
+            b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
+        )
+        return accept_pending()
+
+    monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
+    shutdown = asyncio.ensure_future(listener.shut_down())
+    await wait_until(lambda: clients, "the client has connected", poll_interval_s=0.0)
+    clients[0].setblocking(False)
+    reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
+    assert reply.startswith(b"HTTP/1.1 200")
+    clients[0].close()
+    await shutdown
 
 
 async def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is left in the queue is reset when the listening socket closes."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
-    async with ProxyHarness(upstream) as harness:
-        listener = harness.proxy.listener
-        listener.connection_limit = 1
-        busy = await harness.client()
-        busy.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        queued = await harness.client()  # in the kernel's queue
-        queued.send()
-        shutdown = asyncio.ensure_future(listener.shut_down())
-        await wait_until(
-            lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0
-        )
-        for _ in range(3):
-            await asyncio.sleep(0)  # the listener has tried to accept
-        upstream.writers[0].write(response(200, b"at last"))
-        assert (await busy.read_response()).body == b"at last"
-        busy.writer.close()
-        assert status(await queued.read_response()) == 200
-        queued.writer.close()
-        await shutdown
-
-
-async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
+    harness = await start_proxy(upstream)
+    listener = harness.proxy.listener
+    listener.connection_limit = 1
+    busy = await harness.client()
+    busy.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    queued = await harness.client()  # in the kernel's queue
+    queued.send()
+    shutdown = asyncio.ensure_future(listener.shut_down())
+    await wait_until(lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0)
+    for _ in range(3):
+        await asyncio.sleep(0)  # the listener has tried to accept
+    upstream.writers[0].write(response(200, b"at last"))
+    assert (await busy.read_response()).body == b"at last"
+    busy.writer.close()
+    assert status(await queued.read_response()) == 200
+    queued.writer.close()
+    await shutdown
+
+
+async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once(start_proxy: StartProxy) -> None:
     """The process ends before an upstream could respond to it."""
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        client = await harness.client()
-        harness.proxy.abort_open_requests()
-        client.send()
-        assert status(await client.read_response()) == 503
-        assert not upstream.connections
+    harness = await start_proxy(upstream)
+    client = await harness.client()
+    harness.proxy.abort_open_requests()
+    client.send()
+    assert status(await client.read_response()) == 503
+    assert not upstream.connections
 
 
 async def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
     upstream = Upstream(never_respond)
-    async with ProxyHarness(upstream) as harness:
-        client = await harness.client()
-        client.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        events = record_events(harness)
-        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
-        assert status(await client.read_response()) == 502
-        await shutdown
-        assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
+    harness = await start_proxy(upstream)
+    client = await harness.client()
+    client.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    events = record_events(harness)
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    assert status(await client.read_response()) == 502
+    await shutdown
+    assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
 
 
 async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The kernel holds it, unread, while the connection is judged to be idle."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-    async with ProxyHarness(Upstream()) as harness:
-        client = await client_with_a_response(harness)
-        (connection,) = harness.proxy.listener.connections
-        is_idle = connection.is_idle
-        has_crossed = asyncio.Event()
-
-        def send_then_is_idle() -> bool:
-            if not has_crossed.is_set():
-                has_crossed.set()
-                client.send()  # written at once, and not read before the result is used
-            return is_idle()
-
-        monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
-        shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
-        reply = await client.read_response()
-        assert status(reply) == 200
-        assert reply.headers["connection"] == "close"
-        client.writer.close()
-        await shutdown
+    harness = await start_proxy(Upstream())
+    client = await client_with_a_response(harness)
+    (connection,) = harness.proxy.listener.connections
+    is_idle = connection.is_idle
+    has_crossed = asyncio.Event()
+
+    def send_then_is_idle() -> bool:
+        if not has_crossed.is_set():
+            has_crossed.set()
+            client.send()  # written at once, and not read before the result is used
+        return is_idle()
+
+    monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    reply = await client.read_response()
+    assert status(reply) == 200
+    assert reply.headers["connection"] == "close"
+    client.writer.close()
+    await shutdown
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -10,43 +10,45 @@
 
 from loadbalancer.network.client import pipeline as request_pipeline
 from tests.support.disconnecting_clients import until_disconnected
+from tests.support.fixture_types import StartProxy
 from tests.support.http_client import Client
 from tests.support.http_messages import status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
 
-async def test_buffered_requests_are_bounded_and_their_memory_is_released() -> None:
+async def test_buffered_requests_are_bounded_and_their_memory_is_released(start_proxy: StartProxy) -> None:
     """Sixteen bodies read ahead on every connection would exceed a small memory limit."""
     upstream = Upstream(never_respond)
-    async with ProxyHarness(upstream) as harness:
-        listener = harness.proxy.listener
-        buffers = listener.context.buffers
-        buffers.limit_bytes = 200_000
-        clients: list[Client] = []
+    harness = await start_proxy(upstream)
+    listener = harness.proxy.listener
+    buffers = listener.context.buffers
+    buffers.limit_bytes = 200_000
+    clients: list[Client] = []
+    for _ in range(4):
+        clients.append(await harness.client())
         for _ in range(4):
-            clients.append(await harness.client())
-            for _ in range(4):
-                clients[-1].send("/pay/x", b"x" * 60_000)
-        health_client = await harness.client()
-        await wait_until(
-            lambda: any(connection.discards_input for connection in listener.connections),
-            "a connection discards what it receives",
-            state=lambda: buffers.used_bytes,
-        )
-        health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
-        assert status(await health_client.read_response()) == 200
-        unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
-        assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
-        for client in clients:
-            client.writer.transport.abort()
-        await wait_until(
-            lambda: not buffers.used_bytes, "the buffers are released", state=lambda: buffers.used_bytes
-        )
+            clients[-1].send("/pay/x", b"x" * 60_000)
+    health_client = await harness.client()
+    await wait_until(
+        lambda: any(connection.discards_input for connection in listener.connections),
+        "a connection discards what it receives",
+        state=lambda: buffers.used_bytes,
+    )
+    health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
+    assert status(await health_client.read_response()) == 200
+    unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
+    assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
+    for client in clients:
+        client.writer.transport.abort()
+    await wait_until(
+        lambda: not buffers.used_bytes, "the buffers are released", state=lambda: buffers.used_bytes
+    )
 
 
-async def test_finished_requests_and_connections_leave_no_objects(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_finished_requests_and_connections_leave_no_objects(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Objects are counted after many requests and connections: a leak grows with their number."""
     # Otherwise the pool's size depends on how many requests the machine can make in that time.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
@@ -56,24 +58,24 @@
             type(o).__name__ for o in gc.get_objects() if str(type(o).__module__).startswith("loadbalancer")
         )
 
-    async with ProxyHarness(Upstream(), max_attempts=3) as harness:
+    harness = await start_proxy(Upstream(), max_attempts=3)
 
-        async def send_requests(times: int) -> None:
-            for _ in range(times):
-                assert status(await harness.send_request()) == 200
-            await until_disconnected(harness)
+    async def send_requests(times: int) -> None:
+        for _ in range(times):
+            assert status(await harness.send_request()) == 200
+        await until_disconnected(harness)
 
-        await send_requests(20)
-        gc.collect()
-        gc.disable()  # objects that only the collector would free count_objects as leaked
-        try:
-            before = count_objects()
-            await send_requests(100)
-            growth: dict[str, Any] = count_objects() - before
-            for timer in ("TimerFired", "HedgeTimer"):
-                growth.pop(timer, None)  # the policy's timers stay until they fire
-        finally:
-            gc.enable()
-        assert all(n < 20 for n in growth.values()), growth
-        assert harness.proxy.balancer.open_requests == 0
-        assert not harness.proxy.open_requests
+    await send_requests(20)
+    gc.collect()
+    gc.disable()  # objects that only the collector would free count_objects as leaked
+    try:
+        before = count_objects()
+        await send_requests(100)
+        growth: dict[str, Any] = count_objects() - before
+        for timer in ("TimerFired", "HedgeTimer"):
+            growth.pop(timer, None)  # the policy's timers stay until they fire
+    finally:
+        gc.enable()
+    assert all(n < 20 for n in growth.values()), growth
+    assert harness.proxy.balancer.open_requests == 0
+    assert not harness.proxy.open_requests
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from tests.support.fixture_types import StartProxy
 from tests.support.http_client import Client
 from tests.support.http_messages import status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream
 
 
@@ -64,16 +64,16 @@
     ],
 )
 async def test_a_rejected_request_closes_the_connection_and_reaches_no_upstream(
-    raw: bytes, expected_status: int
+    start_proxy: StartProxy, raw: bytes, expected_status: int
 ) -> None:
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        client = await harness.client()
-        client.writer.write(raw)
-        assert status(await client.read_response()) == expected_status
-        assert await client.reader.read() == b""
-        assert upstream.connections == 0
-        assert not harness.proxy.open_requests
+    harness = await start_proxy(upstream)
+    client = await harness.client()
+    client.writer.write(raw)
+    assert status(await client.read_response()) == expected_status
+    assert await client.reader.read() == b""
+    assert upstream.connections == 0
+    assert not harness.proxy.open_requests
 
 
 @pytest.mark.parametrize(
@@ -93,22 +93,24 @@
         (b"GET /read HTTP/1.1\r\nX-Long: " + b"x" * 70_000 + b"\r\n\r\n", 431),
     ],
 )
-async def test_a_rejected_request_reaches_no_upstream(raw: bytes, expected_status: int) -> None:
+async def test_a_rejected_request_reaches_no_upstream(
+    start_proxy: StartProxy, raw: bytes, expected_status: int
+) -> None:
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        client = await harness.client()
-        client.writer.write(raw)
-        assert status(await client.read_response()) == expected_status
-        assert not upstream.received
-        assert upstream.connections == 0
+    harness = await start_proxy(upstream)
+    client = await harness.client()
+    client.writer.write(raw)
+    assert status(await client.read_response()) == expected_status
+    assert not upstream.received
+    assert upstream.connections == 0
 
 
-async def test_input_after_a_rejection_is_neither_buffered_nor_parsed() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        client = await harness.client()
-        client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
-        client.writer.write(b"x" * 6_000_000)
-        assert status(await client.read_response()) == 413
-        assert harness.proxy.listener.context.buffers.used_bytes == 0
-        with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await read_for_ever(client)
+async def test_input_after_a_rejection_is_neither_buffered_nor_parsed(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    client = await harness.client()
+    client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
+    client.writer.write(b"x" * 6_000_000)
+    assert status(await client.read_response()) == 413
+    assert harness.proxy.listener.context.buffers.used_bytes == 0
+    with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
+        await read_for_ever(client)
--- /dev/null
+++ b/tests/network/conftest.py
@@ -0,0 +1,76 @@
+"""What the network tests start, each stopped after its test."""
+
+from __future__ import annotations
+
+from contextlib import AsyncExitStack
+from typing import TYPE_CHECKING, Any
+
+import pytest
+
+from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
+from tests.support.http_client import Client
+from tests.support.program import ProgramWithOpenRequest, running_program
+from tests.support.proxy_harness import ProxyHarness
+from tests.support.scripted_discovery import DiscoveryServer
+from tests.support.scripted_upstream import Upstream, never_respond
+from tests.support.sockets import free_port
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+    from pathlib import Path
+
+    from tests.support.fixture_types import ScriptedServer, StartProxy, StartServer
+
+
+@pytest.fixture
+async def stopped_after_test(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[AsyncExitStack]:
+    """Return a stack of what to stop after the test, in reverse order.
+
+    Guards against code that runs with its replacements undone: `monkeypatch` is requested first and so
+    undone last.
+    """
+    async with AsyncExitStack() as stack:
+        yield stack
+
+
+@pytest.fixture
+def start_server(stopped_after_test: AsyncExitStack) -> StartServer:
+    """Return a function that starts a scripted server and returns its address."""
+
+    async def start(server: ScriptedServer) -> str:
+        address = await server.start()
+        stopped_after_test.callback(server.stop)
+        return address
+
+    return start
+
+
+@pytest.fixture
+def start_proxy(stopped_after_test: AsyncExitStack) -> StartProxy:
+    """Return a function that starts a proxy with its upstreams; its arguments are those of `ProxyHarness`."""
+
+    async def start(*upstreams: Upstream, **arguments: Any) -> ProxyHarness:
+        harness = ProxyHarness(*upstreams, **arguments)
+        await harness.start()
+        stopped_after_test.push_async_callback(harness.stop)
+        return harness
+
+    return start
+
+
+@pytest.fixture
+async def program_with_open_request(
+    start_server: StartServer, tmp_path: Path
+) -> AsyncIterator[ProgramWithOpenRequest]:
+    """Start the program, and send it a request to which its upstream does not respond."""
+    upstream, discovery = Upstream(never_respond), DiscoveryServer()
+    entries = [entry("s0", await start_server(upstream))]
+    path, port = tmp_path / "config.json", free_port()
+    text = config_text(await start_server(discovery), entries)
+    path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+    async with running_program(path) as process:
+        client = await Client.of_program(port)
+        client.send("/pay/x", b"debit")
+        await upstream.seen.wait()
+        yield ProgramWithOpenRequest(process, path, port, entries, upstream, client)
+        client.writer.close()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -21,8 +21,8 @@
 from loadbalancer.policy import poll_backoff
 from tests.policy.helpers import PolicyHarness, of_type
 from tests.support.configurations import config_text, configuration, entry
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import read_message, response
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream
 from tests.support.simulated_discovery import (
     FAULTS,
@@ -188,18 +188,18 @@
     run_simulated(scenario)
 
 
-async def test_the_first_watch_after_a_failure_does_not_wait_long() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        await harness.send_request()
+async def test_the_first_watch_after_a_failure_does_not_wait_long(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    await harness.send_request()
 
-        async def wait_ms() -> float:
-            return float((await harness.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
+    async def wait_ms() -> float:
+        return float((await harness.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
 
-        assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
-        harness.discovery.responses.put_nowait(response(500, b"sorry"))
-        assert 0 < await wait_ms() <= endpoint_watch.RECOVERY_WAIT_MS
-        harness.discovery.publish(8)
-        assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
+    assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
+    harness.discovery.responses.put_nowait(response(500, b"sorry"))
+    assert 0 < await wait_ms() <= endpoint_watch.RECOVERY_WAIT_MS
+    harness.discovery.publish(8)
+    assert await wait_ms() > endpoint_watch.RECOVERY_WAIT_MS
 
 
 def test_balancers_poll_neither_together_nor_too_often_in_an_outage() -> None:
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -10,74 +10,75 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import request_reader
 from tests.support.event_recorder import outcomes, record_events
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
 
-async def test_pipelined_requests_get_their_responses_in_order() -> None:
+async def test_pipelined_requests_get_their_responses_in_order(start_proxy: StartProxy) -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, received.line.encode()))
 
-    async with ProxyHarness(Upstream(echo)) as harness:
-        client = await harness.client()
-        for i in range(40):
-            client.send(f"/read/{i}")
-        for i in range(40):
-            assert (await client.read_response()).body == f"GET /read/{i} HTTP/1.1".encode()
+    harness = await start_proxy(Upstream(echo))
+    client = await harness.client()
+    for i in range(40):
+        client.send(f"/read/{i}")
+    for i in range(40):
+        assert (await client.read_response()).body == f"GET /read/{i} HTTP/1.1".encode()
 
 
-async def test_input_after_a_request_with_connection_close_is_ignored() -> None:
+async def test_input_after_a_request_with_connection_close_is_ignored(start_proxy: StartProxy) -> None:
     """Parsed in a later slice, it would get a response after our side of the connection is closed."""
-    async with ProxyHarness() as harness:
-        client = await harness.client()
-        head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
-        head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
-        errors: list[object] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-        client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
-        assert status(await client.read_response()) == 200
-        assert await client.reader.read() == b""
-        assert not errors
+    harness = await start_proxy()
+    client = await harness.client()
+    head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
+    head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
+    errors: list[object] = []
+    asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
+    client.writer.write(head + b"GET /healthz HTTP/1.1\r\n\r\n")
+    assert status(await client.read_response()) == 200
+    assert await client.reader.read() == b""
+    assert not errors
 
 
 async def test_upstream_connections_are_reused_unless_they_are_closed(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        for _ in range(3):
-            assert status(await harness.send_request("/pay/x", b"debit")) == 200
-        assert upstream.connections == 1
-        upstream.writers[0].close()
-        await upstream.writers[0].wait_closed()
-        events = record_events(harness)
+    harness = await start_proxy(upstream)
+    for _ in range(3):
         assert status(await harness.send_request("/pay/x", b"debit")) == 200
-        assert outcomes(events) == [Outcome.SUCCEEDED]
-        assert upstream.connections == 2
+    assert upstream.connections == 1
+    upstream.writers[0].close()
+    await upstream.writers[0].wait_closed()
+    events = record_events(harness)
+    assert status(await harness.send_request("/pay/x", b"debit")) == 200
+    assert outcomes(events) == [Outcome.SUCCEEDED]
+    assert upstream.connections == 2
 
 
-async def test_tcp_no_delay_is_set_on_both_sides() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        client = await harness.client()
-        client.send()
-        await client.read_response()
-        (client_connection,) = harness.proxy.listener.connections
-        upstream_connection = harness.proxy.upstreams._pools["s0"].idle_connections[0]
-        for transport in (upstream_connection._transport, client_connection.transport):
-            assert transport is not None
-            sock = transport.get_extra_info("socket")
-            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+async def test_tcp_no_delay_is_set_on_both_sides(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    client = await harness.client()
+    client.send()
+    await client.read_response()
+    (client_connection,) = harness.proxy.listener.connections
+    upstream_connection = harness.proxy.upstreams._pools["s0"].idle_connections[0]
+    for transport in (upstream_connection._transport, client_connection.transport):
+        assert transport is not None
+        sock = transport.get_extra_info("socket")
+        assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_a_graceful_close_reaches_an_idle_client_at_once() -> None:
+async def test_a_graceful_close_reaches_an_idle_client_at_once(start_proxy: StartProxy) -> None:
     """In a later turn of the loop, a request that arrives before it would be read and discarded."""
-    async with ProxyHarness(Upstream()) as harness:
-        client = socket.create_connection(harness.proxy.listener.address[:2])
-        (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
-        await wait_until(connection.may_close, "the connection may be closed")
-        connection.close_gracefully()
-        assert client.recv(1, socket.MSG_DONTWAIT) == b""
-        client.close()
+    harness = await start_proxy(Upstream())
+    client = harness.connect_socket()
+    (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
+    await wait_until(connection.may_close, "the connection may be closed")
+    connection.close_gracefully()
+    assert client.recv(1, socket.MSG_DONTWAIT) == b""
+    client.close()
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -12,6 +12,7 @@
 from loadbalancer.events import Outcome
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
 from tests.support.configurations import config_text, entry
+from tests.support.fixture_types import StartServer
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import read_log_line, running_program
@@ -62,7 +63,9 @@
     path.write_text(json.dumps(document))
 
 
-async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(tmp_path: Path) -> None:
+async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
+    start_server: StartServer, tmp_path: Path
+) -> None:
     """Discovery is down meanwhile; what the balancer needs when it recovers has to be free then."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
@@ -80,7 +83,7 @@
             assert clients_part <= most <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
             server = await asyncio.start_server(discovery.serve, sock=down)
             await discovery.calls.get()
-            discovery.publish(8, entry("s0", await upstream.start()), snapshot=True)
+            discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
             assert "after=8&" in await discovery.calls.get()
             client = Client()
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
@@ -92,10 +95,12 @@
                 task.cancel()
 
 
-async def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors() -> None:
+async def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors(
+    start_server: StartServer,
+) -> None:
     """Each was admitted before the first had opened its connection: all that started at once got one."""
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await upstream.start())
+    upstreams = make_pools(await start_server(upstream))
     upstreams.connection_limit = 5
     attempts = [ObservedAttempt(upstreams) for _ in range(12)]
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -2,27 +2,23 @@
 
 from __future__ import annotations
 
-import asyncio
 import errno
-import json
 import os
 import signal
 import socket
-from pathlib import Path
 from typing import Any
 
 import pytest
 
 from loadbalancer.actions import Action, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, Outcome, RequestReceived
-from loadbalancer.network.proxy import Proxy
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.event_recorder import record_events
+from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import response, status
-from tests.support.program import program_with_open_request, read_log_line
-from tests.support.proxy_harness import ProxyHarness
+from tests.support.program import ProgramWithOpenRequest, read_log_line
 from tests.support.scripted_discovery import DiscoveryServer, list_response
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
@@ -37,52 +33,56 @@
     return error != 0
 
 
-async def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(tmp_path: Path) -> None:
-    async with program_with_open_request(tmp_path / "config.json") as program:
-        new = DiscoveryServer()
-        program.path.write_text(config_text(await new.start(), program.entries))
-        for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-            program.process.send_signal(number)
-        assert b"configuration reloaded" in await read_log_line(program.process)
-        await wait_until(lambda: is_refused(program.port), "connections are refused", poll_interval_s=0.02)
-        await program.respond_and_check()
-        program.client.writer.close()
-        assert await program.process.wait() == 0
-
-
-async def test_a_list_may_be_indented_and_have_a_lower_index_than_before() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        await harness.send_request()
-        assert "after=7&" in await harness.discovery.calls.get()
-        endpoint = entry("s9", harness.entries[0]["address"])
-        harness.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
-        assert "after=2&" in await harness.discovery.calls.get()
-        assert set(harness.proxy.upstreams._pools) == {"s9"}
-
-
-async def test_a_list_that_is_being_received_at_a_sighup_is_ignored() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        await harness.send_request()
-        await harness.discovery.calls.get()
-        whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
-        harness.discovery.responses.put_nowait(whole[:-5])
-        connection = harness.proxy._endpoint_watch._connection
-        assert connection is not None
-        await wait_until(lambda: connection.is_receiving, "a part of the list is received")
-        new = DiscoveryServer()
-        text = config_text(await new.start(), [])
-        connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
-        harness.proxy.reconfigure(configuration(text))
-        await new.calls.get()
-        new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
-        assert "after=3&" in await new.calls.get()
-        await harness.discovery.connection_closed.wait()
-        assert set(harness.proxy.upstreams._pools) == {"new"}
-
-
-async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once() -> None:
+async def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(
+    start_server: StartServer, program_with_open_request: ProgramWithOpenRequest
+) -> None:
+    program = program_with_open_request
+    new = DiscoveryServer()
+    program.path.write_text(config_text(await start_server(new), program.entries))
+    for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+        program.process.send_signal(number)
+    assert b"configuration reloaded" in await read_log_line(program.process)
+    await wait_until(lambda: is_refused(program.port), "connections are refused", poll_interval_s=0.02)
+    await program.respond_and_check()
+    program.client.writer.close()
+    assert await program.process.wait() == 0
+
+
+async def test_a_list_may_be_indented_and_have_a_lower_index_than_before(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    await harness.send_request()
+    assert "after=7&" in await harness.discovery.calls.get()
+    endpoint = entry("s9", harness.entries[0]["address"])
+    harness.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
+    assert "after=2&" in await harness.discovery.calls.get()
+    assert set(harness.proxy.upstreams._pools) == {"s9"}
+
+
+async def test_a_list_that_is_being_received_at_a_sighup_is_ignored(
+    start_proxy: StartProxy, start_server: StartServer
+) -> None:
+    harness = await start_proxy(Upstream())
+    await harness.send_request()
+    await harness.discovery.calls.get()
+    whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
+    harness.discovery.responses.put_nowait(whole[:-5])
+    connection = harness.proxy._endpoint_watch._connection
+    assert connection is not None
+    await wait_until(lambda: connection.is_receiving, "a part of the list is received")
+    new = DiscoveryServer()
+    text = config_text(await start_server(new), [])
+    connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
+    harness.proxy.reconfigure(configuration(text))
+    await new.calls.get()
+    new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
+    assert "after=3&" in await new.calls.get()
+    await harness.discovery.connection_closed.wait()
+    assert set(harness.proxy.upstreams._pools) == {"new"}
+
+
+async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once(start_server: StartServer) -> None:
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await upstream.start())
+    upstreams = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(upstreams)
     await upstream.seen.wait()
     connection = attempt.attempt._connection
@@ -95,38 +95,39 @@
 
 
 async def test_a_request_may_have_run_if_its_connection_ends_between_the_check_and_the_write(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that is not idempotent fails, and is sent once."""
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        assert status(await harness.send_request()) == 200
-        (idle,) = harness.proxy.upstreams._pools["s0"].idle_connections
-        idle.idle_since -= 1.0
-        is_alive = UpstreamConnection.is_alive
-        checks: list[bool] = []
-
-        def check_and_end(connection: UpstreamConnection) -> bool:
-            checks.append(is_alive(connection))
-            upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
-            with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
-                upstream_end.shutdown(socket.SHUT_RDWR)
-            return checks[-1]
-
-        monkeypatch.setattr(UpstreamConnection, "is_alive", check_and_end)
-        events = record_events(harness)
-        assert status(await harness.send_request("/pay/x", b"debit")) == 502
-        assert checks == [True]
-        outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
-        assert outcomes == [Outcome.RESET]
+    harness = await start_proxy(upstream)
+    assert status(await harness.send_request()) == 200
+    (idle,) = harness.proxy.upstreams._pools["s0"].idle_connections
+    idle.idle_since -= 1.0
+    is_alive = UpstreamConnection.is_alive
+    checks: list[bool] = []
+
+    def check_and_end(connection: UpstreamConnection) -> bool:
+        checks.append(is_alive(connection))
+        upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
+        with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
+            upstream_end.shutdown(socket.SHUT_RDWR)
+        return checks[-1]
+
+    monkeypatch.setattr(UpstreamConnection, "is_alive", check_and_end)
+    events = record_events(harness)
+    assert status(await harness.send_request("/pay/x", b"debit")) == 502
+    assert checks == [True]
+    outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
+    assert outcomes == [Outcome.RESET]
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "moved", "restarted"])
 async def test_an_attempt_is_not_sent_after_its_endpoint_changed_while_connecting(
-    change: str, monkeypatch: pytest.MonkeyPatch
+    start_server: StartServer, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     upstream = Upstream()
-    address = await upstream.start()
+    address = await start_server(upstream)
     upstreams = make_pools(address)
     connect = UpstreamPool.connect
 
@@ -150,30 +151,30 @@
 
 
 async def test_a_fault_of_the_policy_loses_none_of_the_queued_events(
-    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         "loadbalancer.network.proxy.FAIL_SAFE_MARGIN_MS", -1e6
     )  # the fail-safe response comes too late
-    async with ProxyHarness(Upstream()) as harness:
-        handle = harness.proxy.balancer.handle
-        events: list[Event] = []
-
-        def faulty(event: Event, now: float) -> list[Action]:
-            events.append(event)
-            if isinstance(event, RequestReceived) and event.request_id == 1:
-                # Both fail at once: two events are queued as the policy handles the first of them.
-                return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
-            if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
-                raise RuntimeError("a fault of the policy")
-            return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
-
-        harness.proxy.balancer.handle = faulty  # type: ignore[method-assign]
-        assert status(await harness.send_request()) == 503
-        of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
-        assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
-        assert status(await harness.send_request()) == 200
-        assert not harness.proxy.open_requests
+    harness = await start_proxy(Upstream())
+    handle = harness.proxy.balancer.handle
+    events: list[Event] = []
+
+    def faulty(event: Event, now: float) -> list[Action]:
+        events.append(event)
+        if isinstance(event, RequestReceived) and event.request_id == 1:
+            # Both fail at once: two events are queued as the policy handles the first of them.
+            return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
+        if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
+            raise RuntimeError("a fault of the policy")
+        return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
+
+    harness.proxy.balancer.handle = faulty  # type: ignore[method-assign]
+    assert status(await harness.send_request()) == 503
+    of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
+    assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
+    assert status(await harness.send_request()) == 200
+    assert not harness.proxy.open_requests
     assert "a fault of the policy" in capsys.readouterr().err
 
 
@@ -195,16 +196,13 @@
         {"balancers": 500, "discovery": "push"},
     ],
 )
-async def test_the_proxy_serves_with_any_settings_that_are_allowed(settings: dict[str, Any]) -> None:
-    async with ProxyHarness(Upstream(), **settings) as harness:
-        assert status(await harness.send_request(deadline="5000m")) == 200
+async def test_the_proxy_serves_with_any_settings_that_are_allowed(
+    start_proxy: StartProxy, settings: dict[str, Any]
+) -> None:
+    harness = await start_proxy(Upstream(), **settings)
+    assert status(await harness.send_request(deadline="5000m")) == 200
 
 
-async def test_the_proxy_serves_with_the_smallest_limits() -> None:
-    upstream = Upstream()
-    document = json.loads(config_text("127.0.0.1:9", [entry("s0", await upstream.start())]))
-    document["limits"] = {"memory_mb": 32, "sockets": 50}
-    harness = ProxyHarness()
-    harness.proxy = Proxy(configuration(json.dumps(document)), asyncio.get_running_loop())
-    harness.proxy.start()
+async def test_the_proxy_serves_with_the_smallest_limits(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream(), process_limits={"memory_mb": 32, "sockets": 50})
     assert status(await harness.send_request()) == 200
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -10,38 +10,38 @@
 from loadbalancer.actions import Action
 from loadbalancer.events import ClientDisconnected, Event, Outcome, RequestReceived
 from tests.support.event_recorder import outcomes, record_events
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond, reset
 
 
-async def test_request_and_response_are_forwarded_unchanged() -> None:
+async def test_request_and_response_are_forwarded_unchanged(start_proxy: StartProxy) -> None:
     upstream = Upstream(response(200, b"\x00tile", "Content-Type: image/x", "X-Load: inflight=7"))
-    async with ProxyHarness(upstream) as harness:
-        reply = await harness.send_request(
-            "/put/a?b=c",
-            b"debit",
-            idempotency_key="5c0f",
-            x_request_id="9b1f03aa",
-            connection="keep-alive",
-        )
-        assert (status(reply), reply.body) == (200, b"\x00tile")
-        assert reply.headers["content-type"] == "image/x"
-        received = upstream.received[0]
-        assert (received.line, received.body) == ("POST /put/a?b=c HTTP/1.1", b"debit")
-        assert received.headers["x-request-id"] == "9b1f03aa"
-        assert received.headers["idempotency-key"] == "5c0f"
-        assert received.headers["x-class"] == "put"
-        remaining = received.headers["x-deadline"]
-        assert remaining.endswith("u")
-        assert 0 < int(remaining[:-1]) <= 2_000_000
-
-
-async def test_a_deadline_in_microseconds() -> None:
+    harness = await start_proxy(upstream)
+    reply = await harness.send_request(
+        "/put/a?b=c",
+        b"debit",
+        idempotency_key="5c0f",
+        x_request_id="9b1f03aa",
+        connection="keep-alive",
+    )
+    assert (status(reply), reply.body) == (200, b"\x00tile")
+    assert reply.headers["content-type"] == "image/x"
+    received = upstream.received[0]
+    assert (received.line, received.body) == ("POST /put/a?b=c HTTP/1.1", b"debit")
+    assert received.headers["x-request-id"] == "9b1f03aa"
+    assert received.headers["idempotency-key"] == "5c0f"
+    assert received.headers["x-class"] == "put"
+    remaining = received.headers["x-deadline"]
+    assert remaining.endswith("u")
+    assert 0 < int(remaining[:-1]) <= 2_000_000
+
+
+async def test_a_deadline_in_microseconds(start_proxy: StartProxy) -> None:
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        assert status(await harness.send_request(deadline="900000u")) == 200
-        assert 0 < int(upstream.received[0].headers["x-deadline"][:-1]) <= 900_000
+    harness = await start_proxy(upstream)
+    assert status(await harness.send_request(deadline="900000u")) == 200
+    assert 0 < int(upstream.received[0].headers["x-deadline"][:-1]) <= 900_000
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
     ],
 )
 async def test_outcome_of_an_attempt_by_how_the_upstream_ends_it(
-    script: Any, outcome: Outcome, final: int
+    start_proxy: StartProxy, script: Any, outcome: Outcome, final: int
 ) -> None:
     async def run_script(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if isinstance(script, bytes):
@@ -77,93 +77,101 @@
             await script(received, writer)
 
     upstream = Upstream(run_script)
-    async with ProxyHarness(upstream) as harness:
-        events = record_events(harness)
-        assert status(await harness.send_request("/pay/x", b"debit")) == final
-        # A rejected attempt never ran, so the policy may retry it; any other outcome forbids that.
-        assert set(outcomes(events)) == {outcome}
-        assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
+    harness = await start_proxy(upstream)
+    events = record_events(harness)
+    assert status(await harness.send_request("/pay/x", b"debit")) == final
+    # A rejected attempt never ran, so the policy may retry it; any other outcome forbids that.
+    assert set(outcomes(events)) == {outcome}
+    assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
 
 
-async def test_a_refused_connection_is_retried_on_another_upstream() -> None:
+async def test_a_refused_connection_is_retried_on_another_upstream(start_proxy: StartProxy) -> None:
     refusing, upstream = Upstream(), Upstream()
-    async with ProxyHarness(refusing, upstream) as harness:
-        refusing.server.close()
-        await refusing.server.wait_closed()
-        events = record_events(harness)
-        replies = [await harness.send_request("/pay/x", b"debit") for _ in range(8)]
-        assert {status(reply) for reply in replies} == {200}
-        assert Outcome.CONNECT_FAILED in outcomes(events)
-        assert outcomes(events).count(Outcome.SUCCEEDED) == len(upstream.received) == 8
-
-
-async def test_a_silent_upstream_times_out_and_the_client_gets_an_error_by_its_deadline() -> None:
+    harness = await start_proxy(refusing, upstream)
+    refusing.server.close()
+    await refusing.server.wait_closed()
+    events = record_events(harness)
+    replies = [await harness.send_request("/pay/x", b"debit") for _ in range(8)]
+    assert {status(reply) for reply in replies} == {200}
+    assert Outcome.CONNECT_FAILED in outcomes(events)
+    assert outcomes(events).count(Outcome.SUCCEEDED) == len(upstream.received) == 8
+
+
+async def test_a_silent_upstream_times_out_and_the_client_gets_an_error_by_its_deadline(
+    start_proxy: StartProxy,
+) -> None:
     upstream = Upstream(never_respond)
-    async with ProxyHarness(upstream) as harness:
-        events = record_events(harness)
-        loop = asyncio.get_running_loop()
-        started_at = loop.time()
-        assert status(await harness.send_request("/pay/x", b"debit", deadline="300m")) == 502
-        assert loop.time() - started_at < 0.3 + 0.05
-        assert outcomes(events) == [Outcome.TIMED_OUT]
-        await upstream.connection_closed.wait()  # a timeout closes the connection
-
-
-async def test_a_response_cancels_the_hedged_attempt_and_each_attempt_finishes_once() -> None:
+    harness = await start_proxy(upstream)
+    events = record_events(harness)
+    loop = asyncio.get_running_loop()
+    started_at = loop.time()
+    assert status(await harness.send_request("/pay/x", b"debit", deadline="300m")) == 502
+    assert loop.time() - started_at < 0.3 + 0.05
+    assert outcomes(events) == [Outcome.TIMED_OUT]
+    await upstream.connection_closed.wait()  # a timeout closes the connection
+
+
+async def test_a_response_cancels_the_hedged_attempt_and_each_attempt_finishes_once(
+    start_proxy: StartProxy,
+) -> None:
     first, second = Upstream(never_respond), Upstream(never_respond)
-    async with ProxyHarness(first, second) as harness:
-        events = record_events(harness)
-        client = await harness.client()
-        client.send(deadline="1200m")
-        await asyncio.gather(first.seen.wait(), second.seen.wait())
-        second.writers[0].write(response(200, b"second"))
-        assert (await client.read_response()).body == b"second"
-        await first.connection_closed.wait()
-        assert sorted(outcome.value for outcome in outcomes(events)) == ["cancelled", "served"]
-        assert not harness.proxy.open_requests
-
-
-async def test_a_disconnect_reaches_the_policy_and_cancels_the_attempt() -> None:
+    harness = await start_proxy(first, second)
+    events = record_events(harness)
+    client = await harness.client()
+    client.send(deadline="1200m")
+    await asyncio.gather(first.seen.wait(), second.seen.wait())
+    second.writers[0].write(response(200, b"second"))
+    assert (await client.read_response()).body == b"second"
+    await first.connection_closed.wait()
+    assert sorted(outcome.value for outcome in outcomes(events)) == ["cancelled", "served"]
+    assert not harness.proxy.open_requests
+
+
+async def test_a_disconnect_reaches_the_policy_and_cancels_the_attempt(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
-    async with ProxyHarness(upstream) as harness:
-        events = record_events(harness)
-        client = await harness.client()
-        client.send()
-        await upstream.seen.wait()
-        client.writer.close()
-        await upstream.connection_closed.wait()
-        assert any(isinstance(event, ClientDisconnected) for event in events)
-        assert outcomes(events) == [Outcome.CANCELLED]
-        assert not harness.proxy.open_requests
-
-
-async def test_an_exception_in_the_policy_fails_only_its_request(capsys: pytest.CaptureFixture[str]) -> None:
+    harness = await start_proxy(upstream)
+    events = record_events(harness)
+    client = await harness.client()
+    client.send()
+    await upstream.seen.wait()
+    client.writer.close()
+    await upstream.connection_closed.wait()
+    assert any(isinstance(event, ClientDisconnected) for event in events)
+    assert outcomes(events) == [Outcome.CANCELLED]
+    assert not harness.proxy.open_requests
+
+
+async def test_an_exception_in_the_policy_fails_only_its_request(
+    start_proxy: StartProxy, capsys: pytest.CaptureFixture[str]
+) -> None:
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        handle = harness.proxy.balancer.handle
+    harness = await start_proxy(upstream)
+    handle = harness.proxy.balancer.handle
 
-        def raise_for_first_request(event: Event, now: float) -> list[Action]:
-            if isinstance(event, RequestReceived) and event.request_id == 1:
-                raise RuntimeError("a fault of the policy")
-            return handle(event, now)
+    def raise_for_first_request(event: Event, now: float) -> list[Action]:
+        if isinstance(event, RequestReceived) and event.request_id == 1:
+            raise RuntimeError("a fault of the policy")
+        return handle(event, now)
 
-        harness.proxy.balancer.handle = raise_for_first_request  # type: ignore[method-assign]
-        assert status(await harness.send_request()) == 503
-        assert status(await harness.send_request()) == 200
+    harness.proxy.balancer.handle = raise_for_first_request  # type: ignore[method-assign]
+    assert status(await harness.send_request()) == 503
+    assert status(await harness.send_request()) == 200
     assert "a fault of the policy" in capsys.readouterr().err
 
 
-async def test_a_request_that_the_policy_ignores_is_failed_before_its_deadline() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        harness.proxy.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-        loop = asyncio.get_running_loop()
-        started_at = loop.time()
-        assert status(await harness.send_request(deadline="200m")) == 503
-        assert 0.1 < loop.time() - started_at < 0.25
-
-
-async def test_health_check_succeeds() -> None:
-    async with ProxyHarness() as harness:
-        client = await harness.client()
-        client.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-        assert status(await client.read_response()) == 200
+async def test_a_request_that_the_policy_ignores_is_failed_before_its_deadline(
+    start_proxy: StartProxy,
+) -> None:
+    harness = await start_proxy(Upstream())
+    harness.proxy.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
+    loop = asyncio.get_running_loop()
+    started_at = loop.time()
+    assert status(await harness.send_request(deadline="200m")) == 503
+    assert 0.1 < loop.time() - started_at < 0.25
+
+
+async def test_health_check_succeeds(start_proxy: StartProxy) -> None:
+    harness = await start_proxy()
+    client = await harness.client()
+    client.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
+    assert status(await client.read_response()) == 200
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -4,52 +4,55 @@
 
 import asyncio
 import signal
-from pathlib import Path
 
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.event_recorder import record_events
+from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import status
-from tests.support.program import program_with_open_request, read_log_line
-from tests.support.proxy_harness import ProxyHarness
+from tests.support.program import ProgramWithOpenRequest, read_log_line
 from tests.support.scripted_discovery import DiscoveryServer
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.upstream_attempts import full_backlog
 
 
-async def test_a_new_discovery_is_asked_at_once_for_a_snapshot_and_the_old_one_closed() -> None:
+async def test_a_new_discovery_is_asked_at_once_for_a_snapshot_and_the_old_one_closed(
+    start_proxy: StartProxy, start_server: StartServer
+) -> None:
     first, second = Upstream(), Upstream(never_respond)
-    async with ProxyHarness(first) as harness:
-        events = record_events(harness)
-        assert status(await harness.send_request()) == 200
-        await harness.discovery.calls.get()
-        for index in (3, 1):  # twice in a row; its versions are smaller than those of the one before
-            new = DiscoveryServer()
-            harness.proxy.reconfigure(configuration(config_text(await new.start(), [])))
-            assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
-            new.publish(index, entry("s1", await second.start()), snapshot=True)
-            assert f"?after={index}&" in await new.calls.get()
-        await harness.discovery.connection_closed.wait()
-        harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
-        kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
-        assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-        assert set(harness.proxy.upstreams._pools) == {"s1"}
-
-
-async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(tmp_path: Path) -> None:
-    async with program_with_open_request(tmp_path / "config.json") as program:
+    harness = await start_proxy(first)
+    events = record_events(harness)
+    assert status(await harness.send_request()) == 200
+    await harness.discovery.calls.get()
+    for index in (3, 1):  # twice in a row; its versions are smaller than those of the one before
         new = DiscoveryServer()
-        program.path.write_text("{ not whole")
-        program.process.send_signal(signal.SIGHUP)
-        assert b"configuration not reloaded" in await read_log_line(program.process)
-        program.path.write_text(config_text(await new.start(), program.entries))
-        program.process.send_signal(signal.SIGHUP)
+        harness.proxy.reconfigure(configuration(config_text(await start_server(new), [])))
         assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
-        await program.respond_and_check()
-        program.process.send_signal(signal.SIGTERM)
-        program.client.writer.close()
-        assert await program.process.wait() == 0
+        new.publish(index, entry("s1", await start_server(second)), snapshot=True)
+        assert f"?after={index}&" in await new.calls.get()
+    await harness.discovery.connection_closed.wait()
+    harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
+    kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
+    assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
+    assert set(harness.proxy.upstreams._pools) == {"s1"}
+
+
+async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(
+    start_server: StartServer, program_with_open_request: ProgramWithOpenRequest
+) -> None:
+    program = program_with_open_request
+    new = DiscoveryServer()
+    program.path.write_text("{ not whole")
+    program.process.send_signal(signal.SIGHUP)
+    assert b"configuration not reloaded" in await read_log_line(program.process)
+    program.path.write_text(config_text(await start_server(new), program.entries))
+    program.process.send_signal(signal.SIGHUP)
+    assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
+    await program.respond_and_check()
+    program.process.send_signal(signal.SIGTERM)
+    program.client.writer.close()
+    assert await program.process.wait() == 0
 
 
 async def test_a_discovery_to_which_no_connection_comes_up_is_given_up_soon() -> None:
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -5,25 +5,27 @@
 import pytest
 
 from loadbalancer.network.request_ids import RequestIds
+from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import response, status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond
 
 
-async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
+async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected(
+    start_proxy: StartProxy,
+) -> None:
     upstream = Upstream(never_respond)
-    async with ProxyHarness(upstream) as harness:
-        first = await harness.client()
-        second = await harness.client()
-        first.send("/pay/x", b"debit", x_request_id="same")
-        await upstream.seen.wait()
-        second.send("/pay/x", b"debit", x_request_id="same")
-        assert status(await second.read_response()) == 409
-        upstream.writers[0].write(response(200, b"unaffected"))
-        assert (await first.read_response()).body == b"unaffected"
-        second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
-        assert status(await second.read_response()) == 409
-        assert len(upstream.received) == 1
+    harness = await start_proxy(upstream)
+    first = await harness.client()
+    second = await harness.client()
+    first.send("/pay/x", b"debit", x_request_id="same")
+    await upstream.seen.wait()
+    second.send("/pay/x", b"debit", x_request_id="same")
+    assert status(await second.read_response()) == 409
+    upstream.writers[0].write(response(200, b"unaffected"))
+    assert (await first.read_response()).body == b"unaffected"
+    second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
+    assert status(await second.read_response()) == 409
+    assert len(upstream.received) == 1
 
 
 def test_finished_ids_are_forgotten_after_a_bounded_number(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -12,6 +12,7 @@
 import pytest
 
 from tests.support.configurations import config_text, entry
+from tests.support.fixture_types import StartServer
 from tests.support.scripted_discovery import DiscoveryServer
 from tests.support.waiting import TEST_TIMEOUT_S
 
@@ -85,12 +86,14 @@
 
 
 @AT_EACH_MOMENT
-async def test_a_sighup_during_the_start_reloads_the_configuration(moment: str, tmp_path: Path) -> None:
+async def test_a_sighup_during_the_start_reloads_the_configuration(
+    start_server: StartServer, moment: str, tmp_path: Path
+) -> None:
     """It neither ends the program nor is it lost."""
     new_discovery = DiscoveryServer()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
-    path.with_suffix(".json.new").write_text(config_text(await new_discovery.start(), []))
+    path.with_suffix(".json.new").write_text(config_text(await start_server(new_discovery), []))
     process = await asyncio.create_subprocess_exec(
         *signalled_program(moment, path, signal.SIGHUP),
         cwd=ROOT,
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -13,9 +13,9 @@
 from loadbalancer.network.sockets import peek
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
 from tests.support.configurations import entry
+from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Script, Upstream, never_respond
 from tests.support.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
@@ -49,9 +49,11 @@
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_attempt_ends_once_when_it_is_cancelled_as_its_response_arrives() -> None:
+async def test_attempt_ends_once_when_it_is_cancelled_as_its_response_arrives(
+    start_server: StartServer,
+) -> None:
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await upstream.start())
+    upstreams = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(upstreams)
     await upstream.seen.wait()
     upstream.writers[0].write(response())  # in the kernel by now, and not yet read
@@ -62,9 +64,11 @@
     assert upstreams.open_connections == 0
 
 
-async def test_request_is_not_sent_on_a_connection_that_opens_after_the_drain_grace() -> None:
+async def test_request_is_not_sent_on_a_connection_that_opens_after_the_drain_grace(
+    start_server: StartServer,
+) -> None:
     upstream = Upstream()
-    address = await upstream.start()
+    address = await start_server(upstream)
     upstreams = make_pools(address)
     attempt = ObservedAttempt(upstreams)  # begins to connect
     pool = upstreams.pool("s0")
@@ -75,9 +79,11 @@
     assert not upstream.received
 
 
-async def test_idle_connections_close_on_request_by_age_and_when_the_endpoint_moves_or_is_removed() -> None:
+async def test_idle_connections_close_on_request_by_age_and_when_the_endpoint_moves_or_is_removed(
+    start_server: StartServer,
+) -> None:
     upstream, moved = Upstream(), Upstream()
-    address = await upstream.start()
+    address = await start_server(upstream)
     upstreams = make_pools(address)
 
     async def serve() -> None:
@@ -95,7 +101,7 @@
     upstreams.close_expired()
     assert upstreams.open_connections == 0
     await serve()
-    upstreams.update_endpoints(endpoint_list(entry("s0", await moved.start())))
+    upstreams.update_endpoints(endpoint_list(entry("s0", await start_server(moved))))
     assert upstreams.open_connections == 0
     await serve()
     assert len(moved.received) == 1
@@ -104,10 +110,12 @@
     assert upstreams.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
 
 
-async def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened() -> None:
+async def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened(
+    start_server: StartServer,
+) -> None:
     upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
-    upstreams = make_pools(await upstream.start())
-    upstreams.update_endpoints(endpoint_list(entry("s1", await other.start())))
+    upstreams = make_pools(await start_server(upstream))
+    upstreams.update_endpoints(endpoint_list(entry("s1", await start_server(other))))
     upstreams.connection_limit = 1
     assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
     attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
@@ -119,32 +127,32 @@
     attempt.cancel()
 
 
-async def test_attempt_of_a_request_that_has_its_response_is_not_sent() -> None:
+async def test_attempt_of_a_request_that_has_its_response_is_not_sent(start_proxy: StartProxy) -> None:
     upstream = Upstream()
-    async with ProxyHarness(upstream) as harness:
-        proxy, events = harness.proxy, list[Event]()
-
-        def respond_then_send(event: Event, now: float) -> list[Action]:
-            events.append(event)
-            if isinstance(event, RequestReceived):
-                return [
-                    RejectRequest(event.request_id, 250.0),
-                    StartAttempt(event.request_id, "s0", 100.0),
-                ]
-            return []
-
-        replace_policy(harness, respond_then_send)
-        reply = await harness.send_request()
-        assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
-        assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
-        assert not upstream.received
-        assert not proxy.open_requests
+    harness = await start_proxy(upstream)
+    proxy, events = harness.proxy, list[Event]()
+
+    def respond_then_send(event: Event, now: float) -> list[Action]:
+        events.append(event)
+        if isinstance(event, RequestReceived):
+            return [
+                RejectRequest(event.request_id, 250.0),
+                StartAttempt(event.request_id, "s0", 100.0),
+            ]
+        return []
+
+    replace_policy(harness, respond_then_send)
+    reply = await harness.send_request()
+    assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
+    assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
+    assert not upstream.received
+    assert not proxy.open_requests
 
 
-async def test_cached_endpoint_list_is_applied_before_discovery_is_called() -> None:
-    async with ProxyHarness(Upstream()) as harness:
-        assert harness.proxy.balancer.ready_endpoints  # before a single turn of the loop
-        assert harness.discovery.calls.empty()
+async def test_cached_endpoint_list_is_applied_before_discovery_is_called(start_proxy: StartProxy) -> None:
+    harness = await start_proxy(Upstream())
+    assert harness.proxy.balancer.ready_endpoints  # before a single turn of the loop
+    assert harness.discovery.calls.empty()
 
 
 @pytest.mark.parametrize(
@@ -156,18 +164,20 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-async def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(behind: bytes) -> None:
+async def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(
+    start_proxy: StartProxy, behind: bytes
+) -> None:
     """They replaced the response, made it a reset, or were taken for the response to the next request."""
     upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
-    async with ProxyHarness(upstream) as harness:
-        assert (await harness.send_request()).body == b"the answer"
-        assert (await harness.send_request()).body == b"the next"
-        assert upstream.connections == 2  # the first carries nothing more
+    harness = await start_proxy(upstream)
+    assert (await harness.send_request()).body == b"the answer"
+    assert (await harness.send_request()).body == b"the next"
+    assert upstream.connections == 2  # the first carries nothing more
 
 
-async def test_connection_rests_between_requests_so_that_stray_bytes_show() -> None:
+async def test_connection_rests_between_requests_so_that_stray_bytes_show(start_server: StartServer) -> None:
     upstream = Upstream()
-    upstreams = make_pools(await upstream.start())
+    upstreams = make_pools(await start_server(upstream))
     assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
     assert upstreams.pool("s0").take_idle_connection() is None  # not at once
     upstreams.pool("s0").idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
@@ -177,25 +187,27 @@
     assert upstream.connections == 1
 
 
-async def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins() -> None:
+async def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins(
+    start_proxy: StartProxy,
+) -> None:
     """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
-    async with ProxyHarness(*upstreams) as harness:
-        ended = list[bool]()
+    harness = await start_proxy(*upstreams)
+    ended = list[bool]()
 
-        def look_at_the_upstream(event: AttemptFinished) -> None:
-            seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
-            ended.append(seen == b"")
+    def look_at_the_upstream(event: AttemptFinished) -> None:
+        seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
+        ended.append(seen == b"")
 
-        before_event(harness, AttemptFinished, look_at_the_upstream)
-        assert status(await harness.send_request("/pay/x", b"debit", deadline="200m")) == 502
-        assert ended == [True]
+    before_event(harness, AttemptFinished, look_at_the_upstream)
+    assert status(await harness.send_request("/pay/x", b"debit", deadline="200m")) == 502
+    assert ended == [True]
 
 
-async def test_interim_responses_are_ignored() -> None:
+async def test_interim_responses_are_ignored(start_proxy: StartProxy) -> None:
     upstream = Upstream(b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * 3 + response(200, b"final"))
-    async with ProxyHarness(upstream) as harness:
-        assert (await harness.send_request()).body == b"final"
+    harness = await start_proxy(upstream)
+    assert (await harness.send_request()).body == b"final"
 
 
 async def test_bytes_before_the_request_was_written_are_no_response() -> None:
@@ -209,9 +221,11 @@
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_lack_of_local_descriptors_is_not_the_upstreams_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_lack_of_local_descriptors_is_not_the_upstreams_fault(
+    start_server: StartServer, monkeypatch: pytest.MonkeyPatch
+) -> None:
     upstream = Upstream()
-    upstreams = make_pools(await upstream.start())
+    upstreams = make_pools(await start_server(upstream))
 
     async def fail_to_connect(*args: Any) -> None:
         raise OSError(errno.EMFILE, "Too many open files")
@@ -237,7 +251,9 @@
 
 
 @pytest.mark.parametrize("loss", [never_respond, reject])
-async def test_upstream_that_fails_one_class_is_ejected_for_it_and_keeps_the_others(loss: Script) -> None:
+async def test_upstream_that_fails_one_class_is_ejected_for_it_and_keeps_the_others(
+    start_proxy: StartProxy, loss: Script
+) -> None:
     """Its good responses to the other class hid it: reads went on being lost, and load was shed."""
 
     async def by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
@@ -248,17 +264,15 @@
     def received(cls: str) -> int:
         return sum(one.headers["x-class"] == cls for one in failing.received)
 
-    async with ProxyHarness(
-        failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE
-    ) as harness:
+    harness = await start_proxy(failing, Upstream(work), Upstream(work), classes=CLASSES_WITH_SHORT_OBJECTIVE)
 
-        async def rounds(count: int) -> None:
-            for _ in range(count):
-                pays = [harness.send_request("/pay/x", body=b"1") for _ in range(4)]
-                await asyncio.gather(harness.send_request("/read/x"), *pays)
+    async def rounds(count: int) -> None:
+        for _ in range(count):
+            pays = [harness.send_request("/pay/x", body=b"1") for _ in range(4)]
+            await asyncio.gather(harness.send_request("/read/x"), *pays)
 
-        await rounds(20)
-        lost, paid = received("read"), received("pay")
-        await rounds(50)
-        assert received("read") - lost <= 4, "a request now and then shows whether it has recovered"
-        assert received("pay") - paid >= 20, "the class that it serves well still goes there"
+    await rounds(20)
+    lost, paid = received("read"), received("pay")
+    await rounds(50)
+    assert received("read") - lost <= 4, "a request now and then shows whether it has recovered"
+    assert received("pay") - paid >= 20, "the class that it serves well still goes there"
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 from collections.abc import Callable
 
 import pytest
@@ -31,11 +30,6 @@
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-def connect_client(harness: ProxyHarness) -> socket.socket:
-    """A client outside the event loop: all that it does takes effect at once."""
-    return socket.create_connection(harness.proxy.listener.address[:2])
-
-
 async def until_idle(harness: ProxyHarness) -> None:
     """Wait until no request is open and no attempt in progress."""
     await wait_until(
--- /dev/null
+++ b/tests/support/fixture_types.py
@@ -0,0 +1,26 @@
+"""The types of the fixtures that start something."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:
+    from tests.support.proxy_harness import ProxyHarness
+
+
+class ScriptedServer(Protocol):
+    """An upstream or a discovery."""
+
+    async def start(self) -> str:
+        """Listen and return the address."""
+
+    def stop(self) -> None:
+        """Stop listening, and close the connections."""
+
+
+StartServer = Callable[[ScriptedServer], Awaitable[str]]
+"""Starts a server and returns its address."""
+
+StartProxy = Callable[..., Awaitable["ProxyHarness"]]
+"""Starts a proxy; its arguments are those of `ProxyHarness`."""
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -11,12 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
 from tests.support.http_client import Client
 from tests.support.http_messages import response
-from tests.support.scripted_discovery import DiscoveryServer
-from tests.support.scripted_upstream import Upstream, never_respond
-from tests.support.sockets import free_port
+from tests.support.scripted_upstream import Upstream
 
 
 @asynccontextmanager
@@ -76,18 +73,3 @@
         """Have the upstream respond now, and check that the client gets the response."""
         self.upstream.writers[0].write(response(200, b"unharmed"))
         assert (await self.client.read_response()).body == b"unharmed"
-
-
-@asynccontextmanager
-async def program_with_open_request(path: Path) -> AsyncIterator[ProgramWithOpenRequest]:
-    """Start the program with a configuration that is written to a file, and send it a request."""
-    upstream, discovery = Upstream(never_respond), DiscoveryServer()
-    entries = [entry("s0", await upstream.start())]
-    port = free_port()
-    text = config_text(await discovery.start(), entries)
-    path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
-    async with running_program(path) as process:
-        client = await Client.of_program(port)
-        client.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        yield ProgramWithOpenRequest(process, path, port, entries, upstream, client)
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 import asyncio
+import json
+import socket
+from collections.abc import Sequence
 from typing import Any
 
 from loadbalancer.network.proxy import Proxy
@@ -16,34 +19,74 @@
 class ProxyHarness:
     """A proxy in this process, with its upstreams and discovery.
 
-    Settings replace the defaults of `config_text`.
+    Args:
+        upstreams: Its upstreams, which are started with it and named `s0`, `s1` and so on.
+        more_entries: Further endpoints that it knows at the start.
+        process_limits: The limits of the process, in place of the defaults of `config_text`.
+        settings: Replace the defaults of `config_text`.
+
+    Attributes:
+        upstreams: As given.
+        discovery: Its discovery.
+        entries: The endpoints that it knows at the start.
+        proxy: The proxy, once it is started.
     """
 
-    def __init__(self, *upstreams: Upstream, **settings: Any) -> None:
-        self.upstreams, self._settings = upstreams, settings
+    def __init__(
+        self,
+        *upstreams: Upstream,
+        more_entries: Sequence[dict[str, Any]] = (),
+        process_limits: dict[str, Any] | None = None,
+        **settings: Any,
+    ) -> None:
+        self.upstreams = upstreams
+        self._process_limits = process_limits
+        self._settings = settings
         self.discovery = DiscoveryServer()
-        self.entries: list[dict[str, Any]] = []
+        self.entries = [*more_entries]
         self.proxy: Proxy
+        self._clients: list[Client] = []
+        self._sockets: list[socket.socket] = []
 
-    async def __aenter__(self) -> ProxyHarness:
+    async def start(self) -> None:
+        """Start the upstreams, the discovery and the proxy."""
         for i, upstream in enumerate(self.upstreams):
             self.entries.append(entry(f"s{i}", await upstream.start()))
         text = config_text(await self.discovery.start(), self.entries, **self._settings)
+        if self._process_limits is not None:
+            text = json.dumps(json.loads(text) | {"limits": self._process_limits})
         self.proxy = Proxy(configuration(text), asyncio.get_running_loop())
         self.proxy.start()
-        return self
 
-    async def __aexit__(self, *_: object) -> None:
-        return
+    async def stop(self) -> None:
+        """Close the listener and all connections from outside the proxy, which closes its own then."""
+        self.proxy.listener.close()
+        for client in self._clients:
+            client.writer.transport.abort()
+        for client_socket in self._sockets:
+            client_socket.close()
+        self.discovery.stop()
+        for upstream in self.upstreams:
+            upstream.stop()
 
     async def client(self) -> Client:
-        """A client that has connected."""
+        """Connect a client, which is disconnected when the proxy stops at the latest."""
         client = Client()
+        self._clients.append(client)
         client.reader, client.writer = await asyncio.open_connection(*self.proxy.listener.address[:2])
         return client
 
+    def connect_socket(self) -> socket.socket:
+        """Connect a client outside the event loop: all that it does takes effect at once."""
+        client_socket = socket.create_connection(self.proxy.listener.address[:2])
+        self._sockets.append(client_socket)
+        return client_socket
+
     async def send_request(self, *args: Any, **more: Any) -> ReceivedMessage:
-        """The response to a request on a connection of its own; the arguments are those of `Client.send`."""
+        """Send a request on a connection of its own and return the response.
+
+        The arguments are those of `Client.send`.
+        """
         client = await self.client()
         client.send(*args, **more)
         reply = await client.read_response()
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -17,20 +17,29 @@
         responses: The responses to come, as bytes.
         calls: The request lines of the calls that have come.
         connection_closed: Set when a connection has ended.
+        writers: The sending side of each connection.
     """
 
     def __init__(self) -> None:
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
         self.calls: asyncio.Queue[str] = asyncio.Queue()
         self.connection_closed = asyncio.Event()
+        self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> str:
         """Listen; the result is the address."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return socket_address(self.server)
 
+    def stop(self) -> None:
+        """Stop listening, and close the connections."""
+        self.server.close()
+        for writer in self.writers:
+            writer.transport.abort()
+
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
+        self.writers.append(writer)
         try:
             while True:
                 call = await read_message(reader)
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -36,6 +36,12 @@
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return socket_address(self.server)
 
+    def stop(self) -> None:
+        """Stop listening, and close the connections."""
+        self.server.close()
+        for writer in self.writers:
+            writer.transport.abort()
+
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.writers.append(writer)
