--- a/loadbalancer/network/upstream/response_reader.py
+++ b/loadbalancer/network/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Parses HTTP/1.1 responses incrementally and validates them on the way."""
+"""An incremental parser of HTTP/1.1 responses, which validates them."""
 
 from __future__ import annotations
 
@@ -8,15 +8,24 @@
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
 
 _MAX_LENGTH_DIGITS = 19
-"""Content-Length values with more digits are refused before they are converted to an integer."""
+"""Number of digits above which a Content-Length is rejected before it is converted to an integer."""
 
 _SWITCHING_PROTOCOLS = 101
 _FIRST_FINAL_STATUS = 200
 _STATUSES_WITHOUT_BODY = (204, 304)
 
+_HEADERS_TOO_LARGE = "headers too large"
+_INTERIM_RESPONSES_TOO_LARGE = "headers and interim responses too large"
+_BODY_TOO_LARGE = "body too large"
+_MORE_THAN_ONE_RESPONSE = "more than one response"
+_PROTOCOL_SWITCH = "a switch to another protocol, which was not requested"
+_MORE_THAN_ONE_LENGTH = "more than one length"
+_INVALID_LENGTH = "an invalid length"
+_NO_LENGTH = "no length, so that a truncated response could not be recognised"
+
 
 class Response:
-    """One complete response, ready to be passed on."""
+    """One complete response."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -27,11 +36,14 @@
 
 
 class ResponseReader:
-    """Collects one response after another from the bytes of a connection.
+    """Parses the responses on a connection one after another.
+
+    Guards against endless headers or interim responses, invalid lengths, and a body that exceeds the limit:
+    each is rejected as soon as it is detected, so that time is left for another attempt. Bytes that follow a
+    complete response do not affect it, but the connection cannot be used again.
 
-    Guards against headers and interim responses without end, invalid lengths and a body that exceeds the
-    limit: all are refused as soon as they are detected, so that time is left for another attempt. Bytes
-    that follow a complete response do not affect it, but the connection cannot be used again.
+    Args:
+        max_body_bytes: The maximum size of a body.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -51,15 +63,15 @@
         """Parse further bytes of the connection.
 
         Returns:
-            The response, once it is complete.
+            The response if these bytes complete it; None otherwise.
 
         Raises:
-            InvalidResponseError: The bytes cannot become a response that may be passed on.
+            InvalidResponseError: The bytes are not the beginning of a valid response.
         """
         self._bytes_since_response += len(data)
         self._parse(data)
         if self._response is None and self._bytes_since_response - self._body_bytes > MAX_HEAD_BYTES:
-            raise InvalidResponseError("headers and interim responses without end")
+            raise InvalidResponseError(_INTERIM_RESPONSES_TOO_LARGE)
         response, self._response = self._response, None
         if response is not None:
             self._bytes_since_response = 0
@@ -76,35 +88,35 @@
     # ---- callbacks of the parser ----------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Discard the previous message, unless it is the final response: none may follow that."""
+        """Discard the previous message if it was an interim response; no message may follow a final one."""
         if self._response is not None:
-            raise InvalidResponseError("more than one response")
+            raise InvalidResponseError(_MORE_THAN_ONE_RESPONSE)
         self._headers: Headers = []
         self._body_parts: list[bytes] = []
         self._body_bytes = 0
         self._header_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header, up to the size limit."""
+        """Add a header, up to the size limit."""
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEAD_BYTES:
-            raise InvalidResponseError("headers too large")
+            raise InvalidResponseError(_HEADERS_TOO_LARGE)
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Refuse a response that cannot be passed on before its body is read."""
+        """Reject a response with an unusable head before its body is read."""
         status = self._parser.get_status_code()
         if status == _SWITCHING_PROTOCOLS:
-            raise InvalidResponseError("a switch to another protocol, which was not requested")
+            raise InvalidResponseError(_PROTOCOL_SWITCH)
         lengths = [value for name, value in self._headers if name == b"content-length"]
         codings = [value.lower() for name, value in self._headers if name == b"transfer-encoding"]
         if (lengths and codings) or len(lengths) > 1 or codings not in ([], [b"chunked"]):
-            raise InvalidResponseError("more than one length")
+            raise InvalidResponseError(_MORE_THAN_ONE_LENGTH)
         if lengths and not self._is_valid_length(lengths[0]):
-            raise InvalidResponseError("an invalid length")
+            raise InvalidResponseError(_INVALID_LENGTH)
         has_body = status >= _FIRST_FINAL_STATUS and status not in _STATUSES_WITHOUT_BODY
         if has_body and not lengths and not codings:
-            raise InvalidResponseError("no length, so that a truncated response could not be recognised")
+            raise InvalidResponseError(_NO_LENGTH)
 
     def _is_valid_length(self, length: bytes) -> bool:
         if not length.isdigit() or len(length) > _MAX_LENGTH_DIGITS:
@@ -112,14 +124,14 @@
         return int(length) <= self._max_body_bytes
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body, up to the size limit."""
+        """Add a part of the body, up to the size limit."""
         self._body_bytes += len(data)
         if self._body_bytes > self._max_body_bytes:
-            raise InvalidResponseError("body too large")
+            raise InvalidResponseError(_BODY_TOO_LARGE)
         self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Keep a final response; an interim one (status 1xx) is ignored."""
+        """Store a final response; ignore an interim one (status 1xx)."""
         # Read here and not later: the parser resets its flags once the message is complete.
         self._may_reuse = self._parser.should_keep_alive()
         status = self._parser.get_status_code()
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -16,8 +16,7 @@
 
 from loadbalancer.actions import Action, SetTimer, StartAttempt
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Event, RequestReceived, TimerFired
-from loadbalancer.network.client import connection as client_connection
-from loadbalancer.network.client import request_reader
+from loadbalancer.network.client import request_reader, timeouts
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
@@ -225,7 +224,7 @@
     await wait_until(lambda: timers, "the policy has set a hedge timer")
     if disconnect is not None:
         disconnect(client)
-    harness.proxy._dispatch(TimerFired(timers[0]))
+    harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
     assert await ids_received(harness) == ["1"] * (1 if disconnect else 2)
 
 
@@ -245,7 +244,7 @@
     await wait_until(lambda: timers, "the policy has set a hedge timer")
     client.close()
     await left.wait()
-    harness.proxy._dispatch(TimerFired(timers[0]))
+    harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
     assert harness.proxy.open_requests, "the first attempt is still in progress"
     assert await ids_received(harness) == ["1"]
 
@@ -280,7 +279,7 @@
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end is behind requests that are not read, and the sweep has not looked at the connection."""
-    monkeypatch.setattr(client_connection, "SWEEP_INTERVAL_S", 3_600.0)
+    monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def fail_later(received: ReceivedMessage, writer: Any) -> None:
         failing.append(writer)
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from loadbalancer.network.client import listener
+from loadbalancer.network.client import timeouts
 from tests.support.configurations import LISTEN_ANYWHERE, config_text
 from tests.support.fixture_types import StartProxy
 from tests.support.http_client import Client
@@ -31,7 +31,7 @@
 async def test_idle_connections_are_evicted_early_for_waiting_clients(start_proxy: StartProxy) -> None:
     """With 168 connections that stay for 2 s each, no more than 84 requests a second would get through."""
     # A client whose request crosses the close sends it again on a new connection.
-    assert listener.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
+    assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
     harness = await start_proxy(Upstream(), tier=1)  # twenty requests at once are not shed in this tier
     harness.proxy.listener.connection_limit = 20
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -7,6 +7,7 @@
 import pytest
 
 from loadbalancer.events import EndpointListKind
+from loadbalancer.network.discovery import retry_schedule
 from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.support.configurations import entry
 from tests.support.event_recorder import list_kinds, record_events
@@ -72,7 +73,7 @@
     line = await harness.discovery.calls.get()
     assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
     harness.discovery.responses.put_nowait(response(503, b""))
-    monkeypatch.setattr(endpoint_watch, "WATCH_WAIT_MS", 100)
+    monkeypatch.setattr(retry_schedule, "WATCH_WAIT_MS", 100)
     await harness.discovery.calls.get()  # never answered
     started = asyncio.get_running_loop().time()
     await harness.discovery.calls.get()
@@ -90,7 +91,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An update during a pause would use up the whole grace period that a draining upstream has."""
-    monkeypatch.setattr(endpoint_watch, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
+    monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for index in (8, 9):
         await harness.discovery.calls.get()
@@ -111,7 +112,7 @@
     assert wait_ms / 1000 + endpoint_watch.WATCH_OVERDUE_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
     harness.discovery.publish(8)
     monkeypatch.setattr(endpoint_watch, "WATCH_OVERDUE_S", 0.1)
-    monkeypatch.setattr(endpoint_watch, "PUSH_WATCH_WAIT_MS", 100)
+    monkeypatch.setattr(retry_schedule, "PUSH_WATCH_WAIT_MS", 100)
     await harness.discovery.calls.get()
     harness.discovery.publish(9)
     await harness.discovery.calls.get()  # never answered
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -35,7 +35,7 @@
     harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
     kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
     assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-    assert set(harness.proxy.upstreams._pools) == {"s1"}
+    assert harness.proxy.upstreams.endpoint_names == {"s1"}
 
 
 async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(
