--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -166,20 +166,20 @@
     """Where attempts must not be cancelled, it was written once the connection was established."""
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
     harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
-    left = asyncio.Event()
-    before_event(harness, ClientDisconnected, lambda event: left.set())
+    disconnected = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
     await connects.is_waiting.wait()
     client.close()
-    await left.wait()
+    await disconnected.wait()
     connects.allowed.set()
     await until_idle(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
 
 
-async def test_connection_is_kept_when_the_client_disconnects_as_it_is_established(
+async def test_connection_is_reused_when_the_client_disconnects_as_it_is_established(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -210,13 +210,13 @@
     failing, seen = list[Any](), asyncio.Event()
     upstreams = Upstream(fail_later), Upstream(fail_later)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
-    left = asyncio.Event()
-    before_event(harness, ClientDisconnected, lambda event: left.set())
+    disconnected = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
     await seen.wait()
     client.close()
-    await left.wait()
+    await disconnected.wait()
     failing[0].write(response(503, b"", "X-Not-Run: 1"))
     await until_idle(harness)
     assert sum(len(upstream.received) for upstream in upstreams) == 1
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -125,7 +125,7 @@
     """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
-    client, left = harness.connect_socket(), asyncio.Event()
+    client, disconnected = harness.connect_socket(), asyncio.Event()
 
     def hold(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -134,12 +134,12 @@
             disconnect(client)
             return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
         if isinstance(event, ClientDisconnected):
-            left.set()
+            disconnected.set()
         return []
 
     handle = replace_policy(harness, hold)
     client.sendall(request_bytes("/read", 1))
-    await left.wait()
+    await disconnected.wait()
     await until_idle(harness)
     replace_policy(harness, handle)
     assert await ids_received(harness) == []
@@ -238,12 +238,12 @@
         Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
     )
     await open_idle_connections(harness, monkeypatch)
-    client, timers, left = harness.connect_socket(), record_hedge_timers(harness), asyncio.Event()
-    before_event(harness, ClientDisconnected, lambda event: left.set())
+    client, timers, disconnected = harness.connect_socket(), record_hedge_timers(harness), asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: timers, "the policy has set a hedge timer")
     client.close()
-    await left.wait()
+    await disconnected.wait()
     harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
     assert harness.proxy.open_requests, "the first attempt is still in progress"
     assert await ids_received(harness) == ["1"]
@@ -258,8 +258,8 @@
     upstream = Upstream(for_first_request(never_respond))
     harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
     await open_idle_connections(harness, monkeypatch)
-    left = asyncio.Event()
-    before_event(harness, ClientDisconnected, lambda event: left.set())
+    disconnected = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client = harness.connect_socket()
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
     await wait_until(
@@ -267,7 +267,7 @@
         "the upstream has received the first request",
     )
     disconnect(client)
-    await left.wait()
+    await disconnected.wait()
     for writer in upstream.writers:
         writer.write(response())
     await until_idle(harness)
@@ -328,13 +328,13 @@
         harness = await start_proxy(
             more_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
         )
-        client, left = harness.connect_socket(), asyncio.Event()
-        before_event(harness, ClientDisconnected, lambda event: left.set())
+        client, disconnected = harness.connect_socket(), asyncio.Event()
+        before_event(harness, ClientDisconnected, lambda event: disconnected.set())
         client.setblocking(False)
         await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
         await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
         client.close()
-        await left.wait()
+        await disconnected.wait()
         upstream, got = (await loop.sock_accept(listener))[0], b""
         with upstream:
             while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -17,7 +17,9 @@
 from tests.support.sockets import free_port
 
 
-async def test_silent_connections_are_evicted_for_a_client_with_a_request(start_proxy: StartProxy) -> None:
+async def test_connections_without_requests_are_evicted_for_a_client_with_a_request(
+    start_proxy: StartProxy,
+) -> None:
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 20
     clients = [await harness.client() for _ in range(100)]
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -26,12 +26,12 @@
         ),
     ],
 )
-async def test_a_connection_without_a_whole_request_is_closed_after_the_timeout(
+async def test_a_connection_without_a_complete_request_is_closed_after_the_timeout(
     start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Silent clients and those that never finish a request are disconnected within 3 s."""
-    longest_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
-    assert longest_s + timeouts.LINGER_TIMEOUT_S < 2.8
+    max_duration_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
+    assert max_duration_s + timeouts.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
 
     harness = await start_proxy(Upstream())
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -44,7 +44,7 @@
     return client
 
 
-async def test_clients_keep_their_connections_for_a_while(
+async def test_keep_alive_connections_are_served_until_the_keep_alive_time_has_passed(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """While another balancer restarts, clients whose connections closed would have nowhere to go."""
@@ -66,7 +66,7 @@
     await shutdown
 
 
-async def test_connections_stay_open_for_half_the_longest_deadline_at_most(
+async def test_keep_alive_connections_are_closed_after_half_of_the_max_deadline(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -64,7 +64,7 @@
     assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
 
-async def test_a_silent_poll_times_out_soon_after_its_wait_time(
+async def test_an_unanswered_poll_times_out_soon_after_its_wait_time(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """If all upstreams are replaced meanwhile, requests go to the old ones until none is left."""
@@ -101,7 +101,7 @@
     assert "after=9&" in await harness.discovery.calls.get()
 
 
-async def test_a_silent_push_agent_is_detected_before_its_updates_are_due(
+async def test_an_unresponsive_push_agent_is_detected_within_the_update_deadline(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -35,11 +35,11 @@
 from tests.support.waiting import wait_until
 
 # A list, or a change of it, is due this long after discovery had it and could be reached, and a call failed.
-LIST_DUE_S = 6.0
+MAX_LIST_DELAY_S = 6.0
 # The same after the wait of a watch that fell silent, if that is later.
-SILENT_WATCH_DUE_S = 2.0
+MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
 # The same after SIGHUP.
-MOVE_DUE_S = 4.0
+MAX_MOVE_DELAY_S = 4.0
 MARGIN_S = 1.0
 # To connect, and to get and read a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
@@ -71,22 +71,22 @@
     await asyncio.sleep(1.0)
     discovery.fail(fault)
     began = loop.time()
-    ended = loop.create_future()
+    recovered = loop.create_future()
 
     def end() -> None:
-        if not ended.done():
+        if not recovered.done():
             discovery.fault = ""
             discovery.change()
-            ended.set_result(loop.time())
+            recovered.set_result(loop.time())
 
-    def end_after_try() -> None:
+    def end_after_attempt() -> None:
         if loop.time() >= began + outage.min_duration_s and discovery.fault:
-            discovery.on_try = lambda: None
+            discovery.on_attempt = lambda: None
             loop.call_later(outage.end_delay_s, end)
 
-    discovery.on_try = end_after_try
-    ended_at: float = await asyncio.wait_for(ended, outage.min_duration_s + 60)
-    return await proxy.learns_of_drain() - ended_at
+    discovery.on_attempt = end_after_attempt
+    recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
+    return await proxy.learns_of_drain() - recovered_at
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
@@ -98,11 +98,11 @@
     for values in itertools.product(*(polled if how == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
         delay_s = run_simulated(partial(delay_after_outage, fault=fault, how=how, outage=outage))
-        assert delay_s + LIST_TRANSFER_S < LIST_DUE_S - MARGIN_S, outage
+        assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
-def test_a_change_missed_by_a_silent_watch_is_learned_in_time(how: str) -> None:
+def test_a_change_missed_by_an_unresponsive_watch_is_learned_in_time(how: str) -> None:
     """A second to notice and three quarters of a retry delay left no time for the list itself."""
 
     async def scenario(loop: SimulatedLoop, seed: int, calls: int) -> None:
@@ -113,8 +113,8 @@
         discovery.fail("silent")
         discovery.fault = ""  # only the connections that were up are dead
         discovery.change()
-        due_at = max(began + wait_s + SILENT_WATCH_DUE_S, loop.time() + LIST_DUE_S)
-        assert await proxy.learns_of_drain() + LIST_TRANSFER_S < due_at
+        deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
+        assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
 
     for seed, calls in itertools.product(range(1, 30), (1, 3)):
         run_simulated(partial(scenario, seed=seed, calls=calls))
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_after_a_move_earlier_failures_do_not_lengthen_the_delay(fault: str, how: str) -> None:
+def test_after_a_move_earlier_failures_have_no_effect_on_the_delay(fault: str, how: str) -> None:
     """The new discovery's first call failed, and it was asked again after the delay of a long outage."""
 
     async def scenario(loop: SimulatedLoop, seed: int, phase: float) -> None:
@@ -131,24 +131,28 @@
         await asyncio.sleep(1.0)
         old.fail("refuses")
         await asyncio.sleep(40.0)
-        tries = len(old.tries)
+        attempts = len(old.attempts)
         # The policy's timer is set again with the next try.
-        await wait_until(lambda: len(old.tries) > tries, "discovery is called again", poll_interval_s=0.01)
+        await wait_until(
+            lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
+        )
         await asyncio.sleep(phase)
         new.fault = fault
         moved_at = loop.time()
 
         def recover() -> None:
             new.fault = ""
-            new.on_try = lambda: None
+            new.on_attempt = lambda: None
             new.change()
 
-        new.on_try = lambda: loop.call_soon(recover)  # once the first call has been received or has failed
+        new.on_attempt = lambda: loop.call_soon(
+            recover
+        )  # once the first call has been received or has failed
         proxy.move(new)
         learned_at = await proxy.learns_of_drain()
-        assert new.tries[0] == moved_at
+        assert new.attempts[0] == moved_at
         # A late one costs both: the wait for a connection, and that for a response.
-        allowed = LIST_DUE_S if fault == "late" else MOVE_DUE_S
+        allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_MOVE_DELAY_S
         assert learned_at + LIST_TRANSFER_S < moved_at + allowed
 
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
@@ -170,12 +174,12 @@
             await asyncio.sleep(0.2)
         await asyncio.sleep(10.0)
         last = discoveries[-1]
-        before = len(last.tries)
+        before = len(last.attempts)
         await asyncio.sleep(60.0)
         shortest_delay_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * 0.5
-        assert 60.0 / LIST_DUE_S < len(last.tries) - before <= 60.0 / shortest_delay_s
-        earlier_tries = sum(len(discovery.tries) for discovery in discoveries[1:-1])
-        assert earlier_tries == len(discoveries) - 2, "none is called after the next move"
+        assert 60.0 / MAX_LIST_DELAY_S < len(last.attempts) - before <= 60.0 / shortest_delay_s
+        earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
+        assert earlier_attempts == len(discoveries) - 2, "none is called after the next move"
         last.fault = ""
         last.change()
         learned_at = await proxy.learns_of_drain()
@@ -213,30 +217,30 @@
         await asyncio.sleep(1.0)
         discovery.fail(fault)
         await asyncio.sleep(20.0)
-        discovery.tries.clear()
+        discovery.attempts.clear()
         await asyncio.sleep(span_s)
         for proxy in proxies:
             proxy.stop()
-        return discovery.tries
+        return discovery.attempts
 
     for fault in FAULTS:
-        tries = run_simulated(partial(scenario, fault=fault))
+        attempts = run_simulated(partial(scenario, fault=fault))
         mean_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000
-        assert len(tries) / (seeds * span_s) < 1.1 / mean_s, fault
-        slots = [int(at * 10) for at in tries]
+        assert len(attempts) / (seeds * span_s) < 1.1 / mean_s, fault
+        slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second gets a third of them"
     again = run_simulated(partial(scenario, fault=fault))
-    assert tries == pytest.approx(again), "the same seeds, the same delays"
+    assert attempts == pytest.approx(again), "the same seeds, the same delays"
 
 
-def test_the_longest_delays_leave_a_second_before_a_list_is_due() -> None:
+def test_the_max_delays_leave_a_second_before_the_deadline_of_a_list() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     overdue_s = endpoint_watch.WATCH_OVERDUE_S
     rest_s = poll_backoff.MIN_POLL_PAUSE_MS / 1000 * MAX_DELAY_JITTER
     period_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + overdue_s
-    limit_s = LIST_DUE_S - MARGIN_S
+    limit_s = MAX_LIST_DELAY_S - MARGIN_S
     # Discovery is back, or the change there, just after a try began that is bound to fail.
     assert period_s + LIST_TRANSFER_S < limit_s, "it failed at once: the next one is due by its beginning"
     call_s = max(recovery_s, response_s)
@@ -244,18 +248,18 @@
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
     # A watch that was open falls silent.
-    assert overdue_s + rest_s + LIST_TRANSFER_S < SILENT_WATCH_DUE_S
+    assert overdue_s + rest_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + overdue_s + LIST_TRANSFER_S
     # SIGHUP, and the new one's first call fails.
     retry_delay_s = retry_schedule.MOVE_RETRY_DELAY_S * MAX_DELAY_JITTER
-    assert retry_schedule.MOVE_PERIOD_S <= MOVE_DUE_S
-    assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MOVE_DUE_S
+    assert retry_schedule.MOVE_PERIOD_S <= MAX_MOVE_DELAY_S
+    assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_MOVE_DELAY_S
     assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
     assert period_s < retry_schedule.MOVE_PERIOD_S, "an earlier timer fires while the watch itself retries"
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
-def test_failures_that_nobody_asked_for_do_not_add_up_to_a_long_pause() -> None:
+def test_repeated_failures_keep_the_poll_delay_bounded() -> None:
     harness = PolicyHarness(2, polls_discovery=True)
     for _ in range(100):
         timer = of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -26,7 +26,7 @@
 CLIENTS = 320
 
 
-async def connect_and_stay_idle(port: int) -> None:
+async def hold_idle_connection(port: int) -> None:
     """Connect again each time the balancer closes the connection."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -39,16 +39,16 @@
     return sum(1 for _ in Path(f"/proc/{process.pid}/fd").iterdir())
 
 
-async def most_descriptors(process: asyncio.subprocess.Process, at_least: int) -> int:
-    """Return the largest number of open descriptors, until `at_least` are open and a second longer."""
+async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
+    """Return the largest number of open descriptors, until `min_count` are open and a second longer."""
     counts = list[int]()
 
     def has_reached() -> bool:
         counts.append(count_descriptors(process))
-        return counts[-1] >= at_least
+        return counts[-1] >= min_count
 
     await wait_until(
-        has_reached, f"{at_least} descriptors are open", state=lambda: max(counts), poll_interval_s=0.01
+        has_reached, f"{min_count} descriptors are open", state=lambda: max(counts), poll_interval_s=0.01
     )
     for _ in range(100):
         counts.append(count_descriptors(process))
@@ -76,11 +76,11 @@
         write_configuration(path, port, down.getsockname()[1])
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
-            clients.extend(asyncio.ensure_future(connect_and_stay_idle(port)) for _ in range(CLIENTS))
+            clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
             # The clients go on connecting: over three times as many as are accepted.
             clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
-            most = await most_descriptors(process, clients_part)
-            assert clients_part <= most <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
+            max_open = await max_open_descriptors(process, clients_part)
+            assert clients_part <= max_open <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
             server = await asyncio.start_server(discovery.serve, sock=down)
             await discovery.calls.get()
             discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
@@ -95,7 +95,7 @@
                 task.cancel()
 
 
-async def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors(
+async def test_attempts_started_at_once_are_limited_to_the_upstreams_share_of_the_descriptors(
     start_server: StartServer,
 ) -> None:
     """Each was admitted before the first had opened its connection: all that started at once got one."""
@@ -104,14 +104,14 @@
     upstreams.connection_limit.max_connections = 5
     attempts = [ObservedAttempt(upstreams) for _ in range(12)]
 
-    def all_started_or_ended() -> bool:
+    def all_connected_or_finished() -> bool:
         assert upstreams.open_connections <= 5
-        return upstream.connections >= 5 and sum(bool(attempt.ends) for attempt in attempts) >= 7
+        return upstream.connections >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
-        all_started_or_ended,
+        all_connected_or_finished,
         "five attempts have connected and seven have ended",
-        state=lambda: (upstream.connections, [attempt.ends for attempt in attempts]),
+        state=lambda: (upstream.connections, [attempt.outcomes for attempt in attempts]),
     )
     assert upstreams.open_connections == upstream.connections == 5
-    assert [attempt.ends for attempt in attempts if attempt.ends] == [[Outcome.NOT_SENT]] * 7
+    assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -33,7 +33,7 @@
     return error != 0
 
 
-async def test_sigterm_twice_and_a_sighup_do_not_disturb_open_requests(
+async def test_open_requests_survive_sigterm_twice_and_a_sighup(
     start_server: StartServer, program_with_open_request: ProgramWithOpenRequest
 ) -> None:
     program = program_with_open_request
@@ -64,14 +64,14 @@
     harness = await start_proxy(Upstream())
     await harness.send_request()
     await harness.discovery.calls.get()
-    whole = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
-    harness.discovery.responses.put_nowait(whole[:-5])
+    list_bytes = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
+    harness.discovery.responses.put_nowait(list_bytes[:-5])
     connection = harness.proxy.endpoint_watch.connection
     assert connection is not None
     await wait_until(lambda: connection.is_receiving, "a part of the list is received")
     new = DiscoveryServer()
     text = config_text(await start_server(new), [])
-    connection.data_received(whole[-5:])  # the rest comes in the turn of the signal
+    connection.data_received(list_bytes[-5:])  # the rest comes in the turn of the signal
     harness.proxy.reconfigure(configuration(text))
     await new.calls.get()
     new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
@@ -80,7 +80,7 @@
     assert harness.proxy.upstreams.endpoint_names == {"new"}
 
 
-async def test_a_timeout_in_the_turn_of_a_response_ends_the_attempt_once(start_server: StartServer) -> None:
+async def test_a_timeout_as_the_response_is_read_finishes_the_attempt_once(start_server: StartServer) -> None:
     upstream = Upstream(never_respond)
     upstreams = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(upstreams)
@@ -90,7 +90,7 @@
     attempt.attempt.handle_timeout()
     connection.data_received(response())  # it was read before, and is passed on only now
     await upstream.connection_closed.wait()
-    assert attempt.ends == [Outcome.TIMED_OUT]
+    assert attempt.outcomes == [Outcome.TIMED_OUT]
     assert upstreams.open_connections == 0
 
 
@@ -135,7 +135,7 @@
         connection = await connect(pool)
         update = {
             "draining": endpoint_list(entry("s0", address, status="terminating")),
-            "gone": endpoint_list(whole=True),
+            "gone": endpoint_list(is_complete=True),
             "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
             "restarted": endpoint_list(entry("s0", address, since_ms=5)),
         }[change]
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -23,15 +23,15 @@
         if text is not None:
             path.write_text(text)
             environment["LB_CONFIG"] = str(path)
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "loadbalancer"],
             env=environment,
             capture_output=True,
             text=True,
             check=False,
         )
-        assert done.returncode != 0
-        assert len(done.stderr.splitlines()) == 1, done.stderr
+        assert completed.returncode != 0
+        assert len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
 def test_signals_after_the_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
@@ -51,21 +51,21 @@
     """
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         env=os.environ | {"LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
         check=False,
     )
-    assert (done.returncode, done.stdout) == (0, "alive\n"), done.stderr
+    assert (completed.returncode, completed.stdout) == (0, "alive\n"), completed.stderr
 
 
 def test_null_in_the_configuration_counts_as_absent() -> None:
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
         text = json.dumps(raw | {"limits": limits, "name": None, "seed": None, "known": None})
-        config = read_configuration(text, lambda note: None)
+        config = read_configuration(text, lambda warning: None)
         assert config.descriptor_limit == 1024
         assert config.memory_limit_mb == 192
         assert config.name == ""
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -97,7 +97,7 @@
     assert outcomes(events).count(Outcome.SUCCEEDED) == len(upstream.received) == 8
 
 
-async def test_a_silent_upstream_times_out_and_the_client_gets_an_error_by_its_deadline(
+async def test_an_unresponsive_upstream_times_out_and_the_client_gets_an_error_by_its_deadline(
     start_proxy: StartProxy,
 ) -> None:
     upstream = Upstream(never_respond)
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -47,7 +47,7 @@
     known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entries)]
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", known))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", SCRIPT.format(before=before.replace("\n", "\n    "), expression=expression)],
         env=os.environ | {"LB_CONFIG": str(path)},
         cwd=ROOT,
@@ -56,8 +56,8 @@
         timeout=TEST_TIMEOUT_S,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
-    return json.loads(done.stdout)
+    assert completed.returncode == 0, completed.stderr
+    return json.loads(completed.stdout)
 
 
 @contextmanager
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -17,7 +17,7 @@
 from tests.support.upstream_attempts import full_backlog
 
 
-async def test_a_new_discovery_is_asked_at_once_for_a_snapshot_and_the_old_one_closed(
+async def test_a_new_discovery_is_polled_at_once_for_a_snapshot_and_the_old_connection_closed(
     start_proxy: StartProxy, start_server: StartServer
 ) -> None:
     first, second = Upstream(), Upstream(never_respond)
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -118,15 +118,15 @@
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(path.read_text())
-    done = run_program(signalled_program(moment, path, signal.SIGTERM), path)
-    assert done.returncode == (0 if moment == "binds" else -signal.SIGTERM)
-    assert "Traceback" not in done.stderr
-    assert done.stdout == ""
+    completed = run_program(signalled_program(moment, path, signal.SIGTERM), path)
+    assert completed.returncode == (0 if moment == "binds" else -signal.SIGTERM)
+    assert "Traceback" not in completed.stderr
+    assert completed.stdout == ""
 
 
 def test_a_request_that_arrives_with_a_sigterm_gets_a_response(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
-    done = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
-    assert done.returncode == 0, done.stderr
-    assert done.stdout == "HTTP/1.1 503 Service Unavailable\n"  # rejected: there is no upstream
+    completed = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout == "HTTP/1.1 503 Service Unavailable\n"  # rejected: there is no upstream
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -61,7 +61,7 @@
     attempt.attempt.cancel()
     attempt.attempt.cancel()
     await upstream.connection_closed.wait()
-    assert attempt.ends == [Outcome.CANCELLED]
+    assert attempt.outcomes == [Outcome.CANCELLED]
     assert upstreams.open_connections == 0
 
 
@@ -106,13 +106,13 @@
     assert upstreams.open_connections == 0
     await serve()
     assert len(moved.received) == 1
-    upstreams.update_endpoints(endpoint_list(whole=True))
+    upstreams.update_endpoints(endpoint_list(is_complete=True))
     assert upstreams.open_connections == 0
     starter = AttemptStarter(asyncio.get_running_loop(), upstreams)
     assert starter.start("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
 
 
-async def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened(
+async def test_at_the_limit_the_least_recently_used_connection_is_closed_and_without_one_none_is_opened(
     start_server: StartServer,
 ) -> None:
     upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
@@ -196,15 +196,15 @@
     """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
-    ended = list[bool]()
+    connection_ended = list[bool]()
 
     def look_at_the_upstream(event: AttemptFinished) -> None:
         seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
-        ended.append(seen == b"")
+        connection_ended.append(seen == b"")
 
     before_event(harness, AttemptFinished, look_at_the_upstream)
     assert status(await harness.send_request("/pay/x", b"debit", deadline="200m")) == 502
-    assert ended == [True]
+    assert connection_ended == [True]
 
 
 async def test_interim_responses_are_ignored(start_proxy: StartProxy) -> None:
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -105,10 +105,10 @@
     Attributes:
         fault: What is wrong with it at the time, of `FAULTS`; empty if nothing is.
         index: The version of its list.
-        tries: When connections were asked for, or calls came on those that were up.
+        attempts: When connections were asked for, or calls came on those that were up.
         calls: The request lines of the calls.
         watches: When each watch began, and its wait; both in seconds.
-        on_try: Called when a try has been accepted or has failed.
+        on_attempt: Called when a try has been accepted or has failed.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -119,17 +119,17 @@
         self.index = KNOWN_INDEX
         self._entries: list[dict[str, Any]] = []
         self.connections: set[SimulatedConnection] = set()
-        self.tries: list[float] = []
+        self.attempts: list[float] = []
         self.calls: list[str] = []
         self.watches: asyncio.Queue[tuple[float, float]] = asyncio.Queue()
-        self.on_try: Callable[[], object] = lambda: None
+        self.on_attempt: Callable[[], object] = lambda: None
 
     async def connect(self, factory: Callable[[], asyncio.Protocol]) -> Any:
         """Accept a connection, or fail to."""
         fault = self.fault
         if fault in CONNECT_FAULTS:
-            self.tries.append(self.loop.time())
-            self.on_try()
+            self.attempts.append(self.loop.time())
+            self.on_attempt()
         if fault == "refuses":
             raise ConnectionRefusedError
         if fault == "away":
@@ -147,11 +147,11 @@
     def on_call(self, connection: SimulatedConnection, call: str) -> None:
         """Take a call, given as its request line."""
         if not connection.is_dead:
-            self.tries.append(self.loop.time())
+            self.attempts.append(self.loop.time())
         self.calls.append(call)
         connection.calls += 1
         self._respond(connection, call)
-        self.on_try()
+        self.on_attempt()
 
     def _respond(self, connection: SimulatedConnection, call: str) -> None:
         match self.fault:
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -19,16 +19,16 @@
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
 
 
-def endpoint_list(*entries: dict[str, Any], whole: bool = False) -> EndpointList:
-    """An endpoint list, as read from discovery: a change of the list, or the whole one."""
-    return read_endpoint_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
+def endpoint_list(*entries: dict[str, Any], is_complete: bool = False) -> EndpointList:
+    """An endpoint list, as read from discovery: a change of the list, or the complete one."""
+    return read_endpoint_list({"index": 1, "snapshot": is_complete, "endpoints": list(entries)})
 
 
 def make_pools(address: str, **limits: Any) -> UpstreamPools:
     """Pools with one endpoint, `s0`, at an address."""
     default_limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
     text = config_text("127.0.0.1:9", [], limits=default_limits | limits)
-    pools = UpstreamPools(read_configuration(text, lambda note: None), asyncio.get_running_loop())
+    pools = UpstreamPools(read_configuration(text, lambda warning: None), asyncio.get_running_loop())
     pools.update_endpoints(endpoint_list(entry("s0", address)))
     return pools
 
@@ -37,7 +37,7 @@
     """An attempt at `s0` that has been started, and every outcome that was reported for it."""
 
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
-        self.ends: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
         self.over = asyncio.Event()
         starter = AttemptStarter(asyncio.get_running_loop(), pools)
         attempt = starter.start("s0", timeout_s, lambda: request, self._record)
@@ -45,13 +45,13 @@
         self.attempt: UpstreamAttempt = attempt
 
     def _record(self, outcome: Outcome, response: Response | None) -> None:
-        self.ends.append(outcome)
+        self.outcomes.append(outcome)
         self.over.set()
 
     async def outcome(self) -> Outcome:
         """Wait for the end; there must be exactly one outcome."""
         await self.over.wait()
-        (outcome,) = self.ends
+        (outcome,) = self.outcomes
         return outcome
 
 
