--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -1,4 +1,4 @@
-"""A client that has disconnected: its request is not sent to an upstream, wherever it was waiting."""
+"""The request of a client that has disconnected is not sent, whether it was delayed, queued or connecting."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
     start_proxy: StartProxy,
 ) -> None:
-    """The policy sends a moment later; the event loop has not read the disconnect yet."""
+    """The policy starts the attempt from a timer, before the event loop has read the disconnect."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     client = harness.connect_socket()
@@ -54,7 +54,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The retry opens a connection of its own; the client disconnects as that is established."""
+    """The client disconnects as the connection of the retry is established."""
 
     async def by_class(received: ReceivedMessage, writer: Any) -> None:
         is_rejected = received.headers["x-class"] == "pay"
@@ -71,7 +71,7 @@
     client.sendall(request_bytes("/pay", 1, b"debit"))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
     await until_idle(harness)
-    assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
+    assert status(await harness.send_request()) == 200  # all that was in flight has arrived
     received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
     assert received.count("pay") == 1
 
@@ -94,12 +94,12 @@
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
     await wait_until(lambda: len(arrived) >= 2, "the policy has got both requests", state=lambda: arrived)
     await until_idle(harness)
-    assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
+    assert status(await harness.send_request()) == 200  # all that was in flight has arrived
     assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
 
 
 async def client_with_unread_response(harness: ProxyHarness) -> socket.socket:
-    """A client that has sent two requests and has not read the response to the first."""
+    """Return a client that has sent two requests and has not read the response to the first."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.connect(harness.proxy.listener.address[:2])
@@ -115,7 +115,7 @@
 async def test_pipelined_request_is_processed_once_the_response_before_it_is_read(
     start_proxy: StartProxy,
 ) -> None:
-    """Nothing reported that the rest of the response had left: the next request waited for further bytes."""
+    """Guards against a pipelined request that waits for further bytes after the response is sent."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
     client, got = await client_with_unread_response(harness), b""
@@ -127,7 +127,7 @@
 async def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response(
     start_proxy: StartProxy,
 ) -> None:
-    """The end was read, but the connection stayed until the response had left; then the next one was sent."""
+    """Guards against sending it once the client has read the response, although the disconnect was read."""
     upstream = Upstream(response(200, b"x" * 60_000))
     harness = await start_proxy(upstream)
     client = await client_with_unread_response(harness)
@@ -139,12 +139,12 @@
     while await asyncio.get_running_loop().sock_recv(client, 65_536):
         pass
     client.close()
-    assert status(await harness.send_request()) == 200  # whatever was in flight has arrived by now
+    assert status(await harness.send_request()) == 200  # all that was in flight has arrived
     assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
 
 
 async def test_disconnect_is_noticed_while_reading_is_paused(start_proxy: StartProxy) -> None:
-    """The socket was not polled any more, and all pipelined requests were sent, one after another."""
+    """Guards against a socket that is not polled while reading is paused."""
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream, tier=1)
     client = harness.connect_socket()
@@ -154,7 +154,7 @@
     (connection,) = harness.proxy.listener.connections
     await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
     client.close()
-    await until_idle(harness)  # it is noticed, though its request has no response yet
+    await until_idle(harness)  # although the request has no response yet
     await upstream.connection_closed.wait()
     assert len(upstream.received) == 1
 
@@ -163,7 +163,7 @@
 async def test_not_sent_when_the_client_disconnects_while_an_upstream_connection_opens(
     start_proxy: StartProxy, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where attempts must not be cancelled, it was written once the connection was established."""
+    """Guards against sending it where attempts must not be cancelled."""
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
     harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
     disconnected = asyncio.Event()
@@ -201,7 +201,7 @@
 async def test_not_retried_after_a_disconnect_where_attempts_must_not_be_cancelled(
     start_proxy: StartProxy,
 ) -> None:
-    """The first attempt stays in progress; its failure causes no further one."""
+    """The first attempt stays in progress, and its failure causes no retry."""
 
     async def fail_later(received: ReceivedMessage, writer: Any) -> None:
         failing.append(writer)
@@ -226,13 +226,13 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was sent on after the final response, which the other attempt had brought meanwhile."""
+    """Guards against sending it after the other attempt has brought the response."""
     connects = DelayedConnects(monkeypatch, first=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
     client = await harness.client()
     client.send(deadline="1200m")
-    await connects.is_waiting.wait()  # the hedged request connects
+    await connects.is_waiting.wait()  # the hedged request is connecting
     first = next(upstream for upstream in upstreams if upstream.received)
     first.writers[0].write(response(200, b"first"))
     assert (await client.read_response()).body == b"first"
@@ -240,6 +240,6 @@
     await until_idle(harness)
     other = await harness.client()
     other.send(deadline="400m")
-    await other.read_response()  # whatever its outcome, all that was in flight has arrived by now
+    await other.read_response()  # all that was in flight has arrived
     received = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.received]
     assert received.count(first.received[0].headers["x-request-id"]) == 1
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -1,4 +1,4 @@
-"""Clients of a balancer whose event loop is busy: what arrives meanwhile is found in the kernel later."""
+"""Clients of a balancer whose event loop is busy: the kernel holds what arrives until it is read."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def before_each_expiry_check(
     monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
 ) -> None:
-    """Act on a connection, at a time, right before it is checked for being slow."""
+    """Call a function with each connection and the time before the connection is checked for timeouts."""
     expire_if_slow = ClientConnection.expire_if_slow
 
     def act_then_expire(
@@ -50,7 +50,7 @@
 
 
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """Connections are accepted, but their transports are not set up until the event is set."""
+    """Delay the transport of each accepted connection until the returned event is set."""
     may_set_up = asyncio.Event()
     set_up = ConnectionTable.set_up
 
@@ -74,7 +74,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A busy loop uses up the last pause; if the program ended then, the unread request would be reset."""
+    """Guards against ending the program, and so resetting an unread request, after a busy last interval."""
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_ACCEPT_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
@@ -95,7 +95,7 @@
 
     monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
     await listener.shut_down()
-    client.setblocking(False)  # the process is over: what is not there now never comes
+    client.setblocking(False)  # the process has ended: nothing more can arrive
     assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
     assert client.recv(1) == b""
 
@@ -104,14 +104,14 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They connect while the loop is busy for longer than the request timeout, which counts for them."""
+    """The time that they wait in the accept queue counts towards the request timeout."""
     set_request_timeout(monkeypatch, 0.2, sweep_interval_s=0.02)
 
     sweeps = set[float]()
     before_each_expiry_check(monkeypatch, lambda _, now: sweeps.add(now))
     upstream = Upstream()
     harness = await start_proxy(upstream)
-    await asyncio.sleep(0)  # it listens, and sweeps from now on
+    await asyncio.sleep(0)  # the listener accepts and sweeps from now on
     response_starts = {
         b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
         b"": b"",
@@ -139,7 +139,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each check finds a byte that is not read yet, which must not put the timeout off."""
+    """Each check finds an unread byte, which must not extend the timeout."""
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     checks = list[float]()
@@ -185,7 +185,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One is not set up yet, the request of another is not read yet; a third waits to be accepted."""
+    """One connection is not set up, the request of another is unread, and a third waits to be accepted."""
     set_timeouts_under_pressure(monkeypatch, 60.0)
 
     harness = await start_proxy(Upstream())
@@ -205,11 +205,11 @@
     )
     waiting = harness.connect_socket()
     waiting.sendall(request_bytes("/read", 2))
-    # At once, before the loop could read it.
+    # Evict before the event loop can read it.
     send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
     set_timeouts_under_pressure(monkeypatch, 0.0)
     monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
-    assert not listener.accept_pending()  # it looks for connections to evict
+    assert not listener.accept_pending()  # evicts connections
     may_set_up.set()
     assert status(await idle.read_response()) == 200
     for client in (accepted, waiting):
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -53,7 +53,7 @@
 
 
 def close_behind_bytes(client: socket.socket) -> None:
-    client.send(b"GET /re")  # looking at the first byte alone does not show the end behind it
+    client.send(b"GET /re")  # peeking at one byte does not show the disconnect after it
     client.close()
 
 
@@ -67,7 +67,7 @@
 
 
 def for_first_request(script: Any) -> Any:
-    """Applies a script to the request with the id 1; all others succeed."""
+    """Apply a script to the request with the id 1; all others succeed."""
 
     async def by_id(received: ReceivedMessage, writer: Any) -> None:
         if received.headers["x-request-id"] != "1":
@@ -81,7 +81,7 @@
 
 
 async def open_idle_connections(harness: ProxyHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have an idle connection to each upstream, which retries use as well."""
+    """Open an idle connection to each upstream, for first attempts and retries."""
     while not all(upstream.received for upstream in harness.upstreams):
         assert status(await harness.send_request()) == 200
     monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
@@ -89,14 +89,14 @@
 
 
 def ids_of_attempts(harness: ProxyHarness) -> list[str]:
-    """The id of each request that an upstream has received, in no particular order."""
+    """Return the id of each request that an upstream has received, in no particular order."""
     return [
         request.headers["x-request-id"] for upstream in harness.upstreams for request in upstream.received
     ]
 
 
 async def ids_received(harness: ProxyHarness) -> list[str]:
-    """The ids of the test's own requests that reached upstreams, once all in flight have arrived."""
+    """Return the ids of the test's own requests that upstreams received, once all in flight have arrived."""
     pass_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     ids = ids_of_attempts(harness)
@@ -107,13 +107,13 @@
 async def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
+    """The event loop is busy until the kernel holds connection, request and disconnect."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client = harness.connect_socket()
     client.sendall(request_bytes("/read", 1))
     disconnect(client)
-    await harness.send_request()  # its connection came later
+    await harness.send_request()  # its connection was opened later
     await until_disconnected(harness)
     assert await ids_received(harness) == []
 
@@ -122,7 +122,7 @@
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
+    """The disconnect arrives while the event loop is busy, and is unread as the policy's timer fires."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client, disconnected = harness.connect_socket(), asyncio.Event()
@@ -164,7 +164,7 @@
     disconnect: Disconnect,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client disconnects as its first attempt fails; a retry would be written at once."""
+    """The client disconnects as its first attempt fails, when a retry would be written immediately."""
     harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
     await open_idle_connections(harness, monkeypatch)
     client, ends = harness.connect_socket(), list[AttemptFinished]()
@@ -184,7 +184,7 @@
 async def test_the_same_failures_are_retried_while_the_client_stays(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The test above rests on it: only the disconnect keeps the retry back."""
+    """Shows that in the test above only the disconnect prevents the retry."""
     script = for_first_request(response(500))
     harness = await start_proxy(Upstream(script), Upstream(script))
     await open_idle_connections(harness, monkeypatch)
@@ -199,7 +199,7 @@
 
 
 def record_hedge_timers(harness: ProxyHarness) -> list[HedgeTimer]:
-    """A list to which every hedge timer that the policy sets is appended."""
+    """Return a list to which every hedge timer that the policy sets is appended."""
     timers = list[HedgeTimer]()
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
@@ -215,7 +215,7 @@
 async def test_hedged_request_is_sent_only_while_the_client_is_connected(
     start_proxy: StartProxy, disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its timer fires before the event loop has read the client's end."""
+    """The hedge timer fires before the event loop has read the disconnect."""
     script = for_first_request(never_respond)
     harness = await start_proxy(Upstream(script), Upstream(script), limits=HEDGING_LIMITS)
     await open_idle_connections(harness, monkeypatch)
@@ -254,7 +254,7 @@
 async def test_pipelined_requests_are_not_sent_after_a_disconnect(
     start_proxy: StartProxy, may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where the first attempt goes on, its response must not start the next request."""
+    """If the first attempt continues, its response must not start the next request."""
     upstream = Upstream(for_first_request(never_respond))
     harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
     await open_idle_connections(harness, monkeypatch)
@@ -278,7 +278,7 @@
 async def test_not_retried_after_a_disconnect_while_reading_is_paused(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end is behind requests that are not read, and the sweep has not looked at the connection."""
+    """The disconnect follows unread requests, and the sweep has not checked the connection."""
     monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def fail_later(received: ReceivedMessage, writer: Any) -> None:
@@ -308,7 +308,7 @@
 async def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
     start_proxy: StartProxy, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The upstream never gets the last byte, without which it does not begin to process a request."""
+    """The upstream does not get the last byte, so it does not process the request."""
     made, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
 
     def connect_with_small_buffer(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""At the limit of connections new ones wait, and slow and idle ones are evicted for them."""
+"""At the connection limit new connections wait, and slow and idle ones are evicted."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 async def test_idle_connections_are_evicted_early_for_waiting_clients(start_proxy: StartProxy) -> None:
-    """With 168 connections that stay for 2 s each, no more than 84 requests a second would get through."""
-    # A client whose request crosses the close sends it again on a new connection.
+    """Guards against the low throughput of 168 connections of 2 s each: 84 requests a second."""
+    # A client whose request is sent as the connection is closed retries it on a new connection.
     assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
     harness = await start_proxy(Upstream(), tier=1)  # twenty requests at once are not shed in this tier
@@ -47,7 +47,7 @@
 async def test_clients_beyond_the_limit_wait_until_an_idle_connection_is_evicted(
     start_proxy: StartProxy,
 ) -> None:
-    """Accepting is tried again after connections have become idle, not only when one closes."""
+    """Accepting is retried after connections have become idle, not only when one closes."""
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 2
     first = await harness.client()
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -1,4 +1,4 @@
-"""Connections that bring no whole request, or stay idle, are closed in time."""
+"""Connections without a complete request and idle connections are closed after a timeout."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def test_a_connection_without_a_complete_request_is_closed_after_the_timeout(
     start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Silent clients and those that never finish a request are disconnected within 3 s."""
+    """Clients that send nothing or no complete request are disconnected within 3 s."""
     max_duration_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
     assert max_duration_s + timeouts.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown: everything that was sent gets a response, and no connection is reset."""
+"""Graceful shutdown: each request that was sent gets a response, and no connection is reset."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     keep_alive_s: float | None = None,
     max_deadline_s: float | None = None,
 ) -> None:
-    """Replace those of the shutdown's times that are given."""
+    """Replace the given time limits of the shutdown."""
     times = {
         "SHUTDOWN_ACCEPT_S": accept_s,
         "SHUTDOWN_KEEP_ALIVE_S": keep_alive_s,
@@ -37,7 +37,7 @@
 
 
 async def client_with_a_response(harness: ProxyHarness) -> Client:
-    """A client whose first request has got its response."""
+    """Return a client whose first request has its response."""
     client = await harness.client()
     client.send()
     assert status(await client.read_response()) == 200
@@ -47,7 +47,7 @@
 async def test_keep_alive_connections_are_served_until_the_keep_alive_time_has_passed(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """While another balancer restarts, clients whose connections closed would have nowhere to go."""
+    """Guards against clients without any balancer while another one restarts."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -61,7 +61,7 @@
         assert status(reply) == 200
         assert "connection" not in reply.headers
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-    assert await client.reader.read() == b""  # a clean end, once the time is up
+    assert await client.reader.read() == b""  # closed without a reset once the time has passed
     client.writer.close()
     await shutdown
 
@@ -70,13 +70,13 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The platform kills the process soon after the longest deadline: what arrives later is lost."""
+    """Guards against losing requests: the platform kills the process soon after the maximum deadline."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
     client = await client_with_a_response(harness)
     harness.proxy.listener.max_deadline_s = 0.2
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
-    assert await client.reader.read() == b""  # a clean end
+    assert await client.reader.read() == b""  # closed without a reset
     assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
     client.writer.close()
     await shutdown
@@ -98,7 +98,7 @@
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     await asyncio.sleep(0)
     assert status(await harness.send_request()) == 200
-    assert await idle.reader.read() == b""  # a clean end, no reset
+    assert await idle.reader.read() == b""  # closed without a reset
     upstream.writers[-1].write(b"")
     for writer in upstream.writers:
         writer.write(response(200, b"at last"))
@@ -113,7 +113,7 @@
 async def test_a_request_in_the_accept_queue_gets_a_response(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client has sent all of it, though its connection was not accepted yet."""
+    """The client has sent the complete request before its connection is accepted."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -141,7 +141,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is left in the queue is reset when the listening socket closes."""
+    """Guards against resets: the kernel resets queued connections when the listening socket closes."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream)
@@ -165,7 +165,7 @@
 
 
 async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once(start_proxy: StartProxy) -> None:
-    """The process ends before an upstream could respond to it."""
+    """The process ends before an upstream could respond."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     client = await harness.client()
@@ -189,14 +189,14 @@
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert status(await client.read_response()) == 502
     await shutdown
-    assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
+    assert outcomes(events) == [Outcome.CANCELLED]  # before the attempt's own timeout
 
 
 async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel holds it, unread, while the connection is judged to be idle."""
+    """The request is unread in the kernel while the connection is evaluated as idle."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
     client = await client_with_a_response(harness)
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -1,4 +1,4 @@
-"""What clients send occupies a bounded amount of memory, which is released afterwards."""
+"""Buffered requests occupy a bounded amount of memory, which is released afterwards."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def test_buffered_requests_are_bounded_and_their_memory_is_released(start_proxy: StartProxy) -> None:
-    """Sixteen bodies read ahead on every connection would exceed a small memory limit."""
+    """Sixteen bodies read ahead on each connection would exceed a small memory limit."""
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
     listener = harness.proxy.listener
@@ -67,7 +67,7 @@
 
     await send_requests(20)
     gc.collect()
-    gc.disable()  # objects that only the collector would free count_objects as leaked
+    gc.disable()  # objects that only the collector would free count as leaked
     try:
         before = count_objects()
         await send_requests(100)
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize(
     ("raw", "expected_status"),
     [
-        # Two readers could understand these differently.
+        # Two parsers could interpret these differently.
         (b"POST /pay HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", 400),
         (b"POST /pay HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nxxxxx", 400),
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: updates are applied, and failures of discovery are survived."""
+"""The watch on the endpoint list: updates are applied, and it continues after failures of discovery."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     assert status(await harness.send_request("/pay/x", b"debit")) == 200
     await harness.discovery.calls.get()
     harness.discovery.publish(8, entry("s0", harness.entries[0]["address"], status="terminating"))
-    await upstream.connection_closed.wait()  # the idle connection goes
+    await upstream.connection_closed.wait()  # the idle connection is closed
     assert status(await harness.send_request("/pay/x", b"debit")) == 503
     assert len(upstream.received) == 1
 
 
 async def test_the_watch_goes_on_after_a_malformed_response(start_proxy: StartProxy) -> None:
-    """Whatever exception a response raises while it is read, discovery is polled again."""
+    """Discovery is polled again after any exception that reading a response raises."""
     harness = await start_proxy(Upstream())
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
@@ -67,7 +67,7 @@
 async def test_an_unanswered_poll_times_out_soon_after_its_wait_time(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """If all upstreams are replaced meanwhile, requests go to the old ones until none is left."""
+    """Guards against requests to upstreams that were replaced while the poll was unanswered."""
     harness = await start_proxy(Upstream(reset))
     await harness.send_request()
     line = await harness.discovery.calls.get()
@@ -90,7 +90,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An update during a pause would use up the whole grace period that a draining upstream has."""
+    """Guards against a retry delay as long as the grace period of a draining upstream."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for index in (8, 9):
@@ -105,7 +105,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An agent is polled at no cost, so its timeout is shorter than that of a central discovery."""
+    """A local agent is cheap to poll, so its timeout is shorter than that of a central discovery."""
     harness = await start_proxy(Upstream(), discovery="push")
     line = await harness.discovery.calls.get()
     wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
@@ -121,7 +121,7 @@
 
 
 async def test_a_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """The rest is not waited for as long as a poll: draining upstreams would get requests meanwhile."""
+    """Guards against requests to draining upstreams during a full poll timeout for the rest of a list."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     line = await harness.discovery.calls.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -34,16 +34,16 @@
 )
 from tests.support.waiting import wait_until
 
-# A list, or a change of it, is due this long after discovery had it and could be reached, and a call failed.
+# The policy learns of a list, or of a change, within this time after discovery has it and is reachable.
 MAX_LIST_DELAY_S = 6.0
-# The same after the wait of a watch that fell silent, if that is later.
+# The same from the end of the wait time of a watch that became unresponsive, if that is later.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
-# The same after SIGHUP.
+# The same from a SIGHUP.
 MAX_MOVE_DELAY_S = 4.0
 MARGIN_S = 1.0
-# To connect, and to get and read a list of 7,000 entries (930 kB).
+# Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
-# The largest factor of a retry delay.
+# Largest random factor of a retry delay.
 MAX_DELAY_JITTER = 1.5
 
 
@@ -53,9 +53,9 @@
 
     Attributes:
         poll_deadline_ms: The balancer's `askWithin`.
-        min_duration_s: How long it lasts at the least.
+        min_duration_s: Minimum duration.
         seed: The balancer's seed.
-        end_delay_s: How long after a try that met it the outage ends.
+        end_delay_s: How long after a call that failed by it the outage ends.
     """
 
     poll_deadline_ms: float
@@ -65,7 +65,7 @@
 
 
 async def delay_after_outage(loop: SimulatedLoop, fault: str, how: str, outage: Outage) -> float:
-    """How long the policy takes to learn of a change that is there as the outage ends, in seconds."""
+    """Return how long after an outage, in seconds, the policy learns of a change that was made in it."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, how)
     await asyncio.sleep(1.0)
@@ -92,9 +92,9 @@
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_change_is_learned_in_time_after_an_outage_of_any_kind(fault: str, how: str) -> None:
-    """With `askWithin` at 120 s the delay grew to a minute, and a silent call was waited for for 11 s."""
+    """Guards against a retry delay of a minute with `askWithin` at 120 s, and a call timeout of 11 s."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the length of a wait is random there
+    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait time is random there
     for values in itertools.product(*(polled if how == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
         delay_s = run_simulated(partial(delay_after_outage, fault=fault, how=how, outage=outage))
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("how", ["ask", "push"])
 def test_a_change_missed_by_an_unresponsive_watch_is_learned_in_time(how: str) -> None:
-    """A second to notice and three quarters of a retry delay left no time for the list itself."""
+    """Guards against a detection time and retry delay that leave no time to transfer the list."""
 
     async def scenario(loop: SimulatedLoop, seed: int, calls: int) -> None:
         discovery = SimulatedDiscovery(loop, 1)
@@ -111,7 +111,7 @@
         for _ in range(calls):
             began, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
         discovery.fail("silent")
-        discovery.fault = ""  # only the connections that were up are dead
+        discovery.fault = ""  # only the connections established before are unresponsive
         discovery.change()
         deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
         assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
@@ -122,8 +122,8 @@
 
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_after_a_move_earlier_failures_have_no_effect_on_the_delay(fault: str, how: str) -> None:
-    """The new discovery's first call failed, and it was asked again after the delay of a long outage."""
+def test_earlier_failures_do_not_delay_a_change_after_a_move(fault: str, how: str) -> None:
+    """Guards against polling the new discovery after the backoff of the old one's outage."""
 
     async def scenario(loop: SimulatedLoop, seed: int, phase: float) -> None:
         old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
@@ -132,7 +132,7 @@
         old.fail("refuses")
         await asyncio.sleep(40.0)
         attempts = len(old.attempts)
-        # The policy's timer is set again with the next try.
+        # The policy sets its timer again with the next call.
         await wait_until(
             lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
         )
@@ -151,7 +151,7 @@
         proxy.move(new)
         learned_at = await proxy.learns_of_drain()
         assert new.attempts[0] == moved_at
-        # A late one costs both: the wait for a connection, and that for a response.
+        # A connection that is established late costs both timeouts: of the connect and of the response.
         allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_MOVE_DELAY_S
         assert learned_at + LIST_TRANSFER_S < moved_at + allowed
 
@@ -160,7 +160,7 @@
 
 
 def test_moves_during_an_outage_leave_one_call_at_a_time() -> None:
-    """Each move's failed call set a timer beside the one that ran, and all of them went on for ever."""
+    """Guards against a further poll timer for each move, all of which would be set again for ever."""
 
     async def scenario(loop: SimulatedLoop) -> None:
         discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
@@ -179,12 +179,12 @@
         shortest_delay_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * 0.5
         assert 60.0 / MAX_LIST_DELAY_S < len(last.attempts) - before <= 60.0 / shortest_delay_s
         earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
-        assert earlier_attempts == len(discoveries) - 2, "none is called after the next move"
+        assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
         last.fault = ""
         last.change()
         learned_at = await proxy.learns_of_drain()
         calls = len(last.calls)
-        await asyncio.sleep(30.0)  # a timer that is left over does not disturb the watch
+        await asyncio.sleep(30.0)  # a leftover timer does not interrupt the watch
         assert loop.time() >= learned_at + 30.0
         assert [connection.after for connection in last.connections] == [last.index]
         shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
@@ -208,7 +208,7 @@
 
 
 def test_balancers_poll_neither_together_nor_too_often_in_an_outage() -> None:
-    """Calls that fail cost discovery work just when it recovers."""
+    """Guards against a load of retries on discovery as it recovers."""
     span_s, seeds = 60.0, 20
 
     async def scenario(loop: SimulatedLoop, fault: str) -> list[float]:
@@ -241,16 +241,20 @@
     period_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + overdue_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
-    # Discovery is back, or the change there, just after a try began that is bound to fail.
-    assert period_s + LIST_TRANSFER_S < limit_s, "it failed at once: the next one is due by its beginning"
+    # Discovery recovers, or has the change, just after the start of a call that fails.
+    assert period_s + LIST_TRANSFER_S < limit_s, (
+        "the call fails at once: the next one follows a period after its start"
+    )
     call_s = max(recovery_s, response_s)
-    assert connect_s + call_s + rest_s + LIST_TRANSFER_S < limit_s, "it waited for connection and response"
+    assert connect_s + call_s + rest_s + LIST_TRANSFER_S < limit_s, (
+        "the call waits for connection and response"
+    )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
-    # A watch that was open falls silent.
+    # An open watch becomes unresponsive.
     assert overdue_s + rest_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + overdue_s + LIST_TRANSFER_S
-    # SIGHUP, and the new one's first call fails.
+    # After SIGHUP the first call to the new discovery fails.
     retry_delay_s = retry_schedule.MOVE_RETRY_DELAY_S * MAX_DELAY_JITTER
     assert retry_schedule.MOVE_PERIOD_S <= MAX_MOVE_DELAY_S
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_MOVE_DELAY_S
@@ -259,7 +263,7 @@
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
-def test_repeated_failures_keep_the_poll_delay_bounded() -> None:
+def test_the_poll_delay_is_bounded_after_repeated_failures() -> None:
     harness = PolicyHarness(2, polls_discovery=True)
     for _ in range(100):
         timer = of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
@@ -268,7 +272,7 @@
 
 
 async def test_connections_that_discovery_says_it_closes_are_closed() -> None:
-    """It says `Connection: close` and does not close; each call left one connection behind."""
+    """Guards against a leaked connection for each response with `Connection: close` that is not closed."""
     open_now, index, served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -1,4 +1,4 @@
-"""The waits of watch calls, and the delays after failed ones, as a table."""
+"""The wait times of watch calls and the retry delays after failed ones, for each kind of discovery."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 def test_shortly_after_a_move_the_watch_repeats_failed_polls_at_random_delays(
     since_move_s: float, consecutive_failures: int, draw: float, factor: float
 ) -> None:
-    """The number of failures has no influence: those before the move were of another discovery."""
+    """The number of failures has no effect, since it counts those of the previous discovery too."""
     schedule = RetrySchedule(drawing(draw), polls_discovery=True)
     delay_s = schedule.retry_delay_s(consecutive_failures, MOVED_AT_S + since_move_s, MOVED_AT_S)
     assert delay_s == MOVE_RETRY_DELAY_S * factor
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -27,7 +27,7 @@
 
 
 async def hold_idle_connection(port: int) -> None:
-    """Connect again each time the balancer closes the connection."""
+    """Hold an idle connection, and open a new one each time the balancer closes it."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         with contextlib.suppress(ConnectionError):
@@ -66,18 +66,18 @@
 async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
     start_server: StartServer, tmp_path: Path
 ) -> None:
-    """Discovery is down meanwhile; what the balancer needs when it recovers has to be free then."""
+    """Descriptors for discovery and upstreams stay free while discovery is down."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
     with socket.socket() as down:
-        down.bind(("127.0.0.1", 0))  # does not listen yet: connections are refused
+        down.bind(("127.0.0.1", 0))  # does not listen yet, so connections are refused
         port = free_port()
         write_configuration(path, port, down.getsockname()[1])
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
-            # The clients go on connecting: over three times as many as are accepted.
+            # The clients keep connecting, more than three times as many as are accepted.
             clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, clients_part)
             assert clients_part <= max_open <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
@@ -95,10 +95,10 @@
                 task.cancel()
 
 
-async def test_attempts_started_at_once_are_limited_to_the_upstreams_share_of_the_descriptors(
+async def test_attempts_started_at_once_are_limited_by_the_descriptors_for_upstreams(
     start_server: StartServer,
 ) -> None:
-    """Each was admitted before the first had opened its connection: all that started at once got one."""
+    """Guards against a limit that counts a connection only once it is established."""
     upstream = Upstream(never_respond)
     upstreams = make_pools(await start_server(upstream))
     upstreams.connection_limit.max_connections = 5
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -1,4 +1,4 @@
-"""Events that cross, each made to happen in the worse order."""
+"""Concurrent events, each pair forced into the order that is harder to handle."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     await wait_until(lambda: connection.is_receiving, "a part of the list is received")
     new = DiscoveryServer()
     text = config_text(await start_server(new), [])
-    connection.data_received(list_bytes[-5:])  # the rest comes in the turn of the signal
+    connection.data_received(list_bytes[-5:])  # the rest is read in the iteration of the signal
     harness.proxy.reconfigure(configuration(text))
     await new.calls.get()
     new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
@@ -88,7 +88,7 @@
     connection = attempt.attempt.connection
     assert connection is not None
     attempt.attempt.handle_timeout()
-    connection.data_received(response())  # it was read before, and is passed on only now
+    connection.data_received(response())  # read before the timeout, and passed on only now
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.TIMED_OUT]
     assert upstreams.open_connections == 0
@@ -98,7 +98,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request that is not idempotent fails, and is sent once."""
+    """A request that is not idempotent fails after one attempt."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
@@ -139,9 +139,9 @@
             "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
             "restarted": endpoint_list(entry("s0", address, since_ms=5)),
         }[change]
-        upstreams.update_endpoints(update)  # as the connection comes up
+        upstreams.update_endpoints(update)  # as the connection is established
         assert pool.draining_since is not None
-        pool.draining_since -= 0.5  # the grace has passed
+        pool.draining_since -= 0.5  # the grace period has passed
         return connection
 
     monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
@@ -163,7 +163,7 @@
     def faulty(event: Event, now: float) -> list[Action]:
         events.append(event)
         if isinstance(event, RequestReceived) and event.request_id == 1:
-            # Both fail at once: two events are queued as the policy handles the first of them.
+            # Both attempts fail at once: two events are queued while the policy handles the first of them.
             return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
         if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
             raise RuntimeError("a fault of the policy")
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -35,7 +35,7 @@
 
 
 def test_signals_after_the_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
-    """The event loop ignores them as it closes; nothing may restore their default action."""
+    """The event loop ignores signals as it closes, and their default action must not be restored."""
     program = """if True:
         import asyncio, os, signal
         from loadbalancer import __main__ as program
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy as a whole on loopback sockets: what is forwarded, and what each outcome leads to."""
+"""The complete proxy on loopback sockets: what it forwards, and its response to each outcome."""
 
 from __future__ import annotations
 
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -1,4 +1,7 @@
-"""Readiness: what a start does, and what it does not wait for; no test depends on the machine's speed."""
+"""Readiness: what the program does at its start, and what it does not wait for.
+
+No test depends on the speed of the machine.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 from tests.support.waiting import TEST_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
-ENTRIES = 7_000  # the longest list that is expected
+ENTRIES = 7_000  # the largest list that is expected
 
 # Runs `before`, starts the program, ends it as it begins to listen and prints `expression` as JSON.
 SCRIPT = """if True:
@@ -43,7 +46,7 @@
 
 
 def evaluate_after_start(tmp_path: Path, expression: str, before: str = "pass", entries: int = 6) -> Any:
-    """The value of an expression in a program that was started with so many known endpoints and ended."""
+    """Start the program with known endpoints, stop it, and return the value of an expression in it."""
     known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entries)]
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", known))
@@ -62,12 +65,12 @@
 
 @contextmanager
 def unresponsive_discovery(state: str) -> Iterator[str]:
-    """An address at which discovery responds to no call."""
+    """Yield an address at which discovery responds to no call."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         if state == "silent":
             listener.listen()
-        if state == "down":  # connections never come up
+        if state == "down":  # connections are never established
             listener.listen(0)
             for filler in (first, second):
                 filler.setblocking(False)
@@ -92,7 +95,7 @@
 
 
 def test_a_start_imports_what_it_needs_and_nothing_else(tmp_path: Path) -> None:
-    """Of twenty starts at once on one core, each is delayed by what all of them import."""
+    """Guards against imports that delay the start: with twenty starts on one core, each waits for all."""
     loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
     bare = subprocess.run(
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
@@ -130,7 +133,7 @@
 
 
 def test_the_build_compiles_every_file(tmp_path: Path) -> None:
-    """At run time the file system is read-only: what is not compiled then is compiled at every start."""
+    """Guards against compiling at each start: the file system is read-only at run time."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     package = tmp_path / "loadbalancer"
     for source in (ROOT / "loadbalancer").rglob("*.py"):
@@ -168,7 +171,7 @@
 
 
 def test_no_garbage_collection_runs_during_a_start(tmp_path: Path) -> None:
-    """Thousands of entries bring objects that stay; the collector went through them again and again."""
+    """Guards against repeated garbage collections over the long-lived objects of thousands of entries."""
     before = """if True:
         def collections():
             return [generation["collections"] for generation in gc.get_stats()]
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again under load."""
+"""SIGHUP: the configuration is reloaded while requests are open."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
     await harness.discovery.calls.get()
-    for index in (3, 1):  # twice in a row; its versions are smaller than those of the one before
+    for index in (3, 1):  # two moves; each discovery has a lower index than the one before
         new = DiscoveryServer()
         harness.proxy.reconfigure(configuration(config_text(await start_server(new), [])))
         assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
@@ -56,7 +56,7 @@
 
 
 async def test_a_discovery_to_which_no_connection_comes_up_is_given_up_soon() -> None:
-    """Its host is down: the connection never comes up, though the call may wait for longer."""
+    """The connect has a timeout of its own, shorter than that of a call."""
     async with full_backlog() as address:
         failed = asyncio.Event()
         config = configuration(config_text(address, [entry("s0", "127.0.0.1:9")]))
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive while the program starts, each at a moment that is chosen for its effect."""
+"""Signals that arrive while the program starts, each at a chosen step of the start."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     runpy.run_module("loadbalancer", run_name="__main__")
 """
 
-# Starts the program with a SIGTERM and a client's request at the moment at which it begins to listen.
+# Starts the program with a SIGTERM and a client's request as it begins to listen.
 PROGRAM_WITH_EARLY_CLIENT = """if True:
     import os, signal, socket
     from loadbalancer import __main__ as program
@@ -55,19 +55,19 @@
     print(clients[0].makefile("rb").read().partition(b"\\r\\n")[0].decode())
 """
 
-# The audit event and its first argument, by what the program does at that moment.
-MOMENTS = {
+# The audit event and its first argument for each step of the start.
+START_STEPS = {
     "imports the event loop": ("import", "uvloop"),
     "opens its configuration": ("open", "config.json"),
     "has read its configuration": ("runs", ""),
     "binds": ("socket.bind", ""),
 }
-AT_EACH_MOMENT = pytest.mark.parametrize("moment", MOMENTS)
+AT_EACH_STEP = pytest.mark.parametrize("step", START_STEPS)
 
 
-def signalled_program(moment: str, path: Path, number: signal.Signals) -> list[str]:
-    """The command line of a program that gets a signal at a moment of its start."""
-    event, first_argument = MOMENTS[moment]
+def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
+    """Return the command line of a program that gets a signal at a step of its start."""
+    event, first_argument = START_STEPS[step]
     if event == "open":
         first_argument = str(path)
     return [sys.executable, "-c", SIGNALLED_PROGRAM, event, first_argument, str(int(number))]
@@ -85,17 +85,17 @@
     )
 
 
-@AT_EACH_MOMENT
+@AT_EACH_STEP
 async def test_a_sighup_during_the_start_reloads_the_configuration(
-    start_server: StartServer, moment: str, tmp_path: Path
+    start_server: StartServer, step: str, tmp_path: Path
 ) -> None:
-    """It neither ends the program nor is it lost."""
+    """Guards against a SIGHUP that ends the program or is lost."""
     new_discovery = DiscoveryServer()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(config_text(await start_server(new_discovery), []))
     process = await asyncio.create_subprocess_exec(
-        *signalled_program(moment, path, signal.SIGHUP),
+        *signalled_program(step, path, signal.SIGHUP),
         cwd=ROOT,
         env=os.environ | {"LB_CONFIG": str(path)},
     )
@@ -112,14 +112,14 @@
             process.kill()
 
 
-@AT_EACH_MOMENT
-def test_a_sigterm_during_the_start_ends_the_program_silently(moment: str, tmp_path: Path) -> None:
-    """No request was accepted: it ends by the signal itself, or by a shutdown once the loop runs."""
+@AT_EACH_STEP
+def test_a_sigterm_during_the_start_ends_the_program_silently(step: str, tmp_path: Path) -> None:
+    """The program ends by the signal itself, or by a shutdown once the event loop runs."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(path.read_text())
-    completed = run_program(signalled_program(moment, path, signal.SIGTERM), path)
-    assert completed.returncode == (0 if moment == "binds" else -signal.SIGTERM)
+    completed = run_program(signalled_program(step, path, signal.SIGTERM), path)
+    assert completed.returncode == (0 if step == "binds" else -signal.SIGTERM)
     assert "Traceback" not in completed.stderr
     assert completed.stdout == ""
 
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and pools on loopback sockets: the outcome of each way to end, also when events coincide."""
+"""Attempts and pools on loopback sockets: the outcome of each way in which an attempt can finish."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     upstreams = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(upstreams)
     await upstream.seen.wait()
-    upstream.writers[0].write(response())  # in the kernel by now, and not yet read
+    upstream.writers[0].write(response())  # received by the kernel, and not yet read
     attempt.attempt.cancel()
     attempt.attempt.cancel()
     await upstream.connection_closed.wait()
@@ -75,7 +75,7 @@
     pool = upstreams.pool("s0")
     upstreams.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
     assert pool.draining_since is not None
-    pool.draining_since -= 0.5  # the grace has passed during the connect
+    pool.draining_since -= 0.5  # the grace period has passed during the connect
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
 
@@ -112,7 +112,7 @@
     assert starter.start("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
 
 
-async def test_at_the_limit_the_least_recently_used_connection_is_closed_and_without_one_none_is_opened(
+async def test_at_the_limit_an_idle_connection_is_closed_and_without_one_no_connection_is_opened(
     start_server: StartServer,
 ) -> None:
     upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
@@ -125,7 +125,7 @@
     assert attempt is not None
     await other.seen.wait()
     assert upstreams.open_connections == 1
-    # A descriptor is missing here: that says nothing about the upstream and must not count against it.
+    # The balancer lacks a descriptor, which must not count as a failure of the upstream.
     assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
     attempt.cancel()
 
@@ -154,7 +154,7 @@
 
 async def test_cached_endpoint_list_is_applied_before_discovery_is_called(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
-    assert harness.proxy.balancer.ready_endpoints  # before a single turn of the loop
+    assert harness.proxy.balancer.ready_endpoints  # before the first iteration of the event loop
     assert harness.discovery.calls.empty()
 
 
@@ -170,19 +170,19 @@
 async def test_bytes_behind_a_response_neither_invalidate_nor_replace_it(
     start_proxy: StartProxy, behind: bytes
 ) -> None:
-    """They replaced the response, made it a reset, or were taken for the response to the next request."""
+    """Guards against extra bytes that replace the response, make it a reset or answer the next request."""
     upstream = Upstream(response(200, b"the answer") + behind, response(200, b"the next"))
     harness = await start_proxy(upstream)
     assert (await harness.send_request()).body == b"the answer"
     assert (await harness.send_request()).body == b"the next"
-    assert upstream.connections == 2  # the first carries nothing more
+    assert upstream.connections == 2  # the first connection is not reused
 
 
 async def test_connection_rests_between_requests_so_that_stray_bytes_show(start_server: StartServer) -> None:
     upstream = Upstream()
     upstreams = make_pools(await start_server(upstream))
     assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-    assert upstreams.pool("s0").take_idle_connection() is None  # not at once
+    assert upstreams.pool("s0").take_idle_connection() is None  # not immediately
     upstreams.pool("s0").idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
     assert upstreams.pool("s0").take_idle_connection() is None
     upstreams.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
@@ -193,18 +193,18 @@
 async def test_upstream_sees_the_end_of_an_abandoned_attempt_before_the_next_begins(
     start_proxy: StartProxy,
 ) -> None:
-    """Its connection was closed in the next turn of the loop: so long, two attempts were in progress."""
+    """Guards against two attempts in progress until the event loop closes the first connection."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
-    connection_ended = list[bool]()
+    saw_disconnect = list[bool]()
 
     def look_at_the_upstream(event: AttemptFinished) -> None:
         seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
-        connection_ended.append(seen == b"")
+        saw_disconnect.append(seen == b"")
 
     before_event(harness, AttemptFinished, look_at_the_upstream)
     assert status(await harness.send_request("/pay/x", b"debit", deadline="200m")) == 502
-    assert connection_ended == [True]
+    assert saw_disconnect == [True]
 
 
 async def test_interim_responses_are_ignored(start_proxy: StartProxy) -> None:
@@ -244,7 +244,7 @@
 
 
 async def work(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Take a while, so that a lost request weighs no more beside good responses than in production."""
+    """Respond after 20 ms, so that the ratio of lost requests to good responses is as in production."""
     await asyncio.sleep(0.02)
     writer.write(response())
 
@@ -257,7 +257,7 @@
 async def test_upstream_that_fails_one_class_is_ejected_for_it_and_keeps_the_others(
     start_proxy: StartProxy, loss: Script
 ) -> None:
-    """Its good responses to the other class hid it: reads went on being lost, and load was shed."""
+    """Guards against good responses to one class that hide the failures of another."""
 
     async def by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (loss if received.headers["x-class"] == "read" else work)(received, writer)
@@ -277,5 +277,5 @@
     await rounds(20)
     lost, paid = received("read"), received("pay")
     await rounds(50)
-    assert received("read") - lost <= 4, "a request now and then shows whether it has recovered"
+    assert received("read") - lost <= 4, "occasional requests show whether it has recovered"
     assert received("pay") - paid >= 20, "the class that it serves well still goes there"
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations as the socket tests start balancers with them."""
+"""Configurations of the balancers that the tests start."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def entry(name: str, address: str, **more: Any) -> dict[str, Any]:
-    """An entry of discovery's endpoint list; `more` replaces what it holds by default."""
+    """Return an entry of discovery's endpoint list; `more` replaces the default fields."""
     base = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 1.0}
     return base | {"status": "in_service", "since_ms": 0} | more
 
 
 def config_text(discovery: str, entries: list[dict[str, Any]], /, **settings: Any) -> str:
-    """The text of a configuration.
+    """Return the text of a configuration.
 
     Args:
         discovery: Its address.
@@ -59,5 +59,5 @@
 
 
 def configuration(text: str) -> Configuration:
-    """A configuration of which no setting is expected to be unknown."""
+    """Return a configuration that is expected to have no unknown setting."""
     return read_configuration(text, lambda warning: None)
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect at a chosen moment, and waiting until nothing of their requests is left."""
+"""Clients that disconnect at a chosen time, and waits for the end of their requests."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     "connectTimeout": 5_000.0,
     "mayDuplicate": True,
 }
-"""Limits that allow hedged requests, and connects that take as long as a test likes."""
+"""Limits that allow hedged requests, with a connect timeout longer than any test delays a connect."""
 
 
 def request_bytes(path: str, number: int, body: bytes = b"") -> bytes:
-    """A request of the class that its path names."""
+    """Return the bytes of a request of the class that its path names."""
     method = "POST" if body else "GET"
     head = (
         f"{method} {path} HTTP/1.1\r\nX-Class: {path[1:]}\r\nX-Request-Id: {number}\r\nX-Deadline: 4000m\r\n"
@@ -48,7 +48,7 @@
 
 
 def pass_reuse_delay(harness: ProxyHarness) -> None:
-    """Let idle connections to upstreams carry a further request at once."""
+    """Let idle connections to upstreams be reused immediately."""
     pools = harness.proxy.upstreams
     for name in pools.endpoint_names:
         for connection in pools.pool(name).idle_connections:
--- a/tests/support/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -21,10 +21,10 @@
 
 
 def outcomes(events: list[Event]) -> list[Outcome]:
-    """The outcomes of the attempts, in the order in which they finished."""
+    """Return the outcomes of the attempts, in the order in which they finished."""
     return [event.outcome for event in events if isinstance(event, AttemptFinished)]
 
 
 def list_kinds(events: list[Event]) -> list[EndpointListKind]:
-    """The kinds of the endpoint list updates, in their order."""
+    """Return the kinds of the endpoint list updates, in their order."""
     return [event.kind for event in events if isinstance(event, EndpointListUpdate)]
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -15,7 +15,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
-    """Read one whole message."""
+    """Read one complete message."""
     head = await reader.readuntil(b"\r\n\r\n")
     message = ReceivedMessage(head[:-4], b"")
     message.body = await reader.readexactly(int(message.headers.get("content-length", "0")))
@@ -23,11 +23,11 @@
 
 
 def response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
-    """The bytes of a response; headers are whole lines."""
+    """Return the bytes of a response; each header is a complete line."""
     lines = [f"HTTP/1.1 {status} Any", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 def status(reply: ReceivedMessage) -> int:
-    """The status of a response."""
+    """Return the status of a response."""
     return int(reply.line.split(" ")[1])
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -1,4 +1,4 @@
-"""Puts a function of a test in the place of the policy, or in front of it."""
+"""Replaces the policy by a function of a test, or calls one before it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def replace_policy(harness: ProxyHarness, handler: EventHandler) -> EventHandler:
-    """Have a function handle all further events; returns what handled them until now."""
+    """Have a function handle all further events, and return the previous handler."""
     previous: EventHandler = harness.proxy.balancer.handle
     harness.proxy.balancer.handle = handler  # type: ignore[method-assign, assignment]
     return previous
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -20,11 +20,11 @@
 async def running_program(
     path: Path, descriptor_limit: int | None = None
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program, started with the configuration in a file, and killed in the end if it still runs.
+    """Start the program with the configuration in a file, and kill it at the end if it still runs.
 
     Args:
         path: The file.
-        descriptor_limit: How many file descriptors the process may have open; None for the usual number.
+        descriptor_limit: How many file descriptors the process may have open; None for the default limit.
     """
     limit = "" if descriptor_limit is None else f"ulimit -n {descriptor_limit} && "
     process = await asyncio.create_subprocess_exec(
@@ -44,7 +44,7 @@
 
 
 async def read_log_line(process: asyncio.subprocess.Process) -> bytes:
-    """The next line that a program writes to standard error."""
+    """Return the next line that a program writes to standard error."""
     assert process.stderr is not None
     return await process.stderr.readline()
 
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -11,7 +11,7 @@
 
 
 class DiscoveryServer:
-    """Discovery: each call gets the next response put in; with none there it waits, as a watch does.
+    """A discovery that answers each call by the next queued response, and waits for one as a watch does.
 
     Attributes:
         responses: The responses to come, as bytes.
@@ -27,7 +27,7 @@
         self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> str:
-        """Listen; the result is the address."""
+        """Listen, and return the address."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         return socket_address(self.server)
 
@@ -45,7 +45,7 @@
                 call = await read_message(reader)
                 self.calls.put_nowait(call.line)
                 reply = asyncio.ensure_future(self.responses.get())
-                # The balancer sends nothing before it has the response: what can be read is the end.
+                # The balancer sends nothing before it has the response: reading ends only by a disconnect.
                 end = asyncio.ensure_future(reader.read(1))
                 await asyncio.wait((reply, end), return_when=asyncio.FIRST_COMPLETED)
                 if end.done():
@@ -60,13 +60,13 @@
         writer.close()
 
     def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
-        """Respond to the next call by an endpoint list, or a change of it."""
+        """Respond to the next call by an endpoint list, or by a change of it."""
         self.responses.put_nowait(list_response(index, *entries, snapshot=snapshot))
 
 
 def list_response(
     index: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
 ) -> bytes:
-    """A response of discovery with an endpoint list, or a change of it."""
+    """Return a response of discovery with an endpoint list, or with a change of it."""
     document = {"index": index, "snapshot": snapshot, "endpoints": entries}
     return response(200, json.dumps(document, indent=indent).encode())
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -9,7 +9,7 @@
 from tests.support.sockets import socket_address
 
 Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
-"""Responds to a request, or does not."""
+"""Responds to a request, or leaves it without a response."""
 
 
 class Upstream:
@@ -32,7 +32,7 @@
         self.connection_closed = asyncio.Event()
 
     async def start(self) -> str:
-        """Listen; the result is the address."""
+        """Listen, and return the address."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return socket_address(self.server)
 
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -1,7 +1,6 @@
-"""Discovery and the time as stand-ins: the loop's clock jumps to what is due next.
+"""A simulated discovery on an event loop with a simulated clock, which jumps to the next timer.
 
-Connections to discovery lead into a script, so that minutes of an outage pass in an instant, and the worst
-moment of its end can be chosen.
+Minutes of an outage pass in an instant, and a test chooses the time at which it ends.
 """
 
 from __future__ import annotations
@@ -22,13 +21,13 @@
 from tests.support.scripted_discovery import list_response
 
 FAULTS = ("refuses", "resets", "away", "late", "silent", "error", "half")
-CONNECT_FAULTS = ("refuses", "away", "late")  # the faults that show as soon as a connection is opened
+CONNECT_FAULTS = ("refuses", "away", "late")  # the faults of a connect
 KNOWN_INDEX = 8  # the version of the list at the start
 T = TypeVar("T")
 
 
 class _JumpingSelector:
-    """Stands in for waiting: where nothing has come in, the time moves on to what is due."""
+    """Advances the clock to the next timer instead of waiting."""
 
     def __init__(self, inner: selectors.BaseSelector) -> None:
         self._inner = inner
@@ -40,13 +39,13 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = self._inner.select(0)
         if not ready:
-            assert timeout is not None, "nothing is due any more"
+            assert timeout is not None, "no timer is set"
             self.now_s += max(timeout, 0.0)
         return ready
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop with a clock of its own, from which connections lead to stand-ins of discovery by port."""
+    """An event loop with a simulated clock, whose connections lead to simulated discoveries by port."""
 
     def __init__(self) -> None:
         self._selector_in_use = _JumpingSelector(selectors.DefaultSelector())
@@ -61,12 +60,12 @@
 
 
 class SimulatedConnection(asyncio.Transport):
-    """The balancer's side of one connection to the stand-in.
+    """The balancer's side of one connection to a simulated discovery.
 
     Attributes:
-        is_dead: Whether nothing comes on it any more, whatever is sent.
-        after: The index that the call knows which waits on it; None if none does.
-        calls: How many calls were made on it.
+        is_dead: Whether it is unresponsive: nothing is received on it any more.
+        after: The index given by the watch call that waits on it; None if no call waits.
+        calls: The number of calls on it.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, protocol: asyncio.Protocol) -> None:
@@ -90,7 +89,7 @@
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
     def receive(self, data: bytes) -> None:
-        """Have the balancer read bytes of a response in the loop's next turn."""
+        """Have the balancer read bytes of a response in the next iteration of the event loop."""
         self.after = None
         asyncio.get_running_loop().call_soon(self._receive_now, data)
 
@@ -100,15 +99,15 @@
 
 
 class SimulatedDiscovery:
-    """Discovery as scripted.
+    """A discovery with faults.
 
     Attributes:
-        fault: What is wrong with it at the time, of `FAULTS`; empty if nothing is.
-        index: The version of its list.
-        attempts: When connections were asked for, or calls came on those that were up.
+        fault: The current fault, one of `FAULTS`; empty if there is none.
+        index: The version of its endpoint list.
+        attempts: The time of each connect with a fault and of each call, in seconds.
         calls: The request lines of the calls.
-        watches: When each watch began, and its wait; both in seconds.
-        on_attempt: Called when a try has been accepted or has failed.
+        watches: The start and the wait time of each watch, in seconds.
+        on_attempt: Called when a connect or a call has been accepted or has failed.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -133,9 +132,9 @@
         if fault == "refuses":
             raise ConnectionRefusedError
         if fault == "away":
-            await self.loop.create_future()  # never comes up
+            await self.loop.create_future()  # never established
         if fault == "late":
-            # And calls on it get no response.
+            # Calls on it get no response either.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -145,7 +144,7 @@
         return connection, protocol
 
     def on_call(self, connection: SimulatedConnection, call: str) -> None:
-        """Take a call, given as its request line."""
+        """Handle a call, given as its request line."""
         if not connection.is_dead:
             self.attempts.append(self.loop.time())
         self.calls.append(call)
@@ -188,7 +187,7 @@
         return list_response(self.index, *self._entries, snapshot=snapshot)
 
     def fail(self, fault: str) -> None:
-        """Begin an outage; open connections show it, or stay silent."""
+        """Begin an outage, with its effect on open connections."""
         self.fault = fault
         for connection in list(self.connections):
             if fault in ("refuses", "resets"):
@@ -199,7 +198,7 @@
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
     def change(self) -> None:
-        """Have an upstream begin to drain, which each watch that waits hears of."""
+        """Have an upstream begin to drain, and send the change to each waiting watch."""
         self.index += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
@@ -208,10 +207,10 @@
 
 
 class WatchingProxy:
-    """A proxy on the simulated loop, and the time at which its policy learns of the drain.
+    """A proxy on the simulated event loop, and the time at which its policy learns of the drain.
 
     Attributes:
-        drain_learned: Done at that time, in seconds of the loop's clock.
+        drain_learned: Completed with that time, in seconds of the event loop's clock.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, seed: int, poll_deadline_ms: float, how: str) -> None:
@@ -236,12 +235,12 @@
         return self._handle(event, now)
 
     def move(self, discovery: SimulatedDiscovery) -> None:
-        """Reconfigure the proxy, as by SIGHUP, with another address of discovery."""
+        """Reconfigure the proxy with another address of discovery, as SIGHUP does."""
         document = json.loads(self._text) | {"discovery": f"127.0.0.1:{discovery.port}"}
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def learns_of_drain(self) -> float:
-        """When its policy learned of the drain; the proxy accepts no clients from then on."""
+        """Wait until the policy learns of the drain, close the listener, and return the time."""
         learned_at: float = await asyncio.wait_for(self.drain_learned, 120)
         self.stop()
         return learned_at
@@ -251,7 +250,7 @@
         self.proxy.listener.close()
 
 
-def run_simulated(scenario: Callable[[SimulatedLoop], Coroutine[Any, Any, T]]) -> T:
-    """Run a scenario on a loop whose time jumps."""
+def run_simulated(coroutine_function: Callable[[SimulatedLoop], Coroutine[Any, Any, T]]) -> T:
+    """Run a coroutine on a simulated event loop."""
     with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
-        return runner.run(scenario(cast(SimulatedLoop, runner.get_loop())))
+        return runner.run(coroutine_function(cast(SimulatedLoop, runner.get_loop())))
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -7,18 +7,20 @@
 
 
 def socket_address(server: asyncio.Server) -> str:
+    """Return the address of a server, as host and port."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that is free at this moment, for a program that is configured with its address."""
+    """Return a port of 127.0.0.1 that is free now, for a program that is configured with its address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 def connect_if_accepted(port: int) -> socket.socket | None:
+    """Return a non-blocking client of a port, or None if the connection is refused."""
     try:
         client = socket.create_connection(("127.0.0.1", port))
     except ConnectionRefusedError:
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and pools without a proxy round them, for the tests of the upstream side."""
+"""Attempts and pools without a proxy, for the tests of the upstream side."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def endpoint_list(*entries: dict[str, Any], is_complete: bool = False) -> EndpointList:
-    """An endpoint list, as read from discovery: a change of the list, or the complete one."""
+    """Return an endpoint list as read from discovery: a change of the list, or the complete list."""
     return read_endpoint_list({"index": 1, "snapshot": is_complete, "endpoints": list(entries)})
 
 
 def make_pools(address: str, **limits: Any) -> UpstreamPools:
-    """Pools with one endpoint, `s0`, at an address."""
+    """Return pools with one endpoint, `s0`, at an address."""
     default_limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
     text = config_text("127.0.0.1:9", [], limits=default_limits | limits)
     pools = UpstreamPools(read_configuration(text, lambda warning: None), asyncio.get_running_loop())
@@ -34,7 +34,7 @@
 
 
 class ObservedAttempt:
-    """An attempt at `s0` that has been started, and every outcome that was reported for it."""
+    """A started attempt at `s0`, and every outcome that was reported for it."""
 
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
         self.outcomes: list[Outcome] = []
@@ -49,7 +49,7 @@
         self.over.set()
 
     async def outcome(self) -> Outcome:
-        """Wait for the end; there must be exactly one outcome."""
+        """Wait for the outcome; exactly one must be reported."""
         await self.over.wait()
         (outcome,) = self.outcomes
         return outcome
@@ -57,7 +57,7 @@
 
 @asynccontextmanager
 async def full_backlog() -> AsyncIterator[str]:
-    """An address at which no connection is ever established."""
+    """Yield an address at which no connection is ever established."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
