--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -6,19 +6,24 @@
 import os
 import socket
 import time
-from collections.abc import Callable
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.client import graceful_shutdown, timeouts
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.connection_table import ConnectionTable
+from tests.support.busy_event_loop import keep_event_loop_busy
 from tests.support.disconnecting_clients import request_bytes
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+
 
 def set_request_timeout(monkeypatch: pytest.MonkeyPatch, timeout_s: float, sweep_interval_s: float) -> None:
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", timeout_s)
@@ -95,7 +100,7 @@
 
     monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
     await listener.shut_down()
-    client.setblocking(False)  # the process has ended: nothing more can arrive
+    client.settimeout(0.0)  # the process has ended: nothing more can arrive
     assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
     assert client.recv(1) == b""
 
@@ -122,9 +127,9 @@
     clients = [harness.connect_socket() for _ in response_starts]
     for client, sent in zip(clients, response_starts, strict=True):
         client.sendall(sent)
-    time.sleep(0.3)  # the loop is busy
+    keep_event_loop_busy(0.3)
     for client in clients:
-        client.setblocking(False)
+        client.settimeout(0.0)
     loop = asyncio.get_running_loop()
     replies = [await loop.sock_recv(client, 65_536) for client in clients]
     for reply, start in zip(replies, response_starts.values(), strict=True):
@@ -153,7 +158,7 @@
             client.send(b"x")
 
     before_each_expiry_check(monkeypatch, send_a_byte)
-    client.setblocking(False)
+    client.settimeout(0.0)
     reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
     assert reply.startswith(b"HTTP/1.1 408 ")
     assert len(checks) <= 4
@@ -213,6 +218,6 @@
     may_set_up.set()
     assert status(await idle.read_response()) == 200
     for client in (accepted, waiting):
-        client.setblocking(False)
+        client.settimeout(0.0)
         reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
         assert reply.startswith(b"HTTP/1.1 200 ")
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -3,15 +3,21 @@
 from __future__ import annotations
 
 import asyncio
-import time
+from typing import TYPE_CHECKING
 
 import pytest
 
-from loadbalancer.network.client import timeouts
-from loadbalancer.network.client.accept_queue import queue_ages
-from tests.support.fixture_types import StartProxy
+from loadbalancer.network.client import connection_table, timeouts
+from loadbalancer.network.client.accept_queue import QueueAges, queue_ages
+from tests.support.busy_event_loop import keep_event_loop_busy
 from tests.support.http_messages import response, status
 from tests.support.scripted_upstream import Upstream, never_respond
+from tests.support.waiting import wait_until
+
+if TYPE_CHECKING:
+    import socket
+
+    from tests.support.fixture_types import StartProxy
 
 
 @pytest.mark.parametrize(
@@ -41,16 +47,23 @@
     client.writer.close()
 
 
-async def test_time_in_the_accept_queue_counts(start_proxy: StartProxy) -> None:
+async def test_time_in_the_accept_queue_counts(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     harness = await start_proxy(Upstream())
-    with harness.connect_socket() as client:
-        client.sendall(b"x")
-        time.sleep(0.1)  # the loop is busy and accepts nothing
-        accepted, _ = harness.proxy.listener._socket.accept()
-        with accepted:
-            ages = queue_ages(accepted)
-            assert ages.connected_s >= 0.05
-            assert ages.request_s >= 0.05
+    recorded = list[QueueAges]()
+
+    def record_queue_ages(accepted: socket.socket) -> QueueAges:
+        recorded.append(queue_ages(accepted))
+        return recorded[-1]
+
+    monkeypatch.setattr(connection_table, "queue_ages", record_queue_ages)
+    client = harness.connect_socket()
+    client.sendall(b"x")
+    keep_event_loop_busy(0.1)
+    (ages,) = await wait_until(lambda: recorded, "the client is accepted")
+    assert ages.connected_s >= 0.05
+    assert ages.request_s >= 0.05
 
 
 async def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
--- /dev/null
+++ b/tests/support/busy_event_loop.py
@@ -0,0 +1,10 @@
+"""Blocks the event loop as a busy process does."""
+
+from __future__ import annotations
+
+import time
+
+
+def keep_event_loop_busy(duration_s: float) -> None:
+    """Block the event loop: it accepts and reads nothing meanwhile, while the kernel does."""
+    time.sleep(duration_s)
