--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,13 +5,16 @@
 import asyncio
 import functools
 import inspect
-from collections.abc import Awaitable, Callable, Mapping
+from typing import TYPE_CHECKING
 
 import pytest
 import uvloop
 
 from tests.support.waiting import TEST_TIMEOUT_S
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Mapping
+
 
 def pytest_asyncio_loop_factories() -> Mapping[str, Callable[[], asyncio.AbstractEventLoop]]:
     """Run asynchronous tests on the event loop that the program uses."""
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import socket
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -19,13 +19,15 @@
     request_bytes,
     until_idle,
 )
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy
+    from tests.support.proxy_harness import ProxyHarness
+
 
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
     start_proxy: StartProxy,
@@ -108,7 +110,7 @@
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
     await wait_until(transport.get_write_buffer_size, "a part of the response waits for the client")
-    client.setblocking(False)
+    client.settimeout(0.0)
     return client
 
 
@@ -161,7 +163,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_not_sent_when_the_client_disconnects_while_an_upstream_connection_opens(
-    start_proxy: StartProxy, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """Guards against sending it where attempts must not be cancelled."""
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -10,7 +10,7 @@
 import socket
 import struct
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -28,13 +28,15 @@
     until_disconnected,
     until_idle,
 )
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond, reset
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy
+    from tests.support.proxy_harness import ProxyHarness
+
 Disconnect = Callable[[socket.socket], None]
 NOT_RUN = response(503, b"", "X-Not-Run: 1")
 
@@ -252,7 +254,7 @@
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_pipelined_requests_are_not_sent_after_a_disconnect(
-    start_proxy: StartProxy, may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """If the first attempt continues, its response must not start the next request."""
     upstream = Upstream(for_first_request(never_respond))
@@ -306,7 +308,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
-    start_proxy: StartProxy, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """The upstream does not get the last byte, so it does not process the request."""
     made, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
@@ -323,14 +325,14 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        listener.setblocking(False)
+        listener.settimeout(0.0)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         harness = await start_proxy(
             more_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
         )
         client, disconnected = harness.connect_socket(), asyncio.Event()
         before_event(harness, ClientDisconnected, lambda event: disconnected.set())
-        client.setblocking(False)
+        client.settimeout(0.0)
         await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
         await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
         client.close()
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -5,17 +5,21 @@
 import signal
 import socket
 import time
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.client import timeouts
 from tests.support.configurations import LISTEN_ANYWHERE, config_text
-from tests.support.fixture_types import StartProxy
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import running_program
 from tests.support.scripted_upstream import Upstream
 from tests.support.sockets import free_port
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from tests.support.fixture_types import StartProxy
+
 
 async def test_connections_without_requests_are_evicted_for_a_client_with_a_request(
     start_proxy: StartProxy,
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -4,19 +4,22 @@
 
 import asyncio
 import socket
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import graceful_shutdown
 from tests.support.event_recorder import outcomes, record_events
-from tests.support.fixture_types import StartProxy
-from tests.support.http_client import Client
 from tests.support.http_messages import response, status
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+    from tests.support.http_client import Client
+    from tests.support.proxy_harness import ProxyHarness
+
 
 def set_shutdown_times(
     monkeypatch: pytest.MonkeyPatch,
@@ -130,7 +133,7 @@
     monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: clients, "the client has connected", poll_interval_s=0.0)
-    clients[0].setblocking(False)
+    clients[0].settimeout(0.0)
     reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
     assert reply.startswith(b"HTTP/1.1 200")
     clients[0].close()
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -4,18 +4,20 @@
 
 import gc
 from collections import Counter
-from typing import Any
-
-import pytest
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.network.client import pipeline as request_pipeline
 from tests.support.disconnecting_clients import until_disconnected
-from tests.support.fixture_types import StartProxy
-from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+    from tests.support.http_client import Client
+
 
 async def test_buffered_requests_are_bounded_and_their_memory_is_released(start_proxy: StartProxy) -> None:
     """Sixteen bodies read ahead on each connection would exceed a small memory limit."""
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -3,14 +3,17 @@
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
 import pytest
 
-from tests.support.fixture_types import StartProxy
-from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy
+    from tests.support.http_client import Client
+
 
 def valid_headers(class_name: bytes = b"read", deadline: bytes = b"900m") -> bytes:
     return b"X-Class: %b\r\nX-Request-Id: a1\r\nX-Deadline: %b\r\n" % (class_name, deadline)
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -3,19 +3,22 @@
 from __future__ import annotations
 
 import asyncio
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.events import EndpointListKind
 from loadbalancer.network.discovery import retry_schedule
 from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.support.configurations import entry
 from tests.support.event_recorder import list_kinds, record_events
-from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import response, status
 from tests.support.scripted_upstream import Upstream, reset
 from tests.support.waiting import TEST_TIMEOUT_S
 
+if TYPE_CHECKING:
+    import pytest
+
+    from tests.support.fixture_types import StartProxy, StartServer
+
 
 async def test_updates_arrive_in_order_and_a_restarted_upstream_loses_its_connections(
     start_proxy: StartProxy,
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -11,6 +11,7 @@
 import json
 from dataclasses import dataclass
 from functools import partial
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -22,7 +23,6 @@
 from loadbalancer.policy import poll_backoff
 from tests.policy.helpers import PolicyHarness, of_type
 from tests.support.configurations import config_text, configuration, entry
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import read_message, response
 from tests.support.scripted_upstream import Upstream
 from tests.support.simulated_discovery import (
@@ -34,6 +34,9 @@
 )
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy
+
 # The policy learns of a list, or of a change, within this time after discovery has it and is reachable.
 MAX_LIST_DELAY_S = 6.0
 # The same from the end of the wait time of a watch that became unresponsive, if that is later.
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -18,6 +18,9 @@
     RetrySchedule,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 NEVER_MOVED = -math.inf
 MOVED_AT_S = 100.0
 MAX_DRAW = math.nextafter(1.0, 0.0)
@@ -44,7 +47,7 @@
 )
 @pytest.mark.parametrize("draw", [0.0, 0.25, MAX_DRAW])
 def test_waits_are_short_after_a_failure_and_shortened_at_random(
-    polls_discovery: bool, consecutive_failures: int, wait_ms: float, draw: float
+    consecutive_failures: int, wait_ms: float, draw: float, *, polls_discovery: bool
 ) -> None:
     schedule = RetrySchedule(drawing(draw), polls_discovery=polls_discovery)
     assert schedule.watch_wait_s(consecutive_failures) == wait_ms / 1000 * (1 - WAIT_JITTER * draw)
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -4,17 +4,20 @@
 
 import asyncio
 import socket
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import request_reader
 from tests.support.event_recorder import outcomes, record_events
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+
 
 async def test_pipelined_requests_get_their_responses_in_order(start_proxy: StartProxy) -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -7,12 +7,11 @@
 import json
 import socket
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
 from tests.support.configurations import config_text, entry
-from tests.support.fixture_types import StartServer
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import read_log_line, running_program
@@ -22,6 +21,9 @@
 from tests.support.upstream_attempts import ObservedAttempt, make_pools
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartServer
+
 DESCRIPTORS = 256
 CLIENTS = 320
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -6,7 +6,7 @@
 import os
 import signal
 import socket
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -16,14 +16,17 @@
 from loadbalancer.network.upstream.pool import UpstreamPool
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.event_recorder import record_events
-from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import response, status
+from tests.support.policy_hooks import PolicyFaultError, replace_policy
 from tests.support.program import ProgramWithOpenRequest, read_log_line
 from tests.support.scripted_discovery import DiscoveryServer, list_response
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.upstream_attempts import ObservedAttempt, endpoint_list, make_pools
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy, StartServer
+
 
 def is_refused(port: int) -> bool:
     """Return whether a connection to the port is refused; it must be either refused or accepted."""
@@ -166,10 +169,10 @@
             # Both attempts fail at once: two events are queued while the policy handles the first of them.
             return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
         if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
-            raise RuntimeError("a fault of the policy")
+            raise PolicyFaultError
         return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
 
-    harness.proxy.balancer.handle = faulty  # type: ignore[method-assign]
+    replace_policy(harness, faulty)
     assert status(await harness.send_request()) == 503
     of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
     assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -7,14 +7,17 @@
 import subprocess
 import sys
 import time
-from pathlib import Path
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network.clock import Clock
 from tests.support.configurations import config_text
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    import pytest
+
 
 def test_a_configuration_error_is_one_line_and_an_exit_code(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -3,17 +3,20 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from loadbalancer.actions import Action
 from loadbalancer.events import ClientDisconnected, Event, Outcome, RequestReceived
 from tests.support.event_recorder import outcomes, record_events
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import ReceivedMessage, response, status
+from tests.support.policy_hooks import PolicyFaultError, replace_policy
 from tests.support.scripted_upstream import Upstream, never_respond, reset
 
+if TYPE_CHECKING:
+    from loadbalancer.actions import Action
+    from tests.support.fixture_types import StartProxy
+
 
 async def test_request_and_response_are_forwarded_unchanged(start_proxy: StartProxy) -> None:
     upstream = Upstream(response(200, b"\x00tile", "Content-Type: image/x", "X-Load: inflight=7"))
@@ -150,10 +153,10 @@
 
     def raise_for_first_request(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived) and event.request_id == 1:
-            raise RuntimeError("a fault of the policy")
+            raise PolicyFaultError
         return handle(event, now)
 
-    harness.proxy.balancer.handle = raise_for_first_request  # type: ignore[method-assign]
+    replace_policy(harness, raise_for_first_request)
     assert status(await harness.send_request()) == 503
     assert status(await harness.send_request()) == 200
     assert "a fault of the policy" in capsys.readouterr().err
@@ -163,7 +166,7 @@
     start_proxy: StartProxy,
 ) -> None:
     harness = await start_proxy(Upstream())
-    harness.proxy.balancer.handle = lambda event, now: []  # type: ignore[method-assign]
+    replace_policy(harness, lambda event, now: [])
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     assert status(await harness.send_request(deadline="200m")) == 503
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -12,10 +12,9 @@
 import subprocess
 import sys
 import tomllib
-from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -26,6 +25,9 @@
 from tests.support.sockets import free_port
 from tests.support.waiting import TEST_TIMEOUT_S
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ROOT = Path(__file__).parents[2]
 ENTRIES = 7_000  # the largest list that is expected
 
@@ -73,7 +75,7 @@
         if state == "down":  # connections are never established
             listener.listen(0)
             for filler in (first, second):
-                filler.setblocking(False)
+                filler.settimeout(0.0)
                 filler.connect_ex(listener.getsockname())
         yield f"127.0.0.1:{listener.getsockname()[1]}"
 
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -4,18 +4,21 @@
 
 import asyncio
 import signal
+from typing import TYPE_CHECKING
 
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.network.discovery import watch as endpoint_watch
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.event_recorder import record_events
-from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import status
 from tests.support.program import ProgramWithOpenRequest, read_log_line
 from tests.support.scripted_discovery import DiscoveryServer
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.upstream_attempts import full_backlog
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy, StartServer
+
 
 async def test_a_new_discovery_is_polled_at_once_for_a_snapshot_and_the_old_connection_closed(
     start_proxy: StartProxy, start_server: StartServer
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.request_ids import RequestIds
-from tests.support.fixture_types import StartProxy
 from tests.support.http_messages import response, status
 from tests.support.scripted_upstream import Upstream, never_respond
 
+if TYPE_CHECKING:
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+
 
 async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected(
     start_proxy: StartProxy,
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -8,14 +8,17 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
 from tests.support.configurations import config_text, entry
-from tests.support.fixture_types import StartServer
 from tests.support.scripted_discovery import DiscoveryServer
 from tests.support.waiting import TEST_TIMEOUT_S
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartServer
+
 ROOT = Path(__file__).parents[2]
 
 # Runs the program as `python -m` does; at one audit event the configuration file is replaced and a signal
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import errno
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -14,12 +14,14 @@
 from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
 from tests.support.configurations import entry
-from tests.support.fixture_types import StartProxy, StartServer
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
 from tests.support.scripted_upstream import Script, Upstream, never_respond
 from tests.support.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy, StartServer
+
 
 async def test_connection_that_is_never_established_is_a_failed_connect() -> None:
     async with full_backlog() as address:
@@ -147,7 +149,7 @@
     replace_policy(harness, respond_then_send)
     reply = await harness.send_request()
     assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
-    assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, True)]
+    assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, is_answered=True)]
     assert not upstream.received
     assert not proxy.open_requests
 
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -3,15 +3,19 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-import pytest
-
-from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.support.proxy_harness import ProxyHarness
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    import pytest
+
+    from loadbalancer.network.upstream.connection import UpstreamConnection
+    from tests.support.proxy_harness import ProxyHarness
+
 HEDGING_LIMITS = {
     "attemptsCap": 3,
     "connIdle": 60_000.0,
--- a/tests/support/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -2,21 +2,25 @@
 
 from __future__ import annotations
 
-from loadbalancer.actions import Action
+from typing import TYPE_CHECKING
+
 from loadbalancer.events import AttemptFinished, EndpointListKind, EndpointListUpdate, Event, Outcome
-from tests.support.proxy_harness import ProxyHarness
+from tests.support.policy_hooks import replace_policy
+
+if TYPE_CHECKING:
+    from loadbalancer.actions import Action
+    from tests.support.proxy_harness import ProxyHarness
 
 
 def record_events(harness: ProxyHarness) -> list[Event]:
     """Return a list to which every further event is appended."""
     events: list[Event] = []
-    handle = harness.proxy.balancer.handle
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
         events.append(event)
         return handle(event, now)
 
-    harness.proxy.balancer.handle = record_and_handle  # type: ignore[method-assign]
+    handle = replace_policy(harness, record_and_handle)
     return events
 
 
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-import asyncio
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 
 class ReceivedMessage:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import uvloop
 
 from tests.support.waiting import TEST_TIMEOUT_S
 
+if TYPE_CHECKING:
+    from collections.abc import Coroutine
+
 T = TypeVar("T")
 
 
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -3,11 +3,21 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.actions import Action
 from loadbalancer.events import Event
-from tests.support.proxy_harness import ProxyHarness
+
+if TYPE_CHECKING:
+    from tests.support.proxy_harness import ProxyHarness
+
+
+class PolicyFaultError(Exception):
+    """Raised by a test in place of the policy."""
+
+    def __init__(self) -> None:
+        super().__init__("a fault of the policy")
+
 
 EventHandler = Callable[[Event, float], list[Action]]
 
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -5,15 +5,18 @@
 import asyncio
 import os
 import sys
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from tests.support.http_client import Client
 from tests.support.http_messages import response
-from tests.support.scripted_upstream import Upstream
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+    from pathlib import Path
+
+    from tests.support.http_client import Client
+    from tests.support.scripted_upstream import Upstream
 
 
 @asynccontextmanager
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -5,15 +5,18 @@
 import asyncio
 import json
 import socket
-from collections.abc import Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.network.proxy import Proxy
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.http_client import Client
-from tests.support.http_messages import ReceivedMessage
 from tests.support.scripted_discovery import DiscoveryServer
-from tests.support.scripted_upstream import Upstream
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from tests.support.http_messages import ReceivedMessage
+    from tests.support.scripted_upstream import Upstream
 
 
 class ProxyHarness:
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -8,10 +8,8 @@
 import asyncio
 import json
 import selectors
-from collections.abc import Callable, Coroutine
-from typing import Any, TypeVar, cast
+from typing import TYPE_CHECKING, Any, TypeVar, cast
 
-from loadbalancer.actions import Action
 from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import EndpointListUpdate, Event
 from loadbalancer.network.discovery import watch as endpoint_watch
@@ -20,6 +18,11 @@
 from tests.support.http_messages import response
 from tests.support.scripted_discovery import list_response
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
+    from loadbalancer.actions import Action
+
 FAULTS = ("refuses", "resets", "away", "late", "silent", "error", "half")
 CONNECT_FAULTS = ("refuses", "away", "late")  # the faults of a connect
 KNOWN_INDEX = 8  # the version of the list at the start
@@ -50,7 +53,7 @@
     def __init__(self) -> None:
         self._selector_in_use = _JumpingSelector(selectors.DefaultSelector())
         self.discoveries: dict[int, SimulatedDiscovery] = {}
-        super().__init__(cast(selectors.BaseSelector, self._selector_in_use))
+        super().__init__(cast("selectors.BaseSelector", self._selector_in_use))
 
     def time(self) -> float:
         return self._selector_in_use.now_s
@@ -88,6 +91,10 @@
             self._discovery.connections.discard(self)
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
+    def become_unresponsive(self) -> None:
+        """Let nothing be received on it any more."""
+        self.is_dead = True
+
     def receive(self, data: bytes) -> None:
         """Have the balancer read bytes of a response in the next iteration of the event loop."""
         self.after = None
@@ -164,7 +171,7 @@
                 connection.receive(response(500, b"sorry"))
             case "half":
                 connection.receive(list_response(KNOWN_INDEX)[:-5])
-                self.loop.call_soon(setattr, connection, "is_dead", True)
+                self.loop.call_soon(connection.become_unresponsive)
             case _:
                 self._respond_by_list(connection, call)
 
@@ -183,7 +190,7 @@
         if connection.after is not None and call_number == connection.calls:
             connection.receive(self._list(snapshot=False))
 
-    def _list(self, snapshot: bool) -> bytes:
+    def _list(self, *, snapshot: bool) -> bytes:
         return list_response(self.index, *self._entries, snapshot=snapshot)
 
     def fail(self, fault: str) -> None:
@@ -253,4 +260,4 @@
 def run_simulated(coroutine_function: Callable[[SimulatedLoop], Coroutine[Any, Any, T]]) -> T:
     """Run a coroutine on a simulated event loop."""
     with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
-        return runner.run(coroutine_function(cast(SimulatedLoop, runner.get_loop())))
+        return runner.run(coroutine_function(cast("SimulatedLoop", runner.get_loop())))
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import socket
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 
 def socket_address(server: asyncio.Server) -> str:
@@ -25,5 +28,5 @@
         client = socket.create_connection(("127.0.0.1", port))
     except ConnectionRefusedError:
         return None
-    client.setblocking(False)
+    client.settimeout(0.0)
     return client
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -4,18 +4,21 @@
 
 import asyncio
 import socket
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.configuration import EndpointList, read_configuration, read_endpoint_list
-from loadbalancer.events import Outcome
-from loadbalancer.network.upstream.attempt import UpstreamAttempt
 from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.pool import UpstreamPools
-from loadbalancer.network.upstream.response_reader import Response
 from tests.support.configurations import config_text, entry
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from loadbalancer.events import Outcome
+    from loadbalancer.network.upstream.attempt import UpstreamAttempt
+    from loadbalancer.network.upstream.response_reader import Response
+
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
 
 
@@ -63,6 +66,6 @@
         listener.listen(0)
         with socket.socket() as first, socket.socket() as second:
             for filler in (first, second):
-                filler.setblocking(False)
+                filler.settimeout(0.0)
                 filler.connect_ex(listener.getsockname())
             yield f"127.0.0.1:{listener.getsockname()[1]}"
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
 import pytest
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 T = TypeVar("T")
 
 TEST_TIMEOUT_S = 10.0
