--- a/tests/testbed/measurement/test_meter.py
+++ b/tests/testbed/measurement/test_meter.py
@@ -37,7 +37,7 @@
     assert own > 0
 
 
-def test_full_cores_are_a_doubt(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_saturated_cores_invalidate_results(monkeypatch: pytest.MonkeyPatch) -> None:
     readings: list[Any] = []
 
     def read(user: float, idle: float, steal: float, guest: float) -> None:
@@ -50,26 +50,26 @@
     assert CoresWatch().busy() == pytest.approx(0.5)
     read(100.0, 100.0, 0.0, 100.0)
     read(180.0, 105.0, 15.0, 180.0)
-    assert CoresWatch().doubts("rest") == ["rest: the cores were 95% busy"]
+    assert CoresWatch().invalid_reasons("rest") == ["rest: the cores were 95% busy"]
     read(0.0, 0.0, 0.0, 0.0)
     read(0.0, 0.0, 0.0, 0.0)
-    assert CoresWatch().doubts("rest") == []
+    assert CoresWatch().invalid_reasons("rest") == []
 
 
 def test_loop_lag_is_how_late_a_timer_runs() -> None:
     calls: list[tuple[float, Callable[[], None]]] = []
     loop: Any = SimpleNamespace(now=0.0, time=lambda: loop.now)
 
-    def call_at(at: float, then: Callable[[], None]) -> Any:
-        calls.append((at, then))
+    def call_at(at: float, callback: Callable[[], None]) -> Any:
+        calls.append((at, callback))
         return SimpleNamespace(cancel=calls.clear)
 
     loop.call_at = call_at
     lag = LoopLag(loop)
     for late in (0.0, 0.0, 0.25, 0.0):
-        at, then = calls.pop()
+        at, callback = calls.pop()
         loop.now = at + late
-        then()
+        callback()
     assert lag.take() == pytest.approx((0.0, 0.25), abs=1e-9)
     assert lag.take() == (0.0, 0.0)
     lag.stop()
