--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -18,6 +18,9 @@
     RetrySchedule,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 NEVER_MOVED = -math.inf
 MOVED_AT_S = 100.0
 MAX_DRAW = math.nextafter(1.0, 0.0)
