--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -29,6 +29,8 @@
     ".hypothesis",
 )
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
+FILE_NAME = re.compile(r"\.(py|toml|md|json|txt)$")
+CODE_NAME = re.compile(r"_|[a-z][A-Z]")  # snake case, capitals with underscores, or camel case
 MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
 
 
@@ -86,6 +88,24 @@
     assert missing == []
 
 
+def identifiers_of(page: Path) -> set[str]:
+    """The names of the code that a page has in backquotes, without the older ones of the glossary."""
+    lines = page.read_text(encoding="utf-8").partition("| older word or name |")[0].splitlines()
+    quoted = re.findall(r"`([A-Za-z_][\w.]*)`", "\n".join(lines))
+    names = {name for text in quoted if not FILE_NAME.search(text) for name in text.split(".")}
+    return {name for name in names if CODE_NAME.search(name)}
+
+
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
+def test_names_exist(page: Path) -> None:
+    sources = [
+        path for folder in ("loadbalancer", "testbed", "tests") for path in (ROOT / folder).rglob("*.py")
+    ]
+    known = {name for path in sources for name in re.findall(r"\w+", path.read_text(encoding="utf-8"))}
+    known |= {path.stem for path in (ROOT / "testbed" / "experiments").glob("*.toml")}
+    assert identifiers_of(page) - known == set()
+
+
 def test_the_index_of_decisions_has_every_record() -> None:
     index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
     records = [path.name for path in DECISIONS if path.name != "README.md"]
@@ -93,15 +113,20 @@
     assert [name for name in records if f"]({name})" not in index] == []
 
 
-def test_the_architecture_page_names_every_module() -> None:
-    page = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
+@pytest.mark.parametrize(
+    ("page", "packages"),
+    [("ARCHITECTURE.md", ("loadbalancer", "testbed")), ("POLICY.md", ("loadbalancer/policy",))],
+)
+def test_a_page_names_every_module_that_it_explains(page: str, packages: tuple[str, ...]) -> None:
+    text = (ROOT / "docs" / page).read_text(encoding="utf-8")
     modules = [
         path
-        for package in ("loadbalancer", "testbed")
+        for package in packages
         for path in sorted((ROOT / package).rglob("*.py"))
         if path.name not in ("__init__.py", "__main__.py")
     ]
-    missing = [page_name(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", page)]
+    assert modules
+    missing = [page_name(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", text)]
     assert missing == []
 
 
