--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -1,4 +1,4 @@
-"""Clients of a balancer whose event loop is busy: what arrives meanwhile is found in the kernel later."""
+"""Clients of a balancer whose event loop is busy: the kernel holds what arrives until it is read."""
 
 from __future__ import annotations
 
@@ -6,17 +6,24 @@
 import os
 import socket
 import time
-from collections.abc import Callable
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.client import graceful_shutdown, timeouts
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.connection_table import ConnectionTable
-from tests.support.disconnecting_clients import connect_client, request_bytes
-from tests.support.loopback import Rig, Upstream, status
+from tests.support.busy_event_loop import keep_event_loop_busy
+from tests.support.disconnecting_clients import request_bytes
+from tests.support.http_messages import status
+from tests.support.scripted_upstream import Upstream
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+
 
 def set_request_timeout(monkeypatch: pytest.MonkeyPatch, timeout_s: float, sweep_interval_s: float) -> None:
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", timeout_s)
@@ -31,7 +38,7 @@
 def before_each_expiry_check(
     monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
 ) -> None:
-    """Act on a connection, at a time, right before it is checked for being slow."""
+    """Call a function with each connection and the time before the connection is checked for timeouts."""
     expire_if_slow = ClientConnection.expire_if_slow
 
     def act_then_expire(
@@ -48,7 +55,7 @@
 
 
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """Connections are accepted, but their transports are not set up until the event is set."""
+    """Delay the transport of each accepted connection until the returned event is set."""
     may_set_up = asyncio.Event()
     set_up = ConnectionTable.set_up
 
@@ -69,143 +76,148 @@
 
 
 async def test_a_connection_that_is_not_set_up_at_the_end_of_the_shutdown_gets_a_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A busy loop uses up the last pause; if the program ended then, the unread request would be reset."""
+    """Guards against ending the program, and so resetting an unread request, after a busy last interval."""
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_ACCEPT_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
 
-    async with Rig(Upstream()) as rig:
-        may_set_up = delay_connection_setup(monkeypatch)
-        listener = rig.proxy.listener
-        client = connect_client(rig)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: listener.connections, "the client is accepted")
-        abort_open_requests = rig.proxy.abort_open_requests
+    harness = await start_proxy(Upstream())
+    may_set_up = delay_connection_setup(monkeypatch)
+    listener = harness.proxy.listener
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: listener.connections, "the client is accepted")
+    abort_open_requests = harness.proxy.abort_open_requests
 
-        def abort_then_be_busy() -> None:
-            abort_open_requests()
-            may_set_up.set()
-            busy_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
-            asyncio.get_running_loop().call_soon(time.sleep, busy_s)
+    def abort_then_be_busy() -> None:
+        abort_open_requests()
+        may_set_up.set()
+        busy_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
+        asyncio.get_running_loop().call_soon(time.sleep, busy_s)
 
-        monkeypatch.setattr(rig.proxy, "abort_open_requests", abort_then_be_busy)
-        await listener.shut_down()
-        client.setblocking(False)  # the process is over: what is not there now never comes
-        assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
-        assert client.recv(1) == b""
+    monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
+    await listener.shut_down()
+    client.settimeout(0.0)  # the process has ended: nothing more can arrive
+    assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
+    assert client.recv(1) == b""
 
 
 async def test_invalid_and_slow_clients_get_their_errors_as_soon_as_the_loop_runs_again(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They connect while the loop is busy for longer than the request timeout, which counts for them."""
+    """The time that they wait in the accept queue counts towards the request timeout."""
     set_request_timeout(monkeypatch, 0.2, sweep_interval_s=0.02)
 
     sweeps = set[float]()
     before_each_expiry_check(monkeypatch, lambda _, now: sweeps.add(now))
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        await asyncio.sleep(0)  # it listens, and sweeps from now on
-        response_starts = {
-            b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
-            b"": b"",
-            b"GET /read HT": b"HTTP/1.1 408 ",
-            request_bytes("/read", 1)[:-2]: b"HTTP/1.1 408 ",
-            request_bytes("/pay", 2, b"debit")[:-1]: b"HTTP/1.1 408 ",
-        }
-        clients = [connect_client(rig) for _ in response_starts]
-        for client, sent in zip(clients, response_starts, strict=True):
-            client.sendall(sent)
-        time.sleep(0.3)  # the loop is busy
-        for client in clients:
-            client.setblocking(False)
-        loop = asyncio.get_running_loop()
-        replies = [await loop.sock_recv(client, 65_536) for client in clients]
-        for reply, start in zip(replies, response_starts.values(), strict=True):
-            assert reply.startswith(start)
-            assert bool(reply) == bool(start)
-        # With a timeout that began when they were accepted there would be ten sweeps.
-        assert len(sweeps) <= 6
-        assert not upstream.connections
+    harness = await start_proxy(upstream)
+    await asyncio.sleep(0)  # the listener accepts and sweeps from now on
+    response_starts = {
+        b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
+        b"": b"",
+        b"GET /read HT": b"HTTP/1.1 408 ",
+        request_bytes("/read", 1)[:-2]: b"HTTP/1.1 408 ",
+        request_bytes("/pay", 2, b"debit")[:-1]: b"HTTP/1.1 408 ",
+    }
+    clients = [harness.connect_socket() for _ in response_starts]
+    for client, sent in zip(clients, response_starts, strict=True):
+        client.sendall(sent)
+    keep_event_loop_busy(0.3)
+    for client in clients:
+        client.settimeout(0.0)
+    loop = asyncio.get_running_loop()
+    replies = [await loop.sock_recv(client, 65_536) for client in clients]
+    for reply, start in zip(replies, response_starts.values(), strict=True):
+        assert reply.startswith(start)
+        assert bool(reply) == bool(start)
+    # With a timeout that began when they were accepted there would be ten sweeps.
+    assert len(sweeps) <= 6
+    assert not upstream.connections
 
 
 async def test_a_client_that_sends_single_bytes_to_a_busy_loop_times_out(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each check finds a byte that is not read yet, which must not put the timeout off."""
+    """Each check finds an unread byte, which must not extend the timeout."""
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     checks = list[float]()
-    async with Rig(Upstream()) as rig:
-        client = connect_client(rig)
-        client.sendall(b"GET /read?")
+    harness = await start_proxy(Upstream())
+    client = harness.connect_socket()
+    client.sendall(b"GET /read?")
 
-        def send_a_byte(connection: ClientConnection, now: float) -> None:
-            if is_past_request_timeout(connection, now) and not connection.discards_input:
-                checks.append(now)
-                client.send(b"x")
+    def send_a_byte(connection: ClientConnection, now: float) -> None:
+        if is_past_request_timeout(connection, now) and not connection.discards_input:
+            checks.append(now)
+            client.send(b"x")
 
-        before_each_expiry_check(monkeypatch, send_a_byte)
-        client.setblocking(False)
-        reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
-        assert reply.startswith(b"HTTP/1.1 408 ")
-        assert len(checks) <= 4
+    before_each_expiry_check(monkeypatch, send_a_byte)
+    client.settimeout(0.0)
+    reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
+    assert reply.startswith(b"HTTP/1.1 408 ")
+    assert len(checks) <= 4
 
 
 async def test_the_rest_of_a_request_that_arrives_by_the_last_check_is_read(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     rests = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
-    async with Rig(Upstream()) as rig:
-        client = await rig.client()
-        client.writer.write(request_bytes("/read", 1)[:-2])
-        client_socket = client.writer.transport.get_extra_info("socket")
+    harness = await start_proxy(Upstream())
+    client = await harness.client()
+    client.writer.write(request_bytes("/read", 1)[:-2])
+    client_socket = client.writer.transport.get_extra_info("socket")
 
-        def send_the_rest(connection: ClientConnection, now: float) -> None:
-            if connection.is_request_pending() and is_past_request_timeout(connection, now) and rests:
-                send_at_once(client_socket, rests.pop())
+    def send_the_rest(connection: ClientConnection, now: float) -> None:
+        if connection.is_request_pending() and is_past_request_timeout(connection, now) and rests:
+            send_at_once(client_socket, rests.pop())
 
-        before_each_expiry_check(monkeypatch, send_the_rest)
-        assert status(await client.read_response()) == 200
-        client.writer.write(request_bytes("/read", 2)[:-2])  # each request has a timeout of its own
-        assert status(await client.read_response()) == 200
+    before_each_expiry_check(monkeypatch, send_the_rest)
+    assert status(await client.read_response()) == 200
+    client.writer.write(request_bytes("/read", 2)[:-2])  # each request has a timeout of its own
+    assert status(await client.read_response()) == 200
 
 
 async def test_no_connection_is_evicted_while_its_request_is_arriving(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One is not set up yet, the request of another is not read yet; a third waits to be accepted."""
+    """One connection is not set up, the request of another is unread, and a third waits to be accepted."""
     set_timeouts_under_pressure(monkeypatch, 60.0)
 
-    async with Rig(Upstream()) as rig:
-        listener = rig.proxy.listener
-        listener.connection_limit = 2
-        idle = await rig.client()
-        idle.send()
-        assert status(await idle.read_response()) == 200
-        may_set_up = delay_connection_setup(monkeypatch)
-        accepted = connect_client(rig)
-        accepted.sendall(request_bytes("/read", 1))
-        await wait_until(
-            lambda: len(listener.connections) >= 2,
-            "both clients are accepted",
-            state=lambda: listener.connections,
-            poll_interval_s=0.0,
-        )
-        waiting = connect_client(rig)
-        waiting.sendall(request_bytes("/read", 2))
-        # At once, before the loop could read it.
-        send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
-        set_timeouts_under_pressure(monkeypatch, 0.0)
-        monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
-        assert not listener.accept_pending()  # it looks for connections to evict
-        may_set_up.set()
-        assert status(await idle.read_response()) == 200
-        for client in (accepted, waiting):
-            client.setblocking(False)
-            reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
-            assert reply.startswith(b"HTTP/1.1 200 ")
+    harness = await start_proxy(Upstream())
+    listener = harness.proxy.listener
+    listener.connection_limit = 2
+    idle = await harness.client()
+    idle.send()
+    assert status(await idle.read_response()) == 200
+    may_set_up = delay_connection_setup(monkeypatch)
+    accepted = harness.connect_socket()
+    accepted.sendall(request_bytes("/read", 1))
+    await wait_until(
+        lambda: len(listener.connections) >= 2,
+        "both clients are accepted",
+        state=lambda: listener.connections,
+        poll_interval_s=0.0,
+    )
+    waiting = harness.connect_socket()
+    waiting.sendall(request_bytes("/read", 2))
+    # Evict before the event loop can read it.
+    send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
+    set_timeouts_under_pressure(monkeypatch, 0.0)
+    monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
+    assert not listener.accept_pending()  # evicts connections
+    may_set_up.set()
+    assert status(await idle.read_response()) == 200
+    for client in (accepted, waiting):
+        client.settimeout(0.0)
+        reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
+        assert reply.startswith(b"HTTP/1.1 200 ")
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -1,18 +1,25 @@
-"""The graceful shutdown: everything that was sent gets a response, and no connection is reset."""
+"""Graceful shutdown: each request that was sent gets a response, and no connection is reset."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
-
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.client import graceful_shutdown
 from tests.support.event_recorder import outcomes, record_events
-from tests.support.loopback import Client, Rig, Upstream, never_respond, response, status
+from tests.support.http_messages import response, status
+from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    import pytest
+
+    from tests.support.fixture_types import StartProxy
+    from tests.support.http_client import Client
+    from tests.support.proxy_harness import ProxyHarness
+
 
 def set_shutdown_times(
     monkeypatch: pytest.MonkeyPatch,
@@ -21,7 +28,7 @@
     keep_alive_s: float | None = None,
     max_deadline_s: float | None = None,
 ) -> None:
-    """Replace those of the shutdown's times that are given."""
+    """Replace the given time limits of the shutdown."""
     times = {
         "SHUTDOWN_ACCEPT_S": accept_s,
         "SHUTDOWN_KEEP_ALIVE_S": keep_alive_s,
@@ -32,176 +39,184 @@
             monkeypatch.setattr(graceful_shutdown, name, value)
 
 
-async def client_with_a_response(rig: Rig) -> Client:
-    """A client whose first request has got its response."""
-    client = await rig.client()
+async def client_with_a_response(harness: ProxyHarness) -> Client:
+    """Return a client whose first request has its response."""
+    client = await harness.client()
     client.send()
     assert status(await client.read_response()) == 200
     return client
 
 
-async def test_clients_keep_their_connections_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
-    """While another balancer restarts, clients whose connections closed would have nowhere to go."""
+async def test_keep_alive_connections_are_served_until_the_keep_alive_time_has_passed(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against clients without any balancer while another one restarts."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
-    async with Rig(Upstream()) as rig:
-        listener = rig.proxy.listener
-        listener.max_deadline_s = 120.0
-        client = await client_with_a_response(rig)
-        shutdown = asyncio.ensure_future(listener.shut_down())
-        await wait_until(lambda: listener.is_closed, "the listener is closed")
-        for _ in range(2):
-            client.send()
-            reply = await client.read_response()
-            assert status(reply) == 200
-            assert "connection" not in reply.headers
-        set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-        assert await client.reader.read() == b""  # a clean end, once the time is up
-        client.writer.close()
-        await shutdown
-
-
-async def test_connections_stay_open_for_half_the_longest_deadline_at_most(
+    harness = await start_proxy(Upstream())
+    listener = harness.proxy.listener
+    listener.max_deadline_s = 120.0
+    client = await client_with_a_response(harness)
+    shutdown = asyncio.ensure_future(listener.shut_down())
+    await wait_until(lambda: listener.is_closed, "the listener is closed")
+    for _ in range(2):
+        client.send()
+        reply = await client.read_response()
+        assert status(reply) == 200
+        assert "connection" not in reply.headers
+    set_shutdown_times(monkeypatch, keep_alive_s=0.0)
+    assert await client.reader.read() == b""  # closed without a reset once the time has passed
+    client.writer.close()
+    await shutdown
+
+
+async def test_keep_alive_connections_are_closed_after_half_of_the_max_deadline(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The platform kills the process soon after the longest deadline: what arrives later is lost."""
+    """Guards against losing requests: the platform kills the process soon after the maximum deadline."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
-    async with Rig(Upstream()) as rig:
-        client = await client_with_a_response(rig)
-        rig.proxy.listener.max_deadline_s = 0.2
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-        assert await client.reader.read() == b""  # a clean end
-        assert rig.proxy.listener.context.closes_connections, "not closed as an idle one"
-        client.writer.close()
-        await shutdown
-
-
-async def test_open_requests_and_new_connections_get_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = await start_proxy(Upstream())
+    client = await client_with_a_response(harness)
+    harness.proxy.listener.max_deadline_s = 0.2
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    assert await client.reader.read() == b""  # closed without a reset
+    assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
+    client.writer.close()
+    await shutdown
+
+
+async def test_open_requests_and_new_connections_get_responses(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
     upstream = Upstream(response(), never_respond, response())
-    async with Rig(upstream) as rig:
-        idle = await rig.client()
-        busy = await rig.client()
-        idle.send()
-        assert status(await idle.read_response()) == 200
-        upstream.seen.clear()
-        busy.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-        await asyncio.sleep(0)
-        assert status(await rig.send_request()) == 200
-        assert await idle.reader.read() == b""  # a clean end, no reset
-        upstream.writers[-1].write(b"")
-        for writer in upstream.writers:
-            writer.write(response(200, b"at last"))
-        reply = await busy.read_response()
-        assert (status(reply), reply.body) == (200, b"at last")
-        assert reply.headers["connection"] == "close"
-        busy.writer.close()
-        idle.writer.close()
-        await shutdown
-
-
-async def test_a_request_in_the_accept_queue_gets_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client has sent all of it, though its connection was not accepted yet."""
+    harness = await start_proxy(upstream)
+    idle = await harness.client()
+    busy = await harness.client()
+    idle.send()
+    assert status(await idle.read_response()) == 200
+    upstream.seen.clear()
+    busy.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    await asyncio.sleep(0)
+    assert status(await harness.send_request()) == 200
+    assert await idle.reader.read() == b""  # closed without a reset
+    upstream.writers[-1].write(b"")
+    for writer in upstream.writers:
+        writer.write(response(200, b"at last"))
+    reply = await busy.read_response()
+    assert (status(reply), reply.body) == (200, b"at last")
+    assert reply.headers["connection"] == "close"
+    busy.writer.close()
+    idle.writer.close()
+    await shutdown
+
+
+async def test_a_request_in_the_accept_queue_gets_a_response(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The client has sent the complete request before its connection is accepted."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-    async with Rig(Upstream()) as rig:
-        listener = rig.proxy.listener
-        clients = list[socket.socket]()
-        accept_pending = listener.accept_pending
-
-        def connect_then_accept() -> bool:
-            clients.append(socket.create_connection(listener.address))
-            clients[0].sendall(
-                b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
-            )
-            return accept_pending()
-
-        monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
-        shutdown = asyncio.ensure_future(listener.shut_down())
-        await wait_until(lambda: clients, "the client has connected", poll_interval_s=0.0)
-        clients[0].setblocking(False)
-        reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
-        assert reply.startswith(b"HTTP/1.1 200")
-        clients[0].close()
-        await shutdown
+    harness = await start_proxy(Upstream())
+    listener = harness.proxy.listener
+    clients = list[socket.socket]()
+    accept_pending = listener.accept_pending
+
+    def connect_then_accept() -> bool:
+        clients.append(socket.create_connection(listener.address))
+        clients[0].sendall(
+            b"GET /read/x HTTP/1.1\r\nX-Class: read\r\nX-Request-Id: 1\r\nX-Deadline: 900m\r\n\r\n"
+        )
+        return accept_pending()
+
+    monkeypatch.setattr(listener, "accept_pending", connect_then_accept)
+    shutdown = asyncio.ensure_future(listener.shut_down())
+    await wait_until(lambda: clients, "the client has connected", poll_interval_s=0.0)
+    clients[0].settimeout(0.0)
+    reply = await asyncio.get_running_loop().sock_recv(clients[0], 100)
+    assert reply.startswith(b"HTTP/1.1 200")
+    clients[0].close()
+    await shutdown
 
 
 async def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is left in the queue is reset when the listening socket closes."""
+    """Guards against resets: the kernel resets queued connections when the listening socket closes."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
-    async with Rig(upstream) as rig:
-        listener = rig.proxy.listener
-        listener.connection_limit = 1
-        busy = await rig.client()
-        busy.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        queued = await rig.client()  # in the kernel's queue
-        queued.send()
-        shutdown = asyncio.ensure_future(listener.shut_down())
-        await wait_until(
-            lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0
-        )
-        for _ in range(3):
-            await asyncio.sleep(0)  # the listener has tried to accept
-        upstream.writers[0].write(response(200, b"at last"))
-        assert (await busy.read_response()).body == b"at last"
-        busy.writer.close()
-        assert status(await queued.read_response()) == 200
-        queued.writer.close()
-        await shutdown
-
-
-async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once() -> None:
-    """The process ends before an upstream could respond to it."""
+    harness = await start_proxy(upstream)
+    listener = harness.proxy.listener
+    listener.connection_limit = 1
+    busy = await harness.client()
+    busy.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    queued = await harness.client()  # in the kernel's queue
+    queued.send()
+    shutdown = asyncio.ensure_future(listener.shut_down())
+    await wait_until(lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0)
+    for _ in range(3):
+        await asyncio.sleep(0)  # the listener has tried to accept
+    upstream.writers[0].write(response(200, b"at last"))
+    assert (await busy.read_response()).body == b"at last"
+    busy.writer.close()
+    assert status(await queued.read_response()) == 200
+    queued.writer.close()
+    await shutdown
+
+
+async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once(start_proxy: StartProxy) -> None:
+    """The process ends before an upstream could respond."""
     upstream = Upstream()
-    async with Rig(upstream) as rig:
-        client = await rig.client()
-        rig.proxy.abort_open_requests()
-        client.send()
-        assert status(await client.read_response()) == 503
-        assert not upstream.connections
+    harness = await start_proxy(upstream)
+    client = await harness.client()
+    harness.proxy.abort_open_requests()
+    client.send()
+    assert status(await client.read_response()) == 503
+    assert not upstream.connections
 
 
 async def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
     upstream = Upstream(never_respond)
-    async with Rig(upstream) as rig:
-        client = await rig.client()
-        client.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        events = record_events(rig)
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-        assert status(await client.read_response()) == 502
-        await shutdown
-        assert outcomes(events) == [Outcome.CANCELLED]  # the attempt's own timeout had not come
+    harness = await start_proxy(upstream)
+    client = await harness.client()
+    client.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    events = record_events(harness)
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    assert status(await client.read_response()) == 502
+    await shutdown
+    assert outcomes(events) == [Outcome.CANCELLED]  # before the attempt's own timeout
 
 
 async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel holds it, unread, while the connection is judged to be idle."""
+    """The request is unread in the kernel while the connection is evaluated as idle."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
-    async with Rig(Upstream()) as rig:
-        client = await client_with_a_response(rig)
-        (connection,) = rig.proxy.listener.connections
-        is_idle = connection.is_idle
-        has_crossed = asyncio.Event()
-
-        def send_then_is_idle() -> bool:
-            if not has_crossed.is_set():
-                has_crossed.set()
-                client.send()  # written at once, and not read before the result is used
-            return is_idle()
-
-        monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
-        shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
-        reply = await client.read_response()
-        assert status(reply) == 200
-        assert reply.headers["connection"] == "close"
-        client.writer.close()
-        await shutdown
+    harness = await start_proxy(Upstream())
+    client = await client_with_a_response(harness)
+    (connection,) = harness.proxy.listener.connections
+    is_idle = connection.is_idle
+    has_crossed = asyncio.Event()
+
+    def send_then_is_idle() -> bool:
+        if not has_crossed.is_set():
+            has_crossed.set()
+            client.send()  # written at once, and not read before the result is used
+        return is_idle()
+
+    monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
+    shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
+    reply = await client.read_response()
+    assert status(reply) == 200
+    assert reply.headers["connection"] == "close"
+    client.writer.close()
+    await shutdown
--- /dev/null
+++ b/tests/support/sockets.py
@@ -0,0 +1,32 @@
+"""Addresses and ports of loopback sockets."""
+
+from __future__ import annotations
+
+import socket
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
+
+
+def socket_address(server: asyncio.Server) -> str:
+    """Return the address of a server, as host and port."""
+    host, port = server.sockets[0].getsockname()[:2]
+    return f"{host}:{port}"
+
+
+def free_port() -> int:
+    """Return a port of 127.0.0.1 that is free now, for a program that is configured with its address."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
+def connect_if_accepted(port: int) -> socket.socket | None:
+    """Return a non-blocking client of a port, or None if the connection is refused."""
+    try:
+        client = socket.create_connection(("127.0.0.1", port))
+    except ConnectionRefusedError:
+        return None
+    client.settimeout(0.0)
+    return client
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -1,43 +1,46 @@
-"""Attempts and pools without a proxy round them, for the tests of the upstream side."""
+"""Attempts and pools without a proxy, for the tests of the upstream side."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.configuration import EndpointList, read_configuration, read_endpoint_list
-from loadbalancer.events import Outcome
-from loadbalancer.network.upstream.attempt import UpstreamAttempt
 from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.pool import UpstreamPools
-from loadbalancer.network.upstream.response_reader import Response
-from tests.support.loopback import config_text, entry
+from tests.support.configurations import config_text, entry
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from loadbalancer.events import Outcome
+    from loadbalancer.network.upstream.attempt import UpstreamAttempt
+    from loadbalancer.network.upstream.response_reader import Response
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
 
 
-def endpoint_list(*entries: dict[str, Any], whole: bool = False) -> EndpointList:
-    """An endpoint list, as read from discovery: a change of the list, or the whole one."""
-    return read_endpoint_list({"index": 1, "snapshot": whole, "endpoints": list(entries)})
+def endpoint_list(*entries: dict[str, Any], is_complete: bool = False) -> EndpointList:
+    """Return an endpoint list as read from discovery: a change of the list, or the complete list."""
+    return read_endpoint_list({"index": 1, "snapshot": is_complete, "endpoints": list(entries)})
 
 
 def make_pools(address: str, **limits: Any) -> UpstreamPools:
-    """Pools with one endpoint, `s0`, at an address."""
+    """Return pools with one endpoint, `s0`, at an address."""
     default_limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
     text = config_text("127.0.0.1:9", [], limits=default_limits | limits)
-    pools = UpstreamPools(read_configuration(text, lambda note: None), asyncio.get_running_loop())
+    pools = UpstreamPools(read_configuration(text, lambda warning: None), asyncio.get_running_loop())
     pools.update_endpoints(endpoint_list(entry("s0", address)))
     return pools
 
 
 class ObservedAttempt:
-    """An attempt at `s0` that has been started, and every outcome that was reported for it."""
+    """A started attempt at `s0`, and every outcome that was reported for it."""
 
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
-        self.ends: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
         self.over = asyncio.Event()
         starter = AttemptStarter(asyncio.get_running_loop(), pools)
         attempt = starter.start("s0", timeout_s, lambda: request, self._record)
@@ -45,24 +48,24 @@
         self.attempt: UpstreamAttempt = attempt
 
     def _record(self, outcome: Outcome, response: Response | None) -> None:
-        self.ends.append(outcome)
+        self.outcomes.append(outcome)
         self.over.set()
 
     async def outcome(self) -> Outcome:
-        """Wait for the end; there must be exactly one outcome."""
+        """Wait for the outcome; exactly one must be reported."""
         await self.over.wait()
-        (outcome,) = self.ends
+        (outcome,) = self.outcomes
         return outcome
 
 
 @asynccontextmanager
 async def full_backlog() -> AsyncIterator[str]:
-    """An address at which no connection is ever established."""
+    """Yield an address at which no connection is ever established."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
         with socket.socket() as first, socket.socket() as second:
             for filler in (first, second):
-                filler.setblocking(False)
+                filler.settimeout(0.0)
                 filler.connect_ex(listener.getsockname())
             yield f"127.0.0.1:{listener.getsockname()[1]}"
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -3,13 +3,18 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
 import pytest
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 T = TypeVar("T")
 
+TEST_TIMEOUT_S = 10.0
+"""Time limit of an asynchronous test; only a test that hangs comes near it."""
+
 WAIT_TIMEOUT_S = 8.0
 """How long a condition may take: less than the time limit of a test, so that this message comes first."""
 
