--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -17,22 +17,22 @@
 
     from loadbalancer.configuration import Configuration, EndpointList
 
-OnForce = Callable[[int, float], None]
+OnListApplied = Callable[[int, float], None]
 """Called with the version of an applied list and the time, in seconds of the monotonic clock."""
 
 
-class Hollow:
-    """A balancer without clients; `on_force(index, at)` is called once the policy has applied a list.
+class HollowBalancer:
+    """A balancer without clients; `on_list_applied(index, at)` is called once the policy has applied a list.
 
     Attributes:
         proxy: The real proxy.
     """
 
     def __init__(
-        self, configuration: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce
+        self, configuration: Configuration, loop: asyncio.AbstractEventLoop, on_list_applied: OnListApplied
     ) -> None:
         self.proxy = Proxy(configuration, loop, self._report)
-        self._on_force = on_force
+        self._on_list_applied = on_list_applied
         self.proxy.listener.close()  # bound and not listening yet, so that no client can connect
 
     def start(self) -> None:
@@ -40,4 +40,4 @@
         self.proxy.start(accepts_clients=False)
 
     def _report(self, endpoint_list: EndpointList) -> None:
-        self._on_force(endpoint_list.index, time.monotonic())
+        self._on_list_applied(endpoint_list.index, time.monotonic())
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from loadbalancer.configuration import read_configuration
-from testbed.balancer.hollow import Hollow
+from testbed.balancer.hollow import HollowBalancer
 from testbed.child_process import ChildProcess, run_child, serve_pipe
 from testbed.measurement.meter import LoopLag
 
@@ -42,7 +42,7 @@
     max_lag_s: float
 
 
-class _ListInForce(NamedTuple):
+class _AppliedList(NamedTuple):
     """A list that a balancer applied."""
 
     balancer: int
@@ -78,11 +78,11 @@
     """Records the lists that balancers apply."""
 
     def __init__(self) -> None:
-        self._rows: list[_ListInForce] = []
+        self._rows: list[_AppliedList] = []
 
     def record(self, balancer: int, index: int, time_s: float) -> None:
         """Record that a balancer has applied a list."""
-        self._rows.append(_ListInForce(balancer, index, time_s))
+        self._rows.append(_AppliedList(balancer, index, time_s))
 
     def take_report(self, lag: LoopLag) -> HollowReport:
         """Return the report since the previous one, with the lag of the event loop."""
@@ -111,7 +111,7 @@
     recorder = _Recorder()
     for number, text in configuration_texts.items():
         configuration = read_configuration(text, _ignore)
-        Hollow(configuration, loop, partial(recorder.record, number)).start()
+        HollowBalancer(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
     gc.freeze()  # as the program does once it has started
     lag = LoopLag(loop)  # created after the balancers, so that their start does not count as lag
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -73,7 +73,7 @@
     """Events that the policy has not handled yet."""
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the request has its response, no running attempt and no queued event."""
         return not (self.is_open or self.running_attempts or self.queued_events)
 
@@ -181,7 +181,7 @@
             self._perform(action)
         if request is not None:
             request.queued_events -= 1
-            if request.is_over:
+            if request.is_finished:
                 self._requests.pop(request.number, None)
 
     # ---- actions ------------------------------------------------------------------------------
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -167,7 +167,7 @@
     def _delays(self, reports: list[HollowReport], watch_calls: Sequence[VersionSeen]) -> DelayColumns:
         group, first = self._group, self._first_version
         changed_at = np.array(group.discovery.changed_at[first:])
-        in_force = delays_ms(_versions_in_force(reports), group.hollow_agents, first, changed_at)
+        in_force = delays_ms(_applied_versions(reports), group.hollow_agents, first, changed_at)
         watched = delays_ms(watch_calls, group.hollow_agents, first, changed_at)
         real_watched = delays_ms(watch_calls, group.real_agents, first, changed_at)
         written_s = np.array(group.discovery.written_at[first:]) - changed_at
@@ -201,7 +201,7 @@
     return reasons
 
 
-def _versions_in_force(reports: list[HollowReport]) -> Iterator[VersionSeen]:
+def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionSeen]:
     """Yield the versions that hollow balancers applied, by process and then by time."""
     for report in reports:
         yield from map(VersionSeen, report.balancers, report.indexes, report.times)
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -17,7 +17,7 @@
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed import settings
-from testbed.balancer.hollow import Hollow
+from testbed.balancer.hollow import HollowBalancer
 from testbed.discovery.service import Discovery
 from testbed.runs.list_size.plan import Keeps, Plan, configuration_text, freeze_collector, ignore_message
 from testbed.runs.list_size.rows import CellName, ListRow
@@ -152,7 +152,7 @@
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
         # No variable refers to the configuration: parts that the balancer drops must not be counted.
-        hollow = Hollow(
+        hollow = HollowBalancer(
             read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
         )
         hollow.start()
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -47,7 +47,7 @@
         for tier in range(self._depth):
             await self._start_tier(tier)
         await self._start_balancers()
-        self._join()
+        self._connect_tiers()
         for upstream in self.tiers[-1]:
             upstream.on_request = self._record_deadline
 
@@ -92,7 +92,7 @@
             index=self._lists[tier].index,
         )
 
-    def _join(self) -> None:
+    def _connect_tiers(self) -> None:
         """Connect each upstream, except in the last tier, to the next tier through a balancer of its own."""
         clients = [http_client.Client(balancer.address) for balancer in self.balancers]
         self.fronts = clients[:_WIDTH]
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -26,16 +26,16 @@
 
     from testbed.measurement.latency import Latencies
 
-_CALM = Behaviour()
-_CALM_PHASE = "calm"
+_NO_FAULT = Behaviour()
+_NO_FAULT_PHASE = "calm"
 _PHASES = (
-    (_CALM_PHASE, _CALM),
+    (_NO_FAULT_PHASE, _NO_FAULT),
     ("fails 0.1", Behaviour(UpstreamMode.FAIL, 0.1)),
     ("fails 0.5", Behaviour(UpstreamMode.FAIL, 0.5)),
     ("fails all", Behaviour(UpstreamMode.FAIL)),
-    ("back after failing", _CALM),
+    ("back after failing", _NO_FAULT),
     ("hangs", Behaviour(UpstreamMode.HANG)),
-    ("back after hanging", _CALM),
+    ("back after hanging", _NO_FAULT),
 )
 
 
@@ -113,7 +113,7 @@
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_measure_depth(plan, depth, result, log))
-    calm = [row for row in result.rows if row.phase == _CALM_PHASE]
+    calm = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
     if len(calm) > 1:
         result.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
     return result
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network.discovery import watch
-from testbed.balancer.hollow import Hollow
+from testbed.balancer.hollow import HollowBalancer
 from testbed.balancer.hollow_process import HollowProcess
 from testbed.discovery.agent_state import AgentMode, AgentState
 from testbed.discovery.service import Discovery
@@ -32,16 +32,16 @@
 async def test_hollow_balancers_apply_changes_through_the_real_watch(
     discovery: Discovery, *, pushed: bool
 ) -> None:
-    in_force: list[list[int]] = [[], []]
+    applied: list[list[int]] = [[], []]
     first = discovery.replace_entries(endpoint_entries(20))
     settings = balancer_settings(balancers=2, pushed=pushed)
     hollows = []
     for i in range(2):
         text = configuration_text(f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i)
-        hollow = Hollow(
+        hollow = HollowBalancer(
             read_configuration(text, ignore_warning),
             asyncio.get_running_loop(),
-            partial(lambda versions, index, at: versions.append(index), in_force[i]),
+            partial(lambda versions, index, at: versions.append(index), applied[i]),
         )
         hollow.start()
         hollows.append(hollow)
@@ -49,7 +49,7 @@
     draining = endpoint_entries(20)[3] | {"status": "terminating"}
     second = discovery.apply_changes([draining])
     await wait_until_acknowledged(discovery, second)
-    assert in_force == [[0, first, second]] * 2
+    assert applied == [[0, first, second]] * 2
     assert discovery.counts().snapshots == 2
     for hollow in hollows:
         assert len(hollow.proxy.balancer.ready_endpoints) == 19
@@ -65,22 +65,22 @@
     monkeypatch.setattr("loadbalancer.policy.poll_backoff.POLL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.05)
 
-    in_force: list[int] = []
+    applied: list[int] = []
     first = discovery.replace_entries(three_entries())
     address = discovery.agent_address(0)
     discovery.set_state(AgentState(AgentMode.UNRESPONSIVE))
     text = configuration_text(
         "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
     )
-    Hollow(
+    HollowBalancer(
         read_configuration(text, ignore_warning),
         asyncio.get_running_loop(),
-        lambda index, at: in_force.append(index),
+        lambda index, at: applied.append(index),
     ).start()
     # The first request times out; a timer starts the next one.
     await wait_until(lambda: discovery.counts().requests == 2, "the balancer has polled again")
     discovery.set_state(AgentState())
-    await wait_until(lambda: first in in_force, "the balancer has applied the list")
+    await wait_until(lambda: first in applied, "the balancer has applied the list")
 
 
 async def test_a_process_of_hollow_balancers_reports_when_changes_were_applied(discovery: Discovery) -> None:
