--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, and the subset of them that this balancer keeps to."""
+"""The endpoints of the list, the subset of them that this balancer uses, and their warm-up fractions."""
 
 import math
 from random import Random
@@ -6,7 +6,6 @@
 from loadbalancer.endpoints import Endpoint, EndpointState
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.policy.endpoint_stats import EndpointStats
-from loadbalancer.policy.warmup import WarmupRamp
 from loadbalancer.settings import Settings
 
 MIN_SUBSET_SIZE = 12  # endpoints that a balancer keeps to at the least: losing a few must leave a choice
@@ -14,6 +13,28 @@
 BALANCERS_PER_ENDPOINT = 30
 
 
+class WarmupRamp:
+    """The configured ramp over the age of a process."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._duration_ms = settings.slow_start_ms
+        self._missing_fraction = 1.0 - settings.slow_start_initial_fraction
+        self.active_until = 0.0  # from here on every endpoint of the list is warm
+
+    def update(self, ready: list[EndpointStats]) -> None:
+        """The endpoint list has changed."""
+        newest = max((e.entry.started_at_ms for e in ready), default=0.0)
+        self.active_until = newest + self._duration_ms
+
+    def fraction(self, endpoint: EndpointStats, now: float) -> float:
+        """The fraction of its capacity that an endpoint has at the least, by its age."""
+        started_at = endpoint.entry.started_at_ms
+        age = now - started_at
+        if started_at <= 0 or age >= self._duration_ms:
+            return 1.0
+        return 1.0 - self._missing_fraction * (1.0 - max(age, 0.0) / self._duration_ms)
+
+
 class EndpointSet:
     """The known endpoints."""
 
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -112,7 +112,7 @@
             "policy.balancer policy.capacity policy.endpoint_set policy.endpoint_stats policy.idempotency "
             "policy.idle_connections policy.outlier_detection policy.overload policy.peers "
             "policy.poll_backoff policy.request policy.retry policy.selection policy.service_times "
-            "policy.slow_start policy.warmup settings settings_reader timers "
+            "policy.slow_start settings settings_reader timers "
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
