--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -10,15 +10,11 @@
 from loadbalancer.actions import (
     Action,
     CancelAttempt,
-    CloseIdleConnections,
     FailRequest,
     LogMessage,
     RejectRequest,
-    SetTimer,
-    StartAttempt,
     WatchEndpoints,
 )
-from loadbalancer.errors import DuplicateRequestError, UnknownClassError, UnknownRequestError
 from loadbalancer.events import (
     NEVER_RAN,
     AttemptFinished,
@@ -34,6 +30,7 @@
 from loadbalancer.policy.admission import AdmissionControl, Quotas
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.attempt_recorder import AttemptRecorder
+from loadbalancer.policy.attempt_starter import AttemptStarter
 from loadbalancer.policy.available_capacity import AvailableCapacity
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
@@ -42,7 +39,7 @@
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
-from loadbalancer.policy.request import Request
+from loadbalancer.policy.request import Request, RequestTable
 from loadbalancer.policy.retry import Hedging, RetryBudgets
 from loadbalancer.policy.selection import EndpointSelector
 from loadbalancer.policy.service_times import CostHints, ServiceTimes
@@ -59,8 +56,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
-        self._classes = {c.name: c for c in settings.classes}
-        self._requests: dict[int, Request] = {}
+        self._requests = RequestTable(settings.classes)
         self._shedding_until = -math.inf
         self._actions: list[Action] = []
         self._initial_actions: list[Action] = [WatchEndpoints()] if settings.polls_discovery else []
@@ -74,17 +70,19 @@
         self._admission = AdmissionControl(settings, self._overload, Quotas(settings, peers))
         capacity = CapacityEstimator(self._endpoints, self._arrivals)
         self._slow_start = SlowStart(settings, self._endpoints, self._arrivals, peers, capacity)
-        self._selector = EndpointSelector(
-            settings, IdempotencyRules(settings, self._endpoints), self._slow_start, capacity, random
-        )
+        idempotency = IdempotencyRules(settings, self._endpoints)
+        selector = EndpointSelector(settings, idempotency, self._slow_start, capacity, random)
         self._cost_hints = CostHints()
         self._service_times = ServiceTimes(settings)
-        self._idle_limit = IdleConnectionLimit()
+        idle_limit = IdleConnectionLimit()
         self._recorder = AttemptRecorder(
-            self._service_times, self._overload.sustainable, self._idle_limit, self._available
+            self._service_times, self._overload.sustainable, idle_limit, self._available
         )
         self._retry_budgets = RetryBudgets()
         self._hedging = Hedging(settings, self._service_times)
+        self._attempt_starter = AttemptStarter(
+            settings, selector, self._hedging, idle_limit, self._recorder, self._slow_start
+        )
 
     @property
     def open_requests(self) -> int:
@@ -111,41 +109,25 @@
             case ClientDisconnected():
                 self._disconnect_client(event.request_id)
             case ResponseStarted():
-                self._find_request(event).is_streaming = True
+                self._requests.find(event).is_streaming = True
         return self._actions
 
     def _update_endpoints(self, event: EndpointListUpdate, now: float) -> None:
         if event.kind is EndpointListKind.FAILED:
-            self._poll_again(now)
+            self._actions += self._poll_backoff.record_failure(now)
             return
-        if self._poll_backoff.is_failing and event.kind is not EndpointListKind.CACHED:
-            self._poll_backoff.reset()
-            self._actions.append(LogMessage("endpoint list is reachable again"))
+        if event.kind is not EndpointListKind.CACHED:
+            self._actions += self._poll_backoff.record_success()
         self._arrivals.start(now)
         self._endpoints.update(event, now)
         self._available.invalidate(now)
         self._slow_start.invalidate()
 
-    def _poll_again(self, now: float) -> None:
-        """The endpoint list is out of reach: the last one stands."""
-        if not self._poll_backoff.is_failing:
-            self._actions.append(LogMessage("endpoint list is unreachable; keeping the last one"))
-        self._actions.append(SetTimer(self._poll_backoff.record_failure(now), EndpointListTimer()))
-
     def _receive(self, event: RequestReceived, now: float) -> None:
-        if event.request_id in self._requests:
-            raise DuplicateRequestError(event.request_id)
-        if event.class_name not in self._classes:
-            raise UnknownClassError(event.request_id, event.class_name)
-        request_class = self._classes[event.class_name]
-        useful_until = now + event.remaining_ms
-        if not request_class.late_value:
-            useful_until = min(useful_until, now + request_class.latency_objective_ms)
-        work = self._cost_hints.relative_work(event.cost_hint_ms)
-        request = Request(event.request_id, request_class, useful_until, work)
-        self._requests[request.id] = request
+        request = self._requests.add(event, now)
+        request.work = self._cost_hints.relative_work(event.cost_hint_ms)
         self._arrivals.record(now)
-        if not self._admission.admits(request_class, event.tenant, event.remaining_ms, now):
+        if not self._admission.admits(request.request_class, event.tenant, event.remaining_ms, now):
             self._shed(request, "overloaded: shedding the requests of the lowest priority weight first", now)
         elif not self._try_start_attempt(request, now):
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
@@ -158,25 +140,9 @@
         self._respond_with_failure(request)
 
     def _try_start_attempt(self, request: Request, now: float) -> bool:
-        timeout_ms = request.useful_until - now
-        if timeout_ms <= self._settings.tick_ms or len(request.attempts) >= self._settings.max_attempts:
-            return False
-        endpoint = self._selector.select(request, now)
-        if endpoint is None:
-            return False
-        idle_ms = 0.0 if endpoint.in_flight else max(now - endpoint.last_used_at, 0.0)
-        if idle_ms and (request.attempts or idle_ms >= self._idle_limit.limit_ms):
-            # What is unused for so long may be dead.
-            self._actions.append(CloseIdleConnections(endpoint.entry.name))
-            idle_ms = 0.0
-        hedge_delay_ms = self._hedging.delay_ms(request, timeout_ms)
-        if hedge_delay_ms is not None:
-            self._actions.append(SetTimer(now + hedge_delay_ms, HedgeTimer(request.id)))
-        is_shedding = now <= self._shedding_until
-        request.attempts.append(self._recorder.start(endpoint, idle_ms, timeout_ms, is_shedding, now))
-        self._slow_start.record_start(endpoint, now)
-        self._actions.append(StartAttempt(request.id, endpoint.entry.name, timeout_ms))
-        return True
+        actions = self._attempt_starter.start(request, now, is_shedding=now <= self._shedding_until)
+        self._actions += actions
+        return bool(actions)
 
     def _fire_timer(self, timer: Timer, now: float) -> None:
         match timer:
@@ -188,14 +154,8 @@
                 if request and self._hedging.allows(request) and not self._overload.is_overloaded(0.0, now):
                     self._try_retry(request, now)
 
-    def _find_request(self, event: AttemptFinished | ResponseStarted) -> Request:
-        request = self._requests.get(event.request_id)
-        if request is None or not 0 <= event.attempt_index < len(request.attempts):
-            raise UnknownRequestError(event.request_id, event.attempt_index)
-        return request
-
     def _finish_attempt(self, event: AttemptFinished, now: float) -> None:
-        request = self._find_request(event)
+        request = self._requests.find(event)
         attempt = request.attempts[event.attempt_index]
         if not attempt.is_open:
             return
@@ -206,7 +166,7 @@
             self._finish_request(request, event.outcome, now)
         elif request.needs_attempt() and not self._try_retry(request, now):
             self._respond_with_failure(request)
-        self._forget_if_finished(request)
+        self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
         """The client has its response: what else is open was waited for in vain."""
@@ -235,7 +195,7 @@
             self._actions.append(RejectRequest(request.id, after_ms))
         else:
             self._actions.append(FailRequest(request.id))
-        self._forget_if_finished(request)
+        self._requests.remove_if_finished(request)
 
     def _cancel_open_attempts(self, request: Request) -> None:
         if self._settings.may_cancel and not request.is_streaming:
@@ -247,8 +207,4 @@
         if request := self._requests.get(request_id):
             request.is_response_pending = False
             self._cancel_open_attempts(request)
-            self._forget_if_finished(request)
-
-    def _forget_if_finished(self, request: Request) -> None:
-        if not request.is_response_pending and not request.has_open_attempt():
-            self._requests.pop(request.id, None)
+            self._requests.remove_if_finished(request)
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -3,7 +3,9 @@
 import math
 from random import Random
 
+from loadbalancer.actions import Action, LogMessage, SetTimer
 from loadbalancer.settings import Settings
+from loadbalancer.timers import EndpointListTimer
 
 POLL_BACKOFF_MS = 500.0  # from one poll to the next, doubled at each failure
 MAX_POLL_BACKOFF_MS = 2_000.0  # at the most: what is new when discovery is back counts as told after 6 s
@@ -21,16 +23,22 @@
         self._failures = 0
         self._next_poll_at = -math.inf
 
-    @property
-    def is_failing(self) -> bool:
-        """Whether the last poll failed."""
-        return self._failures > 0
-
-    def reset(self) -> None:
-        """Discovery responds again."""
+    def record_success(self) -> list[Action]:
+        """Reset the backoff after an update from discovery; log the end of an outage once."""
+        if not self._failures:
+            return []
         self._failures = 0
+        return [LogMessage("endpoint list is reachable again")]
+
+    def record_failure(self, now: float) -> list[Action]:
+        """Set the timer of the next poll after a failed one; log the start of an outage once."""
+        actions: list[Action] = []
+        if not self._failures:
+            actions.append(LogMessage("endpoint list is unreachable; keeping the last one"))
+        actions.append(SetTimer(self._next_poll_time(now), EndpointListTimer()))
+        return actions
 
-    def record_failure(self, now: float) -> float:
+    def _next_poll_time(self, now: float) -> float:
         """Count a failed poll and return when to poll again: not all balancers at the same moment.
 
         What grows is the time from poll to poll: one that was slow to fail has been pause enough.
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -1,9 +1,16 @@
-"""A request on its way through the balancer, and its attempts."""
+"""The open requests of a balancer and their attempts."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from loadbalancer.errors import DuplicateRequestError, UnknownClassError, UnknownRequestError
 
-from loadbalancer.policy.endpoint_stats import EndpointStats
-from loadbalancer.settings import RequestClass
+if TYPE_CHECKING:
+    from loadbalancer.events import AttemptFinished, RequestReceived, ResponseStarted
+    from loadbalancer.policy.endpoint_stats import EndpointStats
+    from loadbalancer.settings import RequestClass
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -25,7 +32,7 @@
 
     id: int
     request_class: RequestClass
-    useful_until: float  # after this a response has no value for the client
+    expires_at: float  # after this a response has no value for the client
     work: float = 1.0  # its work over that of the mean request, where a cost hint tells
     attempts: list[Attempt] = field(default_factory=list)
     is_response_pending: bool = True
@@ -47,3 +54,52 @@
     def may_have_run(self) -> bool:
         """Whether an attempt may have had an effect."""
         return any(a.may_have_run for a in self.attempts)
+
+
+class RequestTable:
+    """The open requests by their id."""
+
+    def __init__(self, classes: tuple[RequestClass, ...]) -> None:
+        self._classes = {c.name: c for c in classes}
+        self._requests: dict[int, Request] = {}
+
+    def __len__(self) -> int:
+        return len(self._requests)
+
+    def add(self, event: RequestReceived, now: float) -> Request:
+        """Add a request that has arrived, and return it.
+
+        Raises:
+            DuplicateRequestError: A request of this id is open.
+            UnknownClassError: The settings define no class of this name.
+        """
+        if event.request_id in self._requests:
+            raise DuplicateRequestError(event.request_id)
+        request_class = self._classes.get(event.class_name)
+        if request_class is None:
+            raise UnknownClassError(event.request_id, event.class_name)
+        expires_at = now + event.remaining_ms
+        if not request_class.late_value:
+            expires_at = min(expires_at, now + request_class.latency_objective_ms)
+        request = self._requests[event.request_id] = Request(event.request_id, request_class, expires_at)
+        return request
+
+    def get(self, request_id: int) -> Request | None:
+        """Return an open request; None if it has finished."""
+        return self._requests.get(request_id)
+
+    def find(self, event: AttemptFinished | ResponseStarted) -> Request:
+        """Return the request of an attempt's event.
+
+        Raises:
+            UnknownRequestError: The request is not open, or has no such attempt.
+        """
+        request = self._requests.get(event.request_id)
+        if request is None or not 0 <= event.attempt_index < len(request.attempts):
+            raise UnknownRequestError(event.request_id, event.attempt_index)
+        return request
+
+    def remove_if_finished(self, request: Request) -> None:
+        """Remove a request that has its response and no attempt in flight."""
+        if not request.is_response_pending and not request.has_open_attempt():
+            self._requests.pop(request.id, None)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -3,15 +3,32 @@
 from __future__ import annotations
 
 from collections import Counter
+from random import Random
 
 import pytest
 
 from loadbalancer.actions import StartAttempt
 from loadbalancer.endpoints import Endpoint
-from loadbalancer.events import EndpointListKind
+from loadbalancer.events import EndpointListKind, EndpointListUpdate
+from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.capacity import CapacityEstimator
+from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EndpointStats
-from tests.policy.helpers import PolicyHarness, count_by_endpoint, endpoint_list, first_endpoint, serve_many
+from loadbalancer.policy.idempotency import IdempotencyRules
+from loadbalancer.policy.peers import PeerEstimator
+from loadbalancer.policy.request import Request
+from loadbalancer.policy.selection import EndpointSelector
+from loadbalancer.policy.slow_start import SlowStart
+from loadbalancer.settings import Settings
+from tests.policy.helpers import (
+    READ,
+    PolicyHarness,
+    count_by_endpoint,
+    endpoint_list,
+    first_endpoint,
+    serve_many,
+    settings,
+)
 
 
 def test_equal_endpoints_get_equally_many_requests() -> None:
@@ -87,22 +104,36 @@
     assert run(3) == run(3) != run(4)
 
 
-def test_ties_go_to_the_larger_capacity_and_draws_follow_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness = PolicyHarness(2)
-    capacity = {"s0": 2.0, "s1": 1.0}
+class FixedCapacities(CapacityEstimator):
+    """Capacities that are known, in place of learned ones."""
+
+    def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate, capacity: dict[str, float]) -> None:
+        super().__init__(endpoints, arrivals)
+        self._capacity = capacity
+
+    def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
+        return [self._capacity[endpoint.entry.name] for endpoint in endpoints]
+
+
+def selector_with(changes: Settings, endpoints: EndpointSet, capacity: dict[str, float]) -> EndpointSelector:
+    """A selector over a set of endpoints whose capacities are known."""
+    arrivals = ArrivalRate(changes)
+    estimator = FixedCapacities(endpoints, arrivals, capacity)
+    slow_start = SlowStart(changes, endpoints, arrivals, PeerEstimator(changes, arrivals), estimator)
+    idempotency = IdempotencyRules(changes, endpoints)
+    return EndpointSelector(changes, idempotency, slow_start, estimator, Random(1))
 
-    def known_capacities(_: object, endpoints: list[EndpointStats], *_args: float) -> list[float]:
-        return [capacity[endpoint.entry.name] for endpoint in endpoints]
 
-    monkeypatch.setattr(CapacityEstimator, "estimates", known_capacities)
-    request, _ = harness.request()
-    known = harness.balancer._requests[request]
-    known.attempts.clear()
+def test_ties_go_to_the_larger_capacity_and_draws_follow_capacity() -> None:
+    now, common = 1_000.0, settings()
+    endpoints = EndpointSet(common, Random(1))
+    endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(2)), now)
+    selector = selector_with(common, endpoints, {"s0": 2.0, "s1": 1.0})
     # (3 + 1) / 2 ties with (1 + 1) / 1
-    harness.balancer._endpoints.by_name["s0"].in_flight = 3
-    harness.balancer._endpoints.by_name["s1"].in_flight = 1
-    counts = Counter(
-        s.entry.name for _ in range(2_000) if (s := harness.balancer._selector.select(known, harness.now))
-    )
+    endpoints.by_name["s0"].in_flight = 3
+    endpoints.by_name["s1"].in_flight = 1
+    request = Request(1, READ, expires_at=now + 1_000)
+    selected = [selector.select(request, now) for _ in range(2_000)]
+    counts = Counter(endpoint.entry.name for endpoint in selected if endpoint)
     assert counts["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
     assert counts["s1"] > 5
