--- a/loadbalancer/policy/attempt_starter.py
+++ b/loadbalancer/policy/attempt_starter.py
@@ -63,7 +63,8 @@
         hedge_delay_ms = self._hedging.delay_ms(request, timeout_ms)
         if hedge_delay_ms is not None:
             actions.append(SetTimer(now + hedge_delay_ms, HedgeTimer(request.id)))
-        request.attempts.append(self._recorder.start(endpoint, idle_ms, timeout_ms, is_shedding, now))
+        attempt = self._recorder.start(endpoint, idle_ms, timeout_ms, now, is_shedding=is_shedding)
+        request.attempts.append(attempt)
         self._slow_start.record_start(endpoint, now)
         actions.append(StartAttempt(request.id, endpoint.entry.name, timeout_ms))
         return actions
--- a/tests/network/test_upstreams.py
+++ b/tests/network/upstream/test_attempts.py
@@ -11,8 +11,9 @@
 from loadbalancer.actions import Action, RejectRequest, StartAttempt
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.sockets import peek
+from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
-from tests.network.loopback import (
+from tests.support.loopback import (
     ReceivedMessage,
     Rig,
     Script,
@@ -22,8 +23,8 @@
     response,
     status,
 )
-from tests.network.policy_hooks import before_event, replace_policy
-from tests.network.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
+from tests.support.policy_hooks import before_event, replace_policy
+from tests.support.upstream_attempts import REQUEST, ObservedAttempt, endpoint_list, full_backlog, make_pools
 
 
 async def test_connection_that_is_never_established_is_a_failed_connect() -> None:
@@ -107,16 +108,18 @@
     assert len(moved.received) == 1
     upstreams.update_endpoints(endpoint_list(whole=True))
     assert upstreams.open_connections == 0
-    assert upstreams.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
+    starter = AttemptStarter(asyncio.get_running_loop(), upstreams)
+    assert starter.start("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
 
 
 async def test_at_the_limit_the_longest_idle_connection_is_closed_and_without_one_none_is_opened() -> None:
     upstream, other = Upstream(response(), never_respond), Upstream(never_respond)
     upstreams = make_pools(await upstream.start())
     upstreams.update_endpoints(endpoint_list(entry("s1", await other.start())))
-    upstreams.connection_limit = 1
+    upstreams.connection_limit.max_connections = 1
     assert await ObservedAttempt(upstreams).outcome() is Outcome.SUCCEEDED
-    attempt = upstreams.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
+    starter = AttemptStarter(asyncio.get_running_loop(), upstreams)
+    attempt = starter.start("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
     await other.seen.wait()
     assert upstreams.open_connections == 1
