--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -53,7 +53,7 @@
         endpoint.catch_up(now)
         endpoint.last_used_at = now if outcome in REUSABLE_CONNECTION_OUTCOMES else math.inf
         if outcome in LIVENESS_EVIDENCE_OUTCOMES:
-            self._idle_limit.record(attempt.idle_ms, is_silent=outcome is not Outcome.SUCCEEDED)
+            self._idle_limit.record(attempt.idle_ms, is_unresponsive=outcome is not Outcome.SUCCEEDED)
         if outcome is Outcome.CONNECT_FAILED:
             endpoint.record_connect_failure()
         elif outcome not in NO_EVIDENCE_OUTCOMES and outcome is not Outcome.TIMED_OUT:
@@ -71,7 +71,7 @@
 
     def record_abandoned(self, attempt: Attempt, request: Request, now: float) -> None:
         """Count an attempt that is open still while another one brought the response."""
-        self._idle_limit.record(attempt.idle_ms, is_silent=True)
+        self._idle_limit.record(attempt.idle_ms, is_unresponsive=True)
         self._record_loss(attempt, request, now)
 
     def _record_loss(self, attempt: Attempt, request: Request, now: float) -> None:
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""The idempotency rules: where another attempt of a request can do no harm."""
+"""The idempotency rules: which endpoints may get a further attempt of a request."""
 
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EndpointStats
@@ -7,24 +7,32 @@
 
 
 class IdempotencyRules:
-    """Tells the endpoints that may be sent the next attempt of a request without a doubled effect."""
+    """Limits the endpoints for the next attempt to those at which no effect of a request can double."""
 
     def __init__(self, settings: Settings, endpoints: EndpointSet) -> None:
         self._settings = settings
         self._endpoints = endpoints
 
     def eligible(self, request: Request, now: float) -> list[EndpointStats]:
-        """Our subset if no attempt may have run, else the endpoints that drop repeats of that attempt."""
+        """Return the endpoints that may get the next attempt of a request.
+
+        That is the balancer's subset if no attempt may have run or the class is safe to repeat, and none if
+        the class is not idempotent. For a class with idempotency keys it is the endpoints that know the key
+        of the first attempt that may have run: those in the key's scope, within its window.
+
+        Guards against a retry that arrives after the window: it may begin only after a connect, so the
+        window has to last for the clock's resolution and the connect timeout from now. Guards against an
+        endpoint that has restarted since the first attempt: it may have forgotten the key.
+        """
         request_class = request.request_class
         first = next((a for a in request.attempts if a.may_have_run), None)
         if first is None or request_class.idempotency is Idempotency.SAFE:
             return self._endpoints.subset
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return []
-        begins_at = now + self._settings.tick_ms + self._settings.connect_timeout_ms  # at the latest
-        if begins_at >= first.sent_at + request_class.idempotency_window_ms:
+        latest_arrival = now + self._settings.tick_ms + self._settings.connect_timeout_ms
+        if latest_arrival >= first.sent_at + request_class.idempotency_window_ms:
             return []
-        # An endpoint that restarted since may have forgotten what it saw: it is not asked again.
         ready = [e for e in self._endpoints.ready if e.entry.started_at_ms <= first.sent_at]
         if request_class.idempotency_scope is IdempotencyScope.ALL:
             return ready
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,35 +1,51 @@
-"""How long idle connections live, learned from the attempts made on them."""
+"""The idle time after which connections are found dead, learned from the attempts on idle connections."""
 
 import math
 from collections import deque
 
-IDLE_SAMPLES = 40  # so many last attempts on idle connections tell how long these live
-# A connection counts as dead after an idle time from which on so many attempts, and this part, were silent.
-MIN_SILENT = 2.0
-MIN_SILENT_FRACTION = 0.6
+# Attempts on idle connections, the latest ones, that the limit is learned from: it follows a change within
+# 40.
+MAX_SAMPLES = 40
+# Attempts without a response, at least, that show that connections are dead from an idle time on: a single
+# one may be the endpoint's fault.
+MIN_UNRESPONSIVE = 2.0
+# Fraction of the attempts at that idle time or a longer one, at least, that got no response: some responses
+# are left to connections that other attempts kept alive.
+MIN_UNRESPONSIVE_FRACTION = 0.6
 
 
 class IdleConnectionLimit:
-    """Learns from which idle time on connections are dead.
+    """Learns the idle time from which on connections are dead.
 
-    Guards against connections dropped unseen, by anyone; harms by handshakes if the silence is another.
+    Guards against connections that a middlebox or the endpoint has dropped without a packet: each attempt on
+    one costs its full timeout. The cost: where attempts get no response for another reason, connections that
+    work are closed, and attempts pay for a new connect.
     """
 
     def __init__(self) -> None:
-        # Idle time of an attempt's connection, and whether nothing came back.
-        self._samples: deque[tuple[float, bool]] = deque(maxlen=IDLE_SAMPLES)
-        self.limit_ms = math.inf  # the least idle time at which connections were dead
+        # Idle time of an attempt's connection in milliseconds, and whether the attempt got no response.
+        self._samples: deque[tuple[float, bool]] = deque(maxlen=MAX_SAMPLES)
+        self.limit_ms = math.inf  # the shortest idle time at which connections are found dead
 
-    def record(self, idle_ms: float, is_silent: bool) -> None:
-        """Count an attempt on a connection that was idle for so long; 0 tells nothing."""
+    def record(self, idle_ms: float, *, is_unresponsive: bool) -> None:
+        """Count an attempt on a connection that had been idle, and learn the limit again.
+
+        The limit is the shortest idle time t of an attempt without a response such that, of the attempts with
+        an idle time of t or more, at least `MIN_UNRESPONSIVE` and `MIN_UNRESPONSIVE_FRACTION` got no
+        response.
+
+        Args:
+            idle_ms: How long the connection had been idle; 0 if it was new or in use, which is no evidence.
+            is_unresponsive: Whether the attempt got no response.
+        """
         if not idle_ms:
             return
-        self._samples.append((idle_ms, is_silent))
-        dead = sorted(idle for idle, was_silent in self._samples if was_silent)
+        self._samples.append((idle_ms, is_unresponsive))
+        dead = sorted(idle for idle, was_unresponsive in self._samples if was_unresponsive)
         as_long = {idle: sum(other >= idle for other, _ in self._samples) for idle in dead}
         known = (
             idle
             for i, idle in enumerate(dead)
-            if len(dead) - i >= max(MIN_SILENT, MIN_SILENT_FRACTION * as_long[idle])
+            if len(dead) - i >= max(MIN_UNRESPONSIVE, MIN_UNRESPONSIVE_FRACTION * as_long[idle])
         )
         self.limit_ms = next(known, math.inf)
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is asked for again after a failure."""
+"""Exponential backoff of the polls of the endpoint list while discovery can't be reached."""
 
 import math
 from random import Random
@@ -7,15 +7,21 @@
 from loadbalancer.settings import Settings
 from loadbalancer.timers import EndpointListTimer
 
-POLL_BACKOFF_MS = 500.0  # from one poll to the next, doubled at each failure
-MAX_POLL_BACKOFF_MS = 2_000.0  # at the most: what is new when discovery is back counts as told after 6 s
-# After a failure at the least: what a silent watch missed counts 2 s after its wait.
-MIN_POLL_PAUSE_MS = 250.0
-MAX_DOUBLINGS = 9  # more doublings make no difference and would overflow in a long outage
+# Time between the first two polls, in milliseconds; it doubles with each failure.
+INITIAL_BACKOFF_MS = 500.0
+# Longest time between two polls, in milliseconds. With jitter it is 3 s: balancers have the list within the 6
+# s after discovery's return that the operators allow.
+MAX_BACKOFF_MS = 2_000.0
+# Shortest time from a failure to the next poll, in milliseconds: a poll that took longer than the backoff to
+# fail is repeated soon, since an update that a broken watch missed must arrive within 2 s of its timeout.
+MIN_DELAY_MS = 250.0
+# Number of doublings after which the exponent no longer grows: 2 to the power of all failures of a long
+# outage overflows a float.
+MAX_DOUBLINGS = 9
 
 
 class PollBackoff:
-    """The pause between polls of the endpoint list while discovery is out of reach."""
+    """Schedules the polls of the endpoint list while discovery can't be reached, and logs the outage."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._settings = settings
@@ -39,14 +45,17 @@
         return actions
 
     def _next_poll_time(self, now: float) -> float:
-        """Count a failed poll and return when to poll again: not all balancers at the same moment.
+        """Count a failed poll and return the time of the next one.
 
-        What grows is the time from poll to poll: one that was slow to fail has been pause enough.
+        The backoff is the time from poll to poll, not from failure to poll: a poll that was slow to fail has
+        spent part of it already. A random factor between 0.5 and 1.5 spreads the balancers' polls.
+
+        Guards against all balancers polling discovery at the same time when it returns.
         """
-        max_pause_ms = min(MAX_POLL_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
-        pause = min(POLL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_pause_ms)
+        max_backoff_ms = min(MAX_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
+        backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_backoff_ms)
         jitter = 0.5 + self._random.random()
         self._failures += 1
-        earliest = now + min(MIN_POLL_PAUSE_MS, pause) * jitter
-        self._next_poll_at = max(min(self._next_poll_at, now) + pause * jitter, earliest)
+        earliest = now + min(MIN_DELAY_MS, backoff_ms) * jitter
+        self._next_poll_at = max(min(self._next_poll_at, now) + backoff_ms * jitter, earliest)
         return self._next_poll_at
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -15,44 +15,44 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Attempt:
-    """One attempt of a request."""
+    """One attempt of a request. Times are in milliseconds on the clock of the events."""
 
     endpoint: EndpointStats
-    idle_ms: float  # how long its connection had been idle; 0 where it was new, in use or not known
-    sent_at: float
+    idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or not known
+    sent_at: float  # when it started
     ends_at: float  # when it times out
-    is_baseline: bool  # whether the endpoints held hardly an attempt each when it was started
-    is_open: bool = True
-    may_have_run: bool = True  # true until its outcome proves otherwise
+    is_baseline: bool  # whether it started without load, so that its duration is the baseline
+    is_open: bool = True  # whether it is in flight
+    may_have_run: bool = True  # whether it may have had an effect; false once its outcome excludes that
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Request:
-    """A request to which a response is owed, or that has open attempts."""
+    """A request without a final response, or with attempts in flight."""
 
     id: int
     request_class: RequestClass
-    expires_at: float  # after this a response has no value for the client
-    work: float = 1.0  # its work over that of the mean request, where a cost hint tells
-    attempts: list[Attempt] = field(default_factory=list)
-    is_response_pending: bool = True
-    is_streaming: bool = False
+    expires_at: float  # when a response loses its value for the client, in milliseconds
+    work: float = 1.0  # its work as a multiple of the mean request's, by its cost hint; 1 without one
+    attempts: list[Attempt] = field(default_factory=list)  # in the order of their start
+    is_response_pending: bool = True  # whether the client still waits for the final response
+    is_streaming: bool = False  # whether a streaming response has begun, so that no attempt may follow
 
     @property
     def expected_work(self) -> float:
-        """How many times longer than the mean request it may take."""
+        """The multiple of the mean service time that it may take, at least 1."""
         return max(self.work, 1.0)
 
     def has_open_attempt(self) -> bool:
-        """Whether an attempt has not finished yet."""
+        """Return whether an attempt is in flight."""
         return any(a.is_open for a in self.attempts)
 
     def needs_attempt(self) -> bool:
-        """Whether a response is owed that no open attempt can bring."""
+        """Return whether the client waits for a response and no attempt is in flight to bring it."""
         return self.is_response_pending and not self.has_open_attempt()
 
     def may_have_run(self) -> bool:
-        """Whether an attempt may have had an effect."""
+        """Return whether an attempt may have had an effect."""
         return any(a.may_have_run for a in self.attempts)
 
 
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -1,30 +1,48 @@
-"""Retry budgets: how many further attempts may be made, and when a hedged one is."""
+"""Retry budgets, which limit retries and transparent retries, and the delay of hedged attempts.
+
+A retry repeats a request of which an attempt may have been processed. A transparent retry repeats a request
+of which no attempt was processed: its connection failed, or the endpoint rejected it unprocessed.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
-from loadbalancer.policy.request import Request
-from loadbalancer.policy.service_times import ServiceTimes
 from loadbalancer.settings import Idempotency, Settings
 
-# Tokens for retries where an attempt may have run. Endpoints that restart in an outage must not feed it.
+if TYPE_CHECKING:
+    from loadbalancer.policy.request import Request
+    from loadbalancer.policy.service_times import ServiceTimes
+
+# Tokens, one for each retry. A response earns a fifth, so that retries stay within a fifth of the responses.
 RETRY_TOKENS_PER_RESPONSE = 0.2
+# Tokens at the start: few, since balancers that restart during an outage must not feed it.
 RETRY_INITIAL_TOKENS = 2.0
+# Tokens saved at most: a short series of failures is retried, an outage is not.
 RETRY_MAX_TOKENS = 10.0
-# The same where none ran. Half of the endpoints may go with a zone: one a response, and one for chance.
-RESEND_TOKENS_PER_RESPONSE = 2.0
-RESEND_INITIAL_TOKENS = 20.0
-RESEND_MAX_TOKENS = 20.0
-# The hedged attempt is sent after so many mean service times, or after this part of the request's timeout.
-HEDGE_SERVICE_TIMES = 4.0
-HEDGE_TIMEOUT_FRACTION = 0.5
+# Tokens for transparent retries. A response earns two: if a lost zone takes half of the endpoints, the mean
+# is one transparent retry for each response, and random variation may double it.
+TRANSPARENT_RETRY_TOKENS_PER_RESPONSE = 2.0
+# Tokens at the start: a full bucket, since a balancer may start while a zone is lost, and an attempt that is
+# not processed costs the endpoints little.
+TRANSPARENT_RETRY_INITIAL_TOKENS = 20.0
+# Tokens saved at most: those of ten responses.
+TRANSPARENT_RETRY_MAX_TOKENS = 20.0
+# Delay of the hedged attempt, in mean service times of the class. A request of typical work has its response
+# by then.
+HEDGE_DELAY_SERVICE_TIMES = 4.0
+# Upper bound of that delay, as a fraction of the attempt's timeout: the hedged attempt has the other half.
+MAX_HEDGE_DELAY_FRACTION = 0.5
 
 
 class RetryBudget:
-    """A token bucket of further attempts, filled by responses and by nothing else.
+    """A token bucket for retries that only responses fill.
 
-    Guards against further attempts that multiply over the tiers: every balancer on a path sees a failure at
-    its end, and if requests that arrive earned them, each tier would add its part to what the tier above
-    added. A response is one, however many tiers it passes: over `d` tiers further attempts come to `d` times
-    what a response earns, and where nothing is served to what the buckets held. It harms where most attempts
-    fail at random, and many further ones would have been served.
+    Guards against retries that multiply over the tiers. Every balancer on a path sees a failure at its end.
+    If requests that arrive earned tokens, each tier would add its fraction to the retries of the tier above.
+    A response passes each tier once: over d tiers retries come to d times what a response earns, and without
+    responses to the tokens that were saved. The cost: where most attempts fail at random, fewer retries are
+    made than would succeed.
     """
 
     def __init__(self, tokens_per_response: float, initial_tokens: float, max_tokens: float) -> None:
@@ -33,41 +51,44 @@
         self._max_tokens = max_tokens
 
     def earn(self) -> None:
-        """A request got its response from an endpoint."""
+        """Add the tokens for a request that got its response from an endpoint."""
         self._tokens = min(self._max_tokens, self._tokens + self._tokens_per_response)
 
     def allows(self) -> bool:
-        """Whether a further attempt may be made."""
+        """Return whether a token is left for one more attempt."""
         return self._tokens >= 1
 
     def spend(self) -> None:
-        """A further attempt is made."""
+        """Take the token for an attempt that has started."""
         self._tokens -= 1
 
 
 class RetryBudgets:
-    """The two budgets: for requests of which an attempt may have run, and for those of which none did."""
+    """The budget for retries and that for transparent retries."""
 
     def __init__(self) -> None:
         self._retries = RetryBudget(RETRY_TOKENS_PER_RESPONSE, RETRY_INITIAL_TOKENS, RETRY_MAX_TOKENS)
-        self._resends = RetryBudget(RESEND_TOKENS_PER_RESPONSE, RESEND_INITIAL_TOKENS, RESEND_MAX_TOKENS)
+        self._transparent_retries = RetryBudget(
+            TRANSPARENT_RETRY_TOKENS_PER_RESPONSE,
+            TRANSPARENT_RETRY_INITIAL_TOKENS,
+            TRANSPARENT_RETRY_MAX_TOKENS,
+        )
 
     def budget_for(self, request: Request) -> RetryBudget:
-        """The budget that pays for the next attempt of this request."""
-        return self._retries if request.may_have_run() else self._resends
+        """Return the budget that the next attempt of a request takes its token from."""
+        return self._retries if request.may_have_run() else self._transparent_retries
 
     def earn(self) -> None:
-        """A request got its response from an endpoint."""
+        """Add the tokens for a request that got its response from an endpoint to both budgets."""
         self._retries.earn()
-        self._resends.earn()
+        self._transparent_retries.earn()
 
 
 class Hedging:
-    """Tells when a hedged attempt may follow a first one that is silent.
+    """Decides when a hedged attempt may follow a first attempt without a response.
 
-    Guards against silence and slowness of any cause: hung or failing endpoints, dropped connections. It could
-    harm by adding to an overload: it keeps to the retry budget, and an overload holds it back. Where no
-    second attempt may be made, no time is kept for one: to cut the first short loses its work.
+    Guards against endpoints that hang or have become slow, and against dropped connections, whatever their
+    cause. Hedged attempts add load: each takes a token of the retry budget, and overload suspends hedging.
     """
 
     def __init__(self, settings: Settings, service_times: ServiceTimes) -> None:
@@ -76,15 +97,20 @@
         self._service_times = service_times
 
     def delay_ms(self, request: Request, timeout_ms: float) -> float | None:
-        """How long to wait after the next attempt starts; None if no hedged attempt may follow it."""
+        """Return the hedging delay after the start of the next attempt; None if no hedged attempt may follow.
+
+        The delay is `HEDGE_DELAY_SERVICE_TIMES` mean service times of the class, times the expected work of
+        the request, and at most `MAX_HEDGE_DELAY_FRACTION` of the timeout. Where no hedged attempt may
+        follow, the first attempt keeps its full timeout: to cut it short would lose the work done so far.
+        """
         request_class = request.request_class
         is_idempotent = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
         if not self._is_enabled or self._max_attempts == 1 or not is_idempotent or request.attempts:
             return None
         service_time = self._service_times.mean_ms(request_class.name)
-        patience = HEDGE_SERVICE_TIMES * request.expected_work * service_time
-        return min(patience, HEDGE_TIMEOUT_FRACTION * timeout_ms)
+        delay_ms = HEDGE_DELAY_SERVICE_TIMES * request.expected_work * service_time
+        return min(delay_ms, MAX_HEDGE_DELAY_FRACTION * timeout_ms)
 
     def allows(self, request: Request) -> bool:
-        """Whether the time for a hedged attempt has come to a request that still waits for its first one."""
+        """Return whether a request still waits for its first attempt, so that a hedged one may start."""
         return self._is_enabled and request.is_response_pending and len(request.attempts) == 1
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection of the endpoint for an attempt: a draw weighted by capacity, then least load."""
+"""Selection of the endpoint for an attempt: a draw weighted by capacity, then the lowest load."""
 
 import math
 from bisect import bisect
@@ -13,11 +13,18 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-MAX_SAMPLES = 4  # the most endpoints drawn for an attempt, while each one drawn holds an attempt of ours
+# Endpoints drawn for an attempt, at most. Each draw after the first is made only while every endpoint drawn
+# so far has an attempt of this balancer in flight.
+MAX_SAMPLES = 4
 
 
 class EndpointSelector:
-    """Selects endpoints among those that a request may be sent to."""
+    """Selects the endpoint for an attempt among the eligible ones.
+
+    The rule is that of Berenbrink et al., "Balls into non-uniform bins", Algorithm 1: draw endpoints with
+    probability proportional to capacity, and take the one with the lowest load after the placement,
+    (attempts in flight + 1) / capacity, on a tie the one with the larger capacity.
+    """
 
     def __init__(
         self,
@@ -34,10 +41,14 @@
         self._random = random
 
     def select(self, request: Request, now: float) -> EndpointStats | None:
-        """The endpoint for the next attempt of a request; None if none may take it."""
+        """Return the endpoint for the next attempt of a request; None if no endpoint is eligible.
+
+        Eligible are the endpoints that the idempotency rules and slow start allow, without those that the
+        request has been sent to before (unless no other is left) and without the outliers for its class.
+        """
         median = self._capacity.current_median(now)
         eligible = self._idempotency.eligible(request, now)
-        eligible = self._slow_start.with_capacity(eligible, not request.attempts, now)
+        eligible = self._slow_start.with_capacity(eligible, now, is_first_attempt=not request.attempts)
         if request.attempts:
             attempted = [a.endpoint for a in request.attempts]
             eligible = [e for e in eligible if e not in attempted] or eligible
@@ -47,39 +58,52 @@
         return self._draw(eligible, self._capacity.estimates(eligible, median, now))
 
     def _draw(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
-        """Draw by capacity, up to the first that holds no attempt of ours; take the least loaded."""
+        """Draw endpoints by capacity and return the one with the lowest load.
+
+        The first draw prefers the own zone, the others do not: guards against overloading the own zone while
+        other zones have endpoints without load.
+
+        Drawing ends at the first endpoint that has no attempt of this balancer in flight. Guards against
+        overloading the largest endpoint: among several endpoints without attempts the lowest load 1/c is
+        always that of the largest, and many balancers with few requests each would all select it. The draw,
+        which is proportional to capacity, decides instead.
+        """
         local = list(accumulate(_weigh_by_zone(eligible, capacities, self._own_zone)))
         overall = list(accumulate(capacities))
         random = self._random.random
         best, selected = (math.inf, 0.0, 0.0), eligible[-1]
         for sample in range(MAX_SAMPLES):
-            # Against overloading our zone: others may have endpoints that nobody calls.
             sums = overall if sample else local
             i = min(bisect(sums, random() * sums[-1]), len(eligible) - 1)
             endpoint, capacity = eligible[i], capacities[i]
             load = ((endpoint.in_flight + 1) / capacity, -capacity, random())
             if load < best:
                 best, selected = load, endpoint
-            # Without attempts of ours in view (1/c) would send all to the largest: the draw decides.
             if not endpoint.in_flight:
                 break
         return selected
 
 
 def _weigh_by_zone(endpoints: list[EndpointStats], capacities: list[float], own_zone: str) -> list[float]:
-    """Weigh the draw so that requests stay in our zone, and spill to the zones with more than their part."""
+    """Return the weights of the first draw, which keep requests in the own zone as far as it has capacity.
+
+    With the balancers spread evenly over the zones, each zone has to serve the mean of the zones' capacities.
+    A zone below the mean keeps the requests for its capacity and spills the others to the zones above the
+    mean, in proportion to what they have above it. A zone above the mean spills nothing. The weights are the
+    capacities if the own zone is unknown, has no endpoint, or is the only one.
+    """
     zones: dict[str, float] = {}
     for endpoint, capacity in zip(endpoints, capacities, strict=True):
         zone = endpoint.entry.zone
         zones[zone] = zones.get(zone, 0.0) + capacity
     if not own_zone or own_zone not in zones or len(zones) < 2:
         return capacities
-    part = sum(zones.values()) / len(zones)
-    excess = {zone: max(capacity - part, 0.0) for zone, capacity in zones.items()}
-    total_excess = sum(excess.values())  # 0 where all are alike but for rounding
-    spill = max(part - zones[own_zone], 0.0) / total_excess if total_excess else 0.0
+    mean = sum(zones.values()) / len(zones)
+    excess = {zone: max(capacity - mean, 0.0) for zone, capacity in zones.items()}
+    total_excess = sum(excess.values())  # 0 if the zones are alike, but for rounding
+    spill = max(mean - zones[own_zone], 0.0) / total_excess if total_excess else 0.0
     factors = {
-        zone: (min(capacity, part) if zone == own_zone else spill * excess[zone]) / capacity
+        zone: (min(capacity, mean) if zone == own_zone else spill * excess[zone]) / capacity
         for zone, capacity in zones.items()
     }
     return [factors[e.entry.zone] * capacity for e, capacity in zip(endpoints, capacities, strict=True)]
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,4 +1,9 @@
-"""Slow start: how many requests all balancers together send to an endpoint that warms up."""
+"""Slow start: a limit on the requests that all balancers together send to an endpoint that is warming up.
+
+An endpoint fails if it gets too much work within one window while it warms up. No balancer sees the requests
+of the others, so each estimates what all of them send and keeps its own part small enough that the sum stays
+within the limit. The derivation of the formulas is in docs/POLICY.md, "Slow start over all balancers".
+"""
 
 import math
 
@@ -10,14 +15,22 @@
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import Settings
 
-SLOW_START_SAFETY = 0.5  # of an endpoint's budget: other balancers and heavy requests count too
-# Standard deviations (the root of a mean count) that a limit leaves to chance; requests differ in work.
-SLOW_START_DEVIATIONS = 5.0
-UPDATE_INTERVAL_MS = 100.0  # the figures are taken anew after this; it only saves work
+# Fraction of its limit up to which a warming endpoint gets requests by the balancers' own rates. The other
+# half is left to requests of more than mean work and to balancers that get more requests than others.
+SAFETY_FRACTION = 0.5
+# z-score of the upper bound of a Poisson count. 5 is wide since requests differ in work, which spreads the
+# work in a window wider than the number of requests alone.
+Z_SCORE = 5.0
+# Interval, in milliseconds, at which the estimates are recomputed. It saves processor time only.
+UPDATE_INTERVAL_MS = 100.0
 
 
 class SlowStart:
-    """Limits the attempts at endpoints that warm up, so that over all balancers they keep to the rule."""
+    """Limits the attempts at warming endpoints so that the sum over all balancers keeps to the settings.
+
+    Two limits apply to each attempt. The rank rule lets only a fraction of the balancers call a warming
+    endpoint. The budget limits how many attempts one of these balancers starts there within a window.
+    """
 
     def __init__(
         self,
@@ -36,70 +49,86 @@
         self._capacity = capacity
         self._updated_at = -math.inf
         self._balancers_per_endpoint = 1.0
-        self._warm_rate = 0.0  # requests a millisecond, of all balancers, for each unit of warm weight
-        self._fraction = 1.0  # of the balancers: so many may select endpoints that warm up as they would
+        # Requests per millisecond, of all balancers together, for each unit of warm weight.
+        self._warm_rate_per_ms = 0.0
+        # Fraction of the balancers that may select warming endpoints like warm ones.
+        self._unrestricted_fraction = 1.0
 
     def invalidate(self) -> None:
-        """The endpoint list has changed: take the figures anew when next asked."""
+        """Recompute the estimates at the next call, after a change of the endpoint list."""
         self._updated_at = -math.inf
 
     def with_capacity(
-        self, endpoints: list[EndpointStats], is_first_attempt: bool, now: float
+        self, endpoints: list[EndpointStats], now: float, *, is_first_attempt: bool
     ) -> list[EndpointStats]:
-        """The endpoints that may be sent one more attempt: all that are warm, and some that are not."""
+        """Return the endpoints that may get one more attempt: warm ones, and warming ones within limits."""
         if now >= self._warmup.active_until:
             return endpoints
         self._update(now)
-        return [e for e in endpoints if self._has_slow_start_capacity(e, is_first_attempt, now)]
+        return [e for e in endpoints if self._has_capacity(e, now, is_first_attempt=is_first_attempt)]
 
     def record_start(self, endpoint: EndpointStats, now: float) -> None:
-        """Count an attempt that was started, if the endpoint is in its slow start."""
+        """Count an attempt that has started, if its endpoint is warming up."""
         if now < self._warmup.active_until and self._warmup.fraction(endpoint, now) < 1:
             endpoint.recent_starts.append(now)
 
-    def _has_slow_start_capacity(self, endpoint: EndpointStats, is_first_attempt: bool, now: float) -> bool:
-        """Whether an endpoint can take one more attempt in this window (a burst would overload it).
+    def _has_capacity(self, endpoint: EndpointStats, now: float, *, is_first_attempt: bool) -> bool:
+        """Return whether an endpoint may get one more attempt of this balancer in the present window.
+
+        Rank rule: the balancer calls a warming endpoint only if the random rank that it drew for it is at
+        most the larger of the unrestricted fraction and `_max_mean_starts`. The rank stays the same over all
+        windows: a new draw in each window would be one more chance to exceed the limit.
+
+        Budget: `SAFETY_FRACTION` x overload factor x warm-up fraction x the balancer's own rate at a warm
+        endpoint x window. Summed over all balancers that is `SAFETY_FRACTION` of the limit. One attempt a
+        window is always within the budget; the rank rule limits the sum of these.
 
-        Each balancer sends a part of factor x warm-up fraction x its own rate to a warm endpoint: they add up
-        to a warm load. The one attempt always allowed is selected at most the warm-up fraction times as often
-        as a warm endpoint is; where hundreds could send one each, only so many balancers call the endpoint at
-        all as keep the sum in its limit: the same ones in each window, since each new draw would be one more
-        chance to exceed it.
+        A retry or hedged attempt comes on top of the arrivals from which the unrestricted fraction is
+        computed, so that it gets no unrestricted access as long as access is restricted at all.
         """
         fraction = self._warmup.fraction(endpoint, now)
         if fraction >= 1:
             return True
-        # Retries come on top of the requests that `_update` counts.
-        part = self._fraction if is_first_attempt or self._fraction >= 1 else 0.0
-        if endpoint.slow_start_rank > max(part, self._mean_starts(endpoint.weight * fraction)):
+        is_unrestricted = is_first_attempt or self._unrestricted_fraction >= 1
+        unrestricted = self._unrestricted_fraction if is_unrestricted else 0.0
+        if endpoint.slow_start_rank > max(unrestricted, self._max_mean_starts(endpoint.weight * fraction)):
             return False
         starts = endpoint.recent_starts
         while starts and starts[0] < now - self._window_ms:
             starts.popleft()
-        budget = SLOW_START_SAFETY * self._overload_factor * fraction
+        budget = SAFETY_FRACTION * self._overload_factor * fraction
         budget = budget * self._capacity.served_per_ms * self._window_ms
         return len(starts) + 1 <= max(1.0, budget)
 
-    def _mean_starts(self, weight: float) -> float:
-        """Our part of the attempts that all may start in a window at an endpoint of this warm weight.
+    def _max_mean_starts(self, weight: float) -> float:
+        """Return the mean number of attempts that one balancer may start in a window at an endpoint.
 
-        The rule allows N + 2 x root of N + 2; a count about the mean m spreads by its root, so m and
-        SLOW_START_DEVIATIONS times its root make up the limit. One attempt of each of two balancers never
-        exceeds it.
+        The settings allow an endpoint of present weight `weight` a mean of N = overload factor x `weight` x
+        warm rate x window, and N + 2 sqrt(N) + 2 in a single window. The starts of many independent
+        balancers are a Poisson count: with mean m its upper bound is m + z sqrt(m). The largest m whose bound
+        stays within the limit solves m + z sqrt(m) = limit: sqrt(m) = sqrt(z^2/4 + limit) - z/2. Each of the
+        balancers that call the endpoint gets an equal part of m.
+
+        One attempt of each of two balancers never exceeds the limit, which is at least 2.
         """
         if self._balancers_per_endpoint <= 2:
             return 1.0
-        allowed = self._overload_factor * weight * self._warm_rate * self._window_ms
+        allowed = self._overload_factor * weight * self._warm_rate_per_ms * self._window_ms
         limit = allowed + 2 * math.sqrt(allowed) + 2
-        root = math.sqrt(SLOW_START_DEVIATIONS**2 / 4 + limit) - SLOW_START_DEVIATIONS / 2
+        root = math.sqrt(Z_SCORE**2 / 4 + limit) - Z_SCORE / 2
         return float(root**2) / self._balancers_per_endpoint
 
     def _update(self, now: float) -> None:
-        """Estimate what a warm endpoint takes, and which part of the balancers may select the others freely.
+        """Recompute the warm rate and the unrestricted fraction if they are older than the interval.
+
+        The warm rate assumes that all balancers send alike: it is this balancer's rate for each unit of
+        weight, times the balancers that call an endpoint. The balancer's rate is what its warm endpoints
+        serve; as long as too little time has passed for that evidence, the arrivals stand in for the missing
+        fraction of it, spread evenly over the subset. The lower bound is the median capacity: the rate of an
+        endpoint that always has one attempt in flight.
 
-        Guards against balancers that each see few requests, and restarted ones that know nothing yet: an
-        endpoint takes at the least what all send it if they do as we do (or, too new to tell, if requests
-        come evenly over our endpoints), and at the least one attempt at a time.
+        Guards against balancers that each get few requests, and against restarted ones without evidence:
+        both would take an endpoint's capacity for nearly 0 and send it nothing.
         """
         subset = self._endpoints.subset
         if now - self._updated_at < UPDATE_INTERVAL_MS or not subset:
@@ -107,20 +136,29 @@
         self._updated_at = now
         arrivals, capacity = self._arrivals, self._capacity
         self._balancers_per_endpoint = max(self._peers.count * len(subset) / len(self._endpoints.ready), 1.0)
-        age = now - arrivals.started_at
-        unseen = math.exp(-age / capacity.time_constant_ms) if capacity.served_per_ms else 1.0
-        own_rate = capacity.served_per_ms * len(subset) + unseen * arrivals.long_term_rate_per_ms(now)
+        age_ms = now - arrivals.started_at
+        missing_evidence = math.exp(-age_ms / capacity.time_constant_ms) if capacity.served_per_ms else 1.0
+        arrival_rate = missing_evidence * arrivals.long_term_rate_per_ms(now)
+        own_rate = capacity.served_per_ms * len(subset) + arrival_rate
         rate = own_rate / sum(e.weight for e in subset) * self._balancers_per_endpoint
-        self._warm_rate = max(rate, capacity.median)
-        self._fraction = self._unrestricted_fraction(now)
-
-    def _unrestricted_fraction(self, now: float) -> float:
-        """The part of the balancers that may select endpoints in slow start as they would warm ones.
-
-        Where the requests that are due at these exceed their part (warm ones went, a burst, a tight rule),
-        the warm ones take the rest.
+        self._warm_rate_per_ms = max(rate, capacity.median)
+        self._unrestricted_fraction = self._compute_unrestricted_fraction(now)
+
+    def _compute_unrestricted_fraction(self, now: float) -> float:
+        """Return the fraction of the balancers that may select warming endpoints like warm ones.
+
+        With W the weight of the warm endpoints of the subset, V that of the warming ones (each times its
+        warm-up fraction), R this balancer's requests in a window and M the sum of the limits
+        `_max_mean_starts`, unrestricted balancers send R V / (W + V) requests to warming endpoints. That is
+        within M if W + V >= R V / M. Otherwise a fraction f of the balancers calls each warming endpoint,
+        with f R V / (W + f V) = M, and the warm endpoints take the rest. Without warm endpoints a balancer
+        that may call at least one of the n endpoints sends it all its requests, with
+        R (1 - (1 - f)^n) = M.
+
+        Guards against warming endpoints that get the load of removed warm ones, or of a burst. Outliers
+        count neither as warm nor as warming: they get no requests.
         """
-        warm = warming = mean_starts = 0.0
+        warm = warming = max_mean_starts = 0.0
         subset = self._endpoints.subset
         for endpoint in subset:
             if is_outlier(endpoint):
@@ -128,15 +166,13 @@
             fraction = self._warmup.fraction(endpoint, now)
             if fraction < 1:
                 warming += endpoint.weight * fraction
-                mean_starts += self._mean_starts(endpoint.weight * fraction)
+                max_mean_starts += self._max_mean_starts(endpoint.weight * fraction)
             else:
                 warm += endpoint.weight
         requests = self._arrivals.short_term_rate_per_ms(now) * self._window_ms
-        # The weight that could take all our requests at this mean.
-        wanted = requests * warming / mean_starts if mean_starts else math.inf
-        if warm + warming >= wanted:
+        required = requests * warming / max_mean_starts if max_mean_starts else math.inf  # R V / M
+        if warm + warming >= required:
             return 1.0
         if warm:
-            return warm / (wanted - warming)
-        # With no warm one, any that we may call takes all of ours.
-        return float(1.0 - (1.0 - warming / wanted) ** (1 / len(subset)))
+            return warm / (required - warming)
+        return float(1.0 - (1.0 - warming / required) ** (1 / len(subset)))
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/test_endpoint_watch.py
@@ -168,7 +168,7 @@
         last = discoveries[-1]
         before = len(last.tries)
         await asyncio.sleep(60.0)
-        shortest_delay_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * 0.5
+        shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
         assert 60.0 / LIST_DUE_S < len(last.tries) - before <= 60.0 / shortest_delay_s
         earlier_tries = sum(len(discovery.tries) for discovery in discoveries[1:-1])
         assert earlier_tries == len(discoveries) - 2, "none is called after the next move"
@@ -217,7 +217,7 @@
 
     for fault in FAULTS:
         tries = run_simulated(partial(scenario, fault=fault))
-        mean_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000
+        mean_s = poll_backoff.MAX_BACKOFF_MS / 1000
         assert len(tries) / (seeds * span_s) < 1.1 / mean_s, fault
         slots = [int(at * 10) for at in tries]
         assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second gets a third of them"
@@ -229,8 +229,8 @@
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     overdue_s = endpoint_watch.WATCH_OVERDUE_S
-    rest_s = poll_backoff.MIN_POLL_PAUSE_MS / 1000 * MAX_DELAY_JITTER
-    period_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
+    rest_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
+    period_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = endpoint_watch.RECOVERY_WAIT_MS / 1000 + overdue_s
     limit_s = LIST_DUE_S - MARGIN_S
     # Discovery is back, or the change there, just after a try began that is bound to fail.
@@ -256,7 +256,7 @@
     for _ in range(100):
         timer = of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
     assert isinstance(timer, SetTimer)
-    assert harness.now < timer.at_ms <= harness.now + poll_backoff.MAX_POLL_BACKOFF_MS * MAX_DELAY_JITTER
+    assert harness.now < timer.at_ms <= harness.now + poll_backoff.MAX_BACKOFF_MS * MAX_DELAY_JITTER
 
 
 async def test_connections_that_discovery_says_it_closes_are_closed() -> None:
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -40,8 +40,8 @@
         attempts = row["bottom_attempts_a_call"] * row["calls"]
         saved_tokens = policy.RETRY_INITIAL_TOKENS * ENDPOINTS * row["depth"]
         if behaviour != "fails":
-            # Only the balancers right before the last tier resend.
-            saved_tokens += policy.RESEND_INITIAL_TOKENS * ENDPOINTS
+            # Only the balancers right before the last tier make transparent retries.
+            saved_tokens += policy.TRANSPARENT_RETRY_INITIAL_TOKENS * ENDPOINTS
         assert 0.5 * row["calls"] < attempts <= row["calls"] + saved_tokens
 
 
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -60,9 +60,11 @@
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_with_the_whole_service_unreachable_resends_end_with_the_saved_tokens(outcome: Outcome) -> None:
+def test_with_the_whole_service_unreachable_transparent_retries_end_with_the_saved_tokens(
+    outcome: Outcome,
+) -> None:
     """They were free: each request made all the attempts that it may."""
-    assert play(with_full_buckets(), 300, repeat(outcome)) == (policy.RESEND_MAX_TOKENS, 0)
+    assert play(with_full_buckets(), 300, repeat(outcome)) == (policy.TRANSPARENT_RETRY_MAX_TOKENS, 0)
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN[:2])
@@ -93,7 +95,10 @@
 
 @pytest.mark.parametrize(
     ("outcome", "limit"),
-    [(Outcome.ERROR, policy.RETRY_INITIAL_TOKENS), (Outcome.CONNECT_FAILED, policy.RESEND_INITIAL_TOKENS)],
+    [
+        (Outcome.ERROR, policy.RETRY_INITIAL_TOKENS),
+        (Outcome.CONNECT_FAILED, policy.TRANSPARENT_RETRY_INITIAL_TOKENS),
+    ],
 )
 def test_a_new_balancer_has_few_tokens_in_an_outage(outcome: Outcome, limit: float) -> None:
     """Thirty balancers that restart during it add thirty times a few tokens, not a full bucket each."""
@@ -119,16 +124,16 @@
         0,
     )
     assert play(with_full_buckets(), 100, repeat(Outcome.REJECTED), request_class) == (
-        policy.RESEND_MAX_TOKENS,
+        policy.TRANSPARENT_RETRY_MAX_TOKENS,
         0,
     )
 
 
-def test_a_class_that_is_not_idempotent_spends_resend_tokens_only() -> None:
+def test_a_class_that_is_not_idempotent_spends_transparent_retry_tokens_only() -> None:
     assert PAY.idempotency is Idempotency.NOT_IDEMPOTENT
     harness = with_full_buckets()
     assert play(harness, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
-    assert play(harness, 100, repeat(Outcome.REJECTED), PAY) == (policy.RESEND_MAX_TOKENS, 0)
+    assert play(harness, 100, repeat(Outcome.REJECTED), PAY) == (policy.TRANSPARENT_RETRY_MAX_TOKENS, 0)
     assert play(harness, 100, repeat(Outcome.ERROR), READ) == (policy.RETRY_MAX_TOKENS, 0), (
         "the retry tokens were not touched"
     )
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -53,7 +53,7 @@
 
 
 def test_a_hollow_balancer_carries_out_timers_and_asks_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("loadbalancer.policy.poll_backoff.POLL_BACKOFF_MS", 2.0)
+    monkeypatch.setattr("loadbalancer.policy.poll_backoff.INITIAL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(client, "RESPONSE_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
