--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The load balancer's decisions; the events it takes are in loadbalancer/events.py.
+"""The policy of one balancer instance; the events that it takes are in loadbalancer/events.py.
 
-A request's way: it is shed or an attempt is started; each attempt that finishes brings the response, a retry
-or a final failure.
+A request is shed or gets a first attempt. Each attempt that finishes brings the final response, a retry or a
+final failure. docs/POLICY.md explains the mechanisms.
 """
 
 import math
@@ -10,9 +10,7 @@
 from loadbalancer.actions import (
     Action,
     CancelAttempt,
-    FailRequest,
     LogMessage,
-    RejectRequest,
     WatchEndpoints,
 )
 from loadbalancer.events import (
@@ -40,22 +38,26 @@
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Request, RequestTable
-from loadbalancer.policy.retry import Hedging, RetryBudgets
+from loadbalancer.policy.retry import FailureResponses, Hedging, RetryBudgets
 from loadbalancer.policy.selection import EndpointSelector
 from loadbalancer.policy.service_times import CostHints, ServiceTimes
 from loadbalancer.policy.slow_start import SlowStart
-from loadbalancer.settings import Idempotency, Settings
+from loadbalancer.settings import Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
-# We count as shedding load for so long after a request was shed; the log has one line for all of it.
+# Time in milliseconds after a shed request during which the balancer counts as shedding load. The log has one
+# line for all requests shed meanwhile, and attempts are no baseline of the service time.
 SHEDDING_MEMORY_MS = 6_000.0
 
 
 class LoadBalancer:
-    """The decisions of one balancer instance: feed it events in order, carry out the actions it returns."""
+    """The policy of one balancer instance.
+
+    Its host passes it events in the order in which they happen, and carries out the actions that it returns.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self._settings = settings
+        self._may_cancel = settings.may_cancel
         self._requests = RequestTable(settings.classes)
         self._shedding_until = -math.inf
         self._actions: list[Action] = []
@@ -73,29 +75,36 @@
         idempotency = IdempotencyRules(settings, self._endpoints)
         selector = EndpointSelector(settings, idempotency, self._slow_start, capacity, random)
         self._cost_hints = CostHints()
-        self._service_times = ServiceTimes(settings)
+        service_times = ServiceTimes(settings)
         idle_limit = IdleConnectionLimit()
         self._recorder = AttemptRecorder(
-            self._service_times, self._overload.sustainable, idle_limit, self._available
+            service_times, self._overload.sustainable, idle_limit, self._available
         )
         self._retry_budgets = RetryBudgets()
-        self._hedging = Hedging(settings, self._service_times)
+        self._failure_responses = FailureResponses(settings, service_times)
+        self._hedging = Hedging(settings, service_times)
         self._attempt_starter = AttemptStarter(
             settings, selector, self._hedging, idle_limit, self._recorder, self._slow_start
         )
 
     @property
     def open_requests(self) -> int:
-        """Requests to which a response is owed, or that have open attempts."""
+        """How many requests have no final response yet, or attempts in flight."""
         return len(self._requests)
 
     @property
     def ready_endpoints(self) -> list[str]:
-        """The names of the endpoints that the list says take requests."""
+        """The names of the endpoints that accept requests by the endpoint list."""
         return [endpoint.entry.name for endpoint in self._endpoints.ready]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event at time `now` and return what to do, in order."""
+        """Handle an event at time `now`, in milliseconds, and return the actions that follow, in order.
+
+        Raises:
+            DuplicateRequestError: A request arrived under the id of an open one.
+            UnknownClassError: A request is of a class that the settings don't define.
+            UnknownRequestError: An attempt finished, or its response started, that was never made.
+        """
         self._actions, self._initial_actions = self._initial_actions, []
         match event:
             case AttemptFinished():
@@ -133,7 +142,7 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Give up a request that was never sent; one line in the log for a whole spell."""
+        """Respond to a request that gets no attempt; log the first one of a period of shedding."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_MEMORY_MS
@@ -149,7 +158,7 @@
             case EndpointListTimer():
                 self._actions.append(WatchEndpoints())
             case HedgeTimer(request_id):
-                # It is held back as soon as the least important work would be shed.
+                # Overload suspends hedging as soon as requests of the lowest importance would be shed.
                 request = self._requests.get(request_id)
                 if request and self._hedging.allows(request) and not self._overload.is_overloaded(0.0, now):
                     self._try_retry(request, now)
@@ -169,7 +178,7 @@
         self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
-        """The client has its response: what else is open was waited for in vain."""
+        """Close a request that has its final response: its other attempts are lost, and cancelled."""
         if request.is_response_pending and outcome is Outcome.SUCCEEDED:
             self._retry_budgets.earn()
         request.is_response_pending = False
@@ -179,7 +188,7 @@
         self._cancel_open_attempts(request)
 
     def _try_retry(self, request: Request, now: float) -> bool:
-        """Make a further attempt, if the budget for those of its kind has a token left."""
+        """Start a retry if its budget has a token; return whether it has started."""
         budget = self._retry_budgets.budget_for(request)
         if not budget.allows() or request.is_streaming or not self._try_start_attempt(request, now):
             return False
@@ -188,17 +197,11 @@
 
     def _respond_with_failure(self, request: Request) -> None:
         request.is_response_pending = False
-        if request.request_class.idempotency is Idempotency.SAFE or not request.may_have_run():
-            # By the time that a mean request takes there is room again, of attempts that are open now.
-            service_time = self._service_times.mean_ms(request.request_class.name)
-            after_ms = min(service_time, self._settings.max_retry_after_ms)
-            self._actions.append(RejectRequest(request.id, after_ms))
-        else:
-            self._actions.append(FailRequest(request.id))
+        self._actions.append(self._failure_responses.response_to(request))
         self._requests.remove_if_finished(request)
 
     def _cancel_open_attempts(self, request: Request) -> None:
-        if self._settings.may_cancel and not request.is_streaming:
+        if self._may_cancel and not request.is_streaming:
             self._actions.extend(
                 CancelAttempt(request.id, i) for i, attempt in enumerate(request.attempts) if attempt.is_open
             )
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -1,4 +1,4 @@
-"""Retry budgets, which limit retries and transparent retries, and the delay of hedged attempts.
+"""Retries by this balancer and by the client: retry budgets, hedging, and responses to failed requests.
 
 A retry repeats a request of which an attempt may have been processed. A transparent retry repeats a request
 of which no attempt was processed: its connection failed, or the endpoint rejected it unprocessed.
@@ -8,6 +8,7 @@
 
 from typing import TYPE_CHECKING
 
+from loadbalancer.actions import FailRequest, RejectRequest
 from loadbalancer.settings import Idempotency, Settings
 
 if TYPE_CHECKING:
@@ -114,3 +115,22 @@
     def allows(self, request: Request) -> bool:
         """Return whether a request still waits for its first attempt, so that a hedged one may start."""
         return self._is_enabled and request.is_response_pending and len(request.attempts) == 1
+
+
+class FailureResponses:
+    """Decides the final response to a request that no endpoint has served."""
+
+    def __init__(self, settings: Settings, service_times: ServiceTimes) -> None:
+        self._max_retry_after_ms = settings.max_retry_after_ms
+        self._service_times = service_times
+
+    def response_to(self, request: Request) -> RejectRequest | FailRequest:
+        """Return a rejection if the client may safely repeat the request, else a failure.
+
+        A rejection asks the client to wait for a mean service time of the class: most attempts that are in
+        flight now have finished by then.
+        """
+        if request.request_class.idempotency is Idempotency.SAFE or not request.may_have_run():
+            service_time_ms = self._service_times.mean_ms(request.request_class.name)
+            return RejectRequest(request.id, min(service_time_ms, self._max_retry_after_ms))
+        return FailRequest(request.id)
