--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -1,29 +1,39 @@
 """Hollow balancers: the real proxy with its policy and endpoint watch, but without clients.
 
-A hollow balancer costs as much control work as a real one and opens no connection to an upstream. The pools
-of connections to upstreams are there and stay empty.
+A hollow balancer does the same control-plane work as a real one, and many fit into one process. Its
+connection pools exist and stay empty, since no request arrives.
 """
 
 from __future__ import annotations
 
-import asyncio
 import time
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from loadbalancer.configuration import Configuration, EndpointList
 from loadbalancer.network.proxy import Proxy
 
+if TYPE_CHECKING:
+    import asyncio
+
+    from loadbalancer.configuration import Configuration, EndpointList
+
 OnForce = Callable[[int, float], None]
-"""Takes the version of a list that is in force, and since when in seconds of the monotonic clock."""
+"""Called with the version of an applied list and the time, in seconds of the monotonic clock."""
 
 
 class Hollow:
-    """A balancer without clients; `on_force(index, at)` is called once the policy has applied a list."""
+    """A balancer without clients; `on_force(index, at)` is called once the policy has applied a list.
+
+    Attributes:
+        proxy: The real proxy.
+    """
 
-    def __init__(self, config: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce) -> None:
-        self.proxy = Proxy(config, loop, self._report)
+    def __init__(
+        self, configuration: Configuration, loop: asyncio.AbstractEventLoop, on_force: OnForce
+    ) -> None:
+        self.proxy = Proxy(configuration, loop, self._report)
         self._on_force = on_force
-        self.proxy.listener.close()  # bound and not listening yet: no client is to connect
+        self.proxy.listener.close()  # bound and not listening yet, so that no client can connect
 
     def start(self) -> None:
         """Apply the cached endpoint list and begin the watch, as a real balancer does."""
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -1,6 +1,6 @@
-"""How fast a change of the list is in force at every balancer, and what it costs them.
+"""How fast balancers apply a change of the endpoint list, and what it costs them.
 
-Hollow balancers by the hundred, and a few real ones beside them, follow the list while it changes.
+Hundreds of hollow balancers and a few real ones follow the list while it changes.
 """
 
 from __future__ import annotations
@@ -8,12 +8,10 @@
 import asyncio
 import random
 import time
-from collections.abc import Iterator
 from contextlib import AsyncExitStack
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 from pydantic import Field
-from structlog.typing import FilteringBoundLogger
 
 from testbed import experiment, settings
 from testbed.discovery.churn import play_changes, single_changes
@@ -22,7 +20,7 @@
 from testbed.runs.control.change_measurement import ChangeMeasurement, ChangeRow
 from testbed.runs.control.delays import VersionSeen
 from testbed.runs.control.group import (
-    FOLLOW_S,
+    FOLLOW_TIMEOUT_S,
     BalancerGroup,
     all_follow,
     run_scenario,
@@ -31,6 +29,11 @@
     wait_until,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from structlog.typing import FilteringBoundLogger
+
 DAY_S = 86_400
 _DELAYS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
 _COSTS = ("core_percent", "bytes_per_s", "calls_per_s")
@@ -38,22 +41,22 @@
 
 
 class Plan(experiment.Plan):
-    """Sizes count the hollow balancers."""
+    """The changes and the balancers; sizes count the hollow balancers."""
 
     entries: Annotated[int, Field(gt=0)]
     """The length of the list."""
     changes_per_day: Annotated[float, Field(gt=0)]
-    """Changes of one entry on an ordinary day."""
+    """The baseline rate of changes, each of one entry, per day."""
     multiples: tuple[float, ...]
-    """The rates that are played, as multiples of the ordinary one."""
+    """The measured rates, as multiples of the baseline rate."""
     spans_s: tuple[float, ...]
-    """How long each of them is played, in seconds."""
+    """The length of the measurement at each rate, in seconds."""
     processes: Annotated[int, Field(gt=0)]
-    """Processes that the hollow balancers are spread over."""
+    """The number of processes for the hollow balancers."""
     real: Annotated[int, Field(ge=0)]
-    """Real balancers beside them."""
+    """The number of real balancers."""
     pushed: bool = True
-    """Whether discovery pushes lists; else balancers poll it."""
+    """Whether discovery pushes lists; else balancers poll for them."""
 
 
 def play(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
@@ -72,7 +75,7 @@
 async def _play_size(
     plan: Plan, balancers: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
-    """Start so many hollow balancers and play every rate, one after another."""
+    """Start a number of hollow balancers and measure each rate, one after another."""
     watch_calls: list[VersionSeen] = []
 
     def on_watch(agent: int, after: int, at_s: float) -> None:
@@ -88,7 +91,9 @@
             hollow=balancers,
             processes=plan.processes,
             real=plan.real,
-            site=settings.balancer_settings(balancers=max(balancers, plan.entries), pushed=plan.pushed),
+            balancer_settings=settings.balancer_settings(
+                balancers=max(balancers, plan.entries), pushed=plan.pushed
+            ),
             seed=plan.seed,
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
@@ -106,19 +111,21 @@
     changes: Iterator[tuple[settings.EndpointEntry, ...]],
     watch_calls: list[VersionSeen],
 ) -> Measured[ChangeRow]:
-    """Play changes at one rate until every balancer has the last one."""
+    """Apply changes at one rate, and measure until every balancer has the last one."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / DAY_S
     seed = plan.seed + round(1000 * multiple) + group.hollow
     moments_s = arrival_times(rate_per_s, span_s, random.Random(seed))
-    played_late_s = await play_changes(group.discovery, changes, moments_s)
+    max_lateness_s = await play_changes(group.discovery, changes, moments_s)
     await asyncio.sleep(max(span_s - measurement.elapsed_s, 0.0))
-    await wait_until(lambda: all_follow(group.discovery), FOLLOW_S, "every balancer has the last change")
-    return measurement.finish(multiple, played_late_s, watch_calls)
+    await wait_until(
+        lambda: all_follow(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
+    )
+    return measurement.finish(multiple, max_lateness_s, watch_calls)
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
-    """Fit delays over the number of balancers at each rate, and costs over the rate, in all and by number."""
+    """Fit delays over the number of balancers by rate, and costs over the rate by number of balancers."""
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAYS:
