--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -13,8 +13,8 @@
 # Mean service times of its request after which an unanswered attempt counts as lost in full; before that it
 # counts in proportion to the wait, since a short wait is hardly evidence.
 FULL_LOSS_SERVICE_TIMES = 2.0
-# Groups of outcomes are tuples: a look-up in a set would call `Enum.__hash__`, which is a Python function.
-# Outcomes after which the connection can be used again.
+# Outcomes after which the connection can be used again. This group and the two below are tuples: a look-up in
+# a set would call `Enum.__hash__`, which is a Python function.
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
 # Outcomes that show whether an idle connection was alive.
 LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
@@ -28,12 +28,12 @@
     def __init__(
         self,
         service_times: ServiceTimes,
-        sustainable: SustainableConcurrency,
+        sustainable_concurrency: SustainableConcurrency,
         idle_limit: IdleConnectionLimit,
         available: AvailableCapacity,
     ) -> None:
         self._service_times = service_times
-        self._sustainable = sustainable
+        self._sustainable_concurrency = sustainable_concurrency
         self._idle_limit = idle_limit
         self._available = available
         self._in_flight = 0
@@ -105,9 +105,11 @@
         elapsed_ms, service_times = now - attempt.sent_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
-        # Must come before `served` is increased: it may sum the available capacity, which decays the
-        # evidence of every endpoint up to `now`.
-        self._sustainable.record_completion(expected_work * service_times.baseline_ms(class_name), now)
+        # May sum the available capacity, which brings the evidence of every endpoint up to date and reads its
+        # outcomes. The attempt is added to the evidence after that.
+        self._sustainable_concurrency.record_completion(
+            expected_work * service_times.baseline_ms(class_name), now
+        )
         service_times.record(class_name, elapsed_ms)
-        attempt.endpoint.served += request.work
+        attempt.endpoint.served_work += request.work
         attempt.endpoint.record_outcome(class_name, served=1.0, lost=0.0)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -78,7 +78,7 @@
         service_times = ServiceTimes(settings)
         idle_limit = IdleConnectionLimit()
         self._recorder = AttemptRecorder(
-            service_times, self._overload.sustainable, idle_limit, self._available
+            service_times, self._overload.sustainable_concurrency, idle_limit, self._available
         )
         self._retry_budgets = RetryBudgets()
         self._failure_responses = FailureResponses(settings, service_times)
