--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -1,30 +1,32 @@
-"""What the policy takes: every event that `LoadBalancer.handle` understands.
+"""The events that `LoadBalancer.handle` accepts.
 
-Whoever runs a `LoadBalancer` (its host) passes it each event as it happens, in order, together with the
-current time, and carries out the actions that it returns (`loadbalancer.actions`). All times and spans are
-milliseconds on one clock that never goes backwards. Every type is a frozen value.
+The host of a `LoadBalancer` passes it each event as it happens, in order, together with the current time, and
+carries out the actions that it returns (`loadbalancer.actions`). All times and durations are in milliseconds
+on one monotonic clock. All types are frozen.
 """
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from loadbalancer.endpoints import Endpoint
-from loadbalancer.timers import Timer
+if TYPE_CHECKING:
+    from loadbalancer.endpoints import Endpoint
+    from loadbalancer.timers import Timer
 
 
 class EndpointListKind(enum.Enum):
-    """What an endpoint list update carries."""
+    """Which entries an endpoint list update holds."""
 
     DELTA = "delta"
-    """Only the entries that are new or have changed; the others stay as they were."""
+    """The entries that are new or have changed; the others stay as they are."""
     SNAPSHOT = "full"
-    """All entries; an endpoint that is missing has been removed."""
+    """All entries; a known endpoint without an entry has been removed."""
     CACHED = "cached"
-    """All entries as they were last known when the instance started; discovery has not been reached yet."""
+    """All entries as known from the configuration; discovery has not been reached since the start."""
     FAILED = "failed"
-    """No entries: discovery could not be reached, and the old list stands."""
+    """No entries: discovery could not be reached, and the last list stays in force."""
 
 
 class Outcome(enum.Enum):
@@ -35,33 +37,33 @@
     ERROR = "error"
     """The endpoint responded with an error; the request may have had an effect."""
     REJECTED = "rejected"
-    """The endpoint responded that it did not begin the request."""
+    """The endpoint responded that it has not processed the request."""
     TIMED_OUT = "timed out"
     """No response came within the attempt's timeout."""
     CONNECT_FAILED = "connect failed"
-    """No connection came up, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
     RESET = "reset"
     """The connection broke after something was sent."""
     CANCELLED = "cancelled"
     """The attempt was cancelled; the request may have had an effect."""
     NOT_SENT = "not sent"
-    """The attempt was over before anything was sent."""
+    """The attempt ended before anything was sent."""
     UNKNOWN = "unknown"
-    """The host can't tell; the request may have had an effect."""
+    """Unknown to the host; the request may have had an effect."""
 
 
 # A tuple: a look-up in a set would call `Enum.__hash__`, which is a Python function.
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-"""The outcomes that prove that an attempt had no effect: it may be repeated whatever its idempotency."""
+"""Outcomes that prove that an attempt was not processed: a transparent retry is allowed for any class."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The endpoint list has changed, or could not be had.
+    """The endpoint list has changed, or discovery could not be reached.
 
     Attributes:
-        kind: What `endpoints` is: the whole list, a change to it, or nothing.
-        endpoints: The entries that the update carries.
+        kind: Whether `endpoints` is a complete list, a change to it, or empty.
+        endpoints: The entries of the update.
     """
 
     kind: EndpointListKind
@@ -70,16 +72,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request has arrived; it has to get exactly one final response.
+    """A client's request has arrived. It must get exactly one final response.
 
     Attributes:
-        request_id: The host's number for it, by which all later events and actions name it.
+        request_id: The id that all later events and actions refer to it by; unique among open requests.
         class_name: The name of its `RequestClass`.
-        remaining_ms: How long the client still waits, from now.
-        tenant: The tenant that it counts for, or None.
-        is_client_retry: Whether the client says that it repeats an earlier request. Nothing is decided by it:
-            the policy infers a late retry from `remaining_ms`.
-        cost_hint_ms: The work that it is expected to be, in milliseconds of a standard core; 0 if not known.
+        remaining_ms: The time until its deadline, in milliseconds from now.
+        tenant: The tenant whose quota it counts against; None without one.
+        is_client_retry: Whether the client marks it as a retry. The policy does not use it: it infers a late
+            retry from `remaining_ms`.
+        cost_hint_ms: Its expected work, in milliseconds of one standard core; 0 if unknown.
     """
 
     request_id: int
@@ -92,11 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streaming response has begun: its deadline no longer runs, and no further attempt may be made.
+    """A streaming response has begun: the deadline is met, and no further attempt may start.
 
     Attributes:
-        request_id: The request that it responds to.
-        attempt_index: The attempt whose response it is.
+        request_id: The request.
+        attempt_index: The index of the attempt that brought the response; see `AttemptFinished`.
     """
 
     request_id: int
@@ -105,33 +107,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt is over, whatever way it ended.
+    """An attempt has ended, with any outcome.
 
     Attributes:
-        request_id: The request that the attempt was made for.
-        attempt_index: Which of the request's attempts, counted from 0 in the order of `StartAttempt`.
-        endpoint: The name of the endpoint it was sent to.
-        outcome: How it ended.
-        is_answered: Whether nothing is owed to the client any more: it has its final response, by this
-            attempt or otherwise, or it has gone.
-        load_report: The figures that the endpoint reports of its load, in the order of
-            `Settings.load_report_fields`. Nothing is decided by them.
+        request_id: The request.
+        attempt_index: The index of the attempt among those of the request, from 0 in the order of the
+            `StartAttempt` actions.
+        endpoint: The name of the endpoint that it was sent to. outcome: How it ended. is_request_complete:
+        Whether the request needs no response any more: the client has its final response,
+            from this attempt or another one, or has disconnected.
+        load_report: The endpoint's load report, in the order of `Settings.load_report_fields`; empty without
+            one. The policy does not use it.
     """
 
     request_id: int
     attempt_index: int
     endpoint: str
     outcome: Outcome
-    is_answered: bool = False
+    is_request_complete: bool = False
     load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing more is owed for the request.
+    """The client of a request has disconnected; the request needs no response any more.
 
     Attributes:
-        request_id: The request that it had sent.
+        request_id: The request.
     """
 
     request_id: int
@@ -139,12 +141,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckFinished:
-    """A health check is over. The policy starts none, and decides nothing by this event.
+    """A health check has ended. The policy starts no health checks and ignores this event.
 
     Attributes:
         endpoint: The name of the endpoint that was checked.
         outcome: How the check ended.
-        load_report: The figures that the endpoint reports of its load; see `AttemptFinished`.
+        load_report: The endpoint's load report; see `AttemptFinished`.
     """
 
     endpoint: str
@@ -154,10 +156,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` has come due.
+    """A timer set by `SetTimer` has fired.
 
     Attributes:
-        timer: The value that the timer was set with.
+        timer: The value from the `SetTimer` action.
     """
 
     timer: Timer
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -171,7 +171,7 @@
         attempt.is_open = False
         attempt.may_have_run = event.outcome not in NEVER_RAN
         self._recorder.record_end(attempt, event.outcome, request, now)
-        if event.is_answered:
+        if event.is_request_complete:
             self._finish_request(request, event.outcome, now)
         elif request.needs_attempt() and not self._try_retry(request, now):
             self._respond_with_failure(request)
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -152,7 +152,7 @@
         attempt_index=integer(fields, "shot"),
         endpoint=required(fields, "upstream"),
         outcome=_read_outcome(fields, warn),
-        is_answered=fields.get("complete") == "1",
+        is_request_complete=fields.get("complete") == "1",
         load_report=_read_load_report(fields),
     )
 
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -89,7 +89,7 @@
         while self._ends and self._ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._ends)
             finished = AttemptFinished(
-                end.request, _ATTEMPT, end.endpoint, Outcome.SUCCEEDED, is_answered=True
+                end.request, _ATTEMPT, end.endpoint, Outcome.SUCCEEDED, is_request_complete=True
             )
             self._handle(finished, end.at_ms, measured.ends_ns)
 
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -82,8 +82,8 @@
 
     def finish(self, request_id: int, attempt_index: int, endpoint: str, outcome: Outcome) -> list[Action]:
         """Have an attempt end; a success is the final response."""
-        is_answered = outcome is Outcome.SUCCEEDED
-        return self.handle(AttemptFinished(request_id, attempt_index, endpoint, outcome, is_answered))
+        is_request_complete = outcome is Outcome.SUCCEEDED
+        return self.handle(AttemptFinished(request_id, attempt_index, endpoint, outcome, is_request_complete))
 
     def serve(self, request_class: RequestClass = READ, duration_ms: float | dict[str, float] = 50.0) -> str:
         """Serve one request; return its endpoint. The duration may differ by endpoint."""
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -124,8 +124,8 @@
         request_id, outcome = event.request_id, event.outcome
         if outcome is Outcome.SUCCEEDED and self._open.pop(request_id, None) is not None:
             self._simulation.served += 1
-        is_answered = request_id not in self._open
-        return AttemptFinished(request_id, event.attempt_index, event.endpoint, outcome, is_answered)
+        is_request_complete = request_id not in self._open
+        return AttemptFinished(request_id, event.attempt_index, event.endpoint, outcome, is_request_complete)
 
 
 class SlowStartSimulation:
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -151,8 +151,8 @@
     def _finish_attempt(self, event: AttemptFinished) -> None:
         request_id, attempt_index = event.request_id, event.attempt_index
         if self._checker.finish_attempt(request_id, attempt_index, event.outcome, self._clock.now):
-            is_answered = self._checker.requests[request_id].is_settled
-            self._handle(replace(event, is_answered=is_answered))
+            is_request_complete = self._checker.requests[request_id].is_settled
+            self._handle(replace(event, is_request_complete=is_request_complete))
 
     def _fail_watch(self, _: None) -> None:
         self._handle(EndpointListUpdate(EndpointListKind.FAILED))
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -94,7 +94,7 @@
     play(chain)
     [(at, ended)] = recorded.by(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
-    assert (ended.outcome, at, ended.is_answered) == (outcome, after_ms, served)
+    assert (ended.outcome, at, ended.is_request_complete) == (outcome, after_ms, served)
     # Nothing is owed after an answer; a class that is safe to repeat is refused, not failed.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == after_ms
@@ -155,7 +155,7 @@
     assert [(now, e.outcome) for now, e in recorded.by(0, AttemptFinished)] == [(100.0, Outcome.CANCELLED)]
     for tier, left in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
         assert [now for now, _ in recorded.by(tier, ClientDisconnected)] == [left]
-        ended = [(now, e.outcome, e.is_answered) for now, e in recorded.by(tier, AttemptFinished)]
+        ended = [(now, e.outcome, e.is_request_complete) for now, e in recorded.by(tier, AttemptFinished)]
         assert ended == [(left, Outcome.CANCELLED, True)]
     assert [server.in_service for tier in chain.tiers for server in tier] == [0] * 6
 
@@ -171,7 +171,7 @@
     # The tier behind gave up by its own time, 500 came up, and nobody owed an answer any more.
     [(_, ended)] = recorded.by(1, AttemptFinished)
     assert ended.outcome is Outcome.ERROR
-    assert ended.is_answered
+    assert ended.is_request_complete
 
 
 def test_a_call_out_of_time_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
