--- a/loadbalancer/actions.py
+++ b/loadbalancer/actions.py
@@ -1,15 +1,17 @@
-"""What the policy returns: every action that its host has to carry out.
+"""The actions that `LoadBalancer.handle` returns.
 
-The host carries out the actions of one event in their order, and passes what they bring about back as events
-(`loadbalancer.events`). All times and spans are milliseconds on one clock that never goes backwards. Every
-type is a frozen value.
+The host carries out the actions of one event in their order, and reports their results as events
+(`loadbalancer.events`). All times and durations are in milliseconds on one monotonic clock. All types are
+frozen.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from loadbalancer.timers import Timer
+if TYPE_CHECKING:
+    from loadbalancer.timers import Timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,9 +21,9 @@
     Attempts of a request are counted from 0 in the order of these actions.
 
     Attributes:
-        request_id: The request, as `RequestReceived` named it.
+        request_id: The id from `RequestReceived`.
         endpoint: The name of the endpoint to send it to.
-        timeout_ms: How long to wait for the response, from now.
+        timeout_ms: The time until the attempt times out, from now.
     """
 
     request_id: int
@@ -31,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt that is still out; it ends as any other does, with `AttemptFinished`.
+    """Cancel an attempt that is in flight; the host reports its end with `AttemptFinished`.
 
     Attributes:
-        request_id: The request that the attempt was made for.
-        attempt_index: Which of the request's attempts.
+        request_id: The request.
+        attempt_index: The index of the attempt among those of the request.
     """
 
     request_id: int
@@ -44,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Respond that the client may safely send the request again: it never ran, or is safe to repeat.
+    """Respond that the client may safely repeat the request: it was never processed, or is idempotent.
 
     Attributes:
-        request_id: The request to respond to.
-        retry_after_ms: How long the client should wait before that; 0 leaves it to the client.
+        request_id: The request.
+        retry_after_ms: The time that the client should wait before a retry; 0 to suggest none.
     """
 
     request_id: int
@@ -60,7 +62,7 @@
     """Respond that the request failed; it may have had an effect.
 
     Attributes:
-        request_id: The request to respond to.
+        request_id: The request.
     """
 
     request_id: int
@@ -68,11 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` event at a given time.
+    """Set a timer; the host reports with `TimerFired` that it has fired.
 
     Attributes:
-        at_ms: When it should fire, on the clock of the events.
-        timer: The value that the event has to bring back.
+        at_ms: When it fires, on the clock of the events.
+        timer: The value that the event returns.
     """
 
     at_ms: float
@@ -81,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Send one health check to an endpoint; the host reports the end with `HealthCheckFinished`.
+    """Send a health check to an endpoint; the host reports its end with `HealthCheckFinished`.
 
-    The policy never returns this action: attempts are all the evidence it uses.
+    The policy never returns this action: its evidence is that of the attempts.
 
     Attributes:
         endpoint: The name of the endpoint to check.
@@ -105,12 +107,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Open the standing watch on the endpoint list; its updates arrive as `EndpointListUpdate`."""
+    """Open the watch on the endpoint list; the host reports its updates with `EndpointListUpdate`."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Write a line for the operator.
+    """Write a line to the operator's log.
 
     Attributes:
         text: The line.
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -7,29 +7,29 @@
 
 
 class EndpointState(enum.Enum):
-    """What the endpoint list says of an endpoint's process."""
+    """Whether an endpoint's process accepts requests, by the endpoint list."""
 
     READY = "ready"
-    """It takes new requests."""
+    """It accepts new requests."""
     DRAINING = "draining"
-    """It finishes the requests that it has, and takes no new ones."""
+    """It finishes its open requests and accepts no new ones."""
     REMOVED = "gone"
-    """It no longer runs, or no longer belongs to the service."""
+    """It has ended, or no longer belongs to the service."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One process of the service that is called, as the endpoint list shows it.
+    """One process of the upstream service, as an entry of the endpoint list.
 
     Attributes:
-        name: Its identity in the list. A restarted process may keep the name of the one before.
-        state: Whether it takes new requests.
-        zone: The zone that it runs in; empty if zones are not told.
-        cell: The group of endpoints that share their idempotency keys; see `IdempotencyScope.CELL`.
-        weight: The capacity it is registered with, in proportion to that of others. The policy takes a value
-            that is not positive and finite as 1.
+        name: Its identity in the list. A restarted process may keep the name.
+        state: Whether it accepts new requests.
+        zone: The zone that it runs in; empty if unknown.
+        cell: The number of the group of endpoints that share idempotency keys; see `IdempotencyScope.CELL`.
+        weight: Its registered capacity, relative to other endpoints. The policy replaces a value that is not
+            positive and finite by 1.
         started_at_ms: When its process started, in milliseconds on the clock of the policy's events; 0 if
-            that was long ago. A later start under the same name is a new process.
+            that is long ago. An entry with a later start under the same name is a new process.
     """
 
     name: str
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -16,20 +16,27 @@
 
 
 class WarmupRamp:
-    """The configured ramp over the age of a process."""
+    """The warm-up fraction of an endpoint, by the settings: the fraction of its full capacity that it has.
+
+    With f the initial fraction, a the age of the process and T the slow-start time, the fraction is
+    1 - (1 - f) (1 - a / T), a linear ramp from f at the start to 1 at the age T.
+
+    Attributes:
+        active_until: The time from which on all listed endpoints are warm, in milliseconds.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self._duration_ms = settings.slow_start_ms
         self._missing_fraction = 1.0 - settings.slow_start_initial_fraction
-        self.active_until = 0.0  # from here on every endpoint of the list is warm
+        self.active_until = 0.0
 
     def update(self, ready: list[EndpointStats]) -> None:
-        """The endpoint list has changed."""
+        """Compute `active_until` from the ready endpoints, after a change of the endpoint list."""
         newest = max((e.entry.started_at_ms for e in ready), default=0.0)
         self.active_until = newest + self._duration_ms
 
     def fraction(self, endpoint: EndpointStats, now: float) -> float:
-        """The fraction of its capacity that an endpoint has at the least, by its age."""
+        """Return the warm-up fraction of an endpoint: 1 if it is warm, or its start is unknown."""
         started_at = endpoint.entry.started_at_ms
         age = now - started_at
         if started_at <= 0 or age >= self._duration_ms:
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -88,8 +88,8 @@
 class Hedging:
     """Decides when a hedged attempt may follow a first attempt without a response.
 
-    Guards against endpoints that hang or have become slow, and against dropped connections, whatever their
-    cause. Hedged attempts add load: each takes a token of the retry budget, and overload suspends hedging.
+    Guards against endpoints that hang or have become slow, and against dropped connections. Hedged attempts
+    add load: each takes a token of the retry budget, and overload suspends hedging.
     """
 
     def __init__(self, settings: Settings, service_times: ServiceTimes) -> None:
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -26,7 +26,7 @@
 
 
 class SlowStart:
-    """Limits the attempts at warming endpoints so that the sum over all balancers keeps to the settings.
+    """Limits the attempts at warming endpoints so that the sum over all balancers stays within the settings.
 
     Two limits apply to each attempt. The rank rule lets only a fraction of the balancers call a warming
     endpoint. The budget limits how many attempts one of these balancers starts there within a window.
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,8 +1,8 @@
-"""What a balancer is configured with: request classes, tenants, limits and slow-start rules.
+"""The settings of a balancer instance: request classes, tenants, limits and slow-start rules.
 
-The platform gives all of it at an instance's start, over the simulator's wire or in the file that `LB_CONFIG`
-names; `loadbalancer.settings_reader` reads both. All times and spans are milliseconds. Every type is a frozen
-value; a value out of range raises `InvalidSettingsError`.
+The platform provides them at an instance's start, on the simulator's wire or in the file that `LB_CONFIG`
+names; `loadbalancer.settings_reader` reads both. All durations are in milliseconds. All types are frozen, and
+raise `InvalidSettingsError` for a value out of range.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 
 
 class Idempotency(enum.Enum):
-    """Whether a request of a class may run more than once."""
+    """Whether a request may be processed more than once."""
 
     SAFE = "safe"
-    """Running it again has no further effect, at any endpoint."""
+    """Processing it again has no further effect, at any endpoint."""
     KEYED = "keyed"
-    """It bears a key by which endpoints drop a repetition, within an `IdempotencyScope` and a window."""
+    """It has an idempotency key, by which the endpoints of a scope drop a repetition within a window."""
     NOT_IDEMPOTENT = "unsafe"
-    """It must not run twice: only an attempt that provably never ran may be followed by another."""
+    """It must not be processed twice: only transparent retries are allowed."""
 
 
 class IdempotencyScope(enum.Enum):
-    """Which endpoints know the keys that one of them has seen, and drop a repetition."""
+    """Which endpoints share their idempotency keys, so that each drops a repetition of any request."""
 
     ALL = "all"
     """All endpoints of the service."""
     ZONE = "zone"
-    """Those of the same zone."""
+    """The endpoints of the same zone."""
     CELL = "cell"
-    """Those of the same cell."""
+    """The endpoints of the same cell."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests, and what its clients expect of it.
+    """One class of requests.
 
     Attributes:
-        name: How a request names its class; unique among the classes of a service.
-        latency_objective_ms: The response time up to which a response has its full value.
-        deadline_ms: The response time after which a response has no value; the client waits no longer.
-        idempotency: Whether a request may run more than once.
+        name: The name that requests refer to; unique among the classes of a service.
+        latency_objective_ms: The response time up to which a response has its full value; above 0.
+        deadline_ms: The response time after which a response has no value and the client gives up; above 0.
+        idempotency: Whether a request may be processed more than once.
         idempotency_scope: For a keyed class: which endpoints drop a repetition.
         idempotency_window_ms: For a keyed class: how long an endpoint remembers a key.
-        priority_weight: What one timely response counts, against those of other classes. Where load has to be
-            shed, classes of less weight are shed first.
-        late_value: What a response after the latency objective but before the deadline counts, as a fraction
-            of a timely one.
-        is_streaming: Whether a response may go on for long: its deadline is that of its beginning.
+        priority_weight: The value of a response within the latency objective, relative to other classes; at
+            least 0. Load of lower weight is shed first.
+        late_value: The value of a response after the latency objective and before the deadline, as a fraction
+            of `priority_weight`, from 0 to 1.
+        is_streaming: Whether a response is a stream: the deadline applies to its first byte.
     """
 
     name: str
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer, and the rate of requests that is reserved for it.
+    """A customer with a quota.
 
     Attributes:
-        name: How a request names its tenant.
-        quota_per_s: The requests a second that the tenant may expect to be served, over all balancers.
+        name: The name that requests refer to.
+        quota_per_s: The requests per second that are reserved for the tenant, over all balancers.
     """
 
     name: str
@@ -94,37 +94,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one balancer instance is told when it starts.
+    """The settings of one balancer instance.
 
     Attributes:
-        classes: The classes that a request may name, at least one.
-        tenants: The tenants that have a quota; requests of others, or without one, have none.
-        balancers: How many balancer instances serve this tier, this one included. The load that an endpoint
-            receives is the sum of what all of them send.
-        tier: How many tiers of services stand before this balancer; 0 is where requests enter from outside.
-        zone: The zone that the instance runs in; empty if zones are not told.
-        polls_discovery: Whether the endpoint list has to be asked for with `WatchEndpoints`; else it is
-            pushed without that.
-        poll_deadline_ms: The longest time that may pass until discovery is asked again; the backoff after
-            failures stays under a third of it.
-        max_attempts: The most attempts for one request, the first and hedged ones included.
-        connect_timeout_ms: The longest wait for a connection to come up. An attempt may begin this much later
-            than it was decided, where no connection is open.
-        may_cancel: Whether an attempt that is out can be cancelled.
-        may_hedge: Whether a further attempt may start while an earlier one is out.
-        may_health_check: Whether probes are allowed. The policy sends none, and decides nothing by this.
-        max_retry_after_ms: The longest `Retry-After` that a rejection may ask for; 0 if it may ask for none.
-        slow_start_ms: How long after its start an endpoint is warming up; 0 if it is not.
-        slow_start_initial_fraction: The part of its full capacity that an endpoint has at its start, above 0.
-            It grows linearly to 1 over `slow_start_ms`.
-        slow_start_overload_factor: How many times its present capacity a warming endpoint bears within
-            one window; beyond it, the endpoint fails.
-        slow_start_window_ms: The span of that window.
-        over_quota_weight: What a response to a tenant's request over its quota counts, as a fraction of one
-            within it.
-        tick_ms: The resolution of the platform's clock: what is due is done up to this much later.
-        load_report_fields: The names of the figures in an endpoint's load report, in their order. The policy
-            decides nothing by load reports.
+        classes: The classes that requests may be of; at least one.
+        tenants: The tenants with a quota. A request of another tenant, or without one, has no quota.
+        balancers: The number of balancer instances in this tier, this one included. An endpoint gets the sum
+            of the requests that all of them send.
+        tier: The number of tiers before this one; 0 for the tier that clients send requests to. Only
+            the balancers of tier 0 shed load.
+        zone: The zone that the instance runs in; empty if unknown.
+        polls_discovery: Whether the endpoint list must be requested with `WatchEndpoints`; otherwise the host
+            sends it on its own.
+        poll_deadline_ms: The longest time allowed between two polls of discovery. The backoff after failures
+            stays within a third of it.
+        max_attempts: The maximum number of attempts for a request, including the first one and hedged ones.
+        connect_timeout_ms: The time after which a connect fails. An attempt without an open connection is
+            sent up to this much later than it starts.
+        may_cancel: Whether an attempt in flight may be cancelled.
+        may_hedge: Whether an attempt may start while an earlier one of the same request is in flight.
+        may_health_check: Whether health checks are allowed. The policy sends none and does not use it.
+        max_retry_after_ms: The maximum `Retry-After` of a rejection; 0 if rejections must not have one.
+        slow_start_ms: The time from its start during which an endpoint warms up; 0 if endpoints start warm.
+        slow_start_initial_fraction: The fraction of its full capacity that an endpoint has at its start,
+            above 0. The fraction grows linearly to 1 over `slow_start_ms`.
+        slow_start_overload_factor: The work within one window, as a multiple of its present capacity, above
+            which a warming endpoint fails.
+        slow_start_window_ms: The length of that window.
+        over_quota_weight: The value of a response to a tenant's request over its quota, as a fraction of the
+            value of one within it, from 0 to 1.
+        tick_ms: The resolution of the platform's clock: timers fire up to this much late.
+        load_report_fields: The names of the fields of an endpoint's load report, in order. The policy does
+            not use load reports.
     """
 
     classes: tuple[RequestClass, ...]
--- a/loadbalancer/timers.py
+++ b/loadbalancer/timers.py
@@ -1,7 +1,7 @@
-"""The timers that the policy sets: typed values that come back unchanged when they fire.
+"""The timers that the policy sets.
 
-A timer travels to the policy's host in a `SetTimer` action and back in a `TimerFired` event. One that has
-become pointless isn't cancelled: the policy ignores it when it fires.
+The policy's host gets a timer in a `SetTimer` action and returns it unchanged in a `TimerFired` event. The
+policy cancels no timers; it ignores one that is no longer needed when it fires.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListTimer:
-    """It is time to ask for the endpoint list again, after a failure."""
+    """The backoff after a failed poll of the endpoint list has ended: poll again."""
 
 
 @dataclass(frozen=True, slots=True)
 class HedgeTimer:
-    """The first attempt of a request has been out for so long that a hedged one may follow.
+    """The hedging delay of a request's first attempt has ended: a hedged attempt may start.
 
     Attributes:
-        request_id: The request, as `RequestReceived` named it.
+        request_id: The id from `RequestReceived`.
     """
 
     request_id: int
