--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -40,11 +40,11 @@
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint, and the work that has arrived at it of late."""
+    """An endpoint, and the work that has recently arrived at it."""
 
     started_at_ms: float = 0.0  # 0 is long ago
     outcome: Outcome = Outcome.SUCCEEDED  # of every attempt, but for those that take too long
-    is_listed: bool = True
+    is_ready: bool = True
     arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # in the last window: time and work
     work_in_window: float = 0.0
     idle_at_ms: float = 0.0  # when it will have done all the work that it holds
@@ -68,7 +68,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget everything, the open requests included; the endpoint list is given anew."""
+        """Forget everything, the open requests included; the endpoint list is sent again."""
         self.policy = LoadBalancer(self._simulation.settings, self._simulation.random.getrandbits(40))
         self._open: dict[int, SimulatedRequest] = {}
         self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
@@ -99,8 +99,8 @@
                 self._simulation.rejected += 1
                 del self._open[request_id]
 
-    def _schedule_event(self, moment: float, event: Event) -> None:
-        self._clock.schedule(moment, partial(self._handle_if_current, self.policy), event)
+    def _schedule_event(self, at_ms: float, event: Event) -> None:
+        self._clock.schedule(at_ms, partial(self._handle_if_current, self.policy), event)
 
     def _handle_if_current(self, policy: LoadBalancer, event: Event) -> None:
         """Events of before a restart are lost with the process."""
@@ -143,7 +143,7 @@
     Attributes:
         tenth: A tenth of the endpoints.
         requests: How many requests have been received, and of these served and rejected.
-        warming_attempts: How many attempts have gone to warming endpoints.
+        warming_attempts: The number of attempts at warming endpoints.
         worst_excess: The largest excess of work in any window over its limit, in units of the slack that is
             left to chance: above 1 an endpoint has been overloaded.
     """
@@ -156,6 +156,7 @@
         load: float,
         seed: int,
         slow_start: dict[str, Any],
+        *,
         skewed: bool = False,
     ) -> None:
         self.random = random.Random(seed)
@@ -170,14 +171,14 @@
         self._rate_per_s = rate_per_s
         self._added = 0
         self.balancers = [SimulatedBalancer(self, 0.0) for _ in range(balancers)]
-        self._share_out(load * endpoints * rate_per_s / 1_000, skewed)
+        self._spread_requests(load * endpoints * rate_per_s / 1_000, skewed=skewed)
         for balancer in self.balancers:
             balancer.schedule_next_request()
 
-    def _share_out(self, requests_per_ms: float, skewed: bool) -> None:
-        shares = [self.random.choice((0.5, 0.5, 0.5, 4.0)) if skewed else 1.0 for _ in self.balancers]
-        for balancer, share in zip(self.balancers, shares, strict=True):
-            balancer.requests_per_ms = share / sum(shares) * requests_per_ms
+    def _spread_requests(self, requests_per_ms: float, *, skewed: bool) -> None:
+        weights = [self.random.choice((0.5, 0.5, 0.5, 4.0)) if skewed else 1.0 for _ in self.balancers]
+        for balancer, weight in zip(self.balancers, weights, strict=True):
+            balancer.requests_per_ms = weight / sum(weights) * requests_per_ms
 
     def run(self, span_ms: float) -> None:
         self.clock.run_until(self.clock.now + span_ms)
@@ -191,7 +192,7 @@
 
     def remove_endpoints(self, names: list[str]) -> None:
         for name in names:
-            self.endpoints[name].is_listed = False
+            self.endpoints[name].is_ready = False
         self._announce(names)
 
     def restart_endpoints(self, names: list[str]) -> None:
@@ -234,7 +235,7 @@
 
     def _entry(self, name: str) -> Endpoint:
         endpoint = self.endpoints[name]
-        state = EndpointState.READY if endpoint.is_listed else EndpointState.REMOVED
+        state = EndpointState.READY if endpoint.is_ready else EndpointState.REMOVED
         return Endpoint(name, state, started_at_ms=endpoint.started_at_ms)
 
     # ---- attempts -------------------------------------------------------------------------------
@@ -242,7 +243,7 @@
     def attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
         """An attempt arrives at an endpoint now: how long it will take, and how it will end."""
         endpoint = self.endpoints[name]
-        assert endpoint.is_listed, "sent to an endpoint that has been removed"
+        assert endpoint.is_ready, "sent to an endpoint that has been removed"
         capacity = self._warmup_fraction(endpoint)
         if capacity < 1:
             self._count_warming_attempt(endpoint, work, capacity)
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -32,7 +32,7 @@
     assert len([a for a in harness.actions if isinstance(a, LogMessage)]) == 1, "one line for the whole time"
 
 
-def test_a_request_with_no_time_left_is_rejected_at_once() -> None:
+def test_a_request_without_remaining_time_is_rejected_at_once() -> None:
     harness = PolicyHarness(2)
     request, actions = harness.request(remaining_ms=0.0)
     assert RejectRequest(request) in actions
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
 from loadbalancer.actions import CancelAttempt, CloseIdleConnections, SetTimer
 from loadbalancer.events import Outcome, TimerFired
-from loadbalancer.settings import RequestClass
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 from tests.policy.helpers import (
     ORDER,
@@ -19,6 +20,9 @@
     started_attempts,
 )
 
+if TYPE_CHECKING:
+    from loadbalancer.settings import RequestClass
+
 
 @pytest.mark.parametrize("tier", [0, 1])
 @pytest.mark.parametrize("request_class", [READ, ORDER])
@@ -57,8 +61,8 @@
     )
 
 
-def test_without_hedging_an_attempt_keeps_its_whole_timeout() -> None:
-    """Cut at four times the baseline, large requests were started anew elsewhere and lost there as well."""
+def test_without_hedging_an_attempt_keeps_its_full_timeout() -> None:
+    """Cut at four times the baseline, large requests were restarted elsewhere and lost there as well."""
     harness = PolicyHarness(4, may_hedge=False)
     for _ in range(400):
         harness.serve(duration_ms=20.0)
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -5,6 +5,7 @@
 import random
 from collections import Counter
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -29,11 +30,13 @@
     TimerFired,
 )
 from loadbalancer.policy.balancer import LoadBalancer
-from loadbalancer.settings import Settings
 from testbed.virtual_clock import VirtualClock
 from tests.policy.helpers import CLASSES, settings
 from tests.policy.rule_checker import NEVER_RAN, FinalResponse, RuleChecker, TrackedRequest
 
+if TYPE_CHECKING:
+    from loadbalancer.settings import Settings
+
 START_MS = 50_000.0
 MEAN_STEP_MS = 15.0
 MEAN_ATTEMPT_MS = 80.0
@@ -72,7 +75,7 @@
                 self._receive_request()
 
     def _restart(self) -> None:
-        """A new process of the balancer: requests, timers and attempts of the old one are gone."""
+        """A new process of the balancer: requests, timers and attempts of the old one are lost."""
         self._clock = VirtualClock(self._clock.now)
         self._checker = RuleChecker(self.settings, self._endpoints, self.responses)
         self._balancer = LoadBalancer(self.settings, self._random.getrandbits(40))
@@ -142,11 +145,11 @@
             self._handle(ClientDisconnected(request_id))
 
     def _schedule_attempt_end(
-        self, moment: float, request_id: int, attempt_index: int, outcome: Outcome
+        self, at_ms: float, request_id: int, attempt_index: int, outcome: Outcome
     ) -> None:
         endpoint = self._checker.requests[request_id].attempts[attempt_index].endpoint
         event = AttemptFinished(request_id, attempt_index, endpoint.name, outcome)
-        self._clock.schedule(moment, self._finish_attempt, event)
+        self._clock.schedule(at_ms, self._finish_attempt, event)
 
     def _finish_attempt(self, event: AttemptFinished) -> None:
         request_id, attempt_index = event.request_id, event.attempt_index
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -8,7 +8,7 @@
 
 
 def closes_idle_connections(harness: PolicyHarness, interval_ms: float) -> bool:
-    """Serve a request after a pause; return whether idle connections were closed before it."""
+    """Serve a request after an idle time; return whether idle connections were closed before it."""
     harness.now += interval_ms
     request, actions = harness.request(PAY)
     harness.now += 20
@@ -17,7 +17,7 @@
 
 
 def test_connections_that_break_when_idle_are_closed_before_that() -> None:
-    """Connections dropped silently after a second without use cost each later attempt its whole timeout."""
+    """Connections dropped silently after a second without use cost each later attempt its full timeout."""
     harness = PolicyHarness(1, tier=1)  # nothing is shed there
     for _ in range(20):
         assert not closes_idle_connections(harness, 400.0)
@@ -30,8 +30,8 @@
         harness.now += 1_000
         harness.finish(request, 0, "s0", Outcome.TIMED_OUT)
     closes_idle_connections(harness, 10.0)
-    assert closes_idle_connections(harness, 1_600.0), "as long a pause as that of the lost attempts"
-    assert not closes_idle_connections(harness, 400.0), "a short one is known to be safe"
+    assert closes_idle_connections(harness, 1_600.0), "idle as long as before the lost attempts"
+    assert not closes_idle_connections(harness, 400.0), "a shorter idle time is known to be safe"
     for _ in range(60):
         closes_idle_connections(harness, 400.0)
     assert not closes_idle_connections(harness, 1_600.0), "the evidence has been replaced"
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail are ejected, and tried again later."""
+"""Endpoints that fail are ejected, and get requests again later."""
 
 from __future__ import annotations
 
@@ -51,4 +51,4 @@
         "more than half of the endpoints, yet each is certainly unreachable"
     )
     harness.now += 20_000
-    assert "s0" in count_by_endpoint(harness, 50), "and is tried retries"
+    assert "s0" in count_by_endpoint(harness, 50), "and gets requests again later"
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -14,8 +14,8 @@
 ENDPOINTS = 6  # a tier; as many balancers before the first one, too
 
 
-def rows(troubles: list[dict[str, Any]], **changes: Any) -> list[dict[str, Any]]:
-    """The rows of a depth run: one a trouble and depth, with 20 calls a second from outside."""
+def rows(faults: list[dict[str, Any]], **changes: Any) -> list[dict[str, Any]]:
+    """The rows of a depth run: one for each fault and depth, with 20 calls a second from outside."""
     base: dict[str, Any] = {
         "run": "depth",
         "about": "Small ones.",
@@ -24,7 +24,7 @@
         "calls_per_s": 20,
         "warm_s": 0,
         "trouble_s": 10,
-        "troubles": troubles,
+        "troubles": faults,
     }
     with capture_logs():
         result = depth.play(depth.Plan.model_validate(base | changes), structlog.get_logger())
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
 def test_a_failed_last_tier_gets_one_attempt_a_request_and_what_the_buckets_hold(behaviour: str) -> None:
-    """Earned by arrivals, 28 tiers made 88 attempts for each admitted request; where none ran, 320."""
+    """Earned by arrivals, 28 tiers made 88 attempts for each admitted request, and 320 unprocessed ones."""
     for row in rows([{"name": "lost", "behaviour": behaviour}]):
         assert row["served"] == 0
         assert row["calls"] > 150
@@ -46,15 +46,15 @@
 
 
 def test_one_failure_in_ten_at_the_end_of_28_tiers_is_always_retried() -> None:
-    trouble = {"name": "a tenth", "behaviour": "fails", "part": 0.1}
-    for row in rows([trouble], warm_s=2):
+    fault = {"name": "a tenth", "behaviour": "fails", "part": 0.1}
+    for row in rows([fault], warm_s=2):
         assert row["served"] >= 0.99
         assert 1.05 < row["bottom_attempts_a_call"] < 1.25
 
 
 def test_requests_are_served_again_as_soon_as_the_last_tier_is_back() -> None:
-    troubles = [{"name": b, "behaviour": b} for b in ("fails", "refuses", "turns away")]
-    for row in rows(troubles, warm_s=2, trouble_s=5, after_s=6, sizes=[28]):
+    faults = [{"name": b, "behaviour": b} for b in ("fails", "refuses", "turns away")]
+    for row in rows(faults, warm_s=2, trouble_s=5, after_s=6, sizes=[28]):
         assert row["served_before"] == 1
         assert row["back_after_s"] <= 5
         assert row["served_after"] >= 0.95
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from itertools import cycle, repeat
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -14,11 +14,14 @@
 from loadbalancer.settings import Idempotency, RequestClass
 from tests.policy.helpers import ANYWHERE, PAY, READ, PolicyHarness, first_endpoint, of_type, started_attempts
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
 
 
-def inner_tier(seed: int = 1, may_hedge: bool = False) -> PolicyHarness:
+def inner_tier(seed: int = 1, *, may_hedge: bool = False) -> PolicyHarness:
     """A balancer behind the first tier, where nothing is shed, with eight warm endpoints."""
     return PolicyHarness(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
 
@@ -46,7 +49,7 @@
     return retries, responses
 
 
-def with_full_buckets(may_hedge: bool = False) -> PolicyHarness:
+def with_full_buckets(*, may_hedge: bool = False) -> PolicyHarness:
     """A balancer with both token buckets full."""
     harness = inner_tier(may_hedge=may_hedge)
     play(harness, 100, repeat(Outcome.SUCCEEDED))
@@ -60,7 +63,7 @@
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_with_the_whole_service_unreachable_transparent_retries_end_with_the_saved_tokens(
+def test_with_all_endpoints_unreachable_transparent_retries_end_with_the_saved_tokens(
     outcome: Outcome,
 ) -> None:
     """They were free: each request made all the attempts that it may."""
@@ -150,7 +153,7 @@
         harness.now = timer.at_ms
         hedged = started_attempts(harness.handle(TimerFired(timer.timer)))
         count += len(hedged)
-        harness.handle(ClientDisconnected(request))  # with nobody waiting no third attempt follows
+        harness.handle(ClientDisconnected(request))  # without a client no third attempt follows
         for index, endpoint in enumerate([first, *(attempt.endpoint for attempt in hedged)]):
             harness.finish(request, index, endpoint, Outcome.CANCELLED)
     return count
@@ -170,12 +173,12 @@
         play(harness, 1, repeat(Outcome.SUCCEEDED))
     request, actions = harness.request()
     first = first_endpoint(actions)
-    harness.handle(ClientDisconnected(request))  # nobody waits: what comes now is no final response
-    harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, True))
+    harness.handle(ClientDisconnected(request))  # without a client no response is final
+    harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, is_request_complete=True))
     assert play(harness, 1, iter([Outcome.ERROR])) == (0, 0), "four responses pay for no retry"
 
 
-def test_the_final_response_comes_at_once_where_no_token_is_left() -> None:
+def test_the_final_response_comes_at_once_without_tokens() -> None:
     harness = with_full_buckets()
     play(harness, 100, repeat(Outcome.ERROR))
     request, actions = harness.request()
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -4,6 +4,7 @@
 
 from collections import Counter
 from random import Random
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -13,13 +14,11 @@
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
-from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.policy.idempotency import IdempotencyRules
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.request import Request
 from loadbalancer.policy.selection import EndpointSelector
 from loadbalancer.policy.slow_start import SlowStart
-from loadbalancer.settings import Settings
 from tests.policy.helpers import (
     READ,
     PolicyHarness,
@@ -30,6 +29,10 @@
     settings,
 )
 
+if TYPE_CHECKING:
+    from loadbalancer.policy.endpoint_stats import EndpointStats
+    from loadbalancer.settings import Settings
+
 
 def test_equal_endpoints_get_equally_many_requests() -> None:
     counts = count_by_endpoint(PolicyHarness(4), 2_000)
@@ -115,20 +118,22 @@
         return [self._capacity[endpoint.entry.name] for endpoint in endpoints]
 
 
-def selector_with(changes: Settings, endpoints: EndpointSet, capacity: dict[str, float]) -> EndpointSelector:
+def selector_with(
+    configured: Settings, endpoints: EndpointSet, capacity: dict[str, float]
+) -> EndpointSelector:
     """A selector over a set of endpoints whose capacities are known."""
-    arrivals = ArrivalRate(changes)
+    arrivals = ArrivalRate(configured)
     estimator = FixedCapacities(endpoints, arrivals, capacity)
-    slow_start = SlowStart(changes, endpoints, arrivals, PeerEstimator(changes, arrivals), estimator)
-    idempotency = IdempotencyRules(changes, endpoints)
-    return EndpointSelector(changes, idempotency, slow_start, estimator, Random(1))
+    slow_start = SlowStart(configured, endpoints, arrivals, PeerEstimator(configured, arrivals), estimator)
+    idempotency = IdempotencyRules(configured, endpoints)
+    return EndpointSelector(configured, idempotency, slow_start, estimator, Random(1))
 
 
-def test_ties_go_to_the_larger_capacity_and_draws_follow_capacity() -> None:
-    now, common = 1_000.0, settings()
-    endpoints = EndpointSet(common, Random(1))
+def test_ties_go_to_the_larger_capacity_and_samples_follow_capacity() -> None:
+    now, configured = 1_000.0, settings()
+    endpoints = EndpointSet(configured, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(2)), now)
-    selector = selector_with(common, endpoints, {"s0": 2.0, "s1": 1.0})
+    selector = selector_with(configured, endpoints, {"s0": 2.0, "s1": 1.0})
     # (3 + 1) / 2 ties with (1 + 1) / 1
     endpoints.by_name["s0"].in_flight = 3
     endpoints.by_name["s1"].in_flight = 1
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -154,7 +154,7 @@
 def test_the_one_request_a_window_that_each_may_send_does_not_add_up(
     balancers: int, scenario: Scenario
 ) -> None:
-    """Each balancer sent a warming endpoint one request a window: hundreds sent twice what it can bear."""
+    """Each balancer sent a warming endpoint one request a window: hundreds sent twice what it can handle."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT)
     scenario(simulation)
     assert simulation.warming_attempts
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -47,15 +47,14 @@
             in_own_zone[-1] += sum(
                 first_endpoint(harness.request(PAY)[1])[0] == "a" for _ in range(2 * endpoints)
             )
-    assert in_own_zone[0] <= 45  # the first of two at the most, and now and then the second
+    assert in_own_zone[0] <= 45  # at most the first of two, and sometimes the second
     assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # drawn first, then chosen by load alone
 
 
 def test_a_loaded_own_zone_gives_way_to_the_other_zones() -> None:
     """One of two balancers sent nearly all to the one endpoint of its zone; two zones were idle."""
-    harness = PolicyHarness(0, zone="a", balancers=2, may_hedge=False)
+    harness = PolicyHarness(0, zone="a", balancers=2, may_hedge=False, tier=1)  # nothing is shed there
     harness.update_endpoints(*(Endpoint(zone, zone=zone) for zone in "abcd"))
-    harness.balancer._overload.sustainable.reset(16.0, harness.now)  # the limit of its start is past
     counts = Counter(first_endpoint(harness.request(PAY)[1]) for _ in range(16))
     assert counts.keys() == {"a", "b", "c", "d"}
     assert max(counts.values()) == counts["a"] < 12
