--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -138,7 +138,7 @@
         self._arrivals.record(now)
         if not self._admission.admits(request.request_class, event.tenant, event.remaining_ms, now):
             self._shed(request, "overloaded: shedding the requests of the lowest priority weight first", now)
-        elif not self._try_start_attempt(request, now):
+        elif not self._start_attempt(request, now):
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
@@ -148,7 +148,8 @@
         self._shedding_until = now + SHEDDING_MEMORY_MS
         self._respond_with_failure(request)
 
-    def _try_start_attempt(self, request: Request, now: float) -> bool:
+    def _start_attempt(self, request: Request, now: float) -> bool:
+        """Start the next attempt of a request if it may have one; return whether it has started."""
         actions = self._attempt_starter.start(request, now, is_shedding=now <= self._shedding_until)
         self._actions += actions
         return bool(actions)
@@ -161,7 +162,7 @@
                 # Overload suspends hedging as soon as requests of the lowest importance would be shed.
                 request = self._requests.get(request_id)
                 if request and self._hedging.allows(request) and not self._overload.is_overloaded(0.0, now):
-                    self._try_retry(request, now)
+                    self._start_retry(request, now)
 
     def _finish_attempt(self, event: AttemptFinished, now: float) -> None:
         request = self._requests.find(event)
@@ -173,7 +174,7 @@
         self._recorder.record_end(attempt, event.outcome, request, now)
         if event.is_request_complete:
             self._finish_request(request, event.outcome, now)
-        elif request.needs_attempt() and not self._try_retry(request, now):
+        elif request.needs_attempt() and not self._start_retry(request, now):
             self._respond_with_failure(request)
         self._requests.remove_if_finished(request)
 
@@ -187,10 +188,10 @@
                 self._recorder.record_abandoned(attempt, request, now)
         self._cancel_open_attempts(request)
 
-    def _try_retry(self, request: Request, now: float) -> bool:
+    def _start_retry(self, request: Request, now: float) -> bool:
         """Start a retry if its budget has a token; return whether it has started."""
         budget = self._retry_budgets.budget_for(request)
-        if not budget.allows() or request.is_streaming or not self._try_start_attempt(request, now):
+        if not budget.allows() or request.is_streaming or not self._start_attempt(request, now):
             return False
         budget.spend()
         return True
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -4,8 +4,8 @@
 from bisect import bisect_left
 from collections import deque
 
-# Attempts on idle connections, the latest ones, that the limit is learned from: it follows a change within
-# 40.
+# Attempts on idle connections, the latest ones, that the limit is learned from: it follows a
+# change within 40.
 MAX_SAMPLES = 40
 # Attempts without a response, at least, that show that connections are dead from an idle time on: a single
 # one may be the endpoint's fault.
@@ -46,7 +46,7 @@
         idle_times = sorted([idle for idle, _ in self._samples]) if unresponsive else []
         self.limit_ms = math.inf
         for i, idle in enumerate(unresponsive):
-            at_least_as_long = len(idle_times) - bisect_left(idle_times, idle)
-            if len(unresponsive) - i >= max(MIN_UNRESPONSIVE, MIN_UNRESPONSIVE_FRACTION * at_least_as_long):
+            not_shorter = len(idle_times) - bisect_left(idle_times, idle)
+            if len(unresponsive) - i >= max(MIN_UNRESPONSIVE, MIN_UNRESPONSIVE_FRACTION * not_shorter):
                 self.limit_ms = idle
                 return
