--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -60,11 +60,11 @@
         ),
         (
             "verdict corr=7 shot=1 upstream=u1 verdict=1 complete=1",
-            AttemptFinished(7, 1, "u1", Outcome.SUCCEEDED, is_answered=True),
+            AttemptFinished(7, 1, "u1", Outcome.SUCCEEDED, is_request_complete=True),
         ),
         (
             "verdict corr=7 shot=0 upstream=u1 verdict=7 complete=0 gauge=1.5,2",
-            AttemptFinished(7, 0, "u1", Outcome.NOT_SENT, is_answered=False, load_report=(1.5, 2.0)),
+            AttemptFinished(7, 0, "u1", Outcome.NOT_SENT, is_request_complete=False, load_report=(1.5, 2.0)),
         ),
         ("reminder ctx=hedge:7", TimerFired(HedgeTimer(7))),
         ("reminder ctx=list", TimerFired(EndpointListTimer())),
