--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -9,8 +9,8 @@
 
 # Time between the first two polls, in milliseconds; it doubles with each failure.
 INITIAL_BACKOFF_MS = 500.0
-# Longest time between two polls, in milliseconds. With jitter it is 3 s: balancers have the list within the 6
-# s after discovery's return that the operators allow.
+# Longest time between two polls, in milliseconds; 3 s with jitter. The operators allow 6 s from discovery's
+# return until the balancers have its list.
 MAX_BACKOFF_MS = 2_000.0
 # Shortest time from a failure to the next poll, in milliseconds: a poll that took longer than the backoff to
 # fail is repeated soon, since an update that a broken watch missed must arrive within 2 s of its timeout.
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -127,8 +127,8 @@
     def response_to(self, request: Request) -> RejectRequest | FailRequest:
         """Return a rejection if the client may safely repeat the request, else a failure.
 
-        A rejection asks the client to wait for a mean service time of the class: most attempts that are in
-        flight now have finished by then.
+        The `Retry-After` of a rejection is the mean service time of the class, within the maximum of the
+        settings: most attempts that are in flight now have finished by then.
         """
         if request.request_class.idempotency is Idempotency.SAFE or not request.may_have_run():
             service_time_ms = self._service_times.mean_ms(request.request_class.name)
