--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -10,7 +10,7 @@
 import socket
 import struct
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -20,27 +20,23 @@
 from loadbalancer.network.headers import MAX_BODY_BYTES
 from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.timers import HedgeTimer
+from tests.support.configurations import entry
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
-    connect_client,
     pass_reuse_delay,
     request_bytes,
     until_disconnected,
     until_idle,
 )
-from tests.support.loopback import (
-    ReceivedMessage,
-    Rig,
-    Upstream,
-    entry,
-    never_respond,
-    reset,
-    response,
-    status,
-)
+from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
+from tests.support.scripted_upstream import Upstream, never_respond, reset
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartProxy
+    from tests.support.proxy_harness import ProxyHarness
+
 Disconnect = Callable[[socket.socket], None]
 NOT_RUN = response(503, b"", "X-Not-Run: 1")
 
@@ -59,7 +55,7 @@
 
 
 def close_behind_bytes(client: socket.socket) -> None:
-    client.send(b"GET /re")  # looking at the first byte alone does not show the end behind it
+    client.send(b"GET /re")  # peeking at one byte does not show the disconnect after it
     client.close()
 
 
@@ -73,7 +69,7 @@
 
 
 def for_first_request(script: Any) -> Any:
-    """Applies a script to the request with the id 1; all others succeed."""
+    """Apply a script to the request with the id 1; all others succeed."""
 
     async def by_id(received: ReceivedMessage, writer: Any) -> None:
         if received.headers["x-request-id"] != "1":
@@ -86,67 +82,69 @@
     return by_id
 
 
-async def open_idle_connections(rig: Rig, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have an idle connection to each upstream, which retries use as well."""
-    while not all(upstream.received for upstream in rig.upstreams):
-        assert status(await rig.send_request()) == 200
-    monkeypatch.setattr(rig.proxy.upstreams, "close_idle_connections", lambda server: None)
-    pass_reuse_delay(rig)
+async def open_idle_connections(harness: ProxyHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Open an idle connection to each upstream, for first attempts and retries."""
+    while not all(upstream.received for upstream in harness.upstreams):
+        assert status(await harness.send_request()) == 200
+    monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
+    pass_reuse_delay(harness)
 
 
-def ids_of_attempts(rig: Rig) -> list[str]:
-    """The id of each request that an upstream has received, in no particular order."""
-    return [request.headers["x-request-id"] for upstream in rig.upstreams for request in upstream.received]
+def ids_of_attempts(harness: ProxyHarness) -> list[str]:
+    """Return the id of each request that an upstream has received, in no particular order."""
+    return [
+        request.headers["x-request-id"] for upstream in harness.upstreams for request in upstream.received
+    ]
 
 
-async def ids_received(rig: Rig) -> list[str]:
-    """The ids of the test's own requests that reached upstreams, once all in flight have arrived."""
-    pass_reuse_delay(rig)
-    assert status(await rig.send_request()) == 200
-    ids = ids_of_attempts(rig)
+async def ids_received(harness: ProxyHarness) -> list[str]:
+    """Return the ids of the test's own requests that upstreams received, once all in flight have arrived."""
+    pass_reuse_delay(harness)
+    assert status(await harness.send_request()) == 200
+    ids = ids_of_attempts(harness)
     return sorted(name for name in ids if len(name) < 8)
 
 
 @WAYS_TO_DISCONNECT
 async def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
-    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop is busy: connection, request and end all wait in the kernel when it polls again."""
-    async with Rig(Upstream()) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client = connect_client(rig)
-        client.sendall(request_bytes("/read", 1))
-        disconnect(client)
-        await rig.send_request()  # its connection came later
-        await until_disconnected(rig)
-        assert await ids_received(rig) == []
+    """The event loop is busy until the kernel holds connection, request and disconnect."""
+    harness = await start_proxy(Upstream())
+    await open_idle_connections(harness, monkeypatch)
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1))
+    disconnect(client)
+    await harness.send_request()  # its connection was opened later
+    await until_disconnected(harness)
+    assert await ids_received(harness) == []
 
 
 @WAYS_TO_DISCONNECT
 async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
-    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end came while the event loop was busy: it has not been read when the policy's timer fires."""
-    async with Rig(Upstream()) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, left = connect_client(rig), asyncio.Event()
-
-        def hold(event: Event, now: float) -> list[Action]:
-            if isinstance(event, RequestReceived):
-                return [SetTimer(now, HedgeTimer(event.request_id))]
-            if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
-                disconnect(client)
-                return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
-            if isinstance(event, ClientDisconnected):
-                left.set()
-            return []
-
-        handle = replace_policy(rig, hold)
-        client.sendall(request_bytes("/read", 1))
-        await left.wait()
-        await until_idle(rig)
-        replace_policy(rig, handle)
-        assert await ids_received(rig) == []
+    """The disconnect arrives while the event loop is busy, and is unread as the policy's timer fires."""
+    harness = await start_proxy(Upstream())
+    await open_idle_connections(harness, monkeypatch)
+    client, disconnected = harness.connect_socket(), asyncio.Event()
+
+    def hold(event: Event, now: float) -> list[Action]:
+        if isinstance(event, RequestReceived):
+            return [SetTimer(now, HedgeTimer(event.request_id))]
+        if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
+            disconnect(client)
+            return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
+        if isinstance(event, ClientDisconnected):
+            disconnected.set()
+        return []
+
+    handle = replace_policy(harness, hold)
+    client.sendall(request_bytes("/read", 1))
+    await disconnected.wait()
+    await until_idle(harness)
+    replace_policy(harness, handle)
+    assert await ids_received(harness) == []
 
 
 @WAYS_TO_DISCONNECT
@@ -162,42 +160,48 @@
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
 async def test_not_retried_when_the_client_disconnects_as_its_attempt_fails(
-    request_bytes: bytes, script: Any, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy,
+    request_bytes: bytes,
+    script: Any,
+    disconnect: Disconnect,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client disconnects as its first attempt fails; a retry would be written at once."""
-    async with Rig(Upstream(for_first_request(script)), Upstream(for_first_request(script))) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, ends = connect_client(rig), list[AttemptFinished]()
-
-        def disconnect_once(event: AttemptFinished) -> None:
-            ends.append(event)
-            if len(ends) == 1:
-                disconnect(client)
+    """The client disconnects as its first attempt fails, when a retry would be written immediately."""
+    harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
+    await open_idle_connections(harness, monkeypatch)
+    client, ends = harness.connect_socket(), list[AttemptFinished]()
+
+    def disconnect_once(event: AttemptFinished) -> None:
+        ends.append(event)
+        if len(ends) == 1:
+            disconnect(client)
 
-        before_event(rig, AttemptFinished, disconnect_once)
-        client.sendall(request_bytes)
-        await wait_until(lambda: ends, "the client has disconnected")
-        await until_idle(rig)
-        assert await ids_received(rig) == ["1"]
+    before_event(harness, AttemptFinished, disconnect_once)
+    client.sendall(request_bytes)
+    await wait_until(lambda: ends, "the client has disconnected")
+    await until_idle(harness)
+    assert await ids_received(harness) == ["1"]
 
 
-async def test_the_same_failures_are_retried_while_the_client_stays(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The test above rests on it: only the disconnect keeps the retry back."""
+async def test_the_same_failures_are_retried_while_the_client_stays(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Shows that in the test above only the disconnect prevents the retry."""
     script = for_first_request(response(500))
-    async with Rig(Upstream(script), Upstream(script)) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client = connect_client(rig)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(
-            lambda: ids_of_attempts(rig).count("1") >= 2,
-            "the request is hedged",
-            state=lambda: ids_of_attempts(rig),
-        )
-        client.close()
+    harness = await start_proxy(Upstream(script), Upstream(script))
+    await open_idle_connections(harness, monkeypatch)
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(
+        lambda: ids_of_attempts(harness).count("1") >= 2,
+        "the request is hedged",
+        state=lambda: ids_of_attempts(harness),
+    )
+    client.close()
 
 
-def record_hedge_timers(rig: Rig) -> list[HedgeTimer]:
-    """A list to which every hedge timer that the policy sets is appended."""
+def record_hedge_timers(harness: ProxyHarness) -> list[HedgeTimer]:
+    """Return a list to which every hedge timer that the policy sets is appended."""
     timers = list[HedgeTimer]()
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
@@ -205,105 +209,108 @@
         timers.extend(a.timer for a in actions if isinstance(a, SetTimer) and isinstance(a.timer, HedgeTimer))
         return actions
 
-    handle = replace_policy(rig, record_and_handle)
+    handle = replace_policy(harness, record_and_handle)
     return timers
 
 
 @pytest.mark.parametrize("disconnect", [None, close, half_close, reset_by_client, close_behind_bytes])
 async def test_hedged_request_is_sent_only_while_the_client_is_connected(
-    disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its timer fires before the event loop has read the client's end."""
+    """The hedge timer fires before the event loop has read the disconnect."""
     script = for_first_request(never_respond)
-    async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, timers = connect_client(rig), record_hedge_timers(rig)
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: timers, "the policy has set a hedge timer")
-        if disconnect is not None:
-            disconnect(client)
-        rig.proxy.dispatcher.dispatch(TimerFired(timers[0]))
-        assert await ids_received(rig) == ["1"] * (1 if disconnect else 2)
+    harness = await start_proxy(Upstream(script), Upstream(script), limits=HEDGING_LIMITS)
+    await open_idle_connections(harness, monkeypatch)
+    client, timers = harness.connect_socket(), record_hedge_timers(harness)
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: timers, "the policy has set a hedge timer")
+    if disconnect is not None:
+        disconnect(client)
+    harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
+    assert await ids_received(harness) == ["1"] * (1 if disconnect else 2)
 
 
 async def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
     script = for_first_request(never_respond)
-    async with Rig(Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client, timers, left = connect_client(rig), record_hedge_timers(rig), asyncio.Event()
-        before_event(rig, ClientDisconnected, lambda event: left.set())
-        client.sendall(request_bytes("/read", 1))
-        await wait_until(lambda: timers, "the policy has set a hedge timer")
-        client.close()
-        await left.wait()
-        rig.proxy.dispatcher.dispatch(TimerFired(timers[0]))
-        assert rig.proxy.open_requests, "the first attempt is still in progress"
-        assert await ids_received(rig) == ["1"]
+    harness = await start_proxy(
+        Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
+    )
+    await open_idle_connections(harness, monkeypatch)
+    client, timers, disconnected = harness.connect_socket(), record_hedge_timers(harness), asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: disconnected.set())
+    client.sendall(request_bytes("/read", 1))
+    await wait_until(lambda: timers, "the policy has set a hedge timer")
+    client.close()
+    await disconnected.wait()
+    harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
+    assert harness.proxy.open_requests, "the first attempt is still in progress"
+    assert await ids_received(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_pipelined_requests_are_not_sent_after_a_disconnect(
-    may_cancel: bool, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
-    """Where the first attempt goes on, its response must not start the next request."""
+    """If the first attempt continues, its response must not start the next request."""
     upstream = Upstream(for_first_request(never_respond))
-    async with Rig(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel}) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        left = asyncio.Event()
-        before_event(rig, ClientDisconnected, lambda event: left.set())
-        client = connect_client(rig)
-        client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
-        await wait_until(
-            lambda: upstream.received[-1].headers["x-request-id"] == "1",
-            "the upstream has received the first request",
-        )
-        disconnect(client)
-        await left.wait()
-        for writer in upstream.writers:
-            writer.write(response())
-        await until_idle(rig)
-        assert await ids_received(rig) == ["1"]
+    harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
+    await open_idle_connections(harness, monkeypatch)
+    disconnected = asyncio.Event()
+    before_event(harness, ClientDisconnected, lambda event: disconnected.set())
+    client = harness.connect_socket()
+    client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2) + request_bytes("/read", 3))
+    await wait_until(
+        lambda: upstream.received[-1].headers["x-request-id"] == "1",
+        "the upstream has received the first request",
+    )
+    disconnect(client)
+    await disconnected.wait()
+    for writer in upstream.writers:
+        writer.write(response())
+    await until_idle(harness)
+    assert await ids_received(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
 async def test_not_retried_after_a_disconnect_while_reading_is_paused(
-    disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end is behind requests that are not read, and the sweep has not looked at the connection."""
+    """The disconnect follows unread requests, and the sweep has not checked the connection."""
     monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def fail_later(received: ReceivedMessage, writer: Any) -> None:
         failing.append(writer)
 
     failing = list[Any]()
-    async with Rig(
+    harness = await start_proxy(
         Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
-    ) as rig:
-        await open_idle_connections(rig, monkeypatch)
-        client = connect_client(rig)
-        many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-        client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
-        await wait_until(
-            lambda: failing and any(c.is_reading_paused for c in rig.proxy.listener.connections),
-            "an attempt is in progress and the balancer pauses reading",
-            state=lambda: failing,
-        )
-        before_event(rig, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
-        failing[0].write(response(500))
-        await until_idle(rig)
-        await until_disconnected(rig)
-        assert await ids_received(rig) == ["1"]
+    )
+    await open_idle_connections(harness, monkeypatch)
+    client = harness.connect_socket()
+    many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+    client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
+    await wait_until(
+        lambda: failing and any(c.is_reading_paused for c in harness.proxy.listener.connections),
+        "an attempt is in progress and the balancer pauses reading",
+        state=lambda: failing,
+    )
+    before_event(harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
+    failing[0].write(response(500))
+    await until_idle(harness)
+    await until_disconnected(harness)
+    assert await ids_received(harness) == ["1"]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 async def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
-    may_cancel: bool, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
-    """The upstream never gets the last byte, without which it does not begin to process a request."""
+    """The upstream does not get the last byte, so it does not process the request."""
     made, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
 
     def connect_with_small_buffer(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
@@ -318,23 +325,23 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        listener.setblocking(False)
+        listener.settimeout(0.0)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        rig = Rig(limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
-        rig.entries.append(entry("s0", address))
-        async with rig:
-            client, left = connect_client(rig), asyncio.Event()
-            before_event(rig, ClientDisconnected, lambda event: left.set())
-            client.setblocking(False)
-            await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
-            await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
-            client.close()
-            await left.wait()
-            upstream, got = (await loop.sock_accept(listener))[0], b""
-            with upstream:
-                while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
-                    got += part
-            head, _, body = got.partition(b"\r\n\r\n")
-            assert head.startswith(b"POST /pay ")
-            assert len(body) < MAX_BODY_BYTES
-            assert not rig.proxy.open_requests
+        harness = await start_proxy(
+            more_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
+        )
+        client, disconnected = harness.connect_socket(), asyncio.Event()
+        before_event(harness, ClientDisconnected, lambda event: disconnected.set())
+        client.settimeout(0.0)
+        await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
+        await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
+        client.close()
+        await disconnected.wait()
+        upstream, got = (await loop.sock_accept(listener))[0], b""
+        with upstream:
+            while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
+                got += part
+        head, _, body = got.partition(b"\r\n\r\n")
+        assert head.startswith(b"POST /pay ")
+        assert len(body) < MAX_BODY_BYTES
+        assert not harness.proxy.open_requests
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -7,30 +7,29 @@
 import json
 import socket
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.sockets import RESERVED_DESCRIPTORS
-from tests.support.loopback import (
-    Client,
-    DiscoveryServer,
-    Upstream,
-    config_text,
-    entry,
-    free_port,
-    never_respond,
-    status,
-)
+from tests.support.configurations import config_text, entry
+from tests.support.http_client import Client
+from tests.support.http_messages import status
 from tests.support.program import read_log_line, running_program
+from tests.support.scripted_discovery import DiscoveryServer
+from tests.support.scripted_upstream import Upstream, never_respond
+from tests.support.sockets import free_port
 from tests.support.upstream_attempts import ObservedAttempt, make_pools
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from tests.support.fixture_types import StartServer
+
 DESCRIPTORS = 256
 CLIENTS = 320
 
 
-async def connect_and_stay_idle(port: int) -> None:
-    """Connect again each time the balancer closes the connection."""
+async def hold_idle_connection(port: int) -> None:
+    """Hold an idle connection, and open a new one each time the balancer closes it."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         with contextlib.suppress(ConnectionError):
@@ -42,16 +41,16 @@
     return sum(1 for _ in Path(f"/proc/{process.pid}/fd").iterdir())
 
 
-async def most_descriptors(process: asyncio.subprocess.Process, at_least: int) -> int:
-    """Return the largest number of open descriptors, until `at_least` are open and a second longer."""
+async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
+    """Return the largest number of open descriptors, until `min_count` are open and a second longer."""
     counts = list[int]()
 
     def has_reached() -> bool:
         counts.append(count_descriptors(process))
-        return counts[-1] >= at_least
+        return counts[-1] >= min_count
 
     await wait_until(
-        has_reached, f"{at_least} descriptors are open", state=lambda: max(counts), poll_interval_s=0.01
+        has_reached, f"{min_count} descriptors are open", state=lambda: max(counts), poll_interval_s=0.01
     )
     for _ in range(100):
         counts.append(count_descriptors(process))
@@ -66,25 +65,27 @@
     path.write_text(json.dumps(document))
 
 
-async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(tmp_path: Path) -> None:
-    """Discovery is down meanwhile; what the balancer needs when it recovers has to be free then."""
+async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
+    start_server: StartServer, tmp_path: Path
+) -> None:
+    """Descriptors for discovery and upstreams stay free while discovery is down."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
     with socket.socket() as down:
-        down.bind(("127.0.0.1", 0))  # does not listen yet: connections are refused
+        down.bind(("127.0.0.1", 0))  # does not listen yet, so connections are refused
         port = free_port()
         write_configuration(path, port, down.getsockname()[1])
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
-            clients.extend(asyncio.ensure_future(connect_and_stay_idle(port)) for _ in range(CLIENTS))
-            # The clients go on connecting: over three times as many as are accepted.
+            clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
+            # The clients keep connecting, more than three times as many as are accepted.
             clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
-            most = await most_descriptors(process, clients_part)
-            assert clients_part <= most <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
+            max_open = await max_open_descriptors(process, clients_part)
+            assert clients_part <= max_open <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
             server = await asyncio.start_server(discovery.serve, sock=down)
             await discovery.calls.get()
-            discovery.publish(8, entry("s0", await upstream.start()), snapshot=True)
+            discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
             assert "after=8&" in await discovery.calls.get()
             client = Client()
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
@@ -96,21 +97,23 @@
                 task.cancel()
 
 
-async def test_attempts_started_at_once_keep_to_the_upstreams_part_of_the_descriptors() -> None:
-    """Each was admitted before the first had opened its connection: all that started at once got one."""
+async def test_attempts_started_at_once_are_limited_by_the_descriptors_for_upstreams(
+    start_server: StartServer,
+) -> None:
+    """Guards against a limit that counts a connection only once it is established."""
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await upstream.start())
+    upstreams = make_pools(await start_server(upstream))
     upstreams.connection_limit.max_connections = 5
     attempts = [ObservedAttempt(upstreams) for _ in range(12)]
 
-    def all_started_or_ended() -> bool:
+    def all_connected_or_finished() -> bool:
         assert upstreams.open_connections <= 5
-        return upstream.connections >= 5 and sum(bool(attempt.ends) for attempt in attempts) >= 7
+        return upstream.connections >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
-        all_started_or_ended,
+        all_connected_or_finished,
         "five attempts have connected and seven have ended",
-        state=lambda: (upstream.connections, [attempt.ends for attempt in attempts]),
+        state=lambda: (upstream.connections, [attempt.outcomes for attempt in attempts]),
     )
     assert upstreams.open_connections == upstream.connections == 5
-    assert [attempt.ends for attempt in attempts if attempt.ends] == [[Outcome.NOT_SENT]] * 7
+    assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -2,26 +2,34 @@
 
 from __future__ import annotations
 
-import pytest
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.request_ids import RequestIds
-from tests.support.loopback import Rig, Upstream, never_respond, response, status
+from tests.support.http_messages import response, status
+from tests.support.scripted_upstream import Upstream, never_respond
 
+if TYPE_CHECKING:
+    import pytest
 
-async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected() -> None:
+    from tests.support.fixture_types import StartProxy
+
+
+async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected(
+    start_proxy: StartProxy,
+) -> None:
     upstream = Upstream(never_respond)
-    async with Rig(upstream) as rig:
-        first = await rig.client()
-        second = await rig.client()
-        first.send("/pay/x", b"debit", x_request_id="same")
-        await upstream.seen.wait()
-        second.send("/pay/x", b"debit", x_request_id="same")
-        assert status(await second.read_response()) == 409
-        upstream.writers[0].write(response(200, b"unaffected"))
-        assert (await first.read_response()).body == b"unaffected"
-        second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
-        assert status(await second.read_response()) == 409
-        assert len(upstream.received) == 1
+    harness = await start_proxy(upstream)
+    first = await harness.client()
+    second = await harness.client()
+    first.send("/pay/x", b"debit", x_request_id="same")
+    await upstream.seen.wait()
+    second.send("/pay/x", b"debit", x_request_id="same")
+    assert status(await second.read_response()) == 409
+    upstream.writers[0].write(response(200, b"unaffected"))
+    assert (await first.read_response()).body == b"unaffected"
+    second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
+    assert status(await second.read_response()) == 409
+    assert len(upstream.received) == 1
 
 
 def test_finished_ids_are_forgotten_after_a_bounded_number(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -11,7 +11,7 @@
 
 from testbed.balancer import real
 from testbed.balancer.real import BalancerExitedError, RealBalancer
-from tests.support.loopback import config_text
+from tests.support.configurations import config_text
 from tests.support.waiting import wait_until
 
 if TYPE_CHECKING:
