--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -149,7 +149,7 @@
     replace_policy(harness, respond_then_send)
     reply = await harness.send_request()
     assert (status(reply), reply.headers["retry-after"]) == (503, "0.250")
-    assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, is_answered=True)]
+    assert events[1:] == [AttemptFinished(1, 0, "s0", Outcome.NOT_SENT, is_request_complete=True)]
     assert not upstream.received
     assert not proxy.open_requests
 
