--- /dev/null
+++ b/loadbalancer/network/client/expiry.py
@@ -0,0 +1,91 @@
+"""The expiry of one client connection: closes it when its client takes too long."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from loadbalancer.network.client import timeouts
+from loadbalancer.network.client.rejection import Rejection
+
+if TYPE_CHECKING:
+    from loadbalancer.network.client.pipeline import RequestPipeline
+    from loadbalancer.network.client.request_reader import RequestReader
+    from loadbalancer.network.client.transport import ClientTransport
+
+REQUEST_TIMED_OUT = Rejection(408, "the request did not come to its end")
+
+
+class ConnectionExpiry:
+    """Determines what a connection is waiting for, and closes it if that takes too long."""
+
+    def __init__(self, transport: ClientTransport, reader: RequestReader, pipeline: RequestPipeline) -> None:
+        self._transport = transport
+        self._reader = reader
+        self._pipeline = pipeline
+
+    def is_idle(self) -> bool:
+        """Return whether no request is being handled, is queued or has begun to arrive."""
+        return not self._pipeline.has_open_request() and not self._reader.arrival.is_arriving
+
+    def is_request_pending(self) -> bool:
+        """Return whether a request is awaited or has begun to arrive, and none is open."""
+        arrival = self._reader.arrival
+        is_awaited = arrival.is_arriving or not arrival.has_received_request
+        return is_awaited and not self._pipeline.has_open_request()
+
+    def may_close(self) -> bool:
+        """Return whether closing loses nothing: it is idle, and the kernel holds no request either."""
+        if not self._transport.is_open or not self.is_idle():
+            return False
+        return self._transport.discards_input or not self._transport.has_unread_bytes()
+
+    def expire_if_slow(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
+        """Close the connection if the client has kept it for too long without a complete request.
+
+        Guards against clients that send nothing, never finish a request, or stay connected after one. A
+        request that has arrived but has not been read yet is not lost: the kernel is queried for unread
+        bytes first, and a request found there is read although its time is up.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            request_timeout_s: How long a request may take to arrive.
+            idle_timeout_s: How long the connection may stay idle.
+
+        Returns:
+            Whether the connection was closed or its request rejected.
+        """
+        if not self._transport.is_open or self._transport.discards_input:
+            return False
+        if self._transport.is_reading_paused and self._transport.is_client_gone():
+            return False  # nothing else notices a disconnect while reading is paused
+        if self.is_request_pending():
+            return self._expire_pending_request(now, request_timeout_s)
+        if self.is_idle():
+            if now - self._pipeline.idle_since < idle_timeout_s or not self.may_close():
+                return False
+            self._transport.close_gracefully(timeouts.LINGER_TIMEOUT_S)
+            return True
+        self._abort_if_stalled(now)
+        return False
+
+    def _expire_pending_request(self, now: float, request_timeout_s: float) -> bool:
+        started_at = self._reader.arrival.started_at
+        if now - started_at < request_timeout_s:
+            return False
+        # Guards against clients that send a byte at a time: while the loop is busy, each check would find
+        # a byte that is not read yet. Once input was read after the time was up, no more is waited for.
+        grace_ends_at = started_at + timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
+        was_read_late = self._reader.last_received_at >= grace_ends_at
+        if not was_read_late and self._transport.has_unread_bytes():
+            return False
+        if self._reader.has_partial_request:
+            self._pipeline.reject(REQUEST_TIMED_OUT)
+        else:
+            self._transport.close_gracefully(timeouts.SHORT_LINGER_TIMEOUT_S)
+        return True
+
+    def _abort_if_stalled(self, now: float) -> None:
+        """Abort if the client does not read its responses: the queued requests would never be handled."""
+        stalled_s = now - self._pipeline.idle_since
+        if self._pipeline.has_waiting_request() and stalled_s > timeouts.WRITE_STALL_TIMEOUT_S:
+            self._transport.abort()
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -1,19 +1,23 @@
-"""The requests of one connection: handled in turn, each after the response to the one before it."""
+"""The pipeline of one connection: its requests are handled in order, one at a time (HTTP/1.1 pipelining)."""
 
 from __future__ import annotations
 
 import time
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.client import timeouts
-from loadbalancer.network.client.context import ConnectionContext
-from loadbalancer.network.client.incoming_request import IncomingRequest, Rejection
-from loadbalancer.network.client.request_reader import RequestReader
+from loadbalancer.network.client.rejection import Rejection
 from loadbalancer.network.client.response_writer import serialize_response
-from loadbalancer.network.client.transport import ClientTransport
-from loadbalancer.network.headers import Headers
 
-# A connection that buffers no more than this is not rejected for want of memory.
+if TYPE_CHECKING:
+    from loadbalancer.network.client.context import ConnectionContext
+    from loadbalancer.network.client.incoming_request import IncomingRequest
+    from loadbalancer.network.client.request_reader import RequestReader
+    from loadbalancer.network.client.transport import ClientTransport
+    from loadbalancer.network.headers import Headers
+
 UNCONDITIONAL_BUFFER_BYTES = 16_384
+"""A connection that buffers no more than this is not rejected when the buffers of all clients are full."""
 
 BUFFERS_FULL = Rejection(503, "too much is waiting here")
 
@@ -33,9 +37,9 @@
         self._current_request: IncomingRequest | None = None
         self._rejection: Rejection | None = None  # written once the requests before it are responded to
         self._is_dispatching = False
-        self._accounted_bytes = 0  # this connection's part of the buffer account
+        self._accounted_bytes = 0  # bytes of this connection in the buffer account
         self.reader = reader
-        self.idle_since = reader.request_started_at
+        self.idle_since = reader.arrival.started_at
 
     def has_open_request(self) -> bool:
         """Return whether a request is being handled or is queued."""
@@ -50,7 +54,7 @@
         return self._transport.is_client_gone()
 
     def parse_input(self) -> None:
-        """Parse what has arrived, as far as requests may be read ahead."""
+        """Parse the received bytes, up to the limit on requests that are read ahead."""
         self._update_buffer_account()
         # Guards against clients that together fill the memory: those that buffer much are rejected.
         if self._context.buffers.is_exceeded() and self._accounted_bytes > UNCONDITIONAL_BUFFER_BYTES:
@@ -61,15 +65,15 @@
                 self.reject(rejection)
             self.advance()
         if self._transport.discards_input:
-            # Guards against responses after the connection's end: what follows a request that asked to
-            # close the connection is not parsed.
+            # Guards against responses after the end of the connection: input that follows a request with
+            # `Connection: close` is not parsed.
             self.reader.discard_unparsed()
         self._update_buffer_account()
         if self.reader.has_unparsed_input:
             self._transport.pause_reading()
 
     def advance(self) -> None:
-        """Handle the next requests, write a rejection that is due, or resume reading."""
+        """Handle the next requests, write a rejection whose turn has come, or resume reading."""
         if self._is_dispatching or not self._transport.is_open:
             return
         self._dispatch_requests()
@@ -100,13 +104,13 @@
         self.advance()
 
     def abandon(self) -> None:
-        """Drop what is queued and tell the handler about the open request: the client has gone."""
+        """Drop the queued requests and notify the handler of the open one: the client has disconnected."""
         request = self._current_request
         self._current_request = None
         self.reader.close()
         self._update_buffer_account()
         if request is not None:
-            request.awaits_response = False
+            request.abandon()
             self._context.handler.handle_disconnect(request)
 
     def _may_resume_reading(self) -> bool:
@@ -116,24 +120,25 @@
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
         try:
-            # Guards against a client that sends and never reads: one response at most is buffered for it.
+            # Guards against a client that sends and never reads: at most one response is buffered for it.
             while self.has_waiting_request() and not self._transport.has_unsent_bytes():
                 request = self.reader.requests.popleft()
-                request.responder = self
+                request.start(self)
                 self._current_request = request
                 self._handle_request(request)
         finally:
             self._is_dispatching = False
 
     def _handle_request(self, request: IncomingRequest) -> None:
-        if request.is_health_check():
-            # During the shutdown it fails, for those that decide by it where to send requests.
-            is_ending = self._context.is_shutting_down
-            request.respond(503 if is_ending else 200, body=b"ending\n" if is_ending else b"ok\n")
+        if request.head.is_health_check():
+            # It fails during the shutdown, so that clients that rely on it send requests elsewhere.
+            is_shutting_down = self._context.is_shutting_down
+            status, body = (503, b"ending\n") if is_shutting_down else (200, b"ok\n")
+            request.respond(status, body=body)
             return
         try:
             self._context.handler.handle_request(request)
-        except Exception:  # whatever happens, the client must get a response
+        except Exception:  # the client must get a response after any error
             self._context.report("a request could not be handled")
             request.respond(500)
 
--- /dev/null
+++ b/loadbalancer/network/client/rejection.py
@@ -0,0 +1,32 @@
+"""Error responses to input that is not an acceptable request."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from loadbalancer.errors import LoadBalancerError
+
+
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """The error response to a request that is not acceptable.
+
+    Attributes:
+        status: The status code.
+        reason: The text of the body.
+    """
+
+    status: int
+    reason: str
+
+
+class RequestRejectedError(LoadBalancerError):
+    """Raised while a request is read: the request is not acceptable.
+
+    Attributes:
+        rejection: The error response that the client gets.
+    """
+
+    def __init__(self, rejection: Rejection) -> None:
+        super().__init__(rejection.reason)
+        self.rejection = rejection
--- /dev/null
+++ b/loadbalancer/network/client/request_arrival.py
@@ -0,0 +1,54 @@
+"""The times at which the requests of one connection arrive."""
+
+from __future__ import annotations
+
+import time
+
+
+class RequestArrival:
+    """Tracks when the current request of a connection began to arrive, and whether it is complete.
+
+    All times are in seconds of the monotonic clock.
+
+    Attributes:
+        is_arriving: Whether a request has begun to arrive and is not complete yet.
+        started_at: When the current request began to arrive; when the client connected, before the first
+            request is complete.
+        has_received_request: Whether a complete request has ever arrived.
+    """
+
+    __slots__ = ("_first_request_sent_at", "has_received_request", "is_arriving", "started_at")
+
+    def __init__(self, connected_at: float, first_request_sent_at: float | None) -> None:
+        """Create the state of a new connection.
+
+        Args:
+            connected_at: When the client connected.
+            first_request_sent_at: When the first request reached the kernel, if that was before the
+                connection was accepted; else None.
+        """
+        self._first_request_sent_at = first_request_sent_at
+        self.is_arriving = False
+        self.started_at = connected_at
+        self.has_received_request = False
+
+    def begin(self, now: float) -> None:
+        """Record that the first byte of a request has arrived."""
+        self.is_arriving = True
+        if self.has_received_request:
+            self.started_at = now
+
+    def complete(self) -> float:
+        """Record that the current request is complete.
+
+        Returns:
+            When it arrived. For the first request of a connection that is when it reached the kernel, so
+            that its time in the accept queue counts against its deadline.
+        """
+        received_at = self._first_request_sent_at
+        if received_at is None:
+            received_at = time.monotonic()
+        self._first_request_sent_at = None
+        self.is_arriving = False
+        self.has_received_request = True
+        return received_at
--- /dev/null
+++ b/loadbalancer/network/client/request_parser.py
@@ -0,0 +1,156 @@
+"""Sans-I/O parser of a client's requests: puts complete requests together from the events of httptools."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+import httptools
+
+from loadbalancer.errors import InvalidStateError
+from loadbalancer.network.client.incoming_request import IncomingRequest
+from loadbalancer.network.client.rejection import Rejection, RequestRejectedError
+from loadbalancer.network.client.request_head import RequestHead, read_request_head
+from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from loadbalancer.network.client.request_arrival import RequestArrival
+    from loadbalancer.settings import RequestClass
+
+MALFORMED_REQUEST = Rejection(400, "malformed request")
+HEAD_TOO_LARGE = Rejection(431, "headers too large")
+BODY_TOO_LARGE = Rejection(413, "body too large")
+
+
+class ParserClosedError(InvalidStateError):
+    """Bytes were passed to a parser that is closed."""
+
+
+class RequestParser:
+    """Parses the bytes of one connection into requests.
+
+    The methods `on_...` are the callbacks of httptools, and nothing else calls them.
+    """
+
+    def __init__(
+        self,
+        classes: dict[str, RequestClass],
+        arrival: RequestArrival,
+        on_request: Callable[[IncomingRequest], None],
+    ) -> None:
+        """Create a parser.
+
+        Args:
+            classes: The request classes of the settings, by name.
+            arrival: Is notified when a request begins and when it is complete.
+            on_request: Called with each complete request.
+        """
+        self._classes = classes
+        self._arrival = arrival
+        self._on_request = on_request
+        self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+        self._target = b""
+        self._headers: Headers = []
+        self._head: RequestHead | None = None  # of a request whose body is not complete yet
+        self._body_parts: list[bytes] = []
+        self._body_bytes = 0
+
+    @property
+    def partial_body_bytes(self) -> int:
+        """Size of the body so far, of a request that is not complete."""
+        return self._body_bytes if self._head is not None else 0
+
+    def feed(self, data: bytes) -> Rejection | None:
+        """Parse bytes; `on_request` is called for each request that they complete.
+
+        Returns:
+            The rejection of the current request if it is not acceptable; nothing may be parsed after it.
+        """
+        try:
+            self._open_parser().feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            # The parser reports an exception of a callback as the context of its own.
+            cause = error.__context__
+            return cause.rejection if isinstance(cause, RequestRejectedError) else MALFORMED_REQUEST
+        return None
+
+    def discard_partial_request(self) -> None:
+        """Release the memory of the request that is not complete; nothing may be parsed afterwards."""
+        self._body_parts = []
+        self._head = None
+
+    def close(self) -> None:
+        """Release all memory; nothing may be parsed afterwards.
+
+        Guards against a reference cycle: the parser of httptools refers back to this object.
+        """
+        self.discard_partial_request()
+        self._parser = None
+
+    def _open_parser(self) -> httptools.HttpRequestParser:
+        if self._parser is None:
+            raise ParserClosedError
+        return self._parser
+
+    # ---- callbacks of httptools -----------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        """Start with an empty request."""
+        if not self._arrival.is_arriving:
+            self._arrival.begin(time.monotonic())
+        self._target = b""
+        self._headers = []
+        self._body_parts = []
+        self._body_bytes = 0
+
+    def on_url(self, part: bytes) -> None:
+        """Append a part of the target."""
+        self._target += part
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Append a header."""
+        self._headers.append((name.lower(), value))
+
+    def on_headers_complete(self) -> None:
+        """Validate the head: an unacceptable request is rejected before its body is read.
+
+        Raises:
+            RequestRejectedError: If the request is not acceptable.
+        """
+        headers_bytes = sum(len(name) + len(value) for name, value in self._headers)
+        if headers_bytes + len(self._target) > MAX_HEAD_BYTES:
+            raise RequestRejectedError(HEAD_TOO_LARGE)
+        method = self._open_parser().get_method()
+        self._head = read_request_head(method, self._target, self._headers, self._classes)
+
+    def on_body(self, data: bytes) -> None:
+        """Append a part of the body.
+
+        Raises:
+            RequestRejectedError: If the body is larger than the protocol allows.
+        """
+        self._body_bytes += len(data)
+        if self._body_bytes > MAX_BODY_BYTES:
+            raise RequestRejectedError(BODY_TOO_LARGE)
+        self._body_parts.append(data)
+
+    def on_message_complete(self) -> None:
+        """Pass the complete request on.
+
+        Raises:
+            RequestRejectedError: If the request has no complete head.
+        """
+        head = self._head
+        if head is None:
+            raise RequestRejectedError(MALFORMED_REQUEST)
+        self._head = None
+        request = IncomingRequest(
+            head,
+            b"".join(self._body_parts),
+            self._arrival.complete(),
+            keep_alive=self._open_parser().should_keep_alive(),
+        )
+        self._body_parts = []
+        self._on_request(request)
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -109,7 +109,7 @@
         Returns:
             The request; None if its X-Request-Id is in use.
         """
-        if not self._ids.add(incoming.request_id):
+        if not self._ids.add(incoming.head.request_id):
             return None
         self._last_number += 1
         request = ProxiedRequest(self._last_number, incoming, expires_at_ms)
@@ -121,4 +121,4 @@
         """Remove a request if it is finished."""
         if request.is_finished():
             self._by_number.pop(request.number, None)
-            self._ids.finish(request.incoming.request_id)
+            self._ids.finish(request.incoming.head.request_id)
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -127,7 +127,7 @@
             incoming.respond(503)  # the process ends before any upstream could respond
             return
         waited_ms = (time.monotonic() - incoming.received_at) * 1000
-        budget_ms = incoming.deadline_ms - waited_ms
+        budget_ms = incoming.head.deadline_ms - waited_ms
         request = self._requests.add(incoming, self.clock.now() + budget_ms - POLICY_DEADLINE_MARGIN_MS)
         if request is None:
             incoming.respond(409, body=b"this id is in use\n")
@@ -135,11 +135,11 @@
         self._watchdog.watch(request, budget_ms)
         event = RequestReceived(
             request.number,
-            incoming.class_name,
+            incoming.head.class_name,
             max(budget_ms - POLICY_DEADLINE_MARGIN_MS, 0.0),
-            incoming.tenant,
-            incoming.is_client_retry,
-            incoming.cost_hint_ms,
+            incoming.head.tenant,
+            incoming.head.is_client_retry,
+            incoming.head.cost_hint_ms,
         )
         self.dispatcher.dispatch(event, request)
 
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -31,7 +31,7 @@
         incoming = self._incoming
         remaining_us = max((self._expires_at_s - time.monotonic()) * 1_000_000, MIN_DEADLINE_US)
         return b"%bX-Deadline: %du\r\n%b\r\n%b" % (
-            incoming.head,
+            incoming.head.forwarded,
             remaining_us,
             self._content_length(),
             incoming.body,
@@ -39,6 +39,6 @@
 
     def _content_length(self) -> bytes:
         incoming = self._incoming
-        if not incoming.body and incoming.method == b"GET":
+        if not incoming.body and incoming.head.method == b"GET":
             return b""
         return b"Content-Length: %d\r\n" % len(incoming.body)
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -189,7 +189,7 @@
     async with Rig(Upstream()) as rig:
         client = await client_with_a_response(rig)
         (connection,) = rig.proxy.listener.connections
-        is_idle = connection.is_idle
+        is_idle = connection.expiry.is_idle
         has_crossed = asyncio.Event()
 
         def send_then_is_idle() -> bool:
@@ -198,7 +198,7 @@
                 client.send()  # written at once, and not read before the result is used
             return is_idle()
 
-        monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
+        monkeypatch.setattr(connection.expiry, "is_idle", send_then_is_idle)
         shutdown = asyncio.ensure_future(rig.proxy.listener.shut_down())
         reply = await client.read_response()
         assert status(reply) == 200
