--- a/loadbalancer/network/client/connection_table.py
+++ b/loadbalancer/network/client/connection_table.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
 from collections.abc import Callable, Collection, Iterator
 from typing import TYPE_CHECKING
@@ -11,6 +10,7 @@
 from loadbalancer.network.client.connection import ClientConnection
 
 if TYPE_CHECKING:
+    import asyncio
     import socket
 
     from loadbalancer.network.client.context import ConnectionContext
@@ -42,7 +42,7 @@
 
     def add(self, accepted: socket.socket) -> None:
         """Add a connection for a socket that was just accepted, and start to set it up."""
-        accepted.setblocking(False)
+        accepted.settimeout(0.0)  # non-blocking
         now = time.monotonic()
         ages = queue_ages(accepted)
         request_sent_at = now - ages.request_s if ages.request_s else None
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -1,13 +1,16 @@
-"""What all client connections of a listener share."""
+"""State and services that all client connections of a listener share."""
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from loadbalancer.network.client.incoming_request import RequestHandler
-from loadbalancer.settings import RequestClass
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from loadbalancer.network.client.incoming_request import RequestHandler
+    from loadbalancer.settings import RequestClass
 
 
 class BufferAccount:
@@ -23,17 +26,17 @@
         self.limit_bytes = limit_bytes
 
     def add(self, change_bytes: int) -> None:
-        """Record that so many more bytes are buffered; fewer if negative."""
+        """Add a number of bytes to those that are buffered; a negative one removes them."""
         self.used_bytes += change_bytes
 
     def is_exceeded(self) -> bool:
-        """Return whether more is buffered than the limit allows."""
+        """Return whether more bytes are buffered than the limit allows."""
         return self.used_bytes > self.limit_bytes
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionContext:
-    """The listener's services and state, as its connections see them.
+    """The listener's state and services, as its connections see them.
 
     Attributes:
         loop: The event loop.
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -1,32 +1,41 @@
-"""The graceful shutdown after SIGTERM: respond to all that was sent, and close without losing any of it."""
+"""Graceful shutdown after SIGTERM: respond to the requests that still arrive, then close all connections."""
 
 from __future__ import annotations
 
 import asyncio
 import time
-from collections.abc import Collection
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from loadbalancer.network.client.connection import ClientConnection
-from loadbalancer.network.client.context import ConnectionContext
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection
+
+    from loadbalancer.network.client.connection import ClientConnection
+    from loadbalancer.network.client.context import ConnectionContext
 
-# The platform waits no longer than this, whatever the deadlines are.
 SHUTDOWN_MAX_DEADLINE_S = 3.0
-# New connections still arrive for a while after SIGTERM.
+"""The platform waits at most this long for responses, also where deadlines are longer."""
+
 SHUTDOWN_ACCEPT_S = 0.5
-# Clients may use their connections for so long after SIGTERM: another balancer may not be back yet.
+"""New connections are accepted for this time after SIGTERM, since some still arrive."""
+
 SHUTDOWN_KEEP_ALIVE_S = 1.5
-# A connection is opened for a request, which follows within this time.
+"""Clients keep their connections for this time after SIGTERM: another balancer may not be back yet."""
+
 SHUTDOWN_NEW_CONNECTION_GRACE_S = 0.1
-# Between two looks at what is left.
+"""A connection that was opened is given this time for its first request to arrive."""
+
 SHUTDOWN_POLL_INTERVAL_S = 0.01
-# Iterations of the event loop after the last responses, and the time that each may take to begin.
+"""Interval between two checks of the listening queue and of the connections."""
+
 SHUTDOWN_FINAL_ITERATIONS = 5
+"""Iterations of the event loop after the last responses."""
+
 SHUTDOWN_FINAL_ITERATION_S = 0.01
+"""The time that each final iteration may take to begin."""
 
 
 class DrainableListener(Protocol):
-    """What the shutdown needs of the listener."""
+    """The part of the listener that the shutdown uses."""
 
     max_deadline_s: float
 
@@ -35,7 +44,7 @@
         """The connections that are open now."""
 
     def accept_pending(self) -> bool:
-        """Accept what waits in the kernel's queue; return whether the queue is empty."""
+        """Accept the connections in the kernel's queue; return whether the queue is empty."""
 
     def close(self) -> None:
         """Close the listening socket."""
@@ -44,9 +53,10 @@
 class GracefulShutdown:
     """Shuts a listener down.
 
-    The listening socket closes when nothing new arrives any more, right after its queue has been emptied:
-    what waits there would be reset. Clients keep their connections for a while, as long as there is time
-    to respond to what arrives on them; then responses close their connections.
+    The listening socket is closed when new connections have ceased to arrive, right after its queue has been
+    emptied: the kernel resets connections that are still in the queue. Clients keep their connections for
+    some time, as long as there is time to respond to requests that arrive on them. After that, responses
+    close their connections.
     """
 
     def __init__(self, listener: DrainableListener, context: ConnectionContext) -> None:
@@ -57,7 +67,7 @@
         self._max_deadline_s = min(listener.max_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
 
     async def run(self) -> None:
-        """Shut down; returns when all connections are closed or the time is up."""
+        """Shut down; return when all connections are closed or the time is up."""
         self._context.is_shutting_down = True
         await self._accept_last_connections()
         self._listener.close()
@@ -71,14 +81,11 @@
         await asyncio.sleep(SHUTDOWN_ACCEPT_S)
         # While the connections are at their limit the queue isn't empty: some have to close first.
         latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
-        while not self._listener.accept_pending() and self._elapsed_s() < latest_s:
-            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        await self._poll_until(self._listener.accept_pending, latest_s)
 
     async def _keep_connections_open(self) -> None:
-        while self._listener.connections and self._elapsed_s() < min(
-            SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2
-        ):
-            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+        latest_s = min(SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2)
+        await self._poll_until(lambda: not self._listener.connections, latest_s)
 
     async def _close_idle_connections(self) -> None:
         latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s
@@ -91,10 +98,17 @@
 
     async def _abort_open_requests(self) -> None:
         self._context.handler.abort_open_requests()
-        # Guards against a busy loop, which uses up any pause: what was accepted just before is set up,
-        # read and responded to within some turns.
+        # Guards against a busy loop, where one sleep of any length may end within one iteration: a
+        # connection that was accepted just before needs several to be set up, read and responded to.
         for _ in range(SHUTDOWN_FINAL_ITERATIONS):
             await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
+    async def _poll_until(self, is_done: Callable[[], bool], latest_s: float) -> None:
+        """Wait until a condition holds, at most until `latest_s` seconds after the start of the shutdown."""
+        while True:
+            if is_done() or self._elapsed_s() >= latest_s:
+                return
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
+
     def _elapsed_s(self) -> float:
         return time.monotonic() - self._started_at
--- a/loadbalancer/network/client/response_writer.py
+++ b/loadbalancer/network/client/response_writer.py
@@ -1,8 +1,11 @@
-"""The bytes of a response to a client."""
+"""Serialization of responses to clients."""
 
 from __future__ import annotations
 
-from loadbalancer.network.headers import Headers
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from loadbalancer.network.headers import Headers
 
 _REASON_PHRASES = {
     200: b"OK",
@@ -19,8 +22,8 @@
 }
 
 
-def serialize_response(status: int, headers: Headers, body: bytes, closes_connection: bool) -> bytes:
-    """Return a whole HTTP/1.1 response with its length.
+def serialize_response(status: int, headers: Headers, body: bytes, *, closes_connection: bool) -> bytes:
+    """Return the bytes of an HTTP/1.1 response with Content-Length.
 
     Args:
         status: The status code.
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-import asyncio
 import select
+from typing import TYPE_CHECKING
 
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
 
-# Reading stops once so much input was discarded; the client's sending then stalls until the linger ends.
+if TYPE_CHECKING:
+    import asyncio
+
 MAX_LINGER_BYTES = 1 << 20
+"""Reading stops once more input than this was discarded: the client's sends stall until the linger ends."""
 
 
 class ClientTransport:
@@ -53,7 +56,7 @@
 
     @property
     def is_lingering(self) -> bool:
-        """Whether our side is closed, or the client's, and the connection ends after a time."""
+        """Whether either side is closed, and the connection ends after a time."""
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
@@ -67,14 +70,15 @@
     def is_client_gone(self) -> bool:
         """Return whether the client has closed the connection, or its sending side; abort if so.
 
-        This looks at the socket itself: the loop learns of it late while it is busy or reading is paused.
+        The kernel is queried, since the event loop notices a disconnect late while it is busy or reading
+        is paused.
         """
         if self._transport is None or self.is_disconnected or self._transport.is_closing():
             return True
-        is_gone = _has_peer_closed(self._transport)
-        if is_gone:
+        has_closed = _has_peer_closed(self._transport)
+        if has_closed:
             self._transport.abort()
-        return is_gone
+        return has_closed
 
     # ---- reading and writing --------------------------------------------------------------------
 
@@ -90,13 +94,13 @@
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on after a pause."""
+        """Resume reading after `pause_reading`."""
         if self._transport is not None:
             self.is_reading_paused = False
             self._transport.resume_reading()
 
     def discard(self, data: bytes) -> None:
-        """Drop input; reading stops for good once too much of it has come."""
+        """Drop input; above `MAX_LINGER_BYTES` in all, reading stops until the connection ends."""
         self._discarded_bytes += len(data)
         is_too_much = self._discarded_bytes > MAX_LINGER_BYTES
         if is_too_much and self._transport is not None and not self.is_disconnected:
@@ -105,10 +109,11 @@
     # ---- the end of the connection --------------------------------------------------------------
 
     def close_gracefully(self, linger_s: float) -> None:
-        """Close our side, and read and discard input for a moment.
+        """Close the balancer's side, and read and discard input for a moment.
 
-        Guards against a reset that overtakes our last response, or that meets a request on its way: the
-        client sees a clean end between two requests, and sends the request again on another connection.
+        Guards against a reset that overtakes the last response, or that the kernel sends for a request that
+        arrives after the close. The client sees a clean end between two requests instead, and sends the
+        request again on another connection.
 
         Args:
             linger_s: For how long input is read and discarded.
@@ -120,28 +125,28 @@
         self.discards_input = True
         self._transport.write_eof()
         if self._transport.get_write_buffer_size() == 0:
-            # The loop does so in its next turn only: a request could arrive before that.
+            # The loop would shut the socket down only in its next iteration: a request could arrive before.
             shutdown_write(self._transport)
         self.abort_after(linger_s)
 
     def abort_after(self, delay_s: float) -> None:
-        """End the connection after a time, unless such a time is running already."""
+        """End the connection after a time, unless it is to end after a time already."""
         if self._transport is not None and self._abort_timer is None:
             self._abort_timer = self._loop.call_later(delay_s, self._transport.abort)
 
     def abort(self) -> None:
-        """End the connection now; what was not sent yet is dropped."""
+        """End the connection now; unsent bytes are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
     def cancel_timer(self) -> None:
-        """Release the timer of a connection that is closed."""
+        """Cancel the timer of `abort_after`."""
         if self._abort_timer is not None:
             self._abort_timer.cancel()
 
 
 def _has_peer_closed(transport: asyncio.Transport) -> bool:
-    """Ask the kernel whether the peer has closed the connection, or its sending side."""
+    """Return whether the peer has closed the connection, or its sending side, as the kernel reports it."""
     first_byte = peek(transport)
     if not first_byte:
         return first_byte == b""
--- a/loadbalancer/network/headers.py
+++ b/loadbalancer/network/headers.py
@@ -1,12 +1,12 @@
-"""HTTP headers: their type, the size limits of a message, and which ones a proxy may pass on."""
+"""HTTP headers: their type, the size limits of a message, and the ones that a proxy passes on."""
 
 from __future__ import annotations
 
 MAX_BODY_BYTES = 65_536
-"""The protocol's limit on a body."""
+"""Limit on the body of a message, which the protocol between the services sets."""
 
 MAX_HEAD_BYTES = 65_536
-"""Limit on the headers of a message, all lines together."""
+"""Limit on the head of a message: the sum of all its lines."""
 
 _HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -26,19 +26,13 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Select the headers that a proxy passes on.
+    """Return the headers that a proxy passes on.
 
-    Leaves out those that concern one connection only: the hop-by-hop headers of HTTP, and the ones that a
-    Connection header names.
+    Leaves out the hop-by-hop headers of HTTP, and those that a Connection header names: they concern one
+    connection only.
     """
-    named_by_connection = {
-        token.strip().lower()
-        for name, value in headers
-        if name == b"connection"
-        for token in value.split(b",")
-    }
-    return [
-        (name, value)
-        for name, value in headers
-        if name not in _HOP_BY_HOP_HEADERS and name not in named_by_connection
-    ]
+    excluded = _HOP_BY_HOP_HEADERS
+    for name, value in headers:
+        if name == b"connection":
+            excluded |= {token.strip().lower() for token in value.split(b",")}
+    return [pair for pair in headers if pair[0] not in excluded]
