--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -86,10 +86,6 @@
         """Return whether closing loses nothing: it is idle, and the kernel holds no request either."""
         return self.expiry.may_close()
 
-    def is_client_gone(self) -> bool:
-        """Return whether the client has closed the connection, or its sending side."""
-        return self._transport.is_client_gone()
-
     # ---- callbacks of asyncio.Protocol ----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -56,7 +56,7 @@
         """
         if not self._transport.is_open or self._transport.discards_input:
             return False
-        if self._transport.is_reading_paused and self._transport.is_client_gone():
+        if self._transport.is_reading_paused and self._transport.has_client_disconnected():
             return False  # nothing else notices a disconnect while reading is paused
         if self.is_request_pending():
             return self._expire_pending_request(now, request_timeout_s)
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -71,7 +71,7 @@
         self._context.is_shutting_down = True
         await self._accept_last_connections()
         self._listener.close()
-        await self._keep_connections_open()
+        await self._await_client_closes()
         self._context.closes_connections = True
         await self._close_idle_connections()
         if self._listener.connections:
@@ -83,7 +83,7 @@
         latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
         await self._poll_until(self._listener.accept_pending, latest_s)
 
-    async def _keep_connections_open(self) -> None:
+    async def _await_client_closes(self) -> None:
         latest_s = min(SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2)
         await self._poll_until(lambda: not self._listener.connections, latest_s)
 
@@ -103,10 +103,10 @@
         for _ in range(SHUTDOWN_FINAL_ITERATIONS):
             await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
-    async def _poll_until(self, is_done: Callable[[], bool], latest_s: float) -> None:
+    async def _poll_until(self, is_satisfied: Callable[[], bool], latest_s: float) -> None:
         """Wait until a condition holds, at most until `latest_s` seconds after the start of the shutdown."""
         while True:
-            if is_done() or self._elapsed_s() >= latest_s:
+            if is_satisfied() or self._elapsed_s() >= latest_s:
                 return
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -15,7 +15,7 @@
     def respond(self, request: IncomingRequest, status: int, headers: Headers, body: bytes) -> None:
         """Write the final response to a request."""
 
-    def is_client_gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Return whether the client has closed its connection, or its sending side."""
 
 
@@ -66,9 +66,9 @@
             self._awaits_response = False
             self._responder.respond(self, status, headers or [], body)
 
-    def is_client_gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Return whether the client has disconnected, as far as the kernel knows."""
-        return self._responder is None or self._responder.is_client_gone()
+        return self._responder is None or self._responder.has_client_disconnected()
 
 
 class RequestHandler(Protocol):
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -49,9 +49,9 @@
         """Return whether requests are queued and none is being handled."""
         return self._current_request is None and bool(self.reader.requests)
 
-    def is_client_gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Return whether the client has closed the connection, or its sending side."""
-        return self._transport.is_client_gone()
+        return self._transport.has_client_disconnected()
 
     def parse_input(self) -> None:
         """Parse the received bytes, up to the limit on requests that are read ahead."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -67,7 +67,7 @@
         """Return whether the kernel holds bytes of the client that the loop has not read."""
         return self._transport is not None and bool(peek(self._transport))
 
-    def is_client_gone(self) -> bool:
+    def has_client_disconnected(self) -> bool:
         """Return whether the client has closed the connection, or its sending side; abort if so.
 
         The kernel is queried, since the event loop notices a disconnect late while it is busy or reading
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -84,7 +84,7 @@
 
         Looks at the client's socket, since the event loop may not have read the end of the connection yet.
         """
-        if request.is_open and request.incoming.is_client_gone():
+        if request.is_open and request.incoming.has_client_disconnected():
             self._on_disconnect(request.incoming)
         return request.is_open
 
