--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -60,17 +60,17 @@
 
     @property
     def request_started_at(self) -> float:
-        """When the current request began to arrive; when the client connected, before the first one."""
+        """When the current request began to arrive, or the client connected if none has arrived yet."""
         return self._reader.arrival.started_at
 
     @property
     def discards_input(self) -> bool:
-        """Whether what still arrives is discarded: the connection is closing, or its input was rejected."""
+        """Whether input is discarded: the connection is closing, or its input was rejected."""
         return self._transport.discards_input
 
     @property
     def is_reading_paused(self) -> bool:
-        """Whether reading waits until pipelined requests have been responded to."""
+        """Whether reading is paused until pipelined requests have been responded to."""
         return self._transport.is_reading_paused
 
     @property
@@ -83,7 +83,7 @@
         return self.expiry.is_request_pending()
 
     def may_close(self) -> bool:
-        """Return whether closing loses nothing: it is idle, and the kernel holds no request either."""
+        """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
         return self.expiry.may_close()
 
     # ---- callbacks of asyncio.Protocol ----------------------------------------------------------
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -18,7 +18,7 @@
 
     Attributes:
         used_bytes: The bytes that are buffered now.
-        limit_bytes: Above this, connections that buffer much are rejected.
+        limit_bytes: While more is buffered, connections that buffer more than an exempt amount are rejected.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -43,8 +43,8 @@
         handler: Receives the requests.
         report: Logs a message together with the exception that is being handled.
         classes: The request classes of the settings, by name.
-        buffers: The memory that requests occupy.
-        is_shutting_down: Whether health checks fail, so that no new clients are sent here.
+        buffers: Counts the bytes that are buffered for all connections.
+        is_shutting_down: Whether health checks fail, so that no new clients are sent to this balancer.
         closes_connections: Whether each response closes its connection.
     """
 
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionExpiry:
-    """Determines what a connection is waiting for, and closes it if that takes too long."""
+    """Applies the time limits to one connection: for requests to arrive, idling, and unread responses."""
 
     def __init__(self, transport: ClientTransport, reader: RequestReader, pipeline: RequestPipeline) -> None:
         self._transport = transport
@@ -34,7 +34,7 @@
         return is_awaited and not self._pipeline.has_open_request()
 
     def may_close(self) -> bool:
-        """Return whether closing loses nothing: it is idle, and the kernel holds no request either."""
+        """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
         if not self._transport.is_open or not self.is_idle():
             return False
         return self._transport.discards_input or not self._transport.has_unread_bytes()
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -71,7 +71,7 @@
         self._context.is_shutting_down = True
         await self._accept_last_connections()
         self._listener.close()
-        await self._await_client_closes()
+        await self._serve_open_connections()
         self._context.closes_connections = True
         await self._close_idle_connections()
         if self._listener.connections:
@@ -83,7 +83,7 @@
         latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
         await self._poll_until(self._listener.accept_pending, latest_s)
 
-    async def _await_client_closes(self) -> None:
+    async def _serve_open_connections(self) -> None:
         latest_s = min(SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2)
         await self._poll_until(lambda: not self._listener.connections, latest_s)
 
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -1,4 +1,4 @@
-"""A client's complete request, its one response, and the interface of whatever handles requests."""
+"""A client's complete request, its one response, and the interface of the handler of requests."""
 
 from __future__ import annotations
 
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -23,10 +23,10 @@
 
 
 class RequestPipeline:
-    """Reads pipelined requests, hands them to the handler one at a time, and writes the responses.
+    """Reads the requests of a connection, passes them to the handler one at a time, and writes the responses.
 
     Attributes:
-        reader: The parser of the input, with the requests that are queued.
+        reader: Reads the input; holds the requests that are queued.
         idle_since: When the last response was written, or the client connected if none was yet (seconds
             of the monotonic clock).
     """
@@ -56,7 +56,7 @@
     def parse_input(self) -> None:
         """Parse the received bytes, up to the limit on requests that are read ahead."""
         self._update_buffer_account()
-        # Guards against clients that together fill the memory: those that buffer much are rejected.
+        # Guards against clients that together fill the memory: those with large buffers are rejected.
         if self._context.buffers.is_exceeded() and self._accounted_bytes > UNCONDITIONAL_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
@@ -97,7 +97,7 @@
         self.advance()
 
     def reject(self, rejection: Rejection) -> None:
-        """Read no further; the rejection is written once all requests before it are responded to."""
+        """Stop reading; the rejection is written once all requests before it are responded to."""
         self._transport.discards_input = True
         self._rejection = rejection
         self.reader.discard_input()
--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -35,7 +35,7 @@
     b"host",
 )
 # Each attempt gets an X-Deadline of its own; Expect is settled between the client and the balancer.
-_NOT_FORWARDED = (b"x-deadline", b"expect")
+_NOT_FORWARDED = frozenset((b"x-deadline", b"expect"))
 
 NamedHeaders = dict[bytes, bytes]
 """The value of each header by its lower-case name."""
--- a/loadbalancer/network/client/timeouts.py
+++ b/loadbalancer/network/client/timeouts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 REQUEST_TIMEOUT_S = 1.8
-"""Limit on the arrival of a complete request, counted from connecting or from the request's first byte."""
+"""Limit on the time in which a complete request arrives, from connecting or from the request's first byte."""
 
 REQUEST_TIMEOUT_UNDER_PRESSURE_S = 0.25
 """The same limit while new connections wait to be accepted."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -15,13 +15,13 @@
 
 
 class ClientTransport:
-    """The transport of one connection, and the timer that ends it after a graceful close.
+    """Wraps the asyncio transport of one connection, and holds the timer that ends it after a graceful close.
 
-    It exists before the connection is set up; until then nothing can be read, written or closed.
+    Until `attach` is called the connection is not set up: nothing is read, written or closed.
 
     Attributes:
-        discards_input: Whether what still arrives is discarded: the connection is closing, or its input
-            was rejected.
+        discards_input: Whether bytes that still arrive are discarded: the connection is closing, or its
+            input was rejected.
         is_disconnected: Whether the client has closed the connection, or its sending side.
         is_reading_paused: Whether reading waits until pipelined requests have been responded to.
     """
@@ -38,7 +38,7 @@
     def attach(self, transport: asyncio.Transport) -> None:
         """Use a transport that has been set up."""
         self._transport = transport
-        # With limits of 0 `resume_writing` is called when the last byte of a response has left.
+        # With limits of 0, asyncio calls `resume_writing` when the last byte of a response has been sent.
         transport.set_write_buffer_limits(high=0, low=0)
         set_no_delay(transport)
 
@@ -51,7 +51,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection is set up and the client still there."""
+        """Whether the connection is set up, and the client has not disconnected."""
         return self._transport is not None and not self.is_disconnected
 
     @property
@@ -116,7 +116,7 @@
         request again on another connection.
 
         Args:
-            linger_s: For how long input is read and discarded.
+            linger_s: How long input is read and discarded.
         """
         if self._transport is None or self.is_disconnected or self.is_lingering:
             return
@@ -150,7 +150,7 @@
     first_byte = peek(transport)
     if not first_byte:
         return first_byte == b""
-    # The end may follow bytes that are not read yet.
+    # The end of the stream may follow bytes that are not read yet.
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
