--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -1,7 +1,7 @@
-"""Runs one balancer's policy on the virtual clock: events go in, and its actions are carried out.
+"""The host of one balancer's policy on the virtual clock: passes events in and carries out the actions.
 
-It does for the policy what `loadbalancer.network.proxy` does with real sockets. All times are milliseconds,
-apart from the machine's time for decisions.
+The host is to the simulation what `loadbalancer.network.proxy` is to real sockets. All times are
+milliseconds, except the measured processing time of decisions, which is in seconds.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import time
 from collections import deque
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from loadbalancer.actions import (
     Action,
@@ -36,10 +37,20 @@
 )
 from loadbalancer.network.deadline_watchdog import POLICY_DEADLINE_MARGIN_MS, WATCHDOG_MARGIN_MS
 from loadbalancer.policy.balancer import LoadBalancer
-from testbed.chain.request import ChainStatistics, ClientRequest, Responder
 from testbed.chain.server import Attempt, Server
-from testbed.chain.settings import ChainSettings
-from testbed.virtual_clock import VirtualClock
+from testbed.errors import TestbedError
+
+if TYPE_CHECKING:
+    from testbed.chain.request import ChainStatistics, ClientRequest, Responder
+    from testbed.chain.settings import ChainSettings
+    from testbed.virtual_clock import VirtualClock
+
+
+class UnexpectedHealthCheckError(TestbedError, ValueError):
+    """The policy started a health check, which the settings of a simulated chain do not allow."""
+
+    def __init__(self) -> None:
+        super().__init__("a health check, though the settings allow none")
 
 
 @dataclass(slots=True)
@@ -50,11 +61,11 @@
     responder: Responder
     client_request: ClientRequest
     deadline_ms: float
-    """When the last attempt has to end, so that the response can still travel."""
+    """The latest end of an attempt that leaves time for the response to reach the client."""
     attempts: list[Attempt | None] = field(default_factory=list)
-    """None for one that was decided after the response."""
+    """By attempt index; None for an attempt that the policy started after the response."""
     is_open: bool = True
-    """Until its final response, or until nobody waits for one."""
+    """Whether the client still waits for the final response."""
     may_have_run: bool = False
     """Whether an attempt that has finished may have run."""
     running_attempts: int = 0
@@ -63,12 +74,12 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more can happen to it."""
+        """Whether the request has its response, no running attempt and no queued event."""
         return not (self.is_open or self.running_attempts or self.queued_events)
 
 
 class BalancerHost:
-    """A balancer's policy and the requests at it."""
+    """A balancer's policy, and the requests that it has open."""
 
     def __init__(
         self,
@@ -99,10 +110,10 @@
         return len(self._requests)
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
-        """Take a request.
+        """Pass a new request to the policy.
 
         Args:
-            responder: Takes the response.
+            responder: Receives the response.
             client_request: The request from outside that it is made for.
             remaining_ms: The time until its deadline.
 
@@ -123,7 +134,7 @@
         return request.number
 
     def disconnect(self, number: int) -> None:
-        """Handle that nobody waits for a request any more; without effect once it has its response."""
+        """Handle the disconnect of a request's client; without effect once the request has its response."""
         request = self._requests.get(number)
         if request is not None and request.is_open:
             self._abandon(request)
@@ -191,9 +202,9 @@
                 snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
                 self._clock.schedule(self._clock.now, self._dispatch, snapshot)
             case CloseIdleConnections() | LogMessage():
-                pass  # connections are always up, and nobody reads the log
+                pass  # simulated connections never idle out, and the log is not kept
             case StartHealthCheck():
-                raise ValueError("a health check, though the settings allow none")
+                raise UnexpectedHealthCheckError
 
     def _respond(self, number: int, status: int) -> None:
         request = self._requests.get(number)
@@ -227,7 +238,7 @@
         attempt.start()
 
     def _on_attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
-        request = self._requests[attempt.request_number]  # it stays there while an attempt is running
+        request = self._requests[attempt.request_number]  # kept while an attempt is running
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
@@ -237,7 +248,7 @@
         if request.is_open and outcome is Outcome.SUCCEEDED:
             request.is_open = False
             request.responder.respond(200)
-        is_answered = not request.is_open
-        self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, is_answered), request)
+        has_response = not request.is_open
+        self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, has_response), request)
         if not request.is_open:
             self._withdraw_attempts(request)
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -1,4 +1,4 @@
-"""The command line: lists, plays and shows experiments."""
+"""The command line, which lists, runs and shows experiments."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from testbed.runs import RUNS
 
 _EXIT_USAGE = 2
-"""A file can't be read, or is no experiment or result."""
+"""The exit status if a file can't be read, or is not an experiment or result."""
 _EXIT_INVALID = 3
-"""A run gives no figures."""
+"""The exit status if the results of a run are invalid."""
 
 app = typer.Typer(
     help="Experiments on loadbalancer at the sizes it is meant for.",
@@ -34,28 +34,28 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.JSONRenderer(),
         ],
-        # Looked up with each logger: standard error may be another one by then.
+        # Evaluated for each logger, since tests replace standard error.
         logger_factory=lambda *_: structlog.PrintLogger(sys.stderr),
     )
 
 
 def _fail(text: str) -> typer.Exit:
-    print(f"testbed: {text}", file=sys.stderr)
+    typer.echo(f"testbed: {text}", err=True)
     return typer.Exit(_EXIT_USAGE)
 
 
 def _path(name: str) -> Path:
-    """A file, or the name of an experiment that comes with the package."""
+    """Return the path of an experiment given by file or by the name of one in the package."""
     path = Path(name)
     return path if path.suffix == ".toml" else FOLDER / f"{name}.toml"
 
 
 @app.command("list")
 def list_experiments() -> None:
-    """The experiments that come with the package, a line each."""
+    """List the experiments in the package, one on each line."""
     for path in sorted(FOLDER.glob("*.toml")):
         try:
-            print(f"{path.stem:24} {read_plan(path, RUNS).about}")
+            typer.echo(f"{path.stem:24} {read_plan(path, RUNS).about}")
         except ExperimentError as error:
             raise _fail(str(error)) from None
 
@@ -65,9 +65,9 @@
     names: Annotated[list[str], typer.Argument(help="Experiments by name, or TOML files.")],
     out: Annotated[Path, typer.Option(help="The folder for results.")] = Path("docs/capacity"),
 ) -> None:
-    """Play experiments one after another and write a JSON result for each.
+    """Run experiments one after another and write a JSON result for each.
 
-    The exit status is 3 where a run gives no figures, since its load was late or the cores were full.
+    The exit status is 3 if the results of a run are invalid, since its load was late or the cores were full.
     """
     _configure_logs()
     log = structlog.get_logger()
@@ -94,6 +94,8 @@
     for path in paths:
         try:
             stored = json.loads(path.read_text(encoding="utf-8"))
-            print(results.table(stored) + "\n")
+            typer.echo(results.table(stored) + "\n")
         except (OSError, ValueError, KeyError, TypeError) as error:
-            raise _fail(f"{path}: no result: {' '.join(str(error).split())}") from None
+            problem = " ".join(str(error).split())
+            failure = f"{path}: no result: {problem}"
+            raise _fail(failure) from None
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -1,38 +1,42 @@
-"""Changes of an endpoint list: single ones without end, rolling restarts, and how they are played."""
+"""Generated changes of an endpoint list: single changes and rolling restarts, applied over time."""
 
 from __future__ import annotations
 
 import asyncio
 import enum
 import random
-from collections.abc import Callable, Iterable, Iterator
+from typing import TYPE_CHECKING
 
 from testbed.discovery.endpoint_history import REMOVED
-from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Iterator
+
+    from testbed.discovery.service import Discovery
+
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
-SHORTEST_FRACTION = 20
-"""Churn leaves at most one in so many entries out of the list."""
+REMOVABLE_FRACTION_DIVISOR = 20
+"""At most one in this many entries is missing from the list at any time."""
 
 Change = tuple[EndpointEntry, ...]
-"""Entries that change at the same moment."""
+"""Entries that change at the same time."""
 
 
-class _Move(enum.Enum):
-    """A change of one entry."""
+class _ChangeKind(enum.Enum):
+    """The kind of a change of one entry."""
 
     RESTART = enum.auto()
-    """It drains, and is to return."""
+    """The entry drains and will return."""
     DRAIN = enum.auto()
-    """It drains, and is to be removed."""
+    """The entry drains and will be removed."""
     RETURN = enum.auto()
-    """A restarted one is back in service."""
+    """A restarted entry is in service again."""
     REMOVE = enum.auto()
-    """A draining one is removed."""
+    """A draining entry is removed."""
     REPLACE = enum.auto()
-    """A new one comes into service for one that was removed."""
+    """A new entry comes into service in place of a removed one."""
 
 
 class _Churn:
@@ -46,38 +50,38 @@
         self._in_service = {entry["name"]: entry for entry in entries}
         self._used_names = set(self._in_service)
         length = len(self._in_service)
-        self._shortest_length = length - max(length // SHORTEST_FRACTION, 1)
+        self._min_length = length - max(length // REMOVABLE_FRACTION_DIVISOR, 1)
         self._restarting: list[EndpointEntry] = []
         self._draining: list[EndpointEntry] = []
         self._removed: list[EndpointEntry] = []
 
     def next_change(self) -> EndpointEntry:
         """Draw the next change and return the changed entry."""
-        move = self._source.choice(self._possible_moves())
-        match move:
-            case _Move.RESTART:
+        kind = self._source.choice(self._possible_kinds())
+        match kind:
+            case _ChangeKind.RESTART:
                 return self._drain(self._restarting)
-            case _Move.DRAIN:
+            case _ChangeKind.DRAIN:
                 return self._drain(self._draining)
-            case _Move.REMOVE:
+            case _ChangeKind.REMOVE:
                 return self._remove()
-            case _Move.RETURN:
+            case _ChangeKind.RETURN:
                 return self._return()
-            case _Move.REPLACE:
+            case _ChangeKind.REPLACE:
                 return self._replace()
 
-    def _possible_moves(self) -> list[_Move]:
-        """Return the moves that the list allows; their order is part of what a seed gives."""
-        moves = []
-        if len(self._in_service) > self._shortest_length:
-            moves += [_Move.RESTART, _Move.DRAIN]
+    def _possible_kinds(self) -> list[_ChangeKind]:
+        """Return the kinds of change that are possible now, in a fixed order: the draw depends on it."""
+        kinds = []
+        if len(self._in_service) > self._min_length:
+            kinds += [_ChangeKind.RESTART, _ChangeKind.DRAIN]
         if self._restarting:
-            moves.append(_Move.RETURN)
+            kinds.append(_ChangeKind.RETURN)
         if self._draining:
-            moves.append(_Move.REMOVE)
+            kinds.append(_ChangeKind.REMOVE)
         if self._removed:
-            moves.append(_Move.REPLACE)
-        return moves
+            kinds.append(_ChangeKind.REPLACE)
+        return kinds
 
     def _drain(self, destination: list[EndpointEntry]) -> EndpointEntry:
         entry = self._in_service.pop(self._source.choice(list(self._in_service)))
@@ -104,7 +108,7 @@
         return entry
 
     def _new_name(self) -> str:
-        """Draw a name that no entry has had."""
+        """Draw a name that no entry has had before."""
         while (name := f"s-{self._source.getrandbits(32):08x}") in self._used_names:
             pass
         self._used_names.add(name)
@@ -114,10 +118,10 @@
 def single_changes(
     entries: Iterable[EndpointEntry], seed: int, now_ms: Callable[[], float]
 ) -> Iterator[Change]:
-    """Yield changes of one entry each, without end.
+    """Yield an endless sequence of changes of one entry each.
 
-    Servers restart, or drain and are removed, and new ones come in place of these. The list keeps its length
-    within one in `SHORTEST_FRACTION`.
+    Servers restart, or drain and are removed and replaced by new ones. At most one in
+    `REMOVABLE_FRACTION_DIVISOR` entries is missing from the list at any time.
 
     Args:
         entries: The list at the start.
@@ -132,7 +136,7 @@
 def restarts(
     entries: Iterable[EndpointEntry], step: int, seed: int, now_ms: Callable[[], float]
 ) -> Iterator[Change]:
-    """Yield a rolling restart of all entries, `step` at a time: each step drains, then returns.
+    """Yield a rolling restart of all entries, `step` at a time: each batch drains, then returns to service.
 
     Args:
         entries: The list at the start.
@@ -149,25 +153,25 @@
         yield tuple([entry | {"status": IN_SERVICE, "since_ms": since_ms} for entry in batch])
 
 
-async def play_changes(discovery: Discovery, changes: Iterator[Change], moments: Iterable[float]) -> float:
-    """Apply a change at each moment, whatever the balancers do.
+async def play_changes(discovery: Discovery, changes: Iterator[Change], times_s: Iterable[float]) -> float:
+    """Apply a change at each of the given times, without waiting for the balancers.
 
     Args:
         discovery: The list that changes.
-        changes: The changes; where they end, the play ends.
-        moments: Seconds from now, ascending.
+        changes: The changes; the function returns when there are no more.
+        times_s: Seconds from now, ascending.
 
     Returns:
-        The longest lateness of a change in seconds.
+        The maximum lateness of a change in seconds.
     """
     loop = asyncio.get_running_loop()
-    start_s, longest_lateness_s = loop.time(), 0.0
-    for moment in moments:
+    start_s, max_lateness_s = loop.time(), 0.0
+    for time_s in times_s:
         change = next(changes, None)
         if change is None:
             break
-        if (pause_s := start_s + moment - loop.time()) > 0:
-            await asyncio.sleep(pause_s)
-        longest_lateness_s = max(longest_lateness_s, loop.time() - start_s - moment)
+        if (delay_s := start_s + time_s - loop.time()) > 0:
+            await asyncio.sleep(delay_s)
+        max_lateness_s = max(max_lateness_s, loop.time() - start_s - time_s)
         discovery.apply_changes(change)
-    return longest_lateness_s
+    return max_lateness_s
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,16 +1,14 @@
-"""Balancers that follow one stand-in of discovery, for the runs on the control plane.
+"""Groups of balancers under one discovery stand-in, for the runs on the control plane.
 
-A group has hollow balancers, spread over a few processes, and real ones, a process each.
+A group has hollow balancers, spread over a few processes, and real ones with a process each.
 """
 
 from __future__ import annotations
 
 import asyncio
 import time
-from collections.abc import Callable, Coroutine
-from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import uvloop
 
@@ -19,21 +17,34 @@
 from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
-from testbed.results import RowT, RunResult
-
-LATE_S = 0.1
-"""An event loop whose 99th percentile of lateness reaches this measures itself."""
-START_S = 60.0
-"""The longest wait until all balancers of a group follow the list."""
-FOLLOW_S = 10.0
-"""The longest wait until all balancers have the last change."""
-POLL_S = 0.01
-"""The pause between two checks of a condition that is waited for."""
+from testbed.errors import TestbedError
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+    from contextlib import AsyncExitStack
+
+    from testbed.results import RowT, RunResult
+
+MAX_LATENESS_S = 0.1
+"""Results are invalid if the 99th percentile of an event loop's lag reaches this time, in seconds."""
+START_TIMEOUT_S = 60.0
+"""The timeout in seconds until all balancers of a group follow the list."""
+FOLLOW_TIMEOUT_S = 10.0
+"""The timeout in seconds until all balancers have the last change."""
+POLL_INTERVAL_S = 0.01
+"""The interval in seconds between two checks of a condition."""
 _REAL_HOST = "127.30.0.{}"
 
 
+class ConditionTimeoutError(TestbedError, RuntimeError):
+    """A condition that a run waits for did not hold in time."""
+
+    def __init__(self, description: str, timeout_s: float) -> None:
+        super().__init__(f"not within {timeout_s:g} s: {description}")
+
+
 def run_scenario(scenario: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
-    """Run a scenario to its end on a uvloop event loop of its own."""
+    """Run a coroutine on a new uvloop event loop and return its result."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(scenario)
 
@@ -42,22 +53,22 @@
     """Wait until a condition holds.
 
     Raises:
-        RuntimeError: It did not within the timeout; the text has the description of the condition.
+        ConditionTimeoutError: The condition did not hold within the timeout.
     """
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
-            raise RuntimeError(f"not within {timeout_s:g} s: {description}")
-        await asyncio.sleep(POLL_S)
+            raise ConditionTimeoutError(description, timeout_s)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def all_follow(discovery: Discovery) -> bool:
-    """Whether every balancer watches from the newest version on."""
+    """Whether every balancer has acknowledged the current version."""
     return all(agent.acknowledged_index == discovery.index for agent in discovery.agents.values())
 
 
 def sum_counts(discovery: Discovery, numbers: range) -> RequestCounts:
-    """Add up what the agents of these numbers have counted."""
+    """Return the sum of the counts of some agents."""
     total = RequestCounts()
     for number in numbers:
         total += discovery.agents[number].counts
@@ -66,9 +77,9 @@
 
 @dataclass(slots=True)
 class BalancerGroup:
-    """Balancers under one stand-in of discovery.
+    """Balancers under one discovery stand-in.
 
-    Its first `hollow` agents are those of the hollow balancers, the next ones those of the real ones.
+    The first `hollow` agents are those of the hollow balancers; those of the real balancers follow.
     """
 
     discovery: Discovery
@@ -94,7 +105,7 @@
     hollow: int,
     processes: int,
     real: int,
-    site: dict[str, Any],
+    balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
     """Start balancers, spread evenly over processes, and wait until all of them follow the list."""
@@ -102,7 +113,9 @@
 
     def text(number: int, listen: str) -> str:
         agent = discovery.agent_address(number)
-        return settings.configuration_text(f"n{number}", listen, agent, [], site, seed=seed + number)
+        return settings.configuration_text(
+            f"n{number}", listen, agent, [], balancer_settings, seed=seed + number
+        )
 
     for first in range(min(processes, hollow)):
         texts = {number: text(number, "127.0.0.1:0") for number in range(first, hollow, processes)}
@@ -116,12 +129,12 @@
         group.real.append(balancer)
     for balancer in group.real:
         await balancer.ready()
-    await wait_until(lambda: all_follow(discovery), START_S, "every balancer follows the list")
+    await wait_until(lambda: all_follow(discovery), START_TIMEOUT_S, "every balancer follows the list")
     return group
 
 
 def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Make a stand-in of discovery that ends with the stack; `args` are those of `Discovery`."""
+    """Create a discovery stand-in that stops with the stack; `args` are those of `Discovery`."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
