--- /dev/null
+++ b/tests/testbed/conftest.py
@@ -0,0 +1,29 @@
+"""Fixtures of the testbed's tests."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import pytest
+
+from testbed.discovery.service import Discovery
+from testbed.upstream.group import UpstreamGroup
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+
+@pytest.fixture
+async def discovery() -> AsyncIterator[Discovery]:
+    """A discovery stand-in with an empty list, stopped after the test."""
+    service = Discovery()
+    yield service
+    await service.stop()
+
+
+@pytest.fixture
+async def upstreams() -> AsyncIterator[UpstreamGroup]:
+    """A group without upstreams yet, closed after the test."""
+    group = UpstreamGroup(seed=1)
+    yield group
+    group.close()
