--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -1,29 +1,32 @@
-"""Clients that disconnect at a chosen moment, and waiting until nothing of their requests is left."""
+"""Clients that disconnect at a chosen time, and waits for the end of their requests."""
 
 from __future__ import annotations
 
 import asyncio
-import socket
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-import pytest
-
-from loadbalancer.network.upstream.connection import UpstreamConnection
 from loadbalancer.network.upstream.pool import UpstreamPool
-from tests.support.loopback import Rig
 from tests.support.waiting import wait_until
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    import pytest
+
+    from loadbalancer.network.upstream.connection import UpstreamConnection
+    from tests.support.proxy_harness import ProxyHarness
+
 HEDGING_LIMITS = {
     "attemptsCap": 3,
     "connIdle": 60_000.0,
     "connectTimeout": 5_000.0,
     "mayDuplicate": True,
 }
-"""Limits that allow hedged requests, and connects that take as long as a test likes."""
+"""Limits that allow hedged requests, with a connect timeout longer than any test delays a connect."""
 
 
 def request_bytes(path: str, number: int, body: bytes = b"") -> bytes:
-    """A request of the class that its path names."""
+    """Return the bytes of a request of the class that its path names."""
     method = "POST" if body else "GET"
     head = (
         f"{method} {path} HTTP/1.1\r\nX-Class: {path[1:]}\r\nX-Request-Id: {number}\r\nX-Deadline: 4000m\r\n"
@@ -31,29 +34,26 @@
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-def connect_client(rig: Rig) -> socket.socket:
-    """A client outside the event loop: all that it does takes effect at once."""
-    return socket.create_connection(rig.proxy.listener.address[:2])
-
-
-async def until_idle(rig: Rig) -> None:
+async def until_idle(harness: ProxyHarness) -> None:
     """Wait until no request is open and no attempt in progress."""
     await wait_until(
-        lambda: not rig.proxy.open_requests, "no request is open", state=lambda: rig.proxy.open_requests
+        lambda: not harness.proxy.open_requests,
+        "no request is open",
+        state=lambda: harness.proxy.open_requests,
     )
 
 
-async def until_disconnected(rig: Rig) -> None:
+async def until_disconnected(harness: ProxyHarness) -> None:
     """Wait until the proxy has no connection to a client."""
-    listener = rig.proxy.listener
+    listener = harness.proxy.listener
     await wait_until(
         lambda: not listener.connections, "no client is connected", state=lambda: listener.connections
     )
 
 
-def pass_reuse_delay(rig: Rig) -> None:
-    """Let idle connections to upstreams carry a further request at once."""
-    pools = rig.proxy.upstreams
+def pass_reuse_delay(harness: ProxyHarness) -> None:
+    """Let idle connections to upstreams be reused immediately."""
+    pools = harness.proxy.upstreams
     for name in pools.endpoint_names:
         for connection in pools.pool(name).idle_connections:
             connection.idle_since -= 1.0
--- a/tests/support/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -2,29 +2,33 @@
 
 from __future__ import annotations
 
-from loadbalancer.actions import Action
+from typing import TYPE_CHECKING
+
 from loadbalancer.events import AttemptFinished, EndpointListKind, EndpointListUpdate, Event, Outcome
-from tests.support.loopback import Rig
+from tests.support.policy_hooks import replace_policy
+
+if TYPE_CHECKING:
+    from loadbalancer.actions import Action
+    from tests.support.proxy_harness import ProxyHarness
 
 
-def record_events(rig: Rig) -> list[Event]:
+def record_events(harness: ProxyHarness) -> list[Event]:
     """Return a list to which every further event is appended."""
     events: list[Event] = []
-    handle = rig.proxy.balancer.handle
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
         events.append(event)
         return handle(event, now)
 
-    rig.proxy.balancer.handle = record_and_handle  # type: ignore[method-assign]
+    handle = replace_policy(harness, record_and_handle)
     return events
 
 
 def outcomes(events: list[Event]) -> list[Outcome]:
-    """The outcomes of the attempts, in the order in which they finished."""
+    """Return the outcomes of the attempts, in the order in which they finished."""
     return [event.outcome for event in events if isinstance(event, AttemptFinished)]
 
 
 def list_kinds(events: list[Event]) -> list[EndpointListKind]:
-    """The kinds of the endpoint list updates, in their order."""
+    """Return the kinds of the endpoint list updates, in their order."""
     return [event.kind for event in events if isinstance(event, EndpointListUpdate)]
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -1,7 +1,6 @@
-"""Discovery and the time as stand-ins: the loop's clock jumps to what is due next.
+"""A simulated discovery on an event loop with a simulated clock, which jumps to the next timer.
 
-Connections to discovery lead into a script, so that minutes of an outage pass in an instant, and the worst
-moment of its end can be chosen.
+Minutes of an outage pass in an instant, and a test chooses the time at which it ends.
 """
 
 from __future__ import annotations
@@ -9,25 +8,29 @@
 import asyncio
 import json
 import selectors
-from collections.abc import Callable, Coroutine
-from typing import Any, TypeVar, cast
+from typing import TYPE_CHECKING, Any, TypeVar, cast
 
-from loadbalancer.actions import Action
 from loadbalancer.endpoints import EndpointState
 from loadbalancer.events import EndpointListUpdate, Event
 from loadbalancer.network.discovery import watch as endpoint_watch
 from loadbalancer.network.proxy import Proxy
-from tests.support.configurations import DEFAULT_SEED, config_text, configuration
-from tests.support.loopback import entry, list_response, response
+from tests.support.configurations import DEFAULT_SEED, config_text, configuration, entry
+from tests.support.http_messages import response
+from tests.support.scripted_discovery import list_response
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
+    from loadbalancer.actions import Action
 
 FAULTS = ("refuses", "resets", "away", "late", "silent", "error", "half")
-CONNECT_FAULTS = ("refuses", "away", "late")  # the faults that show as soon as a connection is opened
+CONNECT_FAULTS = ("refuses", "away", "late")  # the faults of a connect
 KNOWN_INDEX = 8  # the version of the list at the start
 T = TypeVar("T")
 
 
 class _JumpingSelector:
-    """Stands in for waiting: where nothing has come in, the time moves on to what is due."""
+    """Advances the clock to the next timer instead of waiting."""
 
     def __init__(self, inner: selectors.BaseSelector) -> None:
         self._inner = inner
@@ -39,18 +42,18 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = self._inner.select(0)
         if not ready:
-            assert timeout is not None, "nothing is due any more"
+            assert timeout is not None, "no timer is set"
             self.now_s += max(timeout, 0.0)
         return ready
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop with a clock of its own, from which connections lead to stand-ins of discovery by port."""
+    """An event loop with a simulated clock, whose connections lead to simulated discoveries by port."""
 
     def __init__(self) -> None:
         self._selector_in_use = _JumpingSelector(selectors.DefaultSelector())
         self.discoveries: dict[int, SimulatedDiscovery] = {}
-        super().__init__(cast(selectors.BaseSelector, self._selector_in_use))
+        super().__init__(cast("selectors.BaseSelector", self._selector_in_use))
 
     def time(self) -> float:
         return self._selector_in_use.now_s
@@ -60,12 +63,12 @@
 
 
 class SimulatedConnection(asyncio.Transport):
-    """The balancer's side of one connection to the stand-in.
+    """The balancer's side of one connection to a simulated discovery.
 
     Attributes:
-        is_dead: Whether nothing comes on it any more, whatever is sent.
-        after: The index that the call knows which waits on it; None if none does.
-        calls: How many calls were made on it.
+        is_dead: Whether it is unresponsive: nothing is received on it any more.
+        after: The index given by the watch call that waits on it; None if no call waits.
+        calls: The number of calls on it.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, protocol: asyncio.Protocol) -> None:
@@ -88,8 +91,12 @@
             self._discovery.connections.discard(self)
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
+    def become_unresponsive(self) -> None:
+        """Let nothing be received on it any more."""
+        self.is_dead = True
+
     def receive(self, data: bytes) -> None:
-        """Have the balancer read bytes of a response in the loop's next turn."""
+        """Have the balancer read bytes of a response in the next iteration of the event loop."""
         self.after = None
         asyncio.get_running_loop().call_soon(self._receive_now, data)
 
@@ -99,15 +106,15 @@
 
 
 class SimulatedDiscovery:
-    """Discovery as scripted.
+    """A discovery with faults.
 
     Attributes:
-        fault: What is wrong with it at the time, of `FAULTS`; empty if nothing is.
-        index: The version of its list.
-        tries: When connections were asked for, or calls came on those that were up.
+        fault: The current fault, one of `FAULTS`; empty if there is none.
+        index: The version of its endpoint list.
+        attempts: The time of each connect with a fault and of each call, in seconds.
         calls: The request lines of the calls.
-        watches: When each watch began, and its wait; both in seconds.
-        on_try: Called when a try has been accepted or has failed.
+        watches: The start and the wait time of each watch, in seconds.
+        on_attempt: Called when a connect or a call has been accepted or has failed.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -118,23 +125,23 @@
         self.index = KNOWN_INDEX
         self._entries: list[dict[str, Any]] = []
         self.connections: set[SimulatedConnection] = set()
-        self.tries: list[float] = []
+        self.attempts: list[float] = []
         self.calls: list[str] = []
         self.watches: asyncio.Queue[tuple[float, float]] = asyncio.Queue()
-        self.on_try: Callable[[], object] = lambda: None
+        self.on_attempt: Callable[[], object] = lambda: None
 
     async def connect(self, factory: Callable[[], asyncio.Protocol]) -> Any:
         """Accept a connection, or fail to."""
         fault = self.fault
         if fault in CONNECT_FAULTS:
-            self.tries.append(self.loop.time())
-            self.on_try()
+            self.attempts.append(self.loop.time())
+            self.on_attempt()
         if fault == "refuses":
             raise ConnectionRefusedError
         if fault == "away":
-            await self.loop.create_future()  # never comes up
+            await self.loop.create_future()  # never established
         if fault == "late":
-            # And calls on it get no response.
+            # Calls on it get no response either.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -144,13 +151,13 @@
         return connection, protocol
 
     def on_call(self, connection: SimulatedConnection, call: str) -> None:
-        """Take a call, given as its request line."""
+        """Handle a call, given as its request line."""
         if not connection.is_dead:
-            self.tries.append(self.loop.time())
+            self.attempts.append(self.loop.time())
         self.calls.append(call)
         connection.calls += 1
         self._respond(connection, call)
-        self.on_try()
+        self.on_attempt()
 
     def _respond(self, connection: SimulatedConnection, call: str) -> None:
         match self.fault:
@@ -164,7 +171,7 @@
                 connection.receive(response(500, b"sorry"))
             case "half":
                 connection.receive(list_response(KNOWN_INDEX)[:-5])
-                self.loop.call_soon(setattr, connection, "is_dead", True)
+                self.loop.call_soon(connection.become_unresponsive)
             case _:
                 self._respond_by_list(connection, call)
 
@@ -183,11 +190,11 @@
         if connection.after is not None and call_number == connection.calls:
             connection.receive(self._list(snapshot=False))
 
-    def _list(self, snapshot: bool) -> bytes:
+    def _list(self, *, snapshot: bool) -> bytes:
         return list_response(self.index, *self._entries, snapshot=snapshot)
 
     def fail(self, fault: str) -> None:
-        """Begin an outage; open connections show it, or stay silent."""
+        """Begin an outage, with its effect on open connections."""
         self.fault = fault
         for connection in list(self.connections):
             if fault in ("refuses", "resets"):
@@ -198,7 +205,7 @@
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
     def change(self) -> None:
-        """Have an upstream begin to drain, which each watch that waits hears of."""
+        """Have an upstream begin to drain, and send the change to each waiting watch."""
         self.index += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
@@ -207,10 +214,10 @@
 
 
 class WatchingProxy:
-    """A proxy on the simulated loop, and the time at which its policy learns of the drain.
+    """A proxy on the simulated event loop, and the time at which its policy learns of the drain.
 
     Attributes:
-        drain_learned: Done at that time, in seconds of the loop's clock.
+        drain_learned: Completed with that time, in seconds of the event loop's clock.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, seed: int, poll_deadline_ms: float, how: str) -> None:
@@ -235,12 +242,12 @@
         return self._handle(event, now)
 
     def move(self, discovery: SimulatedDiscovery) -> None:
-        """Reconfigure the proxy, as by SIGHUP, with another address of discovery."""
+        """Reconfigure the proxy with another address of discovery, as SIGHUP does."""
         document = json.loads(self._text) | {"discovery": f"127.0.0.1:{discovery.port}"}
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def learns_of_drain(self) -> float:
-        """When its policy learned of the drain; the proxy accepts no clients from then on."""
+        """Wait until the policy learns of the drain, close the listener, and return the time."""
         learned_at: float = await asyncio.wait_for(self.drain_learned, 120)
         self.stop()
         return learned_at
@@ -250,7 +257,7 @@
         self.proxy.listener.close()
 
 
-def run_simulated(scenario: Callable[[SimulatedLoop], Coroutine[Any, Any, T]]) -> T:
-    """Run a scenario on a loop whose time jumps."""
+def run_simulated(coroutine_function: Callable[[SimulatedLoop], Coroutine[Any, Any, T]]) -> T:
+    """Run a coroutine on a simulated event loop."""
     with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
-        return runner.run(scenario(cast(SimulatedLoop, runner.get_loop())))
+        return runner.run(coroutine_function(cast("SimulatedLoop", runner.get_loop())))
