--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,7 +1,7 @@
-"""The balancer as a program: `python -m loadbalancer`, configured by the file that `LB_CONFIG` names.
+"""`python -m loadbalancer`: serve with the configuration in the file that `LB_CONFIG` names.
 
-The handler of SIGHUP is set first: the modules of the program are imported only after that, since it takes a
-while. Exit status: 0 after SIGTERM or SIGINT, 1 if it can't serve, 2 if the configuration can't be used.
+The modules of the network are imported after the handler of SIGHUP is set, since the import takes a while.
+Exit status: 0 after SIGTERM or SIGINT, 1 if the program can't serve, 2 if the configuration can't be used.
 """
 
 from __future__ import annotations
@@ -10,11 +10,13 @@
 import os
 import signal
 import sys
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from loadbalancer.errors import LoadBalancerError
+
 if TYPE_CHECKING:
     import asyncio
+    from collections.abc import Callable
 
     from loadbalancer.configuration import Configuration
     from loadbalancer.network.proxy import Proxy
@@ -23,29 +25,34 @@
 EXIT_CANNOT_SERVE = 1
 EXIT_INVALID_CONFIGURATION = 2
 
-MAX_LOGGED_CONTEXT_CHARS = 2000  # of what the event loop says of an exception that nobody handled
+MAX_LOGGED_CONTEXT_CHARS = 2000
+"""How many characters of the event loop's report of an unhandled exception are logged."""
 
 
 def load(path: str, warn: Callable[[str], None]) -> Configuration:
-    """Read the configuration in a file.
+    """Return the configuration in a file.
 
     Raises:
         OSError: The file can't be read.
-        ValueError: The configuration can't be used.
+        ConfigurationError: The configuration can't be used.
     """
-    from loadbalancer.configuration import read_configuration
+    from loadbalancer.configuration import ConfigurationError, read_configuration
 
     with open(path, encoding="utf-8") as file:
-        return read_configuration(file.read(), warn)
+        try:
+            text = file.read()
+        except UnicodeDecodeError as error:
+            raise ConfigurationError(str(error)) from None
+    return read_configuration(text, warn)
 
 
-async def serve(config: Configuration, path: str, early_reloads: list[int]) -> None:
+async def serve(configuration: Configuration, path: str, early_reloads: list[int]) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
     Args:
-        config: What to start with.
-        path: The file that is read again at SIGHUP.
-        early_reloads: The SIGHUP signals that came before this call.
+        configuration: The configuration to start with.
+        path: The file to read the configuration from again at SIGHUP.
+        early_reloads: The SIGHUP signals that arrived before this call.
     """
     import asyncio
 
@@ -55,23 +62,23 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    proxy = Proxy(config, loop)
+    proxy = Proxy(configuration, loop)
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, path)
     _log_unhandled_exceptions(loop, proxy)
     proxy.start()
     if early_reloads:
         _reload(proxy, path)
-    gc.freeze()  # what the start made stays: it need not be examined again
+    gc.freeze()  # the objects of the start live as long as the process: collections can skip them
     gc.enable()
     await stop.wait()
     await proxy.listener.shut_down()
 
 
 def _reload(proxy: Proxy, path: str) -> None:
-    """Read the configuration again; one that can't be used changes nothing."""
+    """Apply the configuration file as it is now; keep the running one if it can't be used."""
     try:
         proxy.reconfigure(load(path, proxy.log.write))
-    except (OSError, ValueError) as error:
+    except (OSError, LoadBalancerError) as error:
         proxy.log.write(f"configuration not reloaded: {_one_line(error)}")
 
 
@@ -83,10 +90,12 @@
 
 
 def _load_from_environment(warn: Callable[[str], None]) -> tuple[str, Configuration]:
-    """The path that `LB_CONFIG` names, and the configuration there."""
+    """Return the path that `LB_CONFIG` names, and the configuration in that file."""
     path = os.environ.get("LB_CONFIG")
     if not path:
-        raise ValueError("LB_CONFIG is not set")
+        from loadbalancer.configuration import ConfigurationNotNamedError
+
+        raise ConfigurationNotNamedError
     return path, load(path, warn)
 
 
@@ -94,29 +103,34 @@
     return " ".join(str(error).split())
 
 
+def _write_error(text: str) -> None:
+    """Write a line for the operator, before there is a proxy whose log takes it."""
+    sys.stderr.write(f"loadbalancer: {text}\n")
+
+
 def main() -> int:
-    """Read the configuration and serve; the result is the exit status."""
-    # Guards against a SIGHUP before the loop runs: it must not end the process, nor be lost.
+    """Read the configuration, serve, and return the exit status."""
+    # Guards against a SIGHUP before the loop runs: it must neither end the process nor be lost.
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
-    gc.disable()  # until the start is made: next to nothing of it is garbage
+    gc.disable()  # until the start is complete: hardly any object of it is garbage
     import asyncio
 
     import uvloop
 
     warnings: list[str] = []
     try:
-        path, config = _load_from_environment(warnings.append)
-    except (OSError, ValueError) as error:
-        print(f"loadbalancer: configuration: {_one_line(error)}", file=sys.stderr)
+        path, configuration = _load_from_environment(warnings.append)
+    except (OSError, LoadBalancerError) as error:
+        _write_error(f"configuration: {_one_line(error)}")
         return EXIT_INVALID_CONFIGURATION
     for warning in warnings:
-        print(f"loadbalancer: {warning}", file=sys.stderr)
+        _write_error(warning)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(serve(config, path, early_reloads))
+            runner.run(serve(configuration, path, early_reloads))
     except OSError as error:
-        print(f"loadbalancer: can't serve on {config.listen}: {error}", file=sys.stderr)
+        _write_error(f"can't serve on {configuration.listen}: {error}")
         return EXIT_CANNOT_SERVE
     return EXIT_OK
 
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,29 +1,39 @@
-"""The configuration that a balancer starts with: the file that `LB_CONFIG` names, as typed values.
+"""The configuration of a balancer, read from the JSON file that `LB_CONFIG` names, and discovery's lists.
 
-The settings have the names of the simulator's wire, nested. They are flattened to the wire's own form and
-read by `loadbalancer.settings_reader`, so that the simulator and the real balancer cannot come to differ.
+The settings of the policy have the names of the simulator's wire, as nested objects. They are flattened to
+the fields of the wire and read by `loadbalancer.settings_reader`, so that the simulator and the real balancer
+read each setting alike.
 """
 
 from __future__ import annotations
 
 import json
 import math
-from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from loadbalancer import settings_reader
 from loadbalancer.endpoints import Endpoint, EndpointState
-from loadbalancer.settings import Settings
+from loadbalancer.errors import LoadBalancerError
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from loadbalancer.settings import Settings
 
 Address = tuple[str, int]
 """Host and port."""
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024
+"""How many file descriptors may be open, where the configuration doesn't say."""
 DEFAULT_MEMORY_LIMIT_MB = 192
+"""How much memory may be used, where the configuration doesn't say."""
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+"""After which idle time upstreams close a connection, where the settings don't say."""
 DEFAULT_DRAIN_GRACE_MS = 0.0
+"""How long a draining upstream still accepts requests, where the settings don't say."""
 MAX_PORT = 65_535
+"""The highest port of TCP."""
 
 _STATES = {
     "in_service": EndpointState.READY,
@@ -33,17 +43,64 @@
 _NO_ENDPOINTS = {"index": 0, "snapshot": True, "endpoints": []}
 
 
-class ConfigurationError(ValueError):
-    """The configuration can't be used; the text is one plain line."""
+class ConfigurationError(LoadBalancerError, ValueError):
+    """The configuration can't be used.
+
+    Attributes:
+        reason: Why, in one line.
+    """
+
+    def __init__(self, reason: str) -> None:
+        self.reason = " ".join(reason.split())
+        super().__init__(self.reason)
 
 
-class EndpointListError(ValueError):
-    """What should be an endpoint list in discovery's form is none."""
+class ConfigurationNotNamedError(ConfigurationError):
+    """The environment variable that names the configuration file is missing or empty."""
 
+    def __init__(self) -> None:
+        super().__init__("LB_CONFIG is not set")
+
+
+class MissingKeyError(ConfigurationError):
+    """A required key of the configuration is missing."""
+
+    def __init__(self, key: object) -> None:
+        super().__init__(f"{key!r} is missing")
+
+
+class InvalidAddressError(ConfigurationError):
+    """A text that should be an address is not of the form `host:port`."""
+
+    def __init__(self, text: object) -> None:
+        super().__init__(f"{text!r} is no address of the form host:port")
+
+
+class EndpointListError(LoadBalancerError, ValueError):
+    """Base class of the errors of an endpoint list in the format of discovery."""
 
-@dataclass(frozen=True, slots=True)
-class ListedEndpoint:
-    """One entry of an endpoint list: what the policy sees of the endpoint, and where to reach it."""
+
+class MalformedEndpointListError(EndpointListError):
+    """A document is not an endpoint list: a key is missing, or a value is of the wrong type."""
+
+    def __init__(self, cause: Exception) -> None:
+        super().__init__(f"not a server list: {type(cause).__name__}: {cause}")
+
+
+class NonFiniteEntryError(EndpointListError):
+    """An entry of an endpoint list has a weight or a start time that is not finite."""
+
+    def __init__(self, name: object) -> None:
+        super().__init__(f"entry {name!r} holds figures that are none")
+
+
+class ListedEndpoint(NamedTuple):
+    """One entry of an endpoint list.
+
+    Attributes:
+        endpoint: What the policy knows of the endpoint.
+        address: Where it accepts connections.
+    """
 
     endpoint: Endpoint
     address: Address
@@ -55,8 +112,8 @@
 
     Attributes:
         index: The version of the list.
-        is_complete: Whether it is a snapshot of the whole list; else it holds what changed.
-        endpoints: Its entries.
+        is_complete: Whether the entries are the whole list; otherwise they are those that have changed.
+        endpoints: The entries.
     """
 
     index: int
@@ -64,22 +121,21 @@
     endpoints: tuple[ListedEndpoint, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class Configuration:
+class Configuration(NamedTuple):
     """All that a balancer is configured with.
 
     Attributes:
-        name: Its name in log lines; may be empty.
-        listen: Where to accept clients.
-        discovery: Where to ask for the endpoint list.
-        seed: Of all its random draws.
-        descriptor_limit: How many file descriptors it may have open.
-        memory_limit_mb: How much memory it may take.
+        name: The name of the balancer in log lines; may be empty.
+        listen: The address to accept clients at.
+        discovery: The address of the discovery service.
+        seed: The seed of the policy's random draws.
+        descriptor_limit: How many file descriptors the process may have open.
+        memory_limit_mb: How much memory the process may use.
         known_endpoints: The endpoint list as it was known before the start.
         settings: What the policy is configured with.
         connect_timeout_ms: The longest wait for a connection to an upstream.
-        idle_timeout_ms: An upstream closes a connection that has been idle for so long.
-        drain_grace_ms: A draining upstream still accepts requests for so long.
+        idle_timeout_ms: The idle time after which an upstream closes a connection.
+        drain_grace_ms: How long a draining upstream still accepts requests.
     """
 
     name: str
@@ -96,46 +152,48 @@
 
 
 def read_configuration(text: str, warn: Callable[[str], None]) -> Configuration:
-    """Read a configuration.
+    """Return the configuration in a JSON text.
 
     Args:
-        text: The JSON text.
-        warn: Called with a line for each setting that is not understood and passed over.
+        text: The text.
+        warn: Called with a message about each setting that is unknown and ignored.
 
     Raises:
-        ConfigurationError: The text can't be used.
+        ConfigurationError: The text is not JSON, a key is missing, or a value is invalid.
     """
     try:
         return _read_document(json.loads(text), warn)
+    except ConfigurationError:
+        raise
     except KeyError as error:
-        raise ConfigurationError(f"{error} is missing") from None
+        raise MissingKeyError(error.args[0]) from None
     except (ValueError, TypeError, AttributeError) as error:
-        raise ConfigurationError(" ".join(str(error).split())) from None
+        raise ConfigurationError(str(error)) from None
 
 
 def read_endpoint_list(document: Mapping[str, Any]) -> EndpointList:
-    """Read an endpoint list in discovery's form.
+    """Return the endpoint list in a document in the format of discovery.
 
     Raises:
-        EndpointListError: It is no endpoint list.
-        ConfigurationError: It holds something that is no address.
+        EndpointListError: The document is not an endpoint list.
+        InvalidAddressError: The address of an entry is not of the form `host:port`.
     """
     try:
         endpoints = tuple([_read_endpoint(entry) for entry in document["endpoints"]])
         return EndpointList(int(document["index"]), bool(document["snapshot"]), endpoints)
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise EndpointListError(f"not a server list: {type(error).__name__}: {error}") from None
+        raise MalformedEndpointListError(error) from None
 
 
 def read_address(text: object) -> Address:
-    """Read `host:port`; the host is not looked up.
+    """Return the host and port of a text of the form `host:port`; the host is not resolved.
 
     Raises:
-        ConfigurationError: The text has another form.
+        InvalidAddressError: The text is of another form.
     """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise ConfigurationError(f"{text!r} is no address of the form host:port")
+        raise InvalidAddressError(text)
     return host.strip("[]"), int(port)
 
 
@@ -164,7 +222,7 @@
     weight = float(entry.get("weight") or 1.0)
     started_at_ms = float(entry.get("since_ms") or 0.0)
     if not (math.isfinite(weight) and math.isfinite(started_at_ms)):
-        raise EndpointListError(f"entry {entry['name']!r} holds figures that are none")
+        raise NonFiniteEntryError(entry["name"])
     endpoint = Endpoint(
         name=str(entry["name"]),
         state=_STATES[entry["status"]],
@@ -177,7 +235,17 @@
 
 
 def _flatten(value: object, path: str, fields: settings_reader.Fields) -> None:
-    """Add nested settings to `fields` as the wire's path=value pairs, each path under the given one."""
+    """Add a nested setting to `fields` in the form of the wire.
+
+    The keys of nested objects are joined by dots. A list of objects becomes a field with its length, and the
+    fields of each object under a path with its index; any other list becomes one field, its values joined by
+    commas.
+
+    Args:
+        value: The setting: an object, a list or a scalar; null stands for a setting that is not given.
+        path: The path of the setting; empty for the object of all settings.
+        fields: Where to add the fields.
+    """
     if isinstance(value, dict):
         for name, inner in value.items():
             _flatten(inner, f"{path}.{name}" if path else str(name), fields)
