--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -9,7 +9,7 @@
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.settings import EndpointEntry
-from tests.support.loopback import ReceivedMessage, read_message
+from tests.support.http_messages import ReceivedMessage, read_message
 from tests.support.waiting import wait_until
 from tests.testbed.support.endpoint_entries import three_entries
 
