--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -1,13 +1,16 @@
-"""What all client connections of a listener share."""
+"""State and services that all client connections of a listener share."""
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from loadbalancer.network.client.incoming_request import RequestHandler
-from loadbalancer.settings import RequestClass
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Callable
+
+    from loadbalancer.network.client.incoming_request import RequestHandler
+    from loadbalancer.settings import RequestClass
 
 
 class BufferAccount:
@@ -15,7 +18,7 @@
 
     Attributes:
         used_bytes: The bytes that are buffered now.
-        limit_bytes: Above this, connections that buffer much are rejected.
+        limit_bytes: While more is buffered, connections that buffer more than an exempt amount are rejected.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -23,25 +26,25 @@
         self.limit_bytes = limit_bytes
 
     def add(self, change_bytes: int) -> None:
-        """Record that so many more bytes are buffered; fewer if negative."""
+        """Add a number of bytes to those that are buffered; a negative one removes them."""
         self.used_bytes += change_bytes
 
     def is_exceeded(self) -> bool:
-        """Return whether more is buffered than the limit allows."""
+        """Return whether more bytes are buffered than the limit allows."""
         return self.used_bytes > self.limit_bytes
 
 
 @dataclass(slots=True, eq=False)
 class ConnectionContext:
-    """The listener's services and state, as its connections see them.
+    """The listener's state and services, as its connections see them.
 
     Attributes:
         loop: The event loop.
         handler: Receives the requests.
         report: Logs a message together with the exception that is being handled.
         classes: The request classes of the settings, by name.
-        buffers: The memory that requests occupy.
-        is_shutting_down: Whether health checks fail, so that no new clients are sent here.
+        buffers: Counts the bytes that are buffered for all connections.
+        is_shutting_down: Whether health checks fail, so that no new clients are sent to this balancer.
         closes_connections: Whether each response closes its connection.
     """
 
