--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, and the subset of them that this replica sends requests to."""
+"""The endpoints of the list, the subset of them that this balancer uses, and their warm-up fractions."""
 
 import math
 from random import Random
@@ -6,7 +6,6 @@
 from loadbalancer.endpoints import Endpoint, EndpointState
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.policy.endpoint_stats import EndpointStats
-from loadbalancer.policy.warmup import WarmupRamp
 from loadbalancer.settings import Settings
 
 # Smallest number of endpoints in the subset: the loss of a few must leave a choice.
@@ -16,6 +15,35 @@
 BALANCERS_PER_ENDPOINT = 30
 
 
+class WarmupRamp:
+    """The warm-up fraction of an endpoint, by the settings: the fraction of its full capacity that it has.
+
+    With f the initial fraction, a the age of the process and T the slow-start time, the fraction is
+    1 - (1 - f) (1 - a / T), a linear ramp from f at the start to 1 at the age T.
+
+    Attributes:
+        active_until: The time from which on all listed endpoints are warm, in milliseconds.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        self._duration_ms = settings.slow_start_ms
+        self._missing_fraction = 1.0 - settings.slow_start_initial_fraction
+        self.active_until = 0.0
+
+    def update(self, ready: list[EndpointStats]) -> None:
+        """Compute `active_until` from the ready endpoints, after a change of the endpoint list."""
+        newest = max((e.entry.started_at_ms for e in ready), default=0.0)
+        self.active_until = newest + self._duration_ms
+
+    def fraction(self, endpoint: EndpointStats, now: float) -> float:
+        """Return the warm-up fraction of an endpoint: 1 if it is warm, or its start is unknown."""
+        started_at = endpoint.entry.started_at_ms
+        age = now - started_at
+        if started_at <= 0 or age >= self._duration_ms:
+            return 1.0
+        return 1.0 - self._missing_fraction * (1.0 - max(age, 0.0) / self._duration_ms)
+
+
 class EndpointSet:
     """The known endpoints: those of the list, and removed ones that have attempts in flight.
 
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -204,7 +204,7 @@
     harness = await start_proxy(Upstream())
     client = await client_with_a_response(harness)
     (connection,) = harness.proxy.listener.connections
-    is_idle = connection.is_idle
+    is_idle = connection.expiry.is_idle
     has_crossed = asyncio.Event()
 
     def send_then_is_idle() -> bool:
@@ -213,7 +213,7 @@
             client.send()  # written at once, and not read before the result is used
         return is_idle()
 
-    monkeypatch.setattr(connection, "is_idle", send_then_is_idle)
+    monkeypatch.setattr(connection.expiry, "is_idle", send_then_is_idle)
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     reply = await client.read_response()
     assert status(reply) == 200
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -176,7 +176,7 @@
         last = discoveries[-1]
         before = len(last.attempts)
         await asyncio.sleep(60.0)
-        shortest_delay_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * 0.5
+        shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
         assert 60.0 / MAX_LIST_DELAY_S < len(last.attempts) - before <= 60.0 / shortest_delay_s
         earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
         assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
@@ -225,7 +225,7 @@
 
     for fault in FAULTS:
         attempts = run_simulated(partial(scenario, fault=fault))
-        mean_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000
+        mean_s = poll_backoff.MAX_BACKOFF_MS / 1000
         assert len(attempts) / (seeds * span_s) < 1.1 / mean_s, fault
         slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second gets a third of them"
@@ -237,8 +237,8 @@
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     overdue_s = endpoint_watch.WATCH_OVERDUE_S
-    rest_s = poll_backoff.MIN_POLL_PAUSE_MS / 1000 * MAX_DELAY_JITTER
-    period_s = poll_backoff.MAX_POLL_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
+    rest_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
+    period_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + overdue_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
     # Discovery recovers, or has the change, just after the start of a call that fails.
--- a/tests/policy/test_poll_backoff.py
+++ b/tests/policy/test_poll_backoff.py
@@ -16,4 +16,4 @@
     for _ in range(100):
         timer = of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
     assert isinstance(timer, SetTimer)
-    assert harness.now < timer.at_ms <= harness.now + poll_backoff.MAX_POLL_BACKOFF_MS * MAX_DELAY_JITTER
+    assert harness.now < timer.at_ms <= harness.now + poll_backoff.MAX_BACKOFF_MS * MAX_DELAY_JITTER
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -62,7 +62,7 @@
 async def test_a_hollow_balancer_carries_out_timers_and_polls_again(
     discovery: Discovery, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("loadbalancer.policy.poll_backoff.POLL_BACKOFF_MS", 2.0)
+    monkeypatch.setattr("loadbalancer.policy.poll_backoff.INITIAL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.05)
 
     applied: list[int] = []
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -94,7 +94,7 @@
     run_to_end(chain)
     [(at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
-    assert (finished.outcome, at, finished.is_answered) == (outcome, after_ms, served)
+    assert (finished.outcome, at, finished.is_request_complete) == (outcome, after_ms, served)
     # A class that is safe to retry is rejected, not failed.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == after_ms
@@ -157,7 +157,9 @@
     ]
     for tier, disconnected_at in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
         assert [now for now, _ in recorded.events_of(tier, ClientDisconnected)] == [disconnected_at]
-        finished = [(now, e.outcome, e.is_answered) for now, e in recorded.events_of(tier, AttemptFinished)]
+        finished = [
+            (now, e.outcome, e.is_request_complete) for now, e in recorded.events_of(tier, AttemptFinished)
+        ]
         assert finished == [(disconnected_at, Outcome.CANCELLED, True)]
     assert [server.in_service for tier in chain.tiers for server in tier] == [0] * 6
 
@@ -175,7 +177,7 @@
     # The next tier timed out and responded 500, which was no longer needed.
     [(_, finished)] = recorded.events_of(1, AttemptFinished)
     assert finished.outcome is Outcome.ERROR
-    assert finished.is_answered
+    assert finished.is_request_complete
 
 
 def test_an_attempt_that_times_out_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
