--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -105,7 +105,9 @@
 
 def _write_error(text: str) -> None:
     """Write a line for the operator, before there is a proxy whose log takes it."""
-    sys.stderr.write(f"loadbalancer: {text}\n")
+    # Guards against an exception while standard error is closed: `sys.stderr` is None then, for which `print`
+    # uses standard output.
+    print(f"loadbalancer: {text}", file=sys.stderr)
 
 
 def main() -> int:
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -9,6 +9,7 @@
 import time
 from typing import TYPE_CHECKING
 
+from loadbalancer.__main__ import EXIT_INVALID_CONFIGURATION, EXIT_OK
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network.clock import Clock
 from tests.support.configurations import config_text
@@ -64,6 +65,46 @@
     assert (completed.returncode, completed.stdout) == (0, "alive\n"), completed.stderr
 
 
+def test_a_configuration_error_keeps_its_exit_code_while_standard_error_is_closed(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text("{}")
+    completed = subprocess.run(
+        ["sh", "-c", 'exec "$0" -m loadbalancer 2>&-', sys.executable],
+        env=os.environ | {"LB_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    assert completed.returncode == EXIT_INVALID_CONFIGURATION
+    assert completed.stdout == "loadbalancer: configuration: 'settings' is missing\n"
+
+
+def test_a_warning_does_not_prevent_the_start_without_standard_error(tmp_path: Path) -> None:
+    """Python sets `sys.stderr` to None if it is closed at the start; the descriptor stays open here."""
+    program = """if True:
+        import asyncio, os, signal, sys
+        from loadbalancer import __main__ as program
+        serve = program.serve
+        async def serve_briefly(*args):
+            asyncio.get_running_loop().call_soon(os.kill, os.getpid(), signal.SIGTERM)
+            await serve(*args)
+        program.serve = serve_briefly
+        sys.stderr = None
+        sys.exit(program.main())
+    """
+    path = tmp_path / "config.json"
+    path.write_text(config_text("127.0.0.1:9", [], unknownSetting=1))
+    completed = subprocess.run(
+        [sys.executable, "-c", program],
+        env=os.environ | {"LB_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    assert completed.returncode == EXIT_OK
+    assert "unknownSetting" in completed.stdout
+
+
 def test_null_in_the_configuration_counts_as_absent() -> None:
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
