--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 MAX_MODULE_LINES = 300
-MAX_CLASS_LINES = 200
+MAX_CLASS_LINES = 180
 MAX_FUNCTION_LINES = 40
 MAX_FOLDER_MODULES = 21
 FunctionNode = ast.FunctionDef | ast.AsyncFunctionDef
