--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -38,7 +38,7 @@
     """
     from loadbalancer.configuration import ConfigurationError, read_configuration
 
-    with open(path, encoding="utf-8") as file:
+    with open(path, encoding="utf-8") as file:  # noqa: PTH123  a start does without pathlib
         try:
             text = file.read()
         except UnicodeDecodeError as error:
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -109,7 +109,7 @@
             started_at_s = asyncio.get_running_loop().time()
             try:
                 endpoint_list = await self._fetch()
-            except Exception:
+            except Exception:  # noqa: BLE001  a call may fail in any way
                 # Guards against a watch that ends without notice: a call that raises any error has failed.
                 retry_delay_s = self._record_failure(started_at_s)
                 if retry_delay_s is None:
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -86,7 +86,7 @@
         for action in self._decide(event, request):
             try:
                 self._perform(action)
-            except Exception:
+            except Exception:  # noqa: BLE001  an action may fail in any way
                 # Guards against a fault in one action: the actions after it are still performed.
                 self._log.exception(f"could not perform {action!r}")
                 self._end_failed_request(_request_number(action))
@@ -97,7 +97,7 @@
     def _decide(self, event: Event, request: ProxiedRequest | None) -> list[Action]:
         try:
             return self._balancer.handle(event, self._clock.now())
-        except Exception:
+        except Exception:  # noqa: BLE001  the policy may fail in any way
             # Guards against a fault in the policy: it ends this request, never the process.
             self._log.exception(f"the policy failed at {event!r}"[:MAX_LOGGED_EVENT_CHARS])
             self._end_failed_request(request.number if request is not None else None)
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -36,7 +36,7 @@
         if self._lines <= MAX_LINES:
             # Guards against a closed standard error, which must not end the process.
             with contextlib.suppress(OSError):
-                print(f"{self._name}: {text}", file=sys.stderr, flush=True)
+                print(f"{self._name}: {text}", file=sys.stderr, flush=True)  # noqa: T201  this is the log
 
     def exception(self, text: str) -> None:
         """Write a line and the traceback of the exception that is being handled."""
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -93,7 +93,7 @@
             return []
         try:
             return [codec.write_action(instance, action) for action in balancer.handle(event, now_ms)]
-        except Exception as error:  # whatever the policy raises is reported on the wire
+        except Exception as error:  # noqa: BLE001  whatever the policy raises is reported on the wire
             traceback.print_exc(file=self._errors)
             self._balancers[instance] = None
             return [codec.write_failure(instance, error)]
