--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, the subset of them that this balancer uses, and their warm-up fractions."""
+"""The endpoints of the list, the subset of them that this replica uses, and their warm-up fractions."""
 
 import math
 from random import Random
