--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -21,6 +21,13 @@
     WatchEndpoints,
 )
 from loadbalancer.endpoints import Endpoint, EndpointState
+from loadbalancer.errors import (
+    DuplicateRequestError,
+    InvalidSettingsError,
+    LoadBalancerError,
+    UnknownClassError,
+    UnknownRequestError,
+)
 from loadbalancer.events import (
     AttemptFinished,
     ClientDisconnected,
@@ -43,6 +50,7 @@
     "CancelAttempt",
     "ClientDisconnected",
     "CloseIdleConnections",
+    "DuplicateRequestError",
     "Endpoint",
     "EndpointListKind",
     "EndpointListTimer",
@@ -54,7 +62,9 @@
     "HedgeTimer",
     "Idempotency",
     "IdempotencyScope",
+    "InvalidSettingsError",
     "LoadBalancer",
+    "LoadBalancerError",
     "LogMessage",
     "Outcome",
     "RejectRequest",
@@ -68,5 +78,7 @@
     "Tenant",
     "Timer",
     "TimerFired",
+    "UnknownClassError",
+    "UnknownRequestError",
     "WatchEndpoints",
 ]
