--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -105,9 +105,9 @@
 
 def _write_error(text: str) -> None:
     """Write a line for the operator, before there is a proxy whose log takes it."""
-    # Guards against an exception while standard error is closed: `sys.stderr` is None then, for which `print`
-    # uses standard output.
-    print(f"loadbalancer: {text}", file=sys.stderr)
+    # Guards against an exception while standard error is closed: `sys.stderr` is None then, and only `print`
+    # accepts that, by using standard output.
+    print(f"loadbalancer: {text}", file=sys.stderr)  # noqa: T201  see the comment above
 
 
 def main() -> int:
