--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -75,7 +75,7 @@
 
 
 def _reload(proxy: Proxy, path: str) -> None:
-    """Apply the configuration file as it is now; keep the running one if it can't be used."""
+    """Watch the discovery that the configuration file names now; ignore a file that can't be used."""
     try:
         proxy.reconfigure(load(path, proxy.log.write))
     except (OSError, LoadBalancerError) as error:
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -18,7 +18,8 @@
 
     Attributes:
         used_bytes: The bytes that are buffered now.
-        limit_bytes: While more is buffered, connections that buffer more than an exempt amount are rejected.
+        limit_bytes: The limit on `used_bytes`. Above it, the pipeline rejects the input of connections that
+            buffer more than `UNCONDITIONAL_BUFFER_BYTES`.
     """
 
     def __init__(self, limit_bytes: int) -> None:
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -15,7 +15,11 @@
     from loadbalancer.network.client.connection import ClientConnection
 
 EVICTION_DIVISOR = 4
-"""One eviction closes at most 1/4 of the connections, besides all whose request did not arrive in time."""
+"""One eviction closes idle connections until it has closed 1/4 of all connections.
+
+Connections whose request did not arrive in time are all closed. They count towards the 1/4, but are not
+limited by it.
+"""
 
 
 class ConnectionEviction:
@@ -39,9 +43,9 @@
     def evict(self) -> None:
         """Close connections in favour of new ones, with shorter time limits than `sweep`.
 
-        All connections whose request did not arrive in time are closed, then the longest idle ones.
-        Guards against floods of connections that bring no request. A connection whose request is open is
-        never closed.
+        All connections whose request did not arrive in time are closed, then the longest idle ones. A
+        connection whose request is open is never closed. A call within `MIN_EVICTION_INTERVAL_S` of the last
+        eviction has no effect. Guards against floods of connections that bring no request.
         """
         now = time.monotonic()
         if now - self._evicted_at < timeouts.MIN_EVICTION_INTERVAL_S:
@@ -59,5 +63,5 @@
 
 
 def _closing_order(connection: ClientConnection) -> tuple[bool, float]:
-    """Return the sort key: connections without a complete request first, then the longest idle ones."""
+    """Return the sort key: connections whose request has not arrived first, then the longest idle ones."""
     return not connection.is_request_pending(), connection.idle_since
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -72,8 +72,9 @@
         started_at = self._reader.arrival.started_at
         if now - started_at < request_timeout_s:
             return False
-        # Guards against clients that send a byte at a time: while the loop is busy, each check would find
-        # a byte that is not read yet. Once input was read after the time was up, no more is waited for.
+        # Guards against clients that send a byte at a time: while the loop is busy, each check would find an
+        # unread byte, and the connection would never expire. Unread bytes therefore no longer count once the
+        # loop has read input after the end of the grace period.
         grace_ends_at = started_at + timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
         was_read_late = self._reader.last_received_at >= grace_ends_at
         if not was_read_late and self._transport.has_unread_bytes():
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -13,7 +13,10 @@
     from loadbalancer.network.client.context import ConnectionContext
 
 SHUTDOWN_MAX_DEADLINE_S = 3.0
-"""The platform waits at most this long for responses, also where deadlines are longer."""
+"""Limit on the longest deadline, from which the times of the shutdown are computed.
+
+The platform that runs the process waits no longer than this for responses, also where deadlines are longer.
+"""
 
 SHUTDOWN_ACCEPT_S = 0.5
 """New connections are accepted for this time after SIGTERM, since some still arrive."""
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -53,7 +53,10 @@
         self._awaits_response = True
 
     def start(self, responder: Responder) -> None:
-        """Let the request be responded to: all requests before it on its connection have been."""
+        """Set the connection, once all earlier requests on it have been responded to.
+
+        Before this call, `respond` has no effect.
+        """
         self._responder = responder
 
     def abandon(self) -> None:
--- a/loadbalancer/network/client/request_arrival.py
+++ b/loadbalancer/network/client/request_arrival.py
@@ -33,7 +33,11 @@
         self.has_received_request = False
 
     def begin(self, now: float) -> None:
-        """Record that the first byte of a request has arrived."""
+        """Record that the first byte of a request has arrived.
+
+        The first request of a connection is counted from the time when the client connected, so that
+        `started_at` does not change for it.
+        """
         self.is_arriving = True
         if self.has_received_request:
             self.started_at = now
--- a/loadbalancer/network/client/request_parser.py
+++ b/loadbalancer/network/client/request_parser.py
@@ -71,7 +71,7 @@
         try:
             self._open_parser().feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # The parser reports an exception of a callback as the context of its own.
+            # An exception that a callback raised is the context of the exception that httptools raises.
             cause = error.__context__
             return cause.rejection if isinstance(cause, RequestRejectedError) else MALFORMED_REQUEST
         return None
--- a/loadbalancer/network/client/response_writer.py
+++ b/loadbalancer/network/client/response_writer.py
@@ -23,7 +23,7 @@
 
 
 def serialize_response(status: int, headers: Headers, body: bytes, *, closes_connection: bool) -> bytes:
-    """Return the bytes of an HTTP/1.1 response with Content-Length.
+    """Return the bytes of a complete HTTP/1.1 response.
 
     Args:
         status: The status code.
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -60,7 +60,7 @@
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether bytes that were written wait for the client to read."""
+        """Return whether written bytes are still in the write buffer of this process."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def has_unread_bytes(self) -> bool:
@@ -68,7 +68,7 @@
         return self._transport is not None and bool(peek(self._transport))
 
     def has_client_disconnected(self) -> bool:
-        """Return whether the client has closed the connection, or its sending side; abort if so.
+        """Return whether the client has closed the connection, or its sending side; if so, abort it.
 
         The kernel is queried, since the event loop notices a disconnect late while it is busy or reading
         is paused.
@@ -130,7 +130,7 @@
         self.abort_after(linger_s)
 
     def abort_after(self, delay_s: float) -> None:
-        """End the connection after a time, unless it is to end after a time already."""
+        """End the connection after a time; a timer that is running already is kept instead."""
         if self._transport is not None and self._abort_timer is None:
             self._abort_timer = self._loop.call_later(delay_s, self._transport.abort)
 
--- a/loadbalancer/network/discovery/retry_schedule.py
+++ b/loadbalancer/network/discovery/retry_schedule.py
@@ -4,9 +4,9 @@
 again after a failure, except shortly after a move to another discovery. Where an agent pushes endpoint lists,
 the watch repeats failed calls by itself.
 
-Requirements on the times, in seconds after discovery works again: a change of the list has to be known
-within 6 s after a failed call, within 2 s after the wait of a watch call that got no response, and within 4 s
-after a move.
+The times are chosen to meet these limits. Where lists are pushed, a list has to be known within 6 s of the
+time when the agent has it. A list that a watch call without a response should have returned has to be known
+within 2 s of the end of its wait. After a move, the list of the new discovery has to be known within 4 s.
 """
 
 from __future__ import annotations
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,8 +1,8 @@
 """The watch on the endpoint list of discovery.
 
-A watch is a chain of HTTP calls, one at a time. The first call gets the complete list. Each later call names
-the index (version) of the known list and a wait: discovery responds when the list changes, or when the wait
-has ended.
+A watch is a chain of HTTP calls, one at a time. While no list of this discovery is known, a call gets the
+complete list at once. Otherwise a call names the index (version) of the known list and a wait: discovery
+responds when the list changes, or when the wait has ended. The list in the configuration counts as known.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 """Timeout of a call without a wait: after a move to another discovery its list has to be known within 4 s."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Timeout of opening a connection, which is short since a host that is down never responds."""
+"""Timeout of opening a connection: shorter than a call's, since a host that is down never responds."""
 
-_NO_INDEX = -1  # before the first list of a discovery
+_NO_INDEX = -1  # while no list of the discovery is known
 
 
 class EndpointWatch:
--- a/loadbalancer/network/headers.py
+++ b/loadbalancer/network/headers.py
@@ -6,7 +6,7 @@
 """Limit on the body of a message, which the protocol between the services sets."""
 
 MAX_HEAD_BYTES = 65_536
-"""Limit on the head of a message: the sum of all its lines."""
+"""Limit on a message without its body: start line, headers, chunk framing, earlier interim responses."""
 
 _HOP_BY_HOP_HEADERS = frozenset(
     (
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -29,7 +29,7 @@
     from loadbalancer.network.client.incoming_request import IncomingRequest
 
 IDLE_CHECK_INTERVAL_S = 1.0
-"""Time between two searches for upstream connections that have been idle for too long."""
+"""Interval between two checks for upstream connections that have been idle for too long."""
 
 
 class Proxy:
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -32,7 +32,7 @@
         dispatch: Callable[[Event, ProxiedRequest], None],
         on_disconnect: Callable[[IncomingRequest], None],
     ) -> None:
-        """Connect the runner to its surroundings.
+        """Create a runner without attempts.
 
         Args:
             requests: The table in which the policy's request numbers are looked up.
@@ -48,7 +48,14 @@
         self._on_disconnect = on_disconnect
 
     def start(self, action: StartAttempt) -> None:
-        """Start the next attempt of a request."""
+        """Start the next attempt of a request.
+
+        If the client has disconnected, or the endpoint list does not name the endpoint, the attempt ends at
+        once.
+
+        Raises:
+            KeyError: The request is finished or unknown.
+        """
         request = self._requests[action.request_id]
         index = len(request.attempts)
         request.running_attempts += 1
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -127,8 +127,8 @@
             OSError: The upstream cannot be reached, or this process lacks a resource.
         """
         # Guards against attempts that start in one turn of the event loop and all find the limit not reached:
-        # each connection is counted here, before the next attempt gets here. The descriptors above the limit
-        # belong to discovery.
+        # each connection is counted here, before the next attempt gets here. Descriptors beyond the limit are
+        # reserved, for the connection to discovery among others.
         self._limit.acquire()
         connection = UpstreamConnection(self.add_idle_connection, self._forget)
         try:
