--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -94,7 +94,7 @@
         super().__init__(f"entry {name!r} holds figures that are none")
 
 
-class ListedEndpoint(NamedTuple):
+class EndpointListEntry(NamedTuple):
     """One entry of an endpoint list.
 
     Attributes:
@@ -118,7 +118,7 @@
 
     index: int
     is_complete: bool
-    endpoints: tuple[ListedEndpoint, ...]
+    endpoints: tuple[EndpointListEntry, ...]
 
 
 class Configuration(NamedTuple):
@@ -218,7 +218,7 @@
     )
 
 
-def _read_endpoint(entry: Mapping[str, Any]) -> ListedEndpoint:
+def _read_endpoint(entry: Mapping[str, Any]) -> EndpointListEntry:
     weight = float(entry.get("weight") or 1.0)
     started_at_ms = float(entry.get("since_ms") or 0.0)
     if not (math.isfinite(weight) and math.isfinite(started_at_ms)):
@@ -231,7 +231,7 @@
         weight=weight,
         started_at_ms=started_at_ms,
     )
-    return ListedEndpoint(endpoint, read_address(entry["address"]))
+    return EndpointListEntry(endpoint, read_address(entry["address"]))
 
 
 def _flatten(value: object, path: str, fields: settings_reader.Fields) -> None:
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from loadbalancer.configuration import Address, Configuration, EndpointList, ListedEndpoint
+    from loadbalancer.configuration import Address, Configuration, EndpointList, EndpointListEntry
 
 IDLE_TIMEOUT_FRACTION = 0.8
 """Fraction of the upstream's idle timeout for which a connection is used.
@@ -227,7 +227,7 @@
         for entry in endpoint_list.endpoints:
             self._update_endpoint(entry)
 
-    def _update_endpoint(self, entry: ListedEndpoint) -> None:
+    def _update_endpoint(self, entry: EndpointListEntry) -> None:
         endpoint = entry.endpoint
         if endpoint.state is EndpointState.REMOVED:
             self._retire(endpoint.name)
