--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,8 +1,8 @@
 """A load balancer for services that call services.
 
-`LoadBalancer` makes the decisions of one balancer instance, with `Settings` to configure it. It takes events
-and returns actions, and does no input or output itself: `loadbalancer.network` carries the actions out over
-HTTP, `loadbalancer.simulator` on the wire of a simulator.
+`LoadBalancer` is the policy of one balancer instance, configured by `Settings`. It accepts events and returns
+actions, and does no I/O itself: `loadbalancer.network` carries the actions out over HTTP,
+`loadbalancer.simulator` on the wire of a simulator.
 
 The names below are the package's public interface. Modules inside the package import each name from the
 module that defines it.
@@ -21,6 +21,13 @@
     WatchEndpoints,
 )
 from loadbalancer.endpoints import Endpoint, EndpointState
+from loadbalancer.errors import (
+    DuplicateRequestError,
+    InvalidSettingsError,
+    LoadBalancerError,
+    UnknownClassError,
+    UnknownRequestError,
+)
 from loadbalancer.events import (
     AttemptFinished,
     ClientDisconnected,
@@ -43,6 +50,7 @@
     "CancelAttempt",
     "ClientDisconnected",
     "CloseIdleConnections",
+    "DuplicateRequestError",
     "Endpoint",
     "EndpointListKind",
     "EndpointListTimer",
@@ -54,7 +62,9 @@
     "HedgeTimer",
     "Idempotency",
     "IdempotencyScope",
+    "InvalidSettingsError",
     "LoadBalancer",
+    "LoadBalancerError",
     "LogMessage",
     "Outcome",
     "RejectRequest",
@@ -68,5 +78,7 @@
     "Tenant",
     "Timer",
     "TimerFired",
+    "UnknownClassError",
+    "UnknownRequestError",
     "WatchEndpoints",
 ]
