--- /dev/null
+++ b/tests/test_configuration.py
@@ -0,0 +1,78 @@
+"""The errors of a configuration that can't be used, and of an invalid endpoint list."""
+
+from __future__ import annotations
+
+import json
+from typing import TYPE_CHECKING, Any
+
+import pytest
+
+from loadbalancer.configuration import (
+    ConfigurationError,
+    InvalidAddressError,
+    MalformedEndpointListError,
+    MissingKeyError,
+    NonFiniteEntryError,
+    read_address,
+    read_configuration,
+    read_endpoint_list,
+)
+from tests.support.configurations import config_text, entry
+
+if TYPE_CHECKING:
+    from loadbalancer.errors import LoadBalancerError
+
+
+def read(document: dict[str, Any]) -> None:
+    read_configuration(json.dumps(document), lambda warning: None)
+
+
+@pytest.mark.parametrize("key", ["listen", "discovery", "settings"])
+def test_a_missing_key_is_named(key: str) -> None:
+    document = json.loads(config_text("127.0.0.1:9", []))
+    del document[key]
+    with pytest.raises(MissingKeyError, match=f"^'{key}' is missing$"):
+        read(document)
+
+
+@pytest.mark.parametrize("text", ["nowhere", ":80", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:-1", None])
+def test_an_address_has_a_host_and_a_port(text: str | None) -> None:
+    with pytest.raises(InvalidAddressError, match=r"is no address of the form host:port$"):
+        read_address(text)
+
+
+@pytest.mark.parametrize(
+    ("settings", "reason"),
+    [
+        ({"tick": "soon"}, "field 'tick' holds 'soon', which is no number"),
+        ({"classes": []}, "field 'classes.count' is missing"),
+        ({"tick": 0.0}, "tick_ms is 0.0: it must be above 0"),
+    ],
+)
+def test_an_invalid_setting_is_named(settings: dict[str, Any], reason: str) -> None:
+    with pytest.raises(ConfigurationError) as raised:
+        read(json.loads(config_text("127.0.0.1:9", [], **settings)))
+    assert raised.value.reason == str(raised.value) == reason
+
+
+def test_the_reason_of_an_error_is_one_line() -> None:
+    with pytest.raises(ConfigurationError) as raised:
+        read_configuration("not\nJSON", lambda warning: None)
+    assert "\n" not in str(raised.value)
+
+
+@pytest.mark.parametrize(
+    ("entries", "error", "reason"),
+    [
+        ([{"name": "s0"}], MalformedEndpointListError, "not a server list: KeyError: 'status'"),
+        ([None], MalformedEndpointListError, "not a server list: AttributeError"),
+        ([entry("s0", "127.0.0.1:9", weight=float("inf"))], NonFiniteEntryError, "entry 's0'"),
+        ([entry("s0", "nowhere")], InvalidAddressError, "'nowhere' is no address"),
+    ],
+)
+def test_an_invalid_entry_of_an_endpoint_list_is_an_error(
+    entries: list[Any], error: type[LoadBalancerError], reason: str
+) -> None:
+    with pytest.raises(error, match=reason) as raised:
+        read_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries})
+    assert isinstance(raised.value, ValueError)
