--- a/loadbalancer/simulator/messages.py
+++ b/loadbalancer/simulator/messages.py
@@ -1,7 +1,7 @@
 """The input of the simulator as typed values: batches, and the messages in them.
 
 The types are named tuples because each line of the input makes one: a frozen dataclass with two fields takes
-1.7 times as long to construct. They are told apart by class, never by comparison.
+1.7 times as long to construct. Messages are distinguished by their class and never compared.
 """
 
 from __future__ import annotations
--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -60,7 +60,7 @@
     return Counter({module: number / EVENTS for module, number in calls.items()})
 
 
-def test_a_line_is_read_and_answered_in_few_calls(calls_per_event: Counter[str]) -> None:
+def test_few_calls_read_a_line_and_write_the_reply(calls_per_event: Counter[str]) -> None:
     own = {
         module: number
         for module, number in calls_per_event.items()
@@ -69,7 +69,7 @@
     assert sum(own.values()) <= MAX_SIMULATOR_CALLS, own
 
 
-def test_an_event_is_handled_in_few_calls(calls_per_event: Counter[str]) -> None:
+def test_few_calls_handle_an_event(calls_per_event: Counter[str]) -> None:
     assert calls_per_event.total() <= MAX_CALLS, calls_per_event
 
 
