--- a/loadbalancer/actions.py
+++ b/loadbalancer/actions.py
@@ -46,7 +46,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Respond that the client may safely repeat the request: it was never processed, or is idempotent.
+    """Respond that the client may safely repeat the request.
+
+    Either no attempt of it was processed, or its class is `Idempotency.SAFE`.
 
     Attributes:
         request_id: The request.
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -25,7 +25,8 @@
         name: Its identity in the list. A restarted process may keep the name.
         state: Whether it accepts new requests.
         zone: The zone that it runs in; empty if unknown.
-        cell: The number of the group of endpoints that share idempotency keys; see `IdempotencyScope.CELL`.
+        cell: The number of its cell, a group of endpoints that share idempotency keys where the scope of a
+            class is `IdempotencyScope.CELL`.
         weight: Its registered capacity, relative to other endpoints. The policy replaces a value that is not
             positive and finite by 1.
         started_at_ms: When its process started, in milliseconds on the clock of the policy's events; 0 if
--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -49,7 +49,7 @@
     NOT_SENT = "not sent"
     """The attempt ended before anything was sent."""
     UNKNOWN = "unknown"
-    """Unknown to the host; the request may have had an effect."""
+    """The host does not know how it ended; the request may have had an effect."""
 
 
 # A tuple: a look-up in a set would call `Enum.__hash__`, which is a Python function.
@@ -113,9 +113,10 @@
         request_id: The request.
         attempt_index: The index of the attempt among those of the request, from 0 in the order of the
             `StartAttempt` actions.
-        endpoint: The name of the endpoint that it was sent to. outcome: How it ended. is_request_complete:
-        Whether the request needs no response any more: the client has its final response,
-            from this attempt or another one, or has disconnected.
+        endpoint: The name of the endpoint that it was sent to.
+        outcome: How it ended.
+        is_request_complete: Whether the request needs no response any more: the client has its final
+            response, from this attempt or another one, or has disconnected.
         load_report: The endpoint's load report, in the order of `Settings.load_report_fields`; empty without
             one. The policy does not use it.
     """
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -8,12 +8,14 @@
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import RequestClass, Settings
 
-# Exponent of the relative priority weight. Linear, a class of an eighth of the largest weight was shed like
-# requests over quota; with the square root it still fell below the service that each class must get.
+# Exponent of the relative priority weight. With an exponent of 1, a class of an eighth of the largest weight
+# was shed like requests over quota; with 1/2, one class was still served less than each class must be.
 PRIORITY_EXPONENT = 1 / 3
-# Fraction of the longest client timeout of a class: a request with less time remaining is a client retry.
+# A request counts as a client retry if its remaining time is below this fraction of the longest one seen for
+# its class: the client's first attempt has used up the rest.
 FULL_TIMEOUT_FRACTION = 0.9
-# Requests of a class over which the longest timeout seen decays by 1/e, if clients shorten theirs.
+# Time constant, in requests of the class, by which the longest remaining time seen decays exponentially. It
+# lets the figure follow clients that shorten their timeouts.
 MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS
 # Bucket size as time, in ms: the quota of this span may be used at once. A bucket that grew with the
 # square root of the number of replicas made no difference.
@@ -23,7 +25,9 @@
 class Quotas:
     """Token buckets by tenant, one token a request, for this replica's part of the tenant's quota.
 
-    Assumes that a tenant's requests spread evenly over the replicas.
+    Assumes that a tenant's requests spread evenly over the replicas. A tenant whose quota is below
+    1 / QUOTA_BURST_MS (0.5 requests a second) for each replica always counts as over quota, since its bucket
+    cannot hold a complete token.
     """
 
     def __init__(self, settings: Settings, peers: PeerEstimator) -> None:
@@ -90,12 +94,12 @@
     def _is_late_client_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
         """Return whether a client retries a request whose latency objective has passed.
 
-        The client's first attempt is estimated to have started at the class's deadline less `remaining_ms`
-        before now. A request that comes with nearly the longest timeout seen for its class is a first
-        attempt, however short that timeout.
+        The client's first attempt is estimated to have started `deadline_ms - remaining_ms` ago. A request
+        that arrives with nearly the longest remaining time seen for its class counts as a first attempt,
+        however short that time is.
 
-        Guards against clients that give each attempt only a fraction of the deadline: the rest of the
-        deadline has not passed, and their first attempts would count as late retries.
+        Guards against first attempts that count as late retries: some clients give each attempt only a
+        fraction of the deadline, so that a short remaining time does not mean that the rest has passed.
         """
         decayed_ms = self._max_client_timeout_ms[request_class.name] * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS)
         max_timeout_ms = max(remaining_ms, decayed_ms)
--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -62,9 +62,11 @@
     def _rate_per_ms(self, interarrival_ms: float, requests: int, now: float) -> float:
         """Return the inverse of a mean interarrival time over the given number of requests.
 
-        With fewer requests than that, the rate is their number over the time since the start plus one slow
-        start window, which keeps a rate taken in the first moments low. The clock's resolution bounds the
-        other: requests that all arrive in one tick do not give an infinite rate.
+        With fewer requests than that, the rate is their number over the time since the start plus one
+        slow-start window; the window keeps a rate taken in the first moments low. Otherwise the clock's
+        resolution over the number of requests is added to the mean interarrival time.
+
+        Guards against an infinite rate: the mean is 0 if all the requests arrive in one tick of the clock.
         """
         if self._count >= requests:
             return 1.0 / (interarrival_ms + self._tick_ms / requests)
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -10,8 +10,9 @@
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.policy.service_times import ServiceTimes
 
-# Mean service times of its request after which an unanswered attempt counts as lost in full; before that it
-# counts in proportion to the wait, since a short wait is hardly evidence.
+# Wait after which an unanswered attempt counts as lost in full, in expected service times of its request (the
+# mean of its class times its expected work). Before that, an attempt counts in proportion to the wait, since
+# a short wait is hardly evidence.
 FULL_LOSS_SERVICE_TIMES = 2.0
 # Outcomes after which the connection can be used again. This group and the two below are tuples: a look-up in
 # a set would call `Enum.__hash__`, which is a Python function.
@@ -93,7 +94,10 @@
         self._record_loss(attempt, request, now)
 
     def _record_loss(self, attempt: Attempt, request: Request, now: float) -> None:
-        """Count an unanswered attempt as lost, in proportion to how long it was waited for."""
+        """Count an unanswered attempt as lost, in proportion to how long the request waited for it.
+
+        The amount is the wait over FULL_LOSS_SERVICE_TIMES expected service times, and at most 1.
+        """
         class_name = request.request_class.name
         mean_ms = self._service_times.mean_ms(class_name)
         full_loss_ms = FULL_LOSS_SERVICE_TIMES * request.expected_work * mean_ms
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -26,7 +26,7 @@
 
     Attributes:
         peers: The estimate of the replica count.
-        weight: The last sum; never 0, so that limits derived from it are not.
+        weight: The last sum; 1 if no endpoint can take requests, so that no limit derived from it is 0.
         reachable: The ready endpoints whose connects succeed; all ready ones if connects fail at each.
     """
 
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -45,8 +45,9 @@
 from loadbalancer.settings import Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
-# Time in milliseconds after a shed request during which the balancer counts as shedding load. The log has one
-# line for all requests shed meanwhile, and attempts are no baseline of the service time.
+# Time in milliseconds after a shed request during which the balancer counts as shedding load. Until it ends,
+# further shed requests are not logged, and no attempt counts toward the baseline service time. No other value
+# is on record.
 SHEDDING_MEMORY_MS = 6_000.0
 
 
@@ -142,7 +143,7 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Respond to a request that gets no attempt; log the first one of a period of shedding."""
+        """Respond to a request that gets no attempt; log the reason if no request was shed recently."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_MEMORY_MS
@@ -179,7 +180,10 @@
         self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
-        """Close a request that has its final response: its other attempts are lost, and cancelled."""
+        """Close a request that needs no response any more.
+
+        Its attempts that are still in flight count as lost, and are cancelled if the settings allow it.
+        """
         if request.is_response_pending and outcome is Outcome.SUCCEEDED:
             self._retry_budgets.earn()
         request.is_response_pending = False
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -9,7 +9,8 @@
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EVIDENCE_TIME_CONSTANT_MS, UPDATE_INTERVAL_MS, EndpointStats
 
-# Attempts that each endpoint of the subset gets, on average, within one time constant of its evidence.
+# Attempts, at least, that each endpoint of the subset gets, on average, within one time constant of its
+# evidence: more than the pseudo-observations, so that the evidence outweighs the prior.
 MIN_ATTEMPTS_PER_TIME_CONSTANT = 4.0
 # Upper bound of that time constant, in ms: an endpoint that has recovered must show it within a minute.
 MAX_CAPACITY_TIME_CONSTANT_MS = 20_000.0
@@ -34,7 +35,7 @@
     (busy_ms * weight) over the endpoints with evidence.
 
     Guards against estimates from too little evidence: one of hundreds of replicas calls an endpoint too
-    seldom to learn its weight by itself.
+    seldom to learn its capacity from its own attempts alone.
 
     Attributes:
         median: Capacity per unit of weight, in work per ms; 0 until an endpoint has evidence.
@@ -54,7 +55,7 @@
     def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
         """Return the capacity of each endpoint, in the order given.
 
-        The estimate of an endpoint in slow start is at most its warm-up fraction of the prior.
+        The estimate of an endpoint in slow start is at most the prior times its warm-up fraction.
         """
         estimates = []
         is_any_warming_up = now < self._warmup.active_until
@@ -70,9 +71,10 @@
         return estimates
 
     def current_median(self, now: float) -> float:
-        """Return the median, taken again if older than MEDIAN_INTERVAL_MS; 1 while there is no evidence.
+        """Return the median, taken again if older than MEDIAN_INTERVAL_MS; 1 until there is evidence.
 
-        Without evidence all endpoints are drawn by their weight alone, so any positive value serves.
+        Until then all endpoints are drawn by their weight alone, so any positive value serves. If all the
+        evidence has decayed, the last median stays.
         """
         if now - self._median_at >= MEDIAN_INTERVAL_MS:
             self._median_at = now
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -10,16 +10,16 @@
 
 # Smallest number of endpoints in the subset: the loss of a few must leave a choice.
 MIN_SUBSET_SIZE = 12
-# Mean number of replicas whose subsets an endpoint is in. It is a Poisson count, so its standard deviation
-# over the endpoints is 1 / sqrt(30), less than a fifth of the mean.
+# Mean number of replicas whose subsets an endpoint is in. The number is close to a Poisson count, so its
+# standard deviation over the endpoints is sqrt(30), less than a fifth of the mean.
 BALANCERS_PER_ENDPOINT = 30
 
 
 class WarmupRamp:
-    """The warm-up fraction of an endpoint, by the settings: the fraction of its full capacity that it has.
+    """Computes the warm-up fraction of an endpoint: the fraction of its full capacity that it has.
 
-    With f the initial fraction, a the age of the process and T the slow-start time, the fraction is
-    1 - (1 - f) (1 - a / T), a linear ramp from f at the start to 1 at the age T.
+    With i the initial fraction, a the age of the process and T the slow-start time, the fraction is
+    1 - (1 - i) (1 - a / T), a linear ramp from i at the start to 1 at the age T. Both i and T are settings.
 
     Attributes:
         active_until: The time from which on all listed endpoints are warm, in milliseconds.
@@ -90,7 +90,7 @@
         endpoint = self.by_name.get(entry.name)
         if endpoint is None:
             rank = self._random.random()
-            # The digits behind the sixth are as good as a second draw.
+            # The decimals after the sixth do not depend on the first six, which order the ranks.
             slow_start_rank = rank * 1e6 % 1.0
             endpoint = self.by_name[entry.name] = EndpointStats(entry, now, rank, slow_start_rank)
         if entry.started_at_ms > endpoint.entry.started_at_ms:
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -37,8 +37,9 @@
         busy_ms: Time that attempts spent there, summed over the attempts, those in flight included; decays.
         capacity_time_constant_ms: The time constant by which `served_work` and `busy_ms` decay.
         outcomes: By class, the attempts served and the attempts lost; both decay.
-        connect_failures: Failed connects since its last response; decays.
-        last_used_at: When a connection to it last became idle in working order; infinity if none did.
+        connect_failures: Failed connects since an attempt last reached it; decays.
+        last_used_at: When the last attempt ended, if it left its connection in working order; infinity
+            otherwise, and before the first attempt.
         recent_starts: Start times of attempts while it is in slow start.
     """
 
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -20,9 +20,10 @@
         the class is not idempotent. For a class with idempotency keys it is the endpoints that know the key
         of the first attempt that may have run: those in the key's scope, within its window.
 
-        Guards against a retry that arrives after the window: it may begin only after a connect, so the
-        window has to last for the clock's resolution and the connect timeout from now. Guards against an
-        endpoint that has restarted since the first attempt: it may have forgotten the key.
+        Guards against a retry that arrives after the window: the retry may be sent only after a connect, so
+        the window must last for more than the clock's resolution plus the connect timeout from now.
+        Guards against an endpoint that has restarted since the first attempt, and so may have forgotten the
+        key.
         """
         request_class = request.request_class
         first = next((a for a in request.attempts if a.may_have_run), None)
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -4,14 +4,14 @@
 from bisect import bisect_left
 from collections import deque
 
-# Attempts on idle connections, the latest ones, that the limit is learned from: it follows a
-# change within 40.
+# Number of the latest attempts on idle connections that the limit is learned from: after a change of the
+# true limit, the old evidence has been replaced after 40 such attempts.
 MAX_SAMPLES = 40
 # Attempts without a response, at least, that show that connections are dead from an idle time on: a single
 # one may be the endpoint's fault.
 MIN_UNRESPONSIVE = 2.0
-# Fraction of the attempts at that idle time or a longer one, at least, that got no response: some responses
-# are left to connections that other attempts kept alive.
+# Fraction of the attempts at that idle time or a longer one, at least, that got no response. It is less than
+# 1 since other attempts keep some connections alive, which have then been idle for less than estimated.
 MIN_UNRESPONSIVE_FRACTION = 0.6
 
 
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -5,8 +5,8 @@
 # Recent lost attempts, at least, that make an endpoint an outlier: one lost attempt may be the request's
 # fault. The count decays exponentially.
 EJECTION_MIN_LOST = 2.0
-# Fraction of the recent attempts, at least, that were lost: a third of the attempts lost is worse than the
-# load that the ejection adds to the other endpoints.
+# Fraction of the recent attempts, at least, that were lost. Where fewer are lost, the load that an
+# ejection adds to the other endpoints would do more harm than the lost attempts.
 EJECTION_MIN_LOST_FRACTION = 1 / 3
 
 
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -26,8 +26,8 @@
 # Time constant, in ms, of the means over attempts: longer than a request takes, shorter than the time in
 # which an overload makes endpoints slow.
 AVERAGING_TIME_CONSTANT_MS = 1_000.0
-# Fraction of the largest sustainable concurrency that counts as sustainable before the first completion:
-# with a limit of 8 attempts per unit, two attempts an endpoint.
+# Fraction of the largest sustainable concurrency that the estimate starts from, before the first completion:
+# with a limit of 8 attempts per unit of capacity, two attempts for each unit.
 INITIAL_SUSTAINABLE_FRACTION = 0.25
 
 
@@ -39,11 +39,11 @@
 
         concurrency(t) = sum over completions i of baseline_ms[i] / T * exp(-(t - t[i]) / T)
 
-    Attempts in flight over this figure are the latency inflation: how many times longer than its baseline
+    The attempts in flight divided by this estimate are the latency inflation: how many times its baseline
     service time an attempt takes. Assumes that a completed attempt cost its baseline service time.
 
     Guards against overload behind the endpoints: a tier that only they call shows neither in the endpoint
-    list nor in the number of attempts that the endpoints can hold.
+    list nor in the limit by the endpoints' capacity.
     """
 
     def __init__(self, available: AvailableCapacity) -> None:
--- a/loadbalancer/policy/peers.py
+++ b/loadbalancer/policy/peers.py
@@ -22,8 +22,11 @@
     Both must fall for the estimate to fall. Assumes that zones have replicas in proportion to endpoints and
     that clients spread over the replicas that are left.
 
-    Guards against staying within our part of capacity and quotas where the replicas of a lost zone no longer
-    use theirs. More requests alone may be a burst, and fewer endpoints alone take no replica with them.
+    Before the second request the interarrival ratio is 0.
+
+    Guards against capacity and quotas that go unused: when a zone is lost, its replicas no longer use their
+    part, and each replica that is left must use more than its configured part. A fall of one ratio alone is
+    no evidence: more requests may be a burst, and endpoints may be removed without any replica.
 
     Attributes:
         count: The estimated number of replicas, this one included; at least 1, not necessarily an integer.
@@ -39,8 +42,9 @@
         """Estimate the number again.
 
         Args:
-            weight: The weight of the endpoints that can take requests.
-            updated_at: When that weight was last summed.
+            weight: The weight of the endpoints that can take requests, without their warm-up fractions.
+            updated_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint list has
+                changed since; minus infinity before the first sum.
             now: The current time.
         """
         decayed = self._baseline_weight * math.exp((updated_at - now) / BASELINE_TIME_CONSTANT_MS)
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -7,7 +7,8 @@
 from loadbalancer.settings import Settings
 from loadbalancer.timers import EndpointListTimer
 
-# Time between the first two polls, in milliseconds; it doubles with each failure.
+# Time from the first poll that fails to the next one, in milliseconds; doubles with each further failure. The
+# first failure often comes later than this after the last poll; then MIN_DELAY_MS sets the delay.
 INITIAL_BACKOFF_MS = 500.0
 # Longest time between two polls, in milliseconds; 3 s with jitter. The operators allow 6 s from discovery's
 # return until the balancers have its list.
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -21,7 +21,7 @@
     idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or not known
     sent_at: float  # when it started
     ends_at: float  # when it times out
-    is_baseline: bool  # whether it started without load, so that its duration is the baseline
+    is_baseline: bool  # whether it started without load, so that its duration counts toward the baseline
     is_open: bool = True  # whether it is in flight
     may_have_run: bool = True  # whether it may have had an effect; false once its outcome excludes that
 
@@ -40,7 +40,7 @@
 
     @property
     def expected_work(self) -> float:
-        """The multiple of the mean service time that it may take, at least 1."""
+        """The work to expect of the request, in mean requests; at least 1, even if its cost hint is lower."""
         return max(self.work, 1.0)
 
     def has_open_attempt(self) -> bool:
@@ -69,6 +69,9 @@
     def add(self, event: RequestReceived, now: float) -> Request:
         """Add a request that has arrived, and return it.
 
+        It expires with its deadline. In a class without a late value it expires with the latency objective,
+        if that comes first: a later response has no value.
+
         Raises:
             DuplicateRequestError: A request of this id is open.
             UnknownClassError: The settings define no class of this name.
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -15,7 +15,7 @@
     from loadbalancer.policy.request import Request
     from loadbalancer.policy.service_times import ServiceTimes
 
-# Tokens, one for each retry. A response earns a fifth, so that retries stay within a fifth of the responses.
+# Tokens that a response earns; a retry takes one, so retries stay within a fifth of the responses.
 RETRY_TOKENS_PER_RESPONSE = 0.2
 # Tokens at the start: few, since balancers that restart during an outage must not feed it.
 RETRY_INITIAL_TOKENS = 2.0
@@ -39,11 +39,11 @@
 class RetryBudget:
     """A token bucket for retries that only responses fill.
 
-    Guards against retries that multiply over the tiers. Every balancer on a path sees a failure at its end.
-    If requests that arrive earned tokens, each tier would add its fraction to the retries of the tier above.
-    A response passes each tier once: over d tiers retries come to d times what a response earns, and without
-    responses to the tokens that were saved. The cost: where most attempts fail at random, fewer retries are
-    made than would succeed.
+    Guards against retries that multiply over the tiers: a failure at the end of a path reaches the balancers
+    of every tier on it. If arriving requests earned tokens, each tier would add its fraction to the retries
+    of the tier above, which arrive like other requests. A response passes each tier once: over d tiers the
+    retries are at most d times what one response earns, for each response, plus the saved tokens of each
+    balancer. The cost: where most attempts fail at random, fewer retries are made than would succeed.
     """
 
     def __init__(self, tokens_per_response: float, initial_tokens: float, max_tokens: float) -> None:
@@ -52,7 +52,7 @@
         self._max_tokens = max_tokens
 
     def earn(self) -> None:
-        """Add the tokens for a request that got its response from an endpoint."""
+        """Add the tokens for a request that a successful attempt has answered."""
         self._tokens = min(self._max_tokens, self._tokens + self._tokens_per_response)
 
     def allows(self) -> bool:
@@ -80,7 +80,7 @@
         return self._retries if request.may_have_run() else self._transparent_retries
 
     def earn(self) -> None:
-        """Add the tokens for a request that got its response from an endpoint to both budgets."""
+        """Add to both budgets the tokens for a request that a successful attempt has answered."""
         self._retries.earn()
         self._transparent_retries.earn()
 
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -13,8 +13,8 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-# Endpoints drawn for an attempt, at most. Each draw after the first is made only while every endpoint drawn
-# so far has an attempt of this balancer in flight.
+# Endpoints drawn for an attempt, at most. The published rule needs two; more cost little here, since each
+# further draw is made only while every endpoint drawn so far has an attempt of this balancer in flight.
 MAX_SAMPLES = 4
 
 
@@ -60,8 +60,8 @@
     def _draw(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
         """Draw endpoints by capacity and return the one with the lowest load.
 
-        The first draw prefers the own zone, the others do not: guards against overloading the own zone while
-        other zones have endpoints without load.
+        Only the first draw prefers the own zone. Guards against overloading the own zone while other zones
+        have endpoints without load.
 
         Drawing ends at the first endpoint that has no attempt of this balancer in flight. Guards against
         overloading the largest endpoint: among several endpoints without attempts the lowest load 1/c is
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -2,11 +2,14 @@
 
 from loadbalancer.settings import Settings
 
-# Attempts over which the means are smoothed: each new one enters with a weight of 1/50.
+# Attempts over which the means are smoothed: each new one enters with a weight of 1/50, which gives a mean a
+# tenth of the standard deviation of one attempt.
 SMOOTHING_ATTEMPTS = 50.0
-# Fraction of the class's latency objective that a request takes without load, before any has been served.
+# Initial service time of a class, as a fraction of its latency objective. At five times this time a response
+# is just within the objective: a larger fraction would leave too little time for waiting under load.
 INITIAL_OBJECTIVE_FRACTION = 0.2
-# Pseudo-observations of the initial value in the mean of baseline service times.
+# Pseudo-observations of the initial value in the mean of baseline service times: the first attempt moves the
+# baseline by a third of the difference only.
 BASELINE_PSEUDO_OBSERVATIONS = 2.0
 
 
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -80,11 +80,12 @@
         windows: a new draw in each window would be one more chance to exceed the limit.
 
         Budget: `SAFETY_FRACTION` x overload factor x warm-up fraction x the balancer's own rate at a warm
-        endpoint x window. Summed over all balancers that is `SAFETY_FRACTION` of the limit. One attempt a
-        window is always within the budget; the rank rule limits the sum of these.
+        endpoint x window. Summed over all balancers that is `SAFETY_FRACTION` of the mean that the settings
+        allow a warming endpoint of average weight. One attempt a window is always within the budget; the
+        rank rule limits the sum of these.
 
-        A retry or hedged attempt comes on top of the arrivals from which the unrestricted fraction is
-        computed, so that it gets no unrestricted access as long as access is restricted at all.
+        Retries and hedged attempts are not among the arrivals from which the unrestricted fraction is
+        computed. While that fraction is below 1, the rank rule allows them by `_max_mean_starts` alone.
         """
         fraction = self._warmup.fraction(endpoint, now)
         if fraction >= 1:
@@ -103,13 +104,17 @@
     def _max_mean_starts(self, weight: float) -> float:
         """Return the mean number of attempts that one balancer may start in a window at an endpoint.
 
-        The settings allow an endpoint of present weight `weight` a mean of N = overload factor x `weight` x
-        warm rate x window, and N + 2 sqrt(N) + 2 in a single window. The starts of many independent
-        balancers are a Poisson count: with mean m its upper bound is m + z sqrt(m). The largest m whose bound
-        stays within the limit solves m + z sqrt(m) = limit: sqrt(m) = sqrt(z^2/4 + limit) - z/2. Each of the
-        balancers that call the endpoint gets an equal part of m.
+        The settings allow an endpoint a mean of N = overload factor x `weight` x warm rate x window. The
+        endpoint fails above the limit N + 2 sqrt(N) + 2 in a single window, which allows for the variation of
+        a Poisson count. The starts of many independent balancers are a Poisson count: with mean m its upper
+        bound is m + z sqrt(m). The largest m whose bound stays within the limit solves
+        m + z sqrt(m) = limit: sqrt(m) = sqrt(z^2/4 + limit) - z/2. Each of the balancers that call the
+        endpoint gets an equal part of m.
 
         One attempt of each of two balancers never exceeds the limit, which is at least 2.
+
+        Args:
+            weight: The weight of the endpoint times its warm-up fraction.
         """
         if self._balancers_per_endpoint <= 2:
             return 1.0
@@ -150,10 +155,10 @@
         With W the weight of the warm endpoints of the subset, V that of the warming ones (each times its
         warm-up fraction), R this balancer's requests in a window and M the sum of the limits
         `_max_mean_starts`, unrestricted balancers send R V / (W + V) requests to warming endpoints. That is
-        within M if W + V >= R V / M. Otherwise a fraction f of the balancers calls each warming endpoint,
-        with f R V / (W + f V) = M, and the warm endpoints take the rest. Without warm endpoints a balancer
-        that may call at least one of the n endpoints sends it all its requests, with
-        R (1 - (1 - f)^n) = M.
+        within M if W + V >= R V / M. Otherwise a fraction u of the balancers calls each warming endpoint,
+        with u R V / (W + u V) = M, and the warm endpoints take the rest. Without warm endpoints, a balancer
+        sends all its requests to those of the n endpoints of the subset that it may call, if there is one,
+        with R (1 - (1 - u)^n) = M.
 
         Guards against warming endpoints that get the load of removed warm ones, or of a burst. Outliers
         count neither as warm nor as warming: they get no requests.
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -26,7 +26,7 @@
 
 
 class IdempotencyScope(enum.Enum):
-    """Which endpoints share their idempotency keys, so that each drops a repetition of any request."""
+    """Which endpoints share their idempotency keys: each drops a request that another has processed."""
 
     ALL = "all"
     """All endpoints of the service."""
@@ -43,7 +43,8 @@
     Attributes:
         name: The name that requests refer to; unique among the classes of a service.
         latency_objective_ms: The response time up to which a response has its full value; above 0.
-        deadline_ms: The response time after which a response has no value and the client gives up; above 0.
+        deadline_ms: The time from the client's first attempt after which a response has no value and the
+            client gives up; above 0.
         idempotency: Whether a request may be processed more than once.
         idempotency_scope: For a keyed class: which endpoints drop a repetition.
         idempotency_window_ms: For a keyed class: how long an endpoint remembers a key.
