--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -29,10 +29,10 @@
         prior    = median * weight
         capacity = (served_work + k) / (busy_ms + k / prior),  k = PSEUDO_OBSERVATIONS
 
-    `served_work` is the work that the endpoint served and `busy_ms` the time that our attempts spent there,
-    both decaying exponentially. Their quotient is work per millisecond of attempt time: by Little's law the
-    throughput of our attempts there over their mean number in flight. `median` is the median of served_work /
-    (busy_ms * weight) over the endpoints with evidence.
+    `served_work` is the work that the endpoint served and `busy_ms` the time that attempts spent there, those
+    of this replica only; both decay exponentially. Their quotient is work per millisecond of attempt time: by
+    Little's law the throughput of these attempts over their mean number in flight. `median` is the median of
+    served_work / (busy_ms * weight) over the endpoints with evidence.
 
     Guards against estimates from too little evidence: one of hundreds of replicas calls an endpoint too
     seldom to learn its capacity from its own attempts alone.
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -53,7 +53,7 @@
         self._updated_at = -math.inf
 
     def estimate(self, now: float) -> float:
-        """Return the concurrency in attempts, at most our part of the limit for the most important work.
+        """Return the concurrency in attempts, at most this replica's part of the largest capacity limit.
 
         Guards against replicas that start together: a replica without evidence begins at a fraction of the
         limit, since all of them would otherwise fill it before the first responses show the load.
@@ -83,7 +83,7 @@
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
         self.sustainable_concurrency = SustainableConcurrency(available)
-        self._mean_in_flight = 0.0  # of our own attempts, decaying exponentially
+        self._mean_in_flight = 0.0  # of this replica's attempts; an exponentially decaying mean
         self._updated_at = 0.0
 
     def is_overloaded(self, importance: float, now: float) -> bool:
@@ -99,9 +99,9 @@
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
         """Return whether all replicas together have more attempts in flight than the endpoints can hold.
 
-        Each other replica is estimated to have our mean. Our momentary count is one random sample: the
+        Each other replica is estimated to have this one's mean. The momentary count is one random sample: the
         others do not have the same peak at the same time. A burst that all replicas get has not reached the
-        mean yet, so a count above the Poisson bound of our part of the limit is an overload by itself.
+        mean yet, so a count above the Poisson bound of this replica's part of the limit is an overload.
         Assumes that clients spread evenly over the replicas; a replica with more than its part of them
         sheds load too early.
         """
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -15,8 +15,9 @@
 from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import Settings
 
-# Fraction of its limit up to which a warming endpoint gets requests by the balancers' own rates. The other
-# half is left to requests of more than mean work and to balancers that get more requests than others.
+# Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean that the settings allow it.
+# The other half is a margin for requests of more than mean work and for balancers that get more requests than
+# others.
 SAFETY_FRACTION = 0.5
 # z-score of the upper bound of a Poisson count. 5 is wide since requests differ in work, which spreads the
 # work in a window wider than the number of requests alone.
