--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -29,13 +29,17 @@
     """
     for item in items:
         if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
-            item.obj = _with_time_limit(item.obj)
+            item.obj = with_time_limit(item.obj)
 
 
-def _with_time_limit(test: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
+def with_time_limit(
+    test: Callable[..., Awaitable[None]], timeout_s: float = TEST_TIMEOUT_S
+) -> Callable[..., Awaitable[None]]:
+    """Return an asynchronous test that fails by `TimeoutError` after a time limit."""
+
     @functools.wraps(test)
     async def limited_test(*args: object, **kwargs: object) -> None:
-        async with asyncio.timeout(TEST_TIMEOUT_S):
+        async with asyncio.timeout(timeout_s):
             await test(*args, **kwargs)
 
     return limited_test
--- a/tests/network/client/__init__.py
+++ b/tests/network/client/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the client side: connections, requests, limits and shutdown."""
--- a/tests/network/upstream/__init__.py
+++ b/tests/network/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the upstream side: attempts and pools."""
