--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -75,7 +75,7 @@
 
 
 def _reload(proxy: Proxy, path: str) -> None:
-    """Apply the configuration file as it is now; keep the running one if it can't be used."""
+    """Watch the discovery that the configuration file names now; ignore a file that can't be used."""
     try:
         proxy.reconfigure(load(path, proxy.log.write))
     except (OSError, LoadBalancerError) as error:
@@ -105,7 +105,9 @@
 
 def _write_error(text: str) -> None:
     """Write a line for the operator, before there is a proxy whose log takes it."""
-    sys.stderr.write(f"loadbalancer: {text}\n")
+    # Guards against an exception while standard error is closed: `sys.stderr` is None then, and only `print`
+    # accepts that, by using standard output.
+    print(f"loadbalancer: {text}", file=sys.stderr)  # noqa: T201  see the comment above
 
 
 def main() -> int:
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from loadbalancer.configuration import Address, Configuration, EndpointList, ListedEndpoint
+    from loadbalancer.configuration import Address, Configuration, EndpointList, EndpointListEntry
 
 IDLE_TIMEOUT_FRACTION = 0.8
 """Fraction of the upstream's idle timeout for which a connection is used.
@@ -127,8 +127,8 @@
             OSError: The upstream cannot be reached, or this process lacks a resource.
         """
         # Guards against attempts that start in one turn of the event loop and all find the limit not reached:
-        # each connection is counted here, before the next attempt gets here. The descriptors above the limit
-        # belong to discovery.
+        # each connection is counted here, before the next attempt gets here. Descriptors beyond the limit are
+        # reserved, for the connection to discovery among others.
         self._limit.acquire()
         connection = UpstreamConnection(self.add_idle_connection, self._forget)
         try:
@@ -227,7 +227,7 @@
         for entry in endpoint_list.endpoints:
             self._update_endpoint(entry)
 
-    def _update_endpoint(self, entry: ListedEndpoint) -> None:
+    def _update_endpoint(self, entry: EndpointListEntry) -> None:
         endpoint = entry.endpoint
         if endpoint.state is EndpointState.REMOVED:
             self._retire(endpoint.name)
