--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -9,7 +9,6 @@
 
 import json
 import math
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from loadbalancer import settings_reader
@@ -106,17 +105,16 @@
     address: Address
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointList:
+class EndpointList(NamedTuple):
     """One response of discovery.
 
     Attributes:
-        index: The version of the list.
-        is_complete: Whether the entries are the whole list; otherwise they are those that have changed.
+        version: The version of the list.
+        is_complete: Whether the entries are the complete list; otherwise they are those that have changed.
         endpoints: The entries.
     """
 
-    index: int
+    version: int
     is_complete: bool
     endpoints: tuple[EndpointListEntry, ...]
 
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -35,7 +35,7 @@
         return self.used_bytes > self.limit_bytes
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class ConnectionContext:
     """The listener's state and services, as its connections see them.
 
--- a/loadbalancer/network/client/rejection.py
+++ b/loadbalancer/network/client/rejection.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from loadbalancer.errors import LoadBalancerError
 
 
-@dataclass(frozen=True, slots=True)
-class Rejection:
+class Rejection(NamedTuple):
     """The error response to a request that is not acceptable.
 
     Attributes:
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,7 +1,7 @@
 """The watch on the endpoint list of discovery.
 
 A watch is a chain of HTTP calls, one at a time. While no list of this discovery is known, a call gets the
-complete list at once. Otherwise a call names the index (version) of the known list and a wait: discovery
+complete list at once. Otherwise a call names the version of the known list and a wait: discovery
 responds when the list changes, or when the wait has ended. The list in the configuration counts as known.
 """
 
@@ -34,7 +34,7 @@
 CONNECT_TIMEOUT_S = 1.0
 """Timeout of opening a connection: shorter than a call's, since a host that is down never responds."""
 
-_NO_INDEX = -1  # while no list of the discovery is known
+_NO_VERSION = -1  # while no list of the discovery is known
 
 
 class EndpointWatch:
@@ -61,8 +61,8 @@
         self._on_failed = on_failed
         self._address = configuration.discovery
         self._polls_discovery = configuration.settings.polls_discovery
-        self._index = (
-            configuration.known_endpoints.index if configuration.known_endpoints.endpoints else _NO_INDEX
+        self._version = (
+            configuration.known_endpoints.version if configuration.known_endpoints.endpoints else _NO_VERSION
         )
         self._schedule = RetrySchedule(
             random.Random(configuration.seed).random, polls_discovery=self._polls_discovery
@@ -90,8 +90,8 @@
     def move_to(self, address: Address) -> None:
         """Watch another discovery at once, beginning with its complete list.
 
-        The index of the old discovery's list has no meaning there. Guards against a list of the old discovery
-        that arrives late, and against a retry delay that failures of the old discovery caused.
+        Versions of the old discovery's list have no meaning there. Guards against a list of the old
+        discovery that arrives late, and against a retry delay that its failures caused.
         """
         if self._task is not None:
             self._task.cancel()
@@ -100,7 +100,7 @@
         self._connection = None
         self._task = None
         self._address = address
-        self._index = _NO_INDEX
+        self._version = _NO_VERSION
         self._moved_at_s = asyncio.get_running_loop().time()
         self.start_watch()
 
@@ -119,7 +119,7 @@
                 await asyncio.sleep(retry_delay_s)
                 continue
             self._consecutive_failures = 0
-            self._index = endpoint_list.index
+            self._version = endpoint_list.version
             self._on_update(endpoint_list)
 
     def _record_failure(self, started_at_s: float) -> float | None:
@@ -137,11 +137,11 @@
         return self._schedule.retry_delay_s(self._consecutive_failures, started_at_s, self._moved_at_s)
 
     async def _fetch(self) -> EndpointList:
-        """Make one call: for the complete list, or for the entries that change after the known index."""
+        """Make one call: for the complete list, or for the entries that changed after the known version."""
         path, timeout_s = "/v1/servers", RESPONSE_TIMEOUT_S
-        if self._index >= 0:
+        if self._version >= 0:
             wait_s = self._schedule.watch_wait_s(self._consecutive_failures)
-            path += f"?after={self._index}&wait_ms={wait_s * 1000:.0f}"
+            path += f"?after={self._version}&wait_ms={wait_s * 1000:.0f}"
             timeout_s = wait_s + WATCH_OVERDUE_S
         host, port = self._address
         connection = await self._connect()
--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -40,4 +40,4 @@
         self.proxy.start(accepts_clients=False)
 
     def _report(self, endpoint_list: EndpointList) -> None:
-        self._on_list_applied(endpoint_list.index, time.monotonic())
+        self._on_list_applied(endpoint_list.version, time.monotonic())
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -21,7 +21,7 @@
     assert read.settings.may_hedge
     assert read.settings.may_cancel
     assert read.settings.max_attempts == 4
-    assert (read.seed, read.discovery, read.known_endpoints.index, read.descriptor_limit) == (
+    assert (read.seed, read.discovery, read.known_endpoints.version, read.descriptor_limit) == (
         5,
         ("127.0.0.2", 8500),
         41,
