--- a/loadbalancer/policy/attempt_starter.py
+++ b/loadbalancer/policy/attempt_starter.py
@@ -43,7 +43,7 @@
         The list is empty if no time, no attempt or no eligible endpoint is left. An attempt on a connection
         that may be dead begins with `CloseIdleConnections`: the first one if the connection has been idle for
         the learned limit, a retry or hedged attempt on any idle connection. Connections count as idle only
-        while we have no attempt in flight at their endpoint.
+        while this balancer has no attempt in flight at their endpoint.
 
         Args:
             request: The request.
