--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.network.errors import ProtocolError
-from loadbalancer.network.upstream.response_reader import Response, ResponseReader
+from loadbalancer.network.response_reader import Response, ResponseReader
 
 BODY_TIMEOUT_S = 0.5
 """Time limit from the first byte of a response to its last.
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.errors import InvalidStateError
 from loadbalancer.network.errors import InvalidResponseError
+from loadbalancer.network.response_reader import Response, ResponseReader
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
-from loadbalancer.network.upstream.response_reader import Response, ResponseReader
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from loadbalancer.network.response_reader import Response
     from loadbalancer.network.upstream.attempt_starter import AttemptStarter
-    from loadbalancer.network.upstream.response_reader import Response
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
 """Time limit of a health check, including the time to connect."""
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -117,16 +117,16 @@
             "network.client.transport network.clock network.deadline_watchdog network.discovery "
             "network.discovery.connection network.discovery.retry_schedule network.discovery.watch "
             "network.endpoint_list_updater network.errors network.event_dispatcher network.headers "
-            "network.log network.open_requests network.proxy network.request_ids network.sockets "
-            "network.upstream network.upstream.attempt network.upstream.attempt_runner "
-            "network.upstream.attempt_starter network.upstream.connection network.upstream.connection_limit "
-            "network.upstream.health_checks network.upstream.pool network.upstream.request_bytes "
-            "network.upstream.response_reader policy policy.admission policy.arrivals "
+            "network.log network.open_requests network.proxy network.request_ids network.response_reader "
+            "network.sockets network.upstream network.upstream.attempt network.upstream.attempt_runner "
+            "network.upstream.attempt_starter network.upstream.connection "
+            "network.upstream.connection_limit network.upstream.health_checks network.upstream.pool "
+            "network.upstream.request_bytes policy policy.admission policy.arrivals "
             "policy.attempt_recorder policy.attempt_starter policy.available_capacity policy.balancer "
             "policy.capacity policy.endpoint_set policy.endpoint_stats policy.idempotency "
             "policy.idle_connections policy.outlier_detection policy.overload policy.peers "
             "policy.poll_backoff policy.request policy.retry policy.selection policy.service_times "
-            "policy.slow_start settings settings_reader timers"
+            "policy.slow_start settings settings_reader timers "
         ).split()
     }
     tops = {name.partition(".")[0] for name in new}
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -16,8 +16,8 @@
     from collections.abc import AsyncIterator
 
     from loadbalancer.events import Outcome
+    from loadbalancer.network.response_reader import Response
     from loadbalancer.network.upstream.attempt import UpstreamAttempt
-    from loadbalancer.network.upstream.response_reader import Response
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
 
