--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -23,9 +23,9 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
 WATCH_OVERDUE_S = 1.0
-"""Time after the wait of a watch call when the call counts as failed if it got no response.
+"""Time after the end of a watch call's wait at which the call fails if it got no response.
 
-A list has to be known one second later still.
+A list that the call should have returned has to be known one second after that.
 """
 
 RESPONSE_TIMEOUT_S = 2.5
@@ -109,7 +109,7 @@
             started_at_s = asyncio.get_running_loop().time()
             try:
                 endpoint_list = await self._fetch()
-            except Exception:
+            except Exception:  # noqa: BLE001  a call may fail in any way
                 # Guards against a watch that ends without notice: a call that raises any error has failed.
                 retry_delay_s = self._record_failure(started_at_s)
                 if retry_delay_s is None:
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -1,16 +1,23 @@
-"""Connections that bring no whole request, or stay idle, are closed in time."""
+"""Connections without a complete request and idle connections are closed after a timeout."""
 
 from __future__ import annotations
 
 import asyncio
-import socket
-import time
+from typing import TYPE_CHECKING
 
 import pytest
 
-from loadbalancer.network.client import timeouts
-from loadbalancer.network.client.accept_queue import queue_ages
-from tests.support.loopback import Rig, Upstream, never_respond, response, status
+from loadbalancer.network.client import connection_table, timeouts
+from loadbalancer.network.client.accept_queue import QueueAges, queue_ages
+from tests.support.busy_event_loop import keep_event_loop_busy
+from tests.support.http_messages import response, status
+from tests.support.scripted_upstream import Upstream, never_respond
+from tests.support.waiting import wait_until
+
+if TYPE_CHECKING:
+    import socket
+
+    from tests.support.fixture_types import StartProxy
 
 
 @pytest.mark.parametrize(
@@ -25,52 +32,60 @@
         ),
     ],
 )
-async def test_a_connection_without_a_whole_request_is_closed_after_the_timeout(
-    sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
+async def test_a_connection_without_a_complete_request_is_closed_after_the_timeout(
+    start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Silent clients and those that never finish a request are disconnected within 3 s."""
-    longest_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
-    assert longest_s + timeouts.LINGER_TIMEOUT_S < 2.8
+    """Clients that send nothing or no complete request are disconnected within 3 s."""
+    max_duration_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
+    assert max_duration_s + timeouts.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
 
-    async with Rig(Upstream()) as rig:
-        client = await rig.client()
-        client.writer.write(sent)
-        assert (await client.reader.read())[:12] == response_start
-        client.writer.close()
+    harness = await start_proxy(Upstream())
+    client = await harness.client()
+    client.writer.write(sent)
+    assert (await client.reader.read())[:12] == response_start
+    client.writer.close()
+
+
+async def test_time_in_the_accept_queue_counts(
+    start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    harness = await start_proxy(Upstream())
+    recorded = list[QueueAges]()
 
+    def record_queue_ages(accepted: socket.socket) -> QueueAges:
+        recorded.append(queue_ages(accepted))
+        return recorded[-1]
 
-async def test_time_in_the_accept_queue_counts() -> None:
-    async with Rig(Upstream()) as rig:
-        with socket.create_connection(rig.proxy.listener.address[:2]) as client:
-            client.sendall(b"x")
-            time.sleep(0.1)  # the loop is busy and accepts nothing
-            accepted, _ = rig.proxy.listener._socket.accept()
-            with accepted:
-                ages = queue_ages(accepted)
-                assert ages.connected_s >= 0.05
-                assert ages.request_s >= 0.05
+    monkeypatch.setattr(connection_table, "queue_ages", record_queue_ages)
+    client = harness.connect_socket()
+    client.sendall(b"x")
+    keep_event_loop_busy(0.1)
+    (ages,) = await wait_until(lambda: recorded, "the client is accepted")
+    assert ages.connected_s >= 0.05
+    assert ages.request_s >= 0.05
 
 
 async def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
+    start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(timeouts, "KEEP_ALIVE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
 
     upstream = Upstream(response(), never_respond)
-    async with Rig(upstream) as rig:
-        idle = await rig.client()
-        idle.send()
-        assert status(await idle.read_response()) == 200
-        upstream.seen.clear()
-        busy = await rig.client()
-        busy.send("/pay/x", b"debit")
-        await upstream.seen.wait()
-        assert await idle.reader.read() == b""
-        for _ in range(3):
-            rig.proxy.listener.eviction.sweep()
-            await asyncio.sleep(0.1)
-        for writer in upstream.writers:
-            writer.write(response(200, b"at last"))
-        assert (await busy.read_response()).body == b"at last"
+    harness = await start_proxy(upstream)
+    idle = await harness.client()
+    idle.send()
+    assert status(await idle.read_response()) == 200
+    upstream.seen.clear()
+    busy = await harness.client()
+    busy.send("/pay/x", b"debit")
+    await upstream.seen.wait()
+    assert await idle.reader.read() == b""
+    for _ in range(3):
+        harness.proxy.listener.eviction.sweep()
+        await asyncio.sleep(0.1)
+    for writer in upstream.writers:
+        writer.write(response(200, b"at last"))
+    assert (await busy.read_response()).body == b"at last"
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -1,9 +1,9 @@
-"""The waits of watch calls, and the delays after failed ones, as a table."""
+"""The wait times of watch calls and the retry delays after failed ones, for each kind of discovery."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -18,6 +18,9 @@
     RetrySchedule,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 NEVER_MOVED = -math.inf
 MOVED_AT_S = 100.0
 MAX_DRAW = math.nextafter(1.0, 0.0)
@@ -44,7 +47,7 @@
 )
 @pytest.mark.parametrize("draw", [0.0, 0.25, MAX_DRAW])
 def test_waits_are_short_after_a_failure_and_shortened_at_random(
-    polls_discovery: bool, consecutive_failures: int, wait_ms: float, draw: float
+    consecutive_failures: int, wait_ms: float, draw: float, *, polls_discovery: bool
 ) -> None:
     schedule = RetrySchedule(drawing(draw), polls_discovery=polls_discovery)
     assert schedule.watch_wait_s(consecutive_failures) == wait_ms / 1000 * (1 - WAIT_JITTER * draw)
@@ -84,7 +87,7 @@
 def test_shortly_after_a_move_the_watch_repeats_failed_polls_at_random_delays(
     since_move_s: float, consecutive_failures: int, draw: float, factor: float
 ) -> None:
-    """The number of failures has no influence: those before the move were of another discovery."""
+    """The number of failures has no effect, since it counts those of the previous discovery too."""
     schedule = RetrySchedule(drawing(draw), polls_discovery=True)
     delay_s = schedule.retry_delay_s(consecutive_failures, MOVED_AT_S + since_move_s, MOVED_AT_S)
     assert delay_s == MOVE_RETRY_DELAY_S * factor
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -5,19 +5,32 @@
 import ast
 import os
 import re
-from collections.abc import Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
+DECISIONS = sorted((ROOT / "docs" / "decisions").glob("*.md"))
 RECORDS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
 OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
 NAME_MAY_STAND_IN = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
 NOT_OF_THE_TREE = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
-NOT_OF_THE_TREE_PREFIXES = (".venv-", ".mypy_cache", ".ruff_cache", ".pytest_cache", ".hypothesis")
+NOT_OF_THE_TREE_PREFIXES = (
+    ".venv-",
+    ".mypy_cache",
+    ".ruff_cache",
+    ".import_linter_cache",
+    ".pytest_cache",
+    ".hypothesis",
+)
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
+FILE_NAME = re.compile(r"\.(py|toml|md|json|txt)$")
+CODE_NAME = re.compile(r"_|[a-z][A-Z]")  # snake case, capitals with underscores, or camel case
 MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
 
 
@@ -48,14 +61,25 @@
     assert found == []
 
 
-@pytest.mark.parametrize("page", PAGES + RECORDS, ids=page_name)
+@pytest.mark.parametrize("page", PAGES + DECISIONS + RECORDS, ids=page_name)
 def test_links_lead_somewhere(page: Path) -> None:
-    targets = re.findall(r"\]\(([^)#\s]+)[^)]*\)", page.read_text(encoding="utf-8"))
-    missing = [t for t in targets if "://" not in t and not (page.parent / t).exists()]
-    assert missing == []
+    links = re.findall(r"\]\(([^)#\s]*)(?:#([^)\s]+))?[^)]*\)", page.read_text(encoding="utf-8"))
+    assert [link for link in links if "://" not in link[0] and not leads_somewhere(page, *link)] == []
+
+
+def leads_somewhere(page: Path, target: str, anchor: str) -> bool:
+    """Whether the target of a link exists, and has a heading with the link's anchor if it has one."""
+    path = page.parent / target if target else page
+    return path.exists() and (not anchor or anchor in anchors(path))
 
 
-@pytest.mark.parametrize("page", PAGES, ids=page_name)
+def anchors(page: Path) -> set[str]:
+    """The anchors of a page's headings, as code hosts derive them from the text."""
+    headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
+    return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
+
+
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
 def test_paths_exist(page: Path) -> None:
     paths = re.findall(
         r"`((?:loadbalancer|testbed|tests|docs|deploy|\.ci)/[\w./-]*)`", page.read_text(encoding="utf-8")
@@ -64,15 +88,45 @@
     assert missing == []
 
 
-def test_the_architecture_page_names_every_module() -> None:
-    page = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
+def identifiers_of(page: Path) -> set[str]:
+    """The names of the code that a page has in backquotes, without the older ones of the glossary."""
+    lines = page.read_text(encoding="utf-8").partition("| older word or name |")[0].splitlines()
+    quoted = re.findall(r"`([A-Za-z_][\w.]*)`", "\n".join(lines))
+    names = {name for text in quoted if not FILE_NAME.search(text) for name in text.split(".")}
+    return {name for name in names if CODE_NAME.search(name)}
+
+
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
+def test_names_exist(page: Path) -> None:
+    sources = [
+        path for folder in ("loadbalancer", "testbed", "tests") for path in (ROOT / folder).rglob("*.py")
+    ]
+    known = {name for path in sources for name in re.findall(r"\w+", path.read_text(encoding="utf-8"))}
+    known |= {path.stem for path in (ROOT / "testbed" / "experiments").glob("*.toml")}
+    assert identifiers_of(page) - known == set()
+
+
+def test_the_index_of_decisions_has_every_record() -> None:
+    index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
+    records = [path.name for path in DECISIONS if path.name != "README.md"]
+    assert records
+    assert [name for name in records if f"]({name})" not in index] == []
+
+
+@pytest.mark.parametrize(
+    ("page", "packages"),
+    [("ARCHITECTURE.md", ("loadbalancer", "testbed")), ("POLICY.md", ("loadbalancer/policy",))],
+)
+def test_a_page_names_every_module_that_it_explains(page: str, packages: tuple[str, ...]) -> None:
+    text = (ROOT / "docs" / page).read_text(encoding="utf-8")
     modules = [
         path
-        for package in ("loadbalancer", "testbed")
+        for package in packages
         for path in sorted((ROOT / package).rglob("*.py"))
         if path.name not in ("__init__.py", "__main__.py")
     ]
-    missing = [page_name(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", page)]
+    assert modules
+    missing = [page_name(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", text)]
     assert missing == []
 
 
