--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -18,7 +18,8 @@
 
     Attributes:
         used_bytes: The bytes that are buffered now.
-        limit_bytes: While more is buffered, connections that buffer more than an exempt amount are rejected.
+        limit_bytes: The limit on `used_bytes`. Above it, the pipeline rejects the input of connections that
+            buffer more than `UNCONDITIONAL_BUFFER_BYTES`.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -34,7 +35,7 @@
         return self.used_bytes > self.limit_bytes
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False)
 class ConnectionContext:
     """The listener's state and services, as its connections see them.
 
