--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -240,7 +240,7 @@
     commas.
 
     Args:
-        value: The setting: an object, a list or a scalar; null stands for a setting that is not given.
+        value: The setting: an object, a list or a scalar; null means a setting that is not given.
         path: The path of the setting; empty for the object of all settings.
         fields: Where to add the fields.
     """
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
     """Limit the time of each asynchronous test.
 
     Guards against hanging: the signal of pytest-timeout does not interrupt a waiting uvloop, and its thread
-    ends the whole run.
+    ends the complete test run.
     """
     for item in items:
         if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -101,96 +101,97 @@
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
+async def check_missed_change(loop: SimulatedLoop, *, how: str, seed: int, calls: int) -> None:
+    """Change the list after some watch calls whose connections have become unresponsive."""
+    discovery = SimulatedDiscovery(loop, 1)
+    proxy = WatchingProxy(discovery, seed, 10_000.0, how)
+    for _ in range(calls):
+        began, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
+    discovery.fail("silent")
+    discovery.fault = ""  # only the connections established before are unresponsive
+    discovery.change()
+    deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
+    assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
+
+
 @pytest.mark.parametrize("how", ["ask", "push"])
 def test_a_change_missed_by_an_unresponsive_watch_is_learned_in_time(how: str) -> None:
     """Guards against a detection time and retry delay that leave no time to transfer the list."""
+    for seed, calls in itertools.product(range(1, 30), (1, 3)):
+        run_simulated(partial(check_missed_change, how=how, seed=seed, calls=calls))
 
-    async def scenario(loop: SimulatedLoop, seed: int, calls: int) -> None:
-        discovery = SimulatedDiscovery(loop, 1)
-        proxy = WatchingProxy(discovery, seed, 10_000.0, how)
-        for _ in range(calls):
-            began, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
-        discovery.fail("silent")
-        discovery.fault = ""  # only the connections established before are unresponsive
-        discovery.change()
-        deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
-        assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
 
-    for seed, calls in itertools.product(range(1, 30), (1, 3)):
-        run_simulated(partial(scenario, seed=seed, calls=calls))
+async def check_move_after_failures(
+    loop: SimulatedLoop, *, fault: str, how: str, seed: int, phase: float
+) -> None:
+    """Move to a discovery with a fault during an outage of the old one, and change its list."""
+    old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
+    proxy = WatchingProxy(old, seed, 120_000.0, how)
+    await asyncio.sleep(1.0)
+    old.fail("refuses")
+    await asyncio.sleep(40.0)
+    attempts = len(old.attempts)
+    # The policy sets its timer again with the next call.
+    await wait_until(lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01)
+    await asyncio.sleep(phase)
+    new.fault = fault
+    moved_at = loop.time()
+
+    def recover() -> None:
+        new.fault = ""
+        new.on_attempt = lambda: None
+        new.change()
+
+    new.on_attempt = lambda: loop.call_soon(recover)  # once the first call has been received or has failed
+    proxy.move(new)
+    learned_at = await proxy.learns_of_drain()
+    assert new.attempts[0] == moved_at
+    # A connection that is established late costs both timeouts: of the connect and of the response.
+    allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_MOVE_DELAY_S
+    assert learned_at + LIST_TRANSFER_S < moved_at + allowed
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_earlier_failures_do_not_delay_a_change_after_a_move(fault: str, how: str) -> None:
     """Guards against polling the new discovery after the backoff of the old one's outage."""
+    for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
+        run_simulated(partial(check_move_after_failures, fault=fault, how=how, seed=seed, phase=phase))
 
-    async def scenario(loop: SimulatedLoop, seed: int, phase: float) -> None:
-        old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
-        proxy = WatchingProxy(old, seed, 120_000.0, how)
-        await asyncio.sleep(1.0)
-        old.fail("refuses")
-        await asyncio.sleep(40.0)
-        attempts = len(old.attempts)
-        # The policy sets its timer again with the next call.
-        await wait_until(
-            lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
-        )
-        await asyncio.sleep(phase)
-        new.fault = fault
-        moved_at = loop.time()
-
-        def recover() -> None:
-            new.fault = ""
-            new.on_attempt = lambda: None
-            new.change()
-
-        new.on_attempt = lambda: loop.call_soon(
-            recover
-        )  # once the first call has been received or has failed
-        proxy.move(new)
-        learned_at = await proxy.learns_of_drain()
-        assert new.attempts[0] == moved_at
-        # A connection that is established late costs both timeouts: of the connect and of the response.
-        allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_MOVE_DELAY_S
-        assert learned_at + LIST_TRANSFER_S < moved_at + allowed
 
-    for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
-        run_simulated(partial(scenario, seed=seed, phase=phase))
+async def check_moves_during_outage(loop: SimulatedLoop) -> None:
+    """Move seven times while all discoveries refuse connections; the last one recovers."""
+    discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
+    proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
+    await asyncio.sleep(1.0)
+    for discovery in discoveries:
+        discovery.fail("refuses")
+    await asyncio.sleep(30.0)
+    for discovery in discoveries[1:]:
+        proxy.move(discovery)
+        await asyncio.sleep(0.2)
+    await asyncio.sleep(10.0)
+    last = discoveries[-1]
+    before = len(last.attempts)
+    await asyncio.sleep(60.0)
+    shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
+    assert 60.0 / MAX_LIST_DELAY_S < len(last.attempts) - before <= 60.0 / shortest_delay_s
+    earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
+    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
+    last.fault = ""
+    last.change()
+    learned_at = await proxy.learns_of_drain()
+    calls = len(last.calls)
+    await asyncio.sleep(30.0)  # a leftover timer does not interrupt the watch
+    assert loop.time() >= learned_at + 30.0
+    assert [connection.after for connection in last.connections] == [last.index]
+    shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
+    assert len(last.calls) - calls <= 30.0 / shortest_wait_s + 1
 
 
 def test_moves_during_an_outage_leave_one_call_at_a_time() -> None:
     """Guards against a further poll timer for each move, all of which would be set again for ever."""
-
-    async def scenario(loop: SimulatedLoop) -> None:
-        discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
-        proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
-        await asyncio.sleep(1.0)
-        for discovery in discoveries:
-            discovery.fail("refuses")
-        await asyncio.sleep(30.0)
-        for discovery in discoveries[1:]:
-            proxy.move(discovery)
-            await asyncio.sleep(0.2)
-        await asyncio.sleep(10.0)
-        last = discoveries[-1]
-        before = len(last.attempts)
-        await asyncio.sleep(60.0)
-        shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
-        assert 60.0 / MAX_LIST_DELAY_S < len(last.attempts) - before <= 60.0 / shortest_delay_s
-        earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
-        assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
-        last.fault = ""
-        last.change()
-        learned_at = await proxy.learns_of_drain()
-        calls = len(last.calls)
-        await asyncio.sleep(30.0)  # a leftover timer does not interrupt the watch
-        assert loop.time() >= learned_at + 30.0
-        assert [connection.after for connection in last.connections] == [last.index]
-        shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
-        assert len(last.calls) - calls <= 30.0 / shortest_wait_s + 1
-
-    run_simulated(scenario)
+    run_simulated(check_moves_during_outage)
 
 
 async def test_the_first_watch_after_a_failure_does_not_wait_long(start_proxy: StartProxy) -> None:
@@ -207,29 +208,30 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
+async def attempts_in_outage(loop: SimulatedLoop, *, fault: str, seeds: int, span_s: float) -> list[float]:
+    """Return the times of the calls of several balancers while discovery has a fault."""
+    discovery = SimulatedDiscovery(loop, 1)
+    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, seeds + 1)]
+    await asyncio.sleep(1.0)
+    discovery.fail(fault)
+    await asyncio.sleep(20.0)
+    discovery.attempts.clear()
+    await asyncio.sleep(span_s)
+    for proxy in proxies:
+        proxy.stop()
+    return discovery.attempts
+
+
 def test_balancers_poll_neither_together_nor_too_often_in_an_outage() -> None:
     """Guards against a load of retries on discovery as it recovers."""
     span_s, seeds = 60.0, 20
-
-    async def scenario(loop: SimulatedLoop, fault: str) -> list[float]:
-        discovery = SimulatedDiscovery(loop, 1)
-        proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, seeds + 1)]
-        await asyncio.sleep(1.0)
-        discovery.fail(fault)
-        await asyncio.sleep(20.0)
-        discovery.attempts.clear()
-        await asyncio.sleep(span_s)
-        for proxy in proxies:
-            proxy.stop()
-        return discovery.attempts
-
     for fault in FAULTS:
-        attempts = run_simulated(partial(scenario, fault=fault))
+        attempts = run_simulated(partial(attempts_in_outage, fault=fault, seeds=seeds, span_s=span_s))
         mean_s = poll_backoff.MAX_BACKOFF_MS / 1000
         assert len(attempts) / (seeds * span_s) < 1.1 / mean_s, fault
         slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second gets a third of them"
-    again = run_simulated(partial(scenario, fault=fault))
+    again = run_simulated(partial(attempts_in_outage, fault=fault, seeds=seeds, span_s=span_s))
     assert attempts == pytest.approx(again), "the same seeds, the same delays"
 
 
