--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -17,12 +17,12 @@
     """How long a connection that is accepted now has been in the kernel's queue.
 
     Attributes:
-        connected_s: Since the client connected.
-        request_s: Since the last bytes arrived; 0 if none have.
+        connection_age_s: Since the client connected.
+        request_age_s: Since the last bytes arrived; 0 if none have.
     """
 
-    connected_s: float
-    request_s: float
+    connection_age_s: float
+    request_age_s: float
 
 
 def queue_ages(accepted: socket.socket) -> QueueAges:
@@ -38,6 +38,6 @@
         has_data = False
     except (AttributeError, OSError, struct.error):  # not on this system, or reset meanwhile
         return QueueAges(0.0, 0.0)
-    connected_s = min(ack_ms / MS_PER_S, MAX_QUEUE_AGE_S)
-    request_s = min(data_ms / MS_PER_S, MAX_QUEUE_AGE_S) if has_data else 0.0
-    return QueueAges(connected_s, request_s)
+    connection_age_s = min(ack_ms / MS_PER_S, MAX_QUEUE_AGE_S)
+    request_age_s = min(data_ms / MS_PER_S, MAX_QUEUE_AGE_S) if has_data else 0.0
+    return QueueAges(connection_age_s, request_age_s)
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -29,7 +29,7 @@
         context: ConnectionContext,
         on_closed: Callable[[ClientConnection], None],
         connected_at: float,
-        first_request_sent_at: float | None,
+        first_request_received_at: float | None,
     ) -> None:
         """Create a connection; both times are in seconds of the monotonic clock.
 
@@ -37,12 +37,12 @@
             context: What the connections of the listener share.
             on_closed: Called once the connection is closed.
             connected_at: When the client connected, which is before the connection was accepted.
-            first_request_sent_at: When the first request reached the kernel, if that was before the
+            first_request_received_at: When the first request reached the kernel, if that was before the
                 connection was accepted; else None.
         """
         self._on_closed = on_closed
         self._transport = ClientTransport(context.loop)
-        self._reader = RequestReader(context.classes, connected_at, first_request_sent_at)
+        self._reader = RequestReader(context.classes, connected_at, first_request_received_at)
         self._pipeline = RequestPipeline(context, self._transport, self._reader)
         self.expiry = ConnectionExpiry(self._transport, self._reader, self._pipeline)
 
@@ -78,9 +78,9 @@
         """Whether the connection is closed on one side and ends after a time."""
         return self._transport.is_lingering
 
-    def is_request_pending(self) -> bool:
+    def is_awaiting_request(self) -> bool:
         """Return whether a request is awaited or has begun to arrive, and none is open."""
-        return self.expiry.is_request_pending()
+        return self.expiry.is_awaiting_request()
 
     def may_close(self) -> bool:
         """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
@@ -125,9 +125,9 @@
 
     # ---- closing --------------------------------------------------------------------------------
 
-    def expire_if_slow(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
-        """Close the connection if its client takes too long; see `ConnectionExpiry.expire_if_slow`."""
-        return self.expiry.expire_if_slow(now, request_timeout_s, idle_timeout_s)
+    def close_if_timed_out(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
+        """Close the connection if its client takes too long; see `ConnectionExpiry.close_if_timed_out`."""
+        return self.expiry.close_if_timed_out(now, request_timeout_s, idle_timeout_s)
 
     def close_gracefully(self) -> None:
         """Close the balancer's side, and read and discard input for a moment; see `ClientTransport`."""
--- a/loadbalancer/network/client/connection_table.py
+++ b/loadbalancer/network/client/connection_table.py
@@ -45,8 +45,10 @@
         accepted.settimeout(0.0)  # non-blocking
         now = time.monotonic()
         ages = queue_ages(accepted)
-        request_sent_at = now - ages.request_s if ages.request_s else None
-        connection = ClientConnection(self._context, self._remove, now - ages.connected_s, request_sent_at)
+        request_received_at = now - ages.request_age_s if ages.request_age_s else None
+        connection = ClientConnection(
+            self._context, self._remove, now - ages.connection_age_s, request_received_at
+        )
         self._connections.add(connection)
         task = self._context.loop.create_task(self.set_up(connection, accepted))
         self._setup_tasks.add(task)
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -19,7 +19,7 @@
     Attributes:
         used_bytes: The bytes that are buffered now.
         limit_bytes: The limit on `used_bytes`. Above it, the pipeline rejects the input of connections that
-            buffer more than `UNCONDITIONAL_BUFFER_BYTES`.
+            buffer more than `GUARANTEED_BUFFER_BYTES`.
     """
 
     def __init__(self, limit_bytes: int) -> None:
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -28,7 +28,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, connections: Collection[ClientConnection]) -> None:
         self._loop = loop
         self._connections = connections
-        self._evicted_at = -math.inf
+        self._last_eviction_at = -math.inf
 
     def sweep(self) -> None:
         """Close connections that are slow or idle for too long, now and from now on at intervals.
@@ -38,7 +38,7 @@
         self._loop.call_later(timeouts.SWEEP_INTERVAL_S, self.sweep)
         now = time.monotonic()
         for connection in list(self._connections):
-            connection.expire_if_slow(now, timeouts.REQUEST_TIMEOUT_S, timeouts.KEEP_ALIVE_TIMEOUT_S)
+            connection.close_if_timed_out(now, timeouts.REQUEST_TIMEOUT_S, timeouts.KEEP_ALIVE_TIMEOUT_S)
 
     def evict(self) -> None:
         """Close connections in favour of new ones, with shorter time limits than `sweep`.
@@ -48,20 +48,20 @@
         eviction has no effect. Guards against floods of connections that bring no request.
         """
         now = time.monotonic()
-        if now - self._evicted_at < timeouts.MIN_EVICTION_INTERVAL_S:
+        if now - self._last_eviction_at < timeouts.MIN_EVICTION_INTERVAL_S:
             return
-        self._evicted_at = now
+        self._last_eviction_at = now
         remaining_evictions = max(len(self._connections) // EVICTION_DIVISOR, 1)
-        for connection in sorted(self._connections, key=_closing_order):
-            if not connection.is_request_pending() and remaining_evictions <= 0:
+        for connection in sorted(self._connections, key=_eviction_order):
+            if not connection.is_awaiting_request() and remaining_evictions <= 0:
                 break
-            remaining_evictions -= connection.expire_if_slow(
+            remaining_evictions -= connection.close_if_timed_out(
                 now,
                 timeouts.REQUEST_TIMEOUT_UNDER_PRESSURE_S,
                 timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S,
             )
 
 
-def _closing_order(connection: ClientConnection) -> tuple[bool, float]:
+def _eviction_order(connection: ClientConnection) -> tuple[bool, float]:
     """Return the sort key: connections whose request has not arrived first, then the longest idle ones."""
-    return not connection.is_request_pending(), connection.idle_since
+    return not connection.is_awaiting_request(), connection.idle_since
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -27,7 +27,7 @@
         """Return whether no request is being handled, is queued or has begun to arrive."""
         return not self._pipeline.has_open_request() and not self._reader.arrival.is_arriving
 
-    def is_request_pending(self) -> bool:
+    def is_awaiting_request(self) -> bool:
         """Return whether a request is awaited or has begun to arrive, and none is open."""
         arrival = self._reader.arrival
         is_awaited = arrival.is_arriving or not arrival.has_received_request
@@ -39,7 +39,7 @@
             return False
         return self._transport.discards_input or not self._transport.has_unread_bytes()
 
-    def expire_if_slow(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
+    def close_if_timed_out(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
         """Close the connection if the client has kept it for too long without a complete request.
 
         Guards against clients that send nothing, never finish a request, or stay connected after one. A
@@ -58,8 +58,8 @@
             return False
         if self._transport.is_reading_paused and self._transport.has_client_disconnected():
             return False  # nothing else notices a disconnect while reading is paused
-        if self.is_request_pending():
-            return self._expire_pending_request(now, request_timeout_s)
+        if self.is_awaiting_request():
+            return self._close_if_request_timed_out(now, request_timeout_s)
         if self.is_idle():
             if now - self._pipeline.idle_since < idle_timeout_s or not self.may_close():
                 return False
@@ -68,7 +68,7 @@
         self._abort_if_stalled(now)
         return False
 
-    def _expire_pending_request(self, now: float, request_timeout_s: float) -> bool:
+    def _close_if_request_timed_out(self, now: float, request_timeout_s: float) -> bool:
         started_at = self._reader.arrival.started_at
         if now - started_at < request_timeout_s:
             return False
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -83,16 +83,16 @@
     async def _accept_last_connections(self) -> None:
         await asyncio.sleep(SHUTDOWN_ACCEPT_S)
         # While the connections are at their limit the queue isn't empty: some have to close first.
-        latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
-        await self._poll_until(self._listener.accept_pending, latest_s)
+        max_elapsed_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
+        await self._poll_until(self._listener.accept_pending, max_elapsed_s)
 
     async def _serve_open_connections(self) -> None:
-        latest_s = min(SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2)
-        await self._poll_until(lambda: not self._listener.connections, latest_s)
+        max_elapsed_s = min(SHUTDOWN_KEEP_ALIVE_S, self._max_deadline_s / 2)
+        await self._poll_until(lambda: not self._listener.connections, max_elapsed_s)
 
     async def _close_idle_connections(self) -> None:
-        latest_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s
-        while self._listener.connections and self._elapsed_s() < latest_s:
+        max_elapsed_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s
+        while self._listener.connections and self._elapsed_s() < max_elapsed_s:
             for connection in self._listener.connections:
                 is_new = connection.idle_since >= time.monotonic() - SHUTDOWN_NEW_CONNECTION_GRACE_S
                 if not is_new and not connection.is_lingering and connection.may_close():
@@ -106,10 +106,10 @@
         for _ in range(SHUTDOWN_FINAL_ITERATIONS):
             await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
-    async def _poll_until(self, is_satisfied: Callable[[], bool], latest_s: float) -> None:
-        """Wait until a condition holds, at most until `latest_s` seconds after the start of the shutdown."""
+    async def _poll_until(self, is_satisfied: Callable[[], bool], max_elapsed_s: float) -> None:
+        """Wait until a condition holds, at most `max_elapsed_s` seconds after the start of the shutdown."""
         while True:
-            if is_satisfied() or self._elapsed_s() >= latest_s:
+            if is_satisfied() or self._elapsed_s() >= max_elapsed_s:
                 return
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -52,7 +52,7 @@
         self._responder: Responder | None = None
         self._awaits_response = True
 
-    def start(self, responder: Responder) -> None:
+    def set_responder(self, responder: Responder) -> None:
         """Set the connection, once all earlier requests on it have been responded to.
 
         Before this call, `respond` has no effect.
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -16,7 +16,7 @@
     from loadbalancer.network.client.transport import ClientTransport
     from loadbalancer.network.headers import Headers
 
-UNCONDITIONAL_BUFFER_BYTES = 16_384
+GUARANTEED_BUFFER_BYTES = 16_384
 """A connection that buffers no more than this is not rejected when the buffers of all clients are full."""
 
 BUFFERS_FULL = Rejection(503, "too much is waiting here")
@@ -57,7 +57,7 @@
         """Parse the received bytes, up to the limit on requests that are read ahead."""
         self._update_buffer_account()
         # Guards against clients that together fill the memory: those with large buffers are rejected.
-        if self._context.buffers.is_exceeded() and self._accounted_bytes > UNCONDITIONAL_BUFFER_BYTES:
+        if self._context.buffers.is_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
             rejection = self.reader.parse_slice()
@@ -91,8 +91,8 @@
             return
         self._current_request = None
         is_last = not self.reader.requests and self._rejection is None
-        asks_to_close = self._context.closes_connections or not request.keep_alive
-        self._write_response(status, headers, body, is_final=is_last and asks_to_close)
+        should_close = self._context.closes_connections or not request.keep_alive
+        self._write_response(status, headers, body, is_final=is_last and should_close)
         self._update_buffer_account()
         self.advance()
 
@@ -123,7 +123,7 @@
             # Guards against a client that sends and never reads: at most one response is buffered for it.
             while self.has_waiting_request() and not self._transport.has_unsent_bytes():
                 request = self.reader.requests.popleft()
-                request.start(self)
+                request.set_responder(self)
                 self._current_request = request
                 self._handle_request(request)
         finally:
--- a/loadbalancer/network/client/request_arrival.py
+++ b/loadbalancer/network/client/request_arrival.py
@@ -17,17 +17,17 @@
         has_received_request: Whether a complete request has ever arrived.
     """
 
-    __slots__ = ("_first_request_sent_at", "has_received_request", "is_arriving", "started_at")
+    __slots__ = ("_first_request_received_at", "has_received_request", "is_arriving", "started_at")
 
-    def __init__(self, connected_at: float, first_request_sent_at: float | None) -> None:
+    def __init__(self, connected_at: float, first_request_received_at: float | None) -> None:
         """Create the state of a new connection.
 
         Args:
             connected_at: When the client connected.
-            first_request_sent_at: When the first request reached the kernel, if that was before the
+            first_request_received_at: When the first request reached the kernel, if that was before the
                 connection was accepted; else None.
         """
-        self._first_request_sent_at = first_request_sent_at
+        self._first_request_received_at = first_request_received_at
         self.is_arriving = False
         self.started_at = connected_at
         self.has_received_request = False
@@ -49,10 +49,10 @@
             When it arrived. For the first request of a connection that is when it reached the kernel, so
             that its time in the accept queue counts against its deadline.
         """
-        received_at = self._first_request_sent_at
+        received_at = self._first_request_received_at
         if received_at is None:
             received_at = time.monotonic()
-        self._first_request_sent_at = None
+        self._first_request_received_at = None
         self.is_arriving = False
         self.has_received_request = True
         return received_at
--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -37,7 +37,7 @@
 # Each attempt gets an X-Deadline of its own; Expect is settled between the client and the balancer.
 _NOT_FORWARDED = frozenset((b"x-deadline", b"expect"))
 
-NamedHeaders = dict[bytes, bytes]
+HeaderMap = dict[bytes, bytes]
 """The value of each header by its lower-case name."""
 
 
@@ -89,27 +89,27 @@
     Raises:
         RequestRejectedError: If the request is not acceptable.
     """
-    named = dict(headers)
-    if len(named) < len(headers):
+    header_map = dict(headers)
+    if len(header_map) < len(headers):
         _check_unique_headers(headers)
-    _check_body_framing(named)
+    _check_body_framing(header_map)
     if _is_health_check(method, target):
         return RequestHead(method, target)
     request_class = _class_of_target(target, classes)
-    _check_method(method, request_class, named)
-    _check_class_header(named, request_class)
-    request_id = _read_request_id(named)
+    _check_method(method, request_class, header_map)
+    _check_class_header(header_map, request_class)
+    request_id = _read_request_id(header_map)
     # A client waits no longer than its class says: a later deadline would only keep state for longer.
-    deadline_ms = min(_read_deadline_ms(named), request_class.deadline_ms)
+    deadline_ms = min(_read_deadline_ms(header_map), request_class.deadline_ms)
     return RequestHead(
         method,
         target,
         request_id,
         request_class.name,
         deadline_ms,
-        tenant=_read_tenant(named),
-        is_client_retry=named.get(b"x-retry") == b"1",
-        cost_hint_ms=_read_cost_hint_ms(named),
+        tenant=_read_tenant(header_map),
+        is_client_retry=header_map.get(b"x-retry") == b"1",
+        cost_hint_ms=_read_cost_hint_ms(header_map),
         forwarded=_forwarded_head(method, target, headers),
     )
 
@@ -139,10 +139,10 @@
             raise RequestRejectedError(Rejection(400, f"{name.decode()} is said twice"))
 
 
-def _check_body_framing(named: NamedHeaders) -> None:
-    length = named.get(b"content-length")
-    coding = named.get(b"transfer-encoding")
-    if coding is not None and (length is not None or coding.lower() != b"chunked"):
+def _check_body_framing(header_map: HeaderMap) -> None:
+    length = header_map.get(b"content-length")
+    transfer_coding = header_map.get(b"transfer-encoding")
+    if transfer_coding is not None and (length is not None or transfer_coding.lower() != b"chunked"):
         raise RequestRejectedError(Rejection(400, "a body has one length: a number, or chunked alone"))
     if length is None:
         return
@@ -162,54 +162,54 @@
     return request_class
 
 
-def _check_method(method: bytes, request_class: RequestClass, named: NamedHeaders) -> None:
+def _check_method(method: bytes, request_class: RequestClass, header_map: HeaderMap) -> None:
     """Check that the method, the idempotency key and the body fit one another and the class."""
     if method not in (b"GET", b"POST"):
         raise RequestRejectedError(Rejection(405, "GET or POST"))
-    has_key = b"idempotency-key" in named
-    wants_key = request_class.idempotency is Idempotency.KEYED
-    wanted_method = b"GET" if request_class.idempotency is Idempotency.SAFE else b"POST"
-    if method != wanted_method or has_key != wants_key:
+    has_key = b"idempotency-key" in header_map
+    requires_key = request_class.idempotency is Idempotency.KEYED
+    required_method = b"GET" if request_class.idempotency is Idempotency.SAFE else b"POST"
+    if method != required_method or has_key != requires_key:
         raise RequestRejectedError(
             Rejection(400, "GET, or POST with Idempotency-Key or without, as the class wants")
         )
-    has_body = b"transfer-encoding" in named or int(named.get(b"content-length", b"0")) > 0
+    has_body = b"transfer-encoding" in header_map or int(header_map.get(b"content-length", b"0")) > 0
     if method == b"GET" and has_body:
         raise RequestRejectedError(Rejection(400, "GET has no body"))
 
 
-def _check_class_header(named: NamedHeaders, request_class: RequestClass) -> None:
-    if named.get(b"x-class", b"").decode("latin-1") != request_class.name:
+def _check_class_header(header_map: HeaderMap, request_class: RequestClass) -> None:
+    if header_map.get(b"x-class", b"").decode("latin-1") != request_class.name:
         raise RequestRejectedError(Rejection(400, "X-Class must be the first part of the path"))
 
 
 # ---- values -------------------------------------------------------------------------------------
 
 
-def _read_request_id(named: NamedHeaders) -> bytes:
+def _read_request_id(header_map: HeaderMap) -> bytes:
     """Return the request id, after checking that it and the idempotency key, if any, are tokens."""
-    request_id = named.get(b"x-request-id", b"")
-    key = named.get(b"idempotency-key")
+    request_id = header_map.get(b"x-request-id", b"")
+    key = header_map.get(b"idempotency-key")
     if not _TOKEN.fullmatch(request_id) or (key is not None and not _TOKEN.fullmatch(key)):
         raise RequestRejectedError(Rejection(400, "X-Request-Id must be a word, and so must Idempotency-Key"))
     return request_id
 
 
-def _read_deadline_ms(named: NamedHeaders) -> float:
-    deadline_ms = parse_deadline_ms(named.get(b"x-deadline", b""))
+def _read_deadline_ms(header_map: HeaderMap) -> float:
+    deadline_ms = parse_deadline_ms(header_map.get(b"x-deadline", b""))
     if deadline_ms is None:
         raise RequestRejectedError(Rejection(400, "X-Deadline must be a number above 0 and a unit, m or u"))
     return deadline_ms
 
 
-def _read_tenant(named: NamedHeaders) -> str | None:
-    tenant = named.get(b"x-tenant")
+def _read_tenant(header_map: HeaderMap) -> str | None:
+    tenant = header_map.get(b"x-tenant")
     return tenant.decode("latin-1") if tenant else None
 
 
-def _read_cost_hint_ms(named: NamedHeaders) -> float:
+def _read_cost_hint_ms(header_map: HeaderMap) -> float:
     """Return the value of X-Cost-Hint, which is in microseconds, in milliseconds; 0 if it is malformed."""
-    cost_hint = named.get(b"x-cost-hint", b"")
+    cost_hint = header_map.get(b"x-cost-hint", b"")
     return float(cost_hint) / US_PER_MS if _DECIMAL_NUMBER.fullmatch(cost_hint) else 0.0
 
 
--- a/loadbalancer/network/client/request_parser.py
+++ b/loadbalancer/network/client/request_parser.py
@@ -69,7 +69,7 @@
             The rejection of the current request if it is not acceptable; nothing may be parsed after it.
         """
         try:
-            self._open_parser().feed_data(data)
+            self._require_parser().feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             # An exception that a callback raised is the context of the exception that httptools raises.
             cause = error.__context__
@@ -89,7 +89,7 @@
         self.discard_partial_request()
         self._parser = None
 
-    def _open_parser(self) -> httptools.HttpRequestParser:
+    def _require_parser(self) -> httptools.HttpRequestParser:
         if self._parser is None:
             raise ParserClosedError
         return self._parser
@@ -122,7 +122,7 @@
         headers_bytes = sum(len(name) + len(value) for name, value in self._headers)
         if headers_bytes + len(self._target) > MAX_HEAD_BYTES:
             raise RequestRejectedError(HEAD_TOO_LARGE)
-        method = self._open_parser().get_method()
+        method = self._require_parser().get_method()
         self._head = read_request_head(method, self._target, self._headers, self._classes)
 
     def on_body(self, data: bytes) -> None:
@@ -150,7 +150,7 @@
             head,
             b"".join(self._body_parts),
             self._arrival.complete(),
-            keep_alive=self._open_parser().should_keep_alive(),
+            keep_alive=self._require_parser().should_keep_alive(),
         )
         self._body_parts = []
         self._on_request(request)
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -40,18 +40,18 @@
         self,
         classes: dict[str, RequestClass],
         connected_at: float,
-        first_request_sent_at: float | None,
+        first_request_received_at: float | None,
     ) -> None:
         """Create a reader.
 
         Args:
             classes: The request classes of the settings, by name.
             connected_at: When the client connected (seconds of the monotonic clock).
-            first_request_sent_at: When the first request reached the kernel, if that was before the
+            first_request_received_at: When the first request reached the kernel, if that was before the
                 connection was accepted; else None.
         """
         self.requests: deque[IncomingRequest] = deque()
-        self.arrival = RequestArrival(connected_at, first_request_sent_at)
+        self.arrival = RequestArrival(connected_at, first_request_received_at)
         self.last_received_at = -math.inf
         self._parser = RequestParser(classes, self.arrival, self.requests.append)
         self._unparsed = b""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -102,8 +102,8 @@
     def discard(self, data: bytes) -> None:
         """Drop input; above `MAX_LINGER_BYTES` in all, reading stops until the connection ends."""
         self._discarded_bytes += len(data)
-        is_too_much = self._discarded_bytes > MAX_LINGER_BYTES
-        if is_too_much and self._transport is not None and not self.is_disconnected:
+        is_limit_exceeded = self._discarded_bytes > MAX_LINGER_BYTES
+        if is_limit_exceeded and self._transport is not None and not self.is_disconnected:
             self._transport.pause_reading()
 
     # ---- the end of the connection --------------------------------------------------------------
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -39,15 +39,15 @@
     monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
 ) -> None:
     """Call a function with each connection and the time before the connection is checked for timeouts."""
-    expire_if_slow = ClientConnection.expire_if_slow
+    close_if_timed_out = ClientConnection.close_if_timed_out
 
     def act_then_expire(
         connection: ClientConnection, now: float, request_timeout_s: float, idle_timeout_s: float
     ) -> bool:
         act(connection, now)
-        return expire_if_slow(connection, now, request_timeout_s, idle_timeout_s)
+        return close_if_timed_out(connection, now, request_timeout_s, idle_timeout_s)
 
-    monkeypatch.setattr(ClientConnection, "expire_if_slow", act_then_expire)
+    monkeypatch.setattr(ClientConnection, "close_if_timed_out", act_then_expire)
 
 
 def is_past_request_timeout(connection: ClientConnection, now: float) -> bool:
@@ -177,7 +177,7 @@
     client_socket = client.writer.transport.get_extra_info("socket")
 
     def send_the_rest(connection: ClientConnection, now: float) -> None:
-        if connection.is_request_pending() and is_past_request_timeout(connection, now) and rests:
+        if connection.is_awaiting_request() and is_past_request_timeout(connection, now) and rests:
             send_at_once(client_socket, rests.pop())
 
     before_each_expiry_check(monkeypatch, send_the_rest)
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -62,8 +62,8 @@
     client.sendall(b"x")
     keep_event_loop_busy(0.1)
     (ages,) = await wait_until(lambda: recorded, "the client is accepted")
-    assert ages.connected_s >= 0.05
-    assert ages.request_s >= 0.05
+    assert ages.connection_age_s >= 0.05
+    assert ages.request_age_s >= 0.05
 
 
 async def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -39,8 +39,8 @@
     )
     health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert status(await health_client.read_response()) == 200
-    unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
-    assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
+    guaranteed_bytes = 5 * request_pipeline.GUARANTEED_BUFFER_BYTES
+    assert buffers.used_bytes <= buffers.limit_bytes + guaranteed_bytes
     for client in clients:
         client.writer.transport.abort()
     await wait_until(
