--- a/loadbalancer/network/action_performer.py
+++ b/loadbalancer/network/action_performer.py
@@ -63,7 +63,7 @@
         timers: The timers of the policy.
         attempts: Starts and cancels attempts.
         health_checks: Starts health checks.
-        upstreams: The connection pools.
+        upstream_pools: The connection pools.
         endpoint_watch: The watch on discovery.
         log: Gets the policy's messages.
     """
@@ -74,7 +74,7 @@
         timers: PolicyTimers,
         attempts: AttemptRunner,
         health_checks: HealthChecks,
-        upstreams: UpstreamPools,
+        upstream_pools: UpstreamPools,
         endpoint_watch: EndpointWatch,
         log: RateLimitedLog,
     ) -> None:
@@ -82,7 +82,7 @@
         self._timers = timers
         self._attempts = attempts
         self._health_checks = health_checks
-        self._upstreams = upstreams
+        self._upstream_pools = upstream_pools
         self._endpoint_watch = endpoint_watch
         self._log = log
 
@@ -102,7 +102,7 @@
             case StartHealthCheck(endpoint):
                 self._health_checks.start(endpoint)
             case CloseIdleConnections(endpoint):
-                self._upstreams.close_idle_connections(endpoint)
+                self._upstream_pools.close_idle_connections(endpoint)
             case WatchEndpoints():
                 self._endpoint_watch.start_watch()
             case LogMessage(text):
--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.network.errors import ProtocolError
-from loadbalancer.network.response_reader import Response, ResponseReader
+from loadbalancer.network.response_parser import Response, ResponseParser
 
 BODY_TIMEOUT_S = 0.5
 """Time limit from the first byte of a response to its last.
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self.is_closed = False
         self._transport: asyncio.Transport | None = None
-        self._reader = ResponseReader(MAX_RESPONSE_BYTES)
+        self._parser = ResponseParser(MAX_RESPONSE_BYTES)
         self._response: asyncio.Future[Response] | None = None
         self._timeout: asyncio.Timeout | None = None  # of a call whose response has not begun
 
@@ -80,7 +80,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse the next bytes of the response."""
         try:
-            response = self._reader.feed(data)
+            response = self._parser.feed(data)
         except ProtocolError as error:
             self._fail(DiscoveryProtocolError(error))
             self.close()
@@ -88,7 +88,7 @@
         if response is None:
             self._limit_body()
             return
-        self.is_closed = self.is_closed or not self._reader.may_reuse
+        self.is_closed = self.is_closed or not self._parser.may_reuse
         if self._response is not None and not self._response.done():
             self._response.set_result(response)
 
--- a/loadbalancer/network/discovery/retry_schedule.py
+++ b/loadbalancer/network/discovery/retry_schedule.py
@@ -42,11 +42,11 @@
 PUSH_RETRY_DELAY_S = 0.1
 """Delay before a call after two or more consecutive failures, where lists are pushed."""
 
-MOVE_PERIOD_S = 4.0
+SWITCH_PERIOD_S = 4.0
 """Time after a move (SIGHUP) in which the list of the new discovery has to be known."""
 
-MOVE_RETRY_DELAY_S = 0.5
-"""Mean delay before a call after a failure within `MOVE_PERIOD_S`, where discovery is polled."""
+SWITCH_RETRY_DELAY_S = 0.5
+"""Mean delay before a call after a failure within `SWITCH_PERIOD_S`, where discovery is polled."""
 
 
 class RetrySchedule:
@@ -77,7 +77,7 @@
         return wait_ms / 1000 * (1 - WAIT_JITTER * self._draw())
 
     def retry_delay_s(
-        self, consecutive_failures: int, started_at_s: float, moved_at_s: float
+        self, consecutive_failures: int, started_at_s: float, switched_at_s: float
     ) -> float | None:
         """Return the delay in seconds before the next call, after a call has failed.
 
@@ -85,8 +85,8 @@
             consecutive_failures: The number of calls that have failed since the last successful one,
                 including this one.
             started_at_s: When the failed call started.
-            moved_at_s: When the watch last moved to another discovery, on the same clock; minus infinity if
-                it never did.
+            switched_at_s: When the watch last switched to another discovery, on the same clock; minus
+                infinity if it never did.
 
         Returns:
             The delay; None if the policy decides when to call again.
@@ -95,9 +95,9 @@
             # The balancer has to know the agent's list in time also while connections to it break, so that
             # the call is repeated at once.
             return PUSH_RETRY_DELAY_S if consecutive_failures > 1 else 0.0
-        if started_at_s < moved_at_s + MOVE_PERIOD_S:
+        if started_at_s < switched_at_s + SWITCH_PERIOD_S:
             # Guards against a long delay because of failures before the move. Guards also against two timers
             # of the policy, one set before the move and one set after this failure, each of which would start
             # calls: the earlier one has fired by the end of this period.
-            return MOVE_RETRY_DELAY_S * (0.5 + self._draw())
+            return SWITCH_RETRY_DELAY_S * (0.5 + self._draw())
         return None
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -22,7 +22,7 @@
 
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
-WATCH_OVERDUE_S = 1.0
+WATCH_TIMEOUT_MARGIN_S = 1.0
 """Time after the end of a watch call's wait at which the call fails if it got no response.
 
 A list that the call should have returned has to be known one second after that.
@@ -70,7 +70,7 @@
         self._task: asyncio.Task[None] | None = None
         self._connection: DiscoveryConnection | None = None
         self._consecutive_failures = 0
-        self._moved_at_s = -math.inf
+        self._switched_at_s = -math.inf
 
     @property
     def connection(self) -> DiscoveryConnection | None:
@@ -87,7 +87,7 @@
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
-    def move_to(self, address: Address) -> None:
+    def switch_to(self, address: Address) -> None:
         """Watch another discovery at once, beginning with its complete list.
 
         Versions of the old discovery's list have no meaning there. Guards against a list of the old
@@ -101,7 +101,7 @@
         self._task = None
         self._address = address
         self._version = _NO_VERSION
-        self._moved_at_s = asyncio.get_running_loop().time()
+        self._switched_at_s = asyncio.get_running_loop().time()
         self.start_watch()
 
     async def _watch(self) -> None:
@@ -134,7 +134,7 @@
         self._consecutive_failures += 1
         if self._connection is not None:
             self._connection.close()
-        return self._schedule.retry_delay_s(self._consecutive_failures, started_at_s, self._moved_at_s)
+        return self._schedule.retry_delay_s(self._consecutive_failures, started_at_s, self._switched_at_s)
 
     async def _fetch(self) -> EndpointList:
         """Make one call: for the complete list, or for the entries that changed after the known version."""
@@ -142,7 +142,7 @@
         if self._version >= 0:
             wait_s = self._schedule.watch_wait_s(self._consecutive_failures)
             path += f"?after={self._version}&wait_ms={wait_s * 1000:.0f}"
-            timeout_s = wait_s + WATCH_OVERDUE_S
+            timeout_s = wait_s + WATCH_TIMEOUT_MARGIN_S
         host, port = self._address
         connection = await self._connect()
         request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
--- a/loadbalancer/network/endpoint_list_updater.py
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -18,18 +18,18 @@
     """Applies the endpoint lists of the configuration and of discovery.
 
     Args:
-        upstreams: The connection pools.
+        upstream_pools: The connection pools.
         dispatch: Passes an event to the policy.
         on_applied: Called with each endpoint list once the policy has applied it, if given.
     """
 
     def __init__(
         self,
-        upstreams: UpstreamPools,
+        upstream_pools: UpstreamPools,
         dispatch: Callable[[Event], None],
         on_applied: Callable[[EndpointList], None] | None,
     ) -> None:
-        self._upstreams = upstreams
+        self._upstream_pools = upstream_pools
         self._dispatch = dispatch
         self._on_applied = on_applied
 
@@ -47,7 +47,7 @@
         self._dispatch(EndpointListUpdate(EndpointListKind.FAILED))
 
     def _apply(self, kind: EndpointListKind, endpoint_list: EndpointList) -> None:
-        self._upstreams.update_endpoints(endpoint_list)
+        self._upstream_pools.update_endpoints(endpoint_list)
         self._dispatch(EndpointListUpdate(kind, tuple([e.endpoint for e in endpoint_list.endpoints])))
         if self._on_applied is not None:
             self._on_applied(endpoint_list)
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -21,7 +21,7 @@
 MAX_LOGGED_EVENT_CHARS = 500
 """Length at which the line on an event that the policy failed to handle is cut."""
 
-_NOT_CONNECTED = "an event was dispatched before the dispatcher was connected"
+_HANDLERS_NOT_SET = "an event was dispatched before the dispatcher was connected"
 
 
 class EventDispatcher:
@@ -47,10 +47,10 @@
         self._log = log
         self._events: deque[tuple[Event, ProxiedRequest | None]] = deque()
         self._is_dispatching = False
-        self._perform: Callable[[Action], None] = _raise_not_connected
-        self._end_failed_request: Callable[[int | None], None] = _raise_not_connected
+        self._perform: Callable[[Action], None] = _raise_handlers_not_set
+        self._end_failed_request: Callable[[int | None], None] = _raise_handlers_not_set
 
-    def connect(
+    def set_handlers(
         self, perform: Callable[[Action], None], end_failed_request: Callable[[int | None], None]
     ) -> None:
         """Set the receivers of actions and failures, which need the dispatcher themselves.
@@ -104,8 +104,8 @@
             return []
 
 
-def _raise_not_connected(_: object) -> None:
-    raise InvalidStateError(_NOT_CONNECTED)
+def _raise_handlers_not_set(_: object) -> None:
+    raise InvalidStateError(_HANDLERS_NOT_SET)
 
 
 def _request_number(action: Action) -> int | None:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -41,7 +41,7 @@
         log: Where lines are written.
         clock: The clock of the policy.
         balancer: The policy.
-        upstreams: The connection pools.
+        upstream_pools: The connection pools.
         listener: The connections of clients.
         endpoint_watch: The watch on discovery.
         dispatcher: Passes events to the policy.
@@ -64,30 +64,30 @@
         self.log = RateLimitedLog(configuration.name or "balancer")
         self.clock = Clock()
         self.balancer = LoadBalancer(configuration.settings, configuration.seed)
-        self.upstreams = UpstreamPools(configuration, loop)
+        self.upstream_pools = UpstreamPools(configuration, loop)
         self.listener = Listener(configuration, loop, self, self.log.exception)
         self._requests = OpenRequests()
         self.dispatcher = EventDispatcher(self.balancer, self.clock, self._requests, self.log)
         self._endpoint_lists = EndpointListUpdater(
-            self.upstreams, self.dispatcher.dispatch, on_endpoints_applied
+            self.upstream_pools, self.dispatcher.dispatch, on_endpoints_applied
         )
         self.endpoint_watch = EndpointWatch(
             configuration, self._endpoint_lists.apply, self._endpoint_lists.report_failure
         )
         self._watchdog = DeadlineWatchdog(loop, self._requests, self.dispatcher.dispatch)
-        self.dispatcher.connect(self._make_performer().perform, self._watchdog.respond)
+        self.dispatcher.set_handlers(self._make_performer().perform, self._watchdog.respond)
         self._is_closed = False
         self._known_endpoints = configuration.known_endpoints
 
     def _make_performer(self) -> ActionPerformer:
         dispatch = self.dispatcher.dispatch
-        starter = AttemptStarter(self._loop, self.upstreams)
+        starter = AttemptStarter(self._loop, self.upstream_pools)
         return ActionPerformer(
             self._requests,
             PolicyTimers(self._loop, self.clock, dispatch),
             AttemptRunner(self._requests, starter, self.clock, dispatch, self.handle_disconnect),
             HealthChecks(starter, dispatch),
-            self.upstreams,
+            self.upstream_pools,
             self.endpoint_watch,
             self.log,
         )
@@ -113,11 +113,11 @@
         """Watch the discovery that a new configuration names; requests and connections are not affected."""
         host, port = configuration.discovery
         self.log.write(f"configuration reloaded: discovery at {host}:{port}")
-        self.endpoint_watch.move_to(configuration.discovery)
+        self.endpoint_watch.switch_to(configuration.discovery)
 
     def _close_expired_connections(self) -> None:
         self._loop.call_later(IDLE_CHECK_INTERVAL_S, self._close_expired_connections)
-        self.upstreams.close_expired()
+        self.upstream_pools.close_expired()
 
     # ---- requests from clients (RequestHandler) -------------------------------------------------
 
--- a/loadbalancer/network/response_reader.py
+++ b/loadbalancer/network/response_parser.py
@@ -35,7 +35,7 @@
         self.body = body
 
 
-class ResponseReader:
+class ResponseParser:
     """Parses the responses on a connection one after another.
 
     Guards against endless headers or interim responses, invalid lengths, and a body that exceeds the limit:
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.events import Outcome
 from loadbalancer.network.errors import ConnectionLimitError
-from loadbalancer.network.response_reader import Response
+from loadbalancer.network.response_parser import Response
 
 if TYPE_CHECKING:
     from loadbalancer.network.upstream.connection import UpstreamConnection
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -16,7 +16,7 @@
     from loadbalancer.network.client.incoming_request import IncomingRequest
     from loadbalancer.network.clock import Clock
     from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
-    from loadbalancer.network.response_reader import Response
+    from loadbalancer.network.response_parser import Response
     from loadbalancer.network.upstream.attempt import UpstreamAttempt
     from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.errors import InvalidStateError
 from loadbalancer.network.errors import InvalidResponseError
-from loadbalancer.network.response_reader import Response, ResponseReader
+from loadbalancer.network.response_parser import Response, ResponseParser
 from loadbalancer.network.sockets import peek, set_no_delay, shutdown_write
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         self._on_closed = on_closed
         self._handler: ResponseHandler | None = None
         self._transport: asyncio.Transport | None = None
-        self._reader: ResponseReader | None = None
+        self._parser: ResponseParser | None = None
         self._is_written = False
         self._is_closed = False
 
@@ -80,7 +80,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse the response; anything that is not a valid one ends the connection."""
         handler = self._handler
-        if handler is None or self._reader is None:
+        if handler is None or self._parser is None:
             self.close()
             return
         if not self._is_written:
@@ -88,7 +88,7 @@
             handler.handle_reset()
             return
         try:
-            response = self._reader.feed(data)
+            response = self._parser.feed(data)
         except InvalidResponseError:
             handler.handle_reset()
             return
@@ -118,7 +118,7 @@
             raise InvalidStateError(_NOT_ESTABLISHED)
         self._handler = handler
         self._is_written = False
-        self._reader = self._reader or ResponseReader()
+        self._parser = self._parser or ResponseParser()
         self._transport.write(request)
         self._is_written = self.unsent_bytes == 0 and not self._transport.is_closing()
 
@@ -146,7 +146,7 @@
             reuse: Whether the request ended with a complete response.
         """
         self._handler = None
-        if reuse and self._is_written and self._reader is not None and self._reader.may_reuse:
+        if reuse and self._is_written and self._parser is not None and self._parser.may_reuse:
             self._on_reusable(self)
         else:
             self.close()
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from loadbalancer.network.response_reader import Response
+    from loadbalancer.network.response_parser import Response
     from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -86,7 +86,7 @@
     """Open an idle connection to each upstream, for first attempts and retries."""
     while not all(upstream.received for upstream in harness.upstreams):
         assert status(await harness.send_request()) == 200
-    monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
+    monkeypatch.setattr(harness.proxy.upstream_pools, "close_idle_connections", lambda server: None)
     pass_reuse_delay(harness)
 
 
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -112,9 +112,9 @@
     harness = await start_proxy(Upstream(), discovery="push")
     line = await harness.discovery.calls.get()
     wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
-    assert wait_ms / 1000 + endpoint_watch.WATCH_OVERDUE_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
+    assert wait_ms / 1000 + endpoint_watch.WATCH_TIMEOUT_MARGIN_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
     harness.discovery.publish(8)
-    monkeypatch.setattr(endpoint_watch, "WATCH_OVERDUE_S", 0.1)
+    monkeypatch.setattr(endpoint_watch, "WATCH_TIMEOUT_MARGIN_S", 0.1)
     monkeypatch.setattr(retry_schedule, "PUSH_WATCH_WAIT_MS", 100)
     await harness.discovery.calls.get()
     harness.discovery.publish(9)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -39,7 +39,7 @@
 # The same from the end of the wait time of a watch that became unresponsive, if that is later.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
 # The same from a SIGHUP.
-MAX_MOVE_DELAY_S = 4.0
+MAX_SWITCH_DELAY_S = 4.0
 MARGIN_S = 1.0
 # Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
@@ -121,7 +121,7 @@
         run_simulated(partial(check_missed_change, how=how, seed=seed, calls=calls))
 
 
-async def check_move_after_failures(
+async def check_switch_after_failures(
     loop: SimulatedLoop, *, fault: str, how: str, seed: int, phase: float
 ) -> None:
     """Move to a discovery with a fault during an outage of the old one, and change its list."""
@@ -135,7 +135,7 @@
     await wait_until(lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01)
     await asyncio.sleep(phase)
     new.fault = fault
-    moved_at = loop.time()
+    switched_at = loop.time()
 
     def recover() -> None:
         new.fault = ""
@@ -143,12 +143,12 @@
         new.change()
 
     new.on_attempt = lambda: loop.call_soon(recover)  # once the first call has been received or has failed
-    proxy.move(new)
+    proxy.switch_to(new)
     learned_at = await proxy.learns_of_drain()
-    assert new.attempts[0] == moved_at
+    assert new.attempts[0] == switched_at
     # A connection that is established late costs both timeouts: of the connect and of the response.
-    allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_MOVE_DELAY_S
-    assert learned_at + LIST_TRANSFER_S < moved_at + allowed
+    allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_SWITCH_DELAY_S
+    assert learned_at + LIST_TRANSFER_S < switched_at + allowed
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
@@ -156,10 +156,10 @@
 def test_earlier_failures_do_not_delay_a_change_after_a_move(fault: str, how: str) -> None:
     """Guards against polling the new discovery after the backoff of the old one's outage."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
-        run_simulated(partial(check_move_after_failures, fault=fault, how=how, seed=seed, phase=phase))
+        run_simulated(partial(check_switch_after_failures, fault=fault, how=how, seed=seed, phase=phase))
 
 
-async def check_moves_during_outage(loop: SimulatedLoop) -> None:
+async def check_switches_during_outage(loop: SimulatedLoop) -> None:
     """Move seven times while all discoveries refuse connections; the last one recovers."""
     discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
     proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
@@ -168,7 +168,7 @@
         discovery.fail("refuses")
     await asyncio.sleep(30.0)
     for discovery in discoveries[1:]:
-        proxy.move(discovery)
+        proxy.switch_to(discovery)
         await asyncio.sleep(0.2)
     await asyncio.sleep(10.0)
     last = discoveries[-1]
@@ -191,7 +191,7 @@
 
 def test_moves_during_an_outage_leave_one_call_at_a_time() -> None:
     """Guards against a further poll timer for each move, all of which would be set again for ever."""
-    run_simulated(check_moves_during_outage)
+    run_simulated(check_switches_during_outage)
 
 
 async def test_the_first_watch_after_a_failure_does_not_wait_long(start_proxy: StartProxy) -> None:
@@ -238,10 +238,10 @@
 def test_the_max_delays_leave_a_second_before_the_deadline_of_a_list() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
-    overdue_s = endpoint_watch.WATCH_OVERDUE_S
+    timeout_margin_s = endpoint_watch.WATCH_TIMEOUT_MARGIN_S
     rest_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
     period_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
-    recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + overdue_s
+    recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
     # Discovery recovers, or has the change, just after the start of a call that fails.
     assert period_s + LIST_TRANSFER_S < limit_s, (
@@ -254,14 +254,14 @@
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
     # An open watch becomes unresponsive.
-    assert overdue_s + rest_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
-    assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + overdue_s + LIST_TRANSFER_S
+    assert timeout_margin_s + rest_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
+    assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
     # After SIGHUP the first call to the new discovery fails.
-    retry_delay_s = retry_schedule.MOVE_RETRY_DELAY_S * MAX_DELAY_JITTER
-    assert retry_schedule.MOVE_PERIOD_S <= MAX_MOVE_DELAY_S
-    assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_MOVE_DELAY_S
+    retry_delay_s = retry_schedule.SWITCH_RETRY_DELAY_S * MAX_DELAY_JITTER
+    assert retry_schedule.SWITCH_PERIOD_S <= MAX_SWITCH_DELAY_S
+    assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_SWITCH_DELAY_S
     assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
-    assert period_s < retry_schedule.MOVE_PERIOD_S, "an earlier timer fires while the watch itself retries"
+    assert period_s < retry_schedule.SWITCH_PERIOD_S, "an earlier timer fires while the watch itself retries"
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -8,11 +8,11 @@
 import pytest
 
 from loadbalancer.network.discovery.retry_schedule import (
-    MOVE_PERIOD_S,
-    MOVE_RETRY_DELAY_S,
     PUSH_RETRY_DELAY_S,
     PUSH_WATCH_WAIT_MS,
     RECOVERY_WAIT_MS,
+    SWITCH_PERIOD_S,
+    SWITCH_RETRY_DELAY_S,
     WAIT_JITTER,
     WATCH_WAIT_MS,
     RetrySchedule,
@@ -21,8 +21,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-NEVER_MOVED = -math.inf
-MOVED_AT_S = 100.0
+NEVER_SWITCHED = -math.inf
+SWITCHED_AT_S = 100.0
 MAX_DRAW = math.nextafter(1.0, 0.0)
 
 
@@ -56,38 +56,38 @@
 @pytest.mark.parametrize(
     ("consecutive_failures", "delay_s"), [(1, 0.0), (2, PUSH_RETRY_DELAY_S), (50, PUSH_RETRY_DELAY_S)]
 )
-@pytest.mark.parametrize("moved_at_s", [NEVER_MOVED, MOVED_AT_S])
+@pytest.mark.parametrize("switched_at_s", [NEVER_SWITCHED, SWITCHED_AT_S])
 def test_where_lists_are_pushed_the_watch_repeats_each_failed_call(
-    consecutive_failures: int, delay_s: float, moved_at_s: float
+    consecutive_failures: int, delay_s: float, switched_at_s: float
 ) -> None:
     schedule = RetrySchedule(draw_nothing, polls_discovery=False)
-    assert schedule.retry_delay_s(consecutive_failures, MOVED_AT_S + 1.0, moved_at_s) == delay_s
+    assert schedule.retry_delay_s(consecutive_failures, SWITCHED_AT_S + 1.0, switched_at_s) == delay_s
 
 
 @pytest.mark.parametrize("consecutive_failures", [1, 2, 50])
 @pytest.mark.parametrize(
-    ("moved_at_s", "started_at_s"),
+    ("switched_at_s", "started_at_s"),
     [
-        (NEVER_MOVED, 0.0),
-        (NEVER_MOVED, MOVED_AT_S),
-        (MOVED_AT_S, MOVED_AT_S + MOVE_PERIOD_S),
-        (MOVED_AT_S, MOVED_AT_S + 1_000.0),
+        (NEVER_SWITCHED, 0.0),
+        (NEVER_SWITCHED, SWITCHED_AT_S),
+        (SWITCHED_AT_S, SWITCHED_AT_S + SWITCH_PERIOD_S),
+        (SWITCHED_AT_S, SWITCHED_AT_S + 1_000.0),
     ],
 )
 def test_where_discovery_is_polled_the_policy_decides_when_to_call_again(
-    moved_at_s: float, started_at_s: float, consecutive_failures: int
+    switched_at_s: float, started_at_s: float, consecutive_failures: int
 ) -> None:
     schedule = RetrySchedule(draw_nothing, polls_discovery=True)
-    assert schedule.retry_delay_s(consecutive_failures, started_at_s, moved_at_s) is None
+    assert schedule.retry_delay_s(consecutive_failures, started_at_s, switched_at_s) is None
 
 
 @pytest.mark.parametrize("consecutive_failures", [1, 2, 50])
-@pytest.mark.parametrize("since_move_s", [0.0, 1.0, MOVE_PERIOD_S - 0.001])
+@pytest.mark.parametrize("since_switch_s", [0.0, 1.0, SWITCH_PERIOD_S - 0.001])
 @pytest.mark.parametrize(("draw", "factor"), [(0.0, 0.5), (0.5, 1.0), (MAX_DRAW, 0.5 + MAX_DRAW)])
 def test_shortly_after_a_move_the_watch_repeats_failed_polls_at_random_delays(
-    since_move_s: float, consecutive_failures: int, draw: float, factor: float
+    since_switch_s: float, consecutive_failures: int, draw: float, factor: float
 ) -> None:
     """The number of failures has no effect, since it counts those of the previous discovery too."""
     schedule = RetrySchedule(drawing(draw), polls_discovery=True)
-    delay_s = schedule.retry_delay_s(consecutive_failures, MOVED_AT_S + since_move_s, MOVED_AT_S)
-    assert delay_s == MOVE_RETRY_DELAY_S * factor
+    delay_s = schedule.retry_delay_s(consecutive_failures, SWITCHED_AT_S + since_switch_s, SWITCHED_AT_S)
+    assert delay_s == SWITCH_RETRY_DELAY_S * factor
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -69,7 +69,7 @@
     client.send()
     await client.read_response()
     (client_connection,) = harness.proxy.listener.connections
-    upstream_connection = harness.proxy.upstreams.pool("s0").idle_connections[0]
+    upstream_connection = harness.proxy.upstream_pools.pool("s0").idle_connections[0]
     for transport in (upstream_connection.transport, client_connection.transport):
         assert transport is not None
         sock = transport.get_extra_info("socket")
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -47,7 +47,7 @@
         if len(order) == 2:
             dispatcher.dispatch(SECOND)
 
-    dispatcher.connect(perform, lambda number: None)
+    dispatcher.set_handlers(perform, lambda number: None)
     dispatcher.dispatch(FIRST)
     assert order == ["EndpointListUpdate", "one", "two", "HealthCheckFinished", "one", "two"]
 
@@ -63,7 +63,7 @@
         if action.text == "one":
             raise OSError
 
-    dispatcher.connect(perform, failed_requests.append)
+    dispatcher.set_handlers(perform, failed_requests.append)
     dispatcher.dispatch(FIRST)
     assert order == ["EndpointListUpdate", "one", "two"]
     assert failed_requests == [None]
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -58,7 +58,7 @@
     endpoint = entry("s9", harness.entries[0]["address"])
     harness.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
     assert "after=2&" in await harness.discovery.calls.get()
-    assert harness.proxy.upstreams.endpoint_names == {"s9"}
+    assert harness.proxy.upstream_pools.endpoint_names == {"s9"}
 
 
 async def test_a_list_that_is_being_received_at_a_sighup_is_ignored(
@@ -80,7 +80,7 @@
     new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
     assert "after=3&" in await new.calls.get()
     await harness.discovery.connection_closed.wait()
-    assert harness.proxy.upstreams.endpoint_names == {"new"}
+    assert harness.proxy.upstream_pools.endpoint_names == {"new"}
 
 
 async def test_a_timeout_as_the_response_is_read_finishes_the_attempt_once(start_server: StartServer) -> None:
@@ -105,7 +105,7 @@
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
-    (idle,) = harness.proxy.upstreams.pool("s0").idle_connections
+    (idle,) = harness.proxy.upstream_pools.pool("s0").idle_connections
     idle.idle_since -= 1.0
     is_alive = UpstreamConnection.is_alive
     checks: list[bool] = []
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -117,7 +117,7 @@
             "network.client.transport network.clock network.deadline_watchdog network.discovery "
             "network.discovery.connection network.discovery.retry_schedule network.discovery.watch "
             "network.endpoint_list_updater network.errors network.event_dispatcher network.headers "
-            "network.log network.open_requests network.proxy network.request_ids network.response_reader "
+            "network.log network.open_requests network.proxy network.request_ids network.response_parser "
             "network.sockets network.upstream network.upstream.attempt network.upstream.attempt_runner "
             "network.upstream.attempt_starter network.upstream.connection "
             "network.upstream.connection_limit network.upstream.health_checks network.upstream.pool "
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -38,7 +38,7 @@
     harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
     kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
     assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
-    assert harness.proxy.upstreams.endpoint_names == {"s1"}
+    assert harness.proxy.upstream_pools.endpoint_names == {"s1"}
 
 
 async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -53,7 +53,7 @@
 
 def pass_reuse_delay(harness: ProxyHarness) -> None:
     """Let idle connections to upstreams be reused immediately."""
-    pools = harness.proxy.upstreams
+    pools = harness.proxy.upstream_pools
     for name in pools.endpoint_names:
         for connection in pools.pool(name).idle_connections:
             connection.idle_since -= 1.0
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -241,7 +241,7 @@
                 self.drain_learned.set_result(self._loop.time())
         return self._handle(event, now)
 
-    def move(self, discovery: SimulatedDiscovery) -> None:
+    def switch_to(self, discovery: SimulatedDiscovery) -> None:
         """Reconfigure the proxy with another address of discovery, as SIGHUP does."""
         document = json.loads(self._text) | {"discovery": f"127.0.0.1:{discovery.port}"}
         self.proxy.reconfigure(configuration(json.dumps(document)))
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -16,7 +16,7 @@
     from collections.abc import AsyncIterator
 
     from loadbalancer.events import Outcome
-    from loadbalancer.network.response_reader import Response
+    from loadbalancer.network.response_parser import Response
     from loadbalancer.network.upstream.attempt import UpstreamAttempt
 
 REQUEST = b"GET /read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n"
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -53,7 +53,7 @@
     assert discovery.counts().snapshots == 2
     for hollow in hollows:
         assert len(hollow.proxy.balancer.ready_endpoints) == 19
-        assert len(hollow.proxy.upstreams.endpoint_names) == 20
+        assert len(hollow.proxy.upstream_pools.endpoint_names) == 20
         assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
         with pytest.raises(ConnectionError):  # no clients
             await asyncio.open_connection(*hollow.proxy.listener.address)
