--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -22,7 +22,7 @@
 from testbed.measurement import latency
 from testbed.measurement.meter import CoresWatch, Usage, usage
 from testbed.results import Measured, Row, RunResult, fit_columns
-from testbed.runs import loaded
+from testbed.runs import load_plan
 from testbed.upstream.group import UpstreamProcess
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 _FITTED = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
 
 
-class Plan(loaded.Plan):
+class Plan(load_plan.Plan):
     """The load; `sizes` count the entries of the list, and the settings give as many balancers."""
 
     service_ms: float
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -15,7 +15,7 @@
 from testbed.load import streams as load
 from testbed.measurement.meter import CoresWatch, Usage, usage
 from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns, stored_as
-from testbed.runs import loaded
+from testbed.runs import load_plan
 from testbed.runs.real_depth.chain import Chain
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
 
@@ -45,7 +45,7 @@
 _MIB = 2**20
 
 
-class Plan(loaded.Plan):
+class Plan(load_plan.Plan):
     """The load and the faults; `sizes` count the tiers, and so the balancers that a request passes."""
 
     faults_at: tuple[int, ...]
--- a/tests/testbed/support/loads.py
+++ b/tests/testbed/support/loads.py
@@ -6,7 +6,7 @@
 
 from testbed.http.client import Client, compose_request, request_ids
 
-IDS = request_ids(1)
+REQUEST_IDS = request_ids(1)
 
 
 class SteppingClock:
@@ -29,6 +29,6 @@
 
 
 async def send_request(client: Client, deadline_ms: float = 5_000.0, key: str = "") -> int:
-    request = compose_request("read", next(IDS), deadline_ms, key)
+    request = compose_request("read", next(REQUEST_IDS), deadline_ms, key)
     response = await client.send(request, deadline_ms / 1000)
     return response.status
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -13,7 +13,7 @@
 from testbed.upstream.group import UpstreamGroup, UpstreamProcess
 from testbed.upstream.upstream import forward_through
 from tests.support.waiting import wait_until
-from tests.testbed.support.loads import IDS, SteppingClock, send_request
+from tests.testbed.support.loads import REQUEST_IDS, SteppingClock, send_request
 
 if TYPE_CHECKING:
     from testbed.upstream.connection import ReceivedRequest
@@ -61,7 +61,7 @@
     (upstream,) = await upstreams.start(1, first_octet=82)
     await upstream.set_behaviour(Behaviour(UpstreamMode.REJECT))
     reader, writer = await asyncio.open_connection(*upstream.address)
-    writer.write(compose_request("read", next(IDS), 100.0))
+    writer.write(compose_request("read", next(REQUEST_IDS), 100.0))
     head = await reader.readuntil(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 503 ")
     assert b"\r\nX-Not-Run: 1\r\n" in head
