--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -4,8 +4,8 @@
 """
 
 from loadbalancer.policy.arrivals import LONG_TERM_REQUESTS
+from loadbalancer.policy.balancer_count import BalancerCountEstimator
 from loadbalancer.policy.overload import OverloadDetector
-from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import RequestClass, Settings
 
 # Exponent of the relative priority weight. With an exponent of 1, a class of an eighth of the largest weight
@@ -30,8 +30,8 @@
     cannot hold a complete token.
     """
 
-    def __init__(self, settings: Settings, peers: PeerEstimator) -> None:
-        self._peers = peers
+    def __init__(self, settings: Settings, balancer_count: BalancerCountEstimator) -> None:
+        self._balancer_count = balancer_count
         self._per_ms = {t.name: t.quota_per_s / 1000 for t in settings.tenants}
         self._tokens: dict[str, float] = {}
         self._updated_at: dict[str, float] = {}
@@ -41,7 +41,7 @@
         rate = self._per_ms.get(tenant or "")
         if rate is None or tenant is None:
             return False
-        rate /= self._peers.count
+        rate /= self._balancer_count.estimate
         tokens = self._tokens.get(tenant, QUOTA_BURST_MS * rate)
         updated_at = self._updated_at.get(tenant, now)
         self._tokens[tenant] = min(QUOTA_BURST_MS * rate, tokens + (now - updated_at) * rate)
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -58,7 +58,9 @@
         endpoint.catch_up(now)
         endpoint.in_flight += 1
         self._in_flight += 1
-        has_capacity = self._in_flight <= max(self._available.weight / self._available.peers.count, 1.0)
+        has_capacity = self._in_flight <= max(
+            self._available.weight / self._available.balancer_count.estimate, 1.0
+        )
         is_baseline = has_capacity and not is_shedding
         return Attempt(endpoint, idle_ms, now, now + timeout_ms, is_baseline)
 
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -3,9 +3,9 @@
 import math
 from typing import TYPE_CHECKING
 
+from loadbalancer.policy.balancer_count import BalancerCountEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.outlier_detection import is_outlier
-from loadbalancer.policy.peers import PeerEstimator
 
 if TYPE_CHECKING:
     from loadbalancer.policy.endpoint_stats import EndpointStats
@@ -25,15 +25,15 @@
     endpoints would all go to the others.
 
     Attributes:
-        peers: The estimate of the replica count.
+        balancer_count: The estimate of the replica count.
         weight: The last sum; 1 if no endpoint can take requests, so that no limit derived from it is 0.
         reachable: The ready endpoints whose connects succeed; all ready ones if connects fail at each.
     """
 
-    def __init__(self, endpoints: EndpointSet, peers: PeerEstimator) -> None:
+    def __init__(self, endpoints: EndpointSet, balancer_count: BalancerCountEstimator) -> None:
         self._endpoints = endpoints
         self._warmup = endpoints.warmup
-        self.peers = peers
+        self.balancer_count = balancer_count
         self._updated_at = -math.inf
         self.weight = 1.0
         self.reachable: list[EndpointStats] = []
@@ -51,6 +51,6 @@
             self.reachable = [e for e in ready if e.connect_failures <= 1] or ready
             healthy = [e for e in self.reachable if not is_outlier(e)]
             self.weight = sum(e.weight * self._warmup.fraction(e, now) for e in healthy) or 1.0
-            self.peers.update(sum(e.weight for e in healthy), self._updated_at, now)
+            self.balancer_count.update(sum(e.weight for e in healthy), self._updated_at, now)
             self._updated_at = now
         return self.weight
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -30,12 +30,12 @@
 from loadbalancer.policy.attempt_recorder import AttemptRecorder
 from loadbalancer.policy.attempt_starter import AttemptStarter
 from loadbalancer.policy.available_capacity import AvailableCapacity
+from loadbalancer.policy.balancer_count import BalancerCountEstimator
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.idempotency import IdempotencyRules
 from loadbalancer.policy.idle_connections import IdleConnectionLimit
 from loadbalancer.policy.overload import OverloadDetector
-from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.poll_backoff import PollBackoff
 from loadbalancer.policy.request import Request, RequestTable
 from loadbalancer.policy.retry import FailureResponses, Hedging, RetryBudgets
@@ -67,12 +67,12 @@
         self._poll_backoff = PollBackoff(settings, random)
         self._endpoints = EndpointSet(settings, random)
         self._arrivals = ArrivalRate(settings)
-        peers = PeerEstimator(settings, self._arrivals)
-        self._available = AvailableCapacity(self._endpoints, peers)
+        balancer_count = BalancerCountEstimator(settings, self._arrivals)
+        self._available = AvailableCapacity(self._endpoints, balancer_count)
         self._overload = OverloadDetector(self._available)
-        self._admission = AdmissionControl(settings, self._overload, Quotas(settings, peers))
+        self._admission = AdmissionControl(settings, self._overload, Quotas(settings, balancer_count))
         capacity = CapacityEstimator(self._endpoints, self._arrivals)
-        self._slow_start = SlowStart(settings, self._endpoints, self._arrivals, peers, capacity)
+        self._slow_start = SlowStart(settings, self._endpoints, self._arrivals, balancer_count, capacity)
         idempotency = IdempotencyRules(settings, self._endpoints)
         selector = EndpointSelector(settings, idempotency, self._slow_start, capacity, random)
         self._cost_hints = CostHints()
--- a/loadbalancer/policy/peers.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -10,7 +10,7 @@
 BASELINE_TIME_CONSTANT_MS = 20_000.0
 
 
-class PeerEstimator:
+class BalancerCountEstimator:
     """Estimates how many replicas serve requests, which no message reports.
 
     Replicas and endpoints of a zone fail together, and the requests of the lost replicas come to the others.
@@ -29,14 +29,14 @@
     no evidence: more requests may be a burst, and endpoints may be removed without any replica.
 
     Attributes:
-        count: The estimated number of replicas, this one included; at least 1, not necessarily an integer.
+        estimate: The estimated number of replicas, this one included; at least 1, not necessarily an integer.
     """
 
     def __init__(self, settings: Settings, arrivals: ArrivalRate) -> None:
         self._configured = settings.balancers
         self._arrivals = arrivals
         self._baseline_weight = 0.0
-        self.count = float(settings.balancers)
+        self.estimate = float(settings.balancers)
 
     def update(self, weight: float, updated_at: float, now: float) -> None:
         """Estimate the number again.
@@ -52,4 +52,4 @@
         weight_ratio = weight / (self._baseline_weight or 1.0)
         long_term_ms = self._arrivals.long_term_interarrival_ms or 1.0
         interarrival_ratio = self._arrivals.short_term_interarrival_ms / long_term_ms
-        self.count = max(self._configured * min(max(weight_ratio, interarrival_ratio), 1.0), 1.0)
+        self.estimate = max(self._configured * min(max(weight_ratio, interarrival_ratio), 1.0), 1.0)
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -58,7 +58,9 @@
         Guards against replicas that start together: a replica without evidence begins at a fraction of the
         limit, since all of them would otherwise fill it before the first responses show the load.
         """
-        limit = MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.peers.count
+        limit = (
+            MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.balancer_count.estimate
+        )
         if self._updated_at == -math.inf:
             self._concurrency = INITIAL_SUSTAINABLE_FRACTION * limit
         else:
@@ -110,7 +112,7 @@
             + (MAX_IN_FLIGHT_PER_CAPACITY - MIN_IN_FLIGHT_PER_CAPACITY) * importance
         )
         limit = per_capacity * capacity
-        replicas = self._available.peers.count
+        replicas = self._available.balancer_count.estimate
         all_in_flight = in_flight + self._mean_in_flight * (replicas - 1)
         return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / replicas)
 
@@ -123,7 +125,9 @@
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
-        floor = MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.peers.count
+        floor = (
+            MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.balancer_count.estimate
+        )
         limit = inflation * (concurrency + floor)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
 
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -8,11 +8,11 @@
 import math
 
 from loadbalancer.policy.arrivals import ArrivalRate
+from loadbalancer.policy.balancer_count import BalancerCountEstimator
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.policy.outlier_detection import is_outlier
-from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.settings import Settings
 
 # Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean that the settings allow it.
@@ -38,7 +38,7 @@
         settings: Settings,
         endpoints: EndpointSet,
         arrivals: ArrivalRate,
-        peers: PeerEstimator,
+        balancer_count: BalancerCountEstimator,
         capacity: CapacityEstimator,
     ) -> None:
         self._overload_factor = settings.slow_start_overload_factor
@@ -46,7 +46,7 @@
         self._endpoints = endpoints
         self._warmup = endpoints.warmup
         self._arrivals = arrivals
-        self._peers = peers
+        self._balancer_count = balancer_count
         self._capacity = capacity
         self._updated_at = -math.inf
         self._balancers_per_endpoint = 1.0
@@ -141,7 +141,9 @@
             return
         self._updated_at = now
         arrivals, capacity = self._arrivals, self._capacity
-        self._balancers_per_endpoint = max(self._peers.count * len(subset) / len(self._endpoints.ready), 1.0)
+        self._balancers_per_endpoint = max(
+            self._balancer_count.estimate * len(subset) / len(self._endpoints.ready), 1.0
+        )
         age_ms = now - arrivals.started_at
         missing_evidence = math.exp(-age_ms / capacity.time_constant_ms) if capacity.served_per_ms else 1.0
         arrival_rate = missing_evidence * arrivals.long_term_rate_per_ms(now)
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -123,8 +123,8 @@
             "network.upstream.connection_limit network.upstream.health_checks network.upstream.pool "
             "network.upstream.request_bytes policy policy.admission policy.arrivals "
             "policy.attempt_recorder policy.attempt_starter policy.available_capacity policy.balancer "
-            "policy.capacity policy.endpoint_set policy.endpoint_stats policy.idempotency "
-            "policy.idle_connections policy.outlier_detection policy.overload policy.peers "
+            "policy.balancer_count policy.capacity policy.endpoint_set policy.endpoint_stats "
+            "policy.idempotency policy.idle_connections policy.outlier_detection policy.overload "
             "policy.poll_backoff policy.request policy.retry policy.selection policy.service_times "
             "policy.slow_start settings settings_reader timers "
         ).split()
--- a/tests/policy/test_peers.py
+++ b/tests/policy/test_balancer_count.py
@@ -18,7 +18,7 @@
     ("remaining", "interval_ms", "takes_over"),
     [(5, 10.0, True), (10, 10.0, False), (5, 40.0, False), (10, 40.0, False)],
 )
-def test_a_balancer_that_gets_the_requests_of_a_lost_zone_counts_fewer_peers(
+def test_taking_over_a_lost_zone_lowers_the_balancer_count(
     remaining: int, interval_ms: float, *, takes_over: bool
 ) -> None:
     """After the loss of a zone, three replicas of seven used only three sevenths of the capacity left."""
@@ -32,7 +32,7 @@
     )
 
 
-def test_fewer_peers_leave_a_balancer_a_larger_part_of_each_quota() -> None:
+def test_a_lower_balancer_count_raises_the_part_of_each_quota() -> None:
     harness = PolicyHarness(10, balancers=4, tenants=(Tenant("small", 30.0),), over_quota_weight=0.0)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:5])
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -12,10 +12,10 @@
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.attempt_recorder import AttemptRecorder
 from loadbalancer.policy.available_capacity import AvailableCapacity
+from loadbalancer.policy.balancer_count import BalancerCountEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.idle_connections import IdleConnectionLimit
 from loadbalancer.policy.overload import SustainableConcurrency
-from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.request import Request
 from loadbalancer.policy.service_times import CostHints, ServiceTimes
 from tests.policy.helpers import (
@@ -60,7 +60,7 @@
     configured = settings()
     endpoints = EndpointSet(configured, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
-    available = AvailableCapacity(endpoints, PeerEstimator(configured, ArrivalRate(configured)))
+    available = AvailableCapacity(endpoints, BalancerCountEstimator(configured, ArrivalRate(configured)))
     recorder = AttemptRecorder(
         ServiceTimes(configured), SustainableConcurrency(available), IdleConnectionLimit(), available
     )
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -12,10 +12,10 @@
 from loadbalancer.endpoints import Endpoint
 from loadbalancer.events import EndpointListKind, EndpointListUpdate
 from loadbalancer.policy.arrivals import ArrivalRate
+from loadbalancer.policy.balancer_count import BalancerCountEstimator
 from loadbalancer.policy.capacity import CapacityEstimator
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.idempotency import IdempotencyRules
-from loadbalancer.policy.peers import PeerEstimator
 from loadbalancer.policy.request import Request
 from loadbalancer.policy.selection import EndpointSelector
 from loadbalancer.policy.slow_start import SlowStart
@@ -124,7 +124,9 @@
     """A selector over a set of endpoints whose capacities are known."""
     arrivals = ArrivalRate(configured)
     estimator = FixedCapacities(endpoints, arrivals, capacity)
-    slow_start = SlowStart(configured, endpoints, arrivals, PeerEstimator(configured, arrivals), estimator)
+    slow_start = SlowStart(
+        configured, endpoints, arrivals, BalancerCountEstimator(configured, arrivals), estimator
+    )
     idempotency = IdempotencyRules(configured, endpoints)
     return EndpointSelector(configured, idempotency, slow_start, estimator, Random(1))
 
