--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -53,7 +53,7 @@
 
 
 # A tuple: a look-up in a set would call `Enum.__hash__`, which is a Python function.
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 """Outcomes that prove that an attempt was not processed: a transparent retry is allowed for any class."""
 
 
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from loadbalancer.events import NEVER_RAN, AttemptFinished, Event, Outcome
+from loadbalancer.events import UNPROCESSED_OUTCOMES, AttemptFinished, Event, Outcome
 from loadbalancer.network.headers import end_to_end_headers
 from loadbalancer.network.upstream.request_bytes import UpstreamRequest
 
@@ -103,7 +103,7 @@
         The first successful response is sent to the client before the policy gets the event.
         """
         request.running_attempts -= 1
-        request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
+        request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED and response is not None:
             request.respond(200, end_to_end_headers(response.headers), response.body)
         event = AttemptFinished(request.number, index, endpoint, outcome, not request.is_open)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -14,7 +14,7 @@
     WatchEndpoints,
 )
 from loadbalancer.events import (
-    NEVER_RAN,
+    UNPROCESSED_OUTCOMES,
     AttemptFinished,
     ClientDisconnected,
     EndpointListKind,
@@ -171,7 +171,7 @@
         if not attempt.is_open:
             return
         attempt.is_open = False
-        attempt.may_have_run = event.outcome not in NEVER_RAN
+        attempt.may_have_run = event.outcome not in UNPROCESSED_OUTCOMES
         self._recorder.record_end(attempt, event.outcome, request, now)
         if event.is_request_complete:
             self._finish_request(request, event.outcome, now)
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -25,7 +25,7 @@
 )
 from loadbalancer.endpoints import Endpoint
 from loadbalancer.events import (
-    NEVER_RAN,
+    UNPROCESSED_OUTCOMES,
     AttemptFinished,
     ClientDisconnected,
     EndpointListKind,
@@ -244,7 +244,7 @@
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
         """Record an attempt's outcome. The first successful response is sent before anything else."""
         request.running_attempts -= 1
-        request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
+        request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED:
             request.is_open = False
             request.responder.respond(200)
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -15,9 +15,9 @@
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
     DelayedConnects,
-    pass_reuse_delay,
     request_bytes,
-    until_idle,
+    skip_reuse_delay,
+    wait_until_idle,
 )
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
@@ -48,7 +48,7 @@
     replace_policy(harness, hold)
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert not upstream.connections
 
 
@@ -66,13 +66,13 @@
     harness = await start_proxy(*upstreams)
     while not all(upstream.received for upstream in upstreams):
         assert status(await harness.send_request()) == 200
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
     client, connects = harness.connect_socket(), DelayedConnects(monkeypatch)
     connects.on_established = client.close
     connects.allowed.set()
     client.sendall(request_bytes("/pay", 1, b"debit"))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert status(await harness.send_request()) == 200  # all that was in flight has arrived
     received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
     assert received.count("pay") == 1
@@ -89,13 +89,13 @@
     def disconnect_at_the_second(event: RequestReceived) -> None:
         arrived.append(event.request_id)
         if len(arrived) == 2:
-            pass_reuse_delay(harness)
+            skip_reuse_delay(harness)
             client.close()
 
     before_event(harness, RequestReceived, disconnect_at_the_second)
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
     await wait_until(lambda: len(arrived) >= 2, "the policy has got both requests", state=lambda: arrived)
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert status(await harness.send_request()) == 200  # all that was in flight has arrived
     assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
 
@@ -152,11 +152,11 @@
     client = harness.connect_socket()
     many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
     client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     (connection,) = harness.proxy.listener.connections
     await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
     client.close()
-    await until_idle(harness)  # although the request has no response yet
+    await wait_until_idle(harness)  # although the request has no response yet
     await upstream.connection_closed.wait()
     assert len(upstream.received) == 1
 
@@ -172,11 +172,11 @@
     before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
-    await connects.is_waiting.wait()
+    await connects.connect_pending.wait()
     client.close()
     await disconnected.wait()
     connects.allowed.set()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
 
@@ -189,12 +189,12 @@
     harness = await start_proxy(upstream)
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
-    await connects.is_waiting.wait()
+    await connects.connect_pending.wait()
     connects.on_established = client.close
     connects.allowed.set()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     connects.on_established = lambda: None
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
     assert upstream.connections == 1, "the connection carries the next request"
@@ -220,7 +220,7 @@
     client.close()
     await disconnected.wait()
     failing[0].write(response(503, b"", "X-Not-Run: 1"))
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert sum(len(upstream.received) for upstream in upstreams) == 1
 
 
@@ -229,17 +229,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against sending it after the other attempt has brought the response."""
-    connects = DelayedConnects(monkeypatch, first=1)
+    connects = DelayedConnects(monkeypatch, undelayed=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
     client = await harness.client()
     client.send(deadline="1200m")
-    await connects.is_waiting.wait()  # the hedged request is connecting
+    await connects.connect_pending.wait()  # the hedged request is connecting
     first = next(upstream for upstream in upstreams if upstream.received)
     first.writers[0].write(response(200, b"first"))
     assert (await client.read_response()).body == b"first"
     connects.allowed.set()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     other = await harness.client()
     other.send(deadline="400m")
     await other.read_response()  # all that was in flight has arrived
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -11,7 +11,7 @@
 from loadbalancer.network.client import graceful_shutdown, timeouts
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.connection_table import ConnectionTable
-from tests.support.busy_event_loop import keep_event_loop_busy
+from tests.support.busy_event_loop import block_event_loop
 from tests.support.disconnecting_clients import request_bytes
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream
@@ -127,7 +127,7 @@
     clients = [harness.connect_socket() for _ in response_starts]
     for client, sent in zip(clients, response_starts, strict=True):
         client.sendall(sent)
-    keep_event_loop_busy(0.3)
+    block_event_loop(0.3)
     for client in clients:
         client.settimeout(0.0)
     loop = asyncio.get_running_loop()
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -23,14 +23,14 @@
 from tests.support.configurations import entry
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
-    pass_reuse_delay,
     request_bytes,
-    until_disconnected,
-    until_idle,
+    skip_reuse_delay,
+    wait_until_disconnected,
+    wait_until_idle,
 )
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
-from tests.support.scripted_upstream import Upstream, never_respond, reset
+from tests.support.scripted_upstream import Upstream, never_respond, reset_connection
 from tests.support.waiting import wait_until
 
 if TYPE_CHECKING:
@@ -87,7 +87,7 @@
     while not all(upstream.received for upstream in harness.upstreams):
         assert status(await harness.send_request()) == 200
     monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
 
 
 def ids_of_attempts(harness: ProxyHarness) -> list[str]:
@@ -99,7 +99,7 @@
 
 async def ids_received(harness: ProxyHarness) -> list[str]:
     """Return the ids of the test's own requests that upstreams received, once all in flight have arrived."""
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     ids = ids_of_attempts(harness)
     return sorted(name for name in ids if len(name) < 8)
@@ -116,7 +116,7 @@
     client.sendall(request_bytes("/read", 1))
     disconnect(client)
     await harness.send_request()  # its connection was opened later
-    await until_disconnected(harness)
+    await wait_until_disconnected(harness)
     assert await ids_received(harness) == []
 
 
@@ -142,7 +142,7 @@
     handle = replace_policy(harness, hold)
     client.sendall(request_bytes("/read", 1))
     await disconnected.wait()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     replace_policy(harness, handle)
     assert await ids_received(harness) == []
 
@@ -153,9 +153,9 @@
     [
         (request_bytes("/pay", 1, b"debit"), NOT_RUN),
         (request_bytes("/read", 1), response(500)),
-        (request_bytes("/read", 1), reset),
+        (request_bytes("/read", 1), reset_connection),
         (idempotent_request(1), response(500)),  # a retry with an idempotency key
-        (idempotent_request(1), reset),
+        (idempotent_request(1), reset_connection),
     ],
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
@@ -179,7 +179,7 @@
     before_event(harness, AttemptFinished, disconnect_once)
     client.sendall(request_bytes)
     await wait_until(lambda: ends, "the client has disconnected")
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert await ids_received(harness) == ["1"]
 
 
@@ -272,7 +272,7 @@
     await disconnected.wait()
     for writer in upstream.writers:
         writer.write(response())
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert await ids_received(harness) == ["1"]
 
 
@@ -301,8 +301,8 @@
     )
     before_event(harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
     failing[0].write(response(500))
-    await until_idle(harness)
-    await until_disconnected(harness)
+    await wait_until_idle(harness)
+    await wait_until_disconnected(harness)
     assert await ids_received(harness) == ["1"]
 
 
@@ -328,7 +328,7 @@
         listener.settimeout(0.0)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         harness = await start_proxy(
-            more_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
+            extra_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
         )
         client, disconnected = harness.connect_socket(), asyncio.Event()
         before_event(harness, ClientDisconnected, lambda event: disconnected.set())
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.network.client import timeouts
-from tests.support.configurations import LISTEN_ANYWHERE, config_text
+from tests.support.configurations import LISTEN_ON_ANY_PORT, config_text
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import running_program
@@ -68,10 +68,10 @@
     """With fewer descriptors than the configuration says, accepting fails for a time."""
     port = free_port()
     path = tmp_path / "config.json"
-    path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+    path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
 
     async def health() -> int:
-        client = await Client.of_program(port)
+        client = await Client.connect_to_program(port)
         client.writer.write(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
         health_status = status(await client.read_response())
         client.writer.close()
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.network.client import connection_table, timeouts
 from loadbalancer.network.client.accept_queue import QueueAges, queue_ages
-from tests.support.busy_event_loop import keep_event_loop_busy
+from tests.support.busy_event_loop import block_event_loop
 from tests.support.http_messages import response, status
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
@@ -60,7 +60,7 @@
     monkeypatch.setattr(connection_table, "queue_ages", record_queue_ages)
     client = harness.connect_socket()
     client.sendall(b"x")
-    keep_event_loop_busy(0.1)
+    block_event_loop(0.1)
     (ages,) = await wait_until(lambda: recorded, "the client is accepted")
     assert ages.connected_s >= 0.05
     assert ages.request_s >= 0.05
@@ -78,10 +78,10 @@
     idle = await harness.client()
     idle.send()
     assert status(await idle.read_response()) == 200
-    upstream.seen.clear()
+    upstream.request_received.clear()
     busy = await harness.client()
     busy.send("/pay/x", b"debit")
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     assert await idle.reader.read() == b""
     for _ in range(3):
         harness.proxy.listener.eviction.sweep()
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -95,9 +95,9 @@
     busy = await harness.client()
     idle.send()
     assert status(await idle.read_response()) == 200
-    upstream.seen.clear()
+    upstream.request_received.clear()
     busy.send("/pay/x", b"debit")
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     await asyncio.sleep(0)
     assert status(await harness.send_request()) == 200
@@ -152,7 +152,7 @@
     listener.connection_limit = 1
     busy = await harness.client()
     busy.send("/pay/x", b"debit")
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     queued = await harness.client()  # in the kernel's queue
     queued.send()
     shutdown = asyncio.ensure_future(listener.shut_down())
@@ -187,7 +187,7 @@
     harness = await start_proxy(upstream)
     client = await harness.client()
     client.send("/pay/x", b"debit")
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     events = record_events(harness)
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert status(await client.read_response()) == 502
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.support.disconnecting_clients import until_disconnected
+from tests.support.disconnecting_clients import wait_until_disconnected
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
@@ -65,7 +65,7 @@
     async def send_requests(times: int) -> None:
         for _ in range(times):
             assert status(await harness.send_request()) == 200
-        await until_disconnected(harness)
+        await wait_until_disconnected(harness)
 
     await send_requests(20)
     gc.collect()
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
+from tests.support.configurations import LISTEN_ON_ANY_PORT, config_text, entry
 from tests.support.http_client import Client
 from tests.support.program import ProgramWithOpenRequest, running_program
 from tests.support.proxy_harness import ProxyHarness
@@ -67,10 +67,10 @@
     entries = [entry("s0", await start_server(upstream))]
     path, port = tmp_path / "config.json", free_port()
     text = config_text(await start_server(discovery), entries)
-    path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+    path.write_text(text.replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
     async with running_program(path) as process:
-        client = await Client.of_program(port)
+        client = await Client.connect_to_program(port)
         client.send("/pay/x", b"debit")
-        await upstream.seen.wait()
+        await upstream.request_received.wait()
         yield ProgramWithOpenRequest(process, path, port, entries, upstream, client)
         client.writer.close()
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -11,7 +11,7 @@
 from tests.support.configurations import entry
 from tests.support.event_recorder import list_kinds, record_events
 from tests.support.http_messages import response, status
-from tests.support.scripted_upstream import Upstream, reset
+from tests.support.scripted_upstream import Upstream, reset_connection
 from tests.support.waiting import TEST_TIMEOUT_S
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against requests to upstreams that were replaced while the poll was unanswered."""
-    harness = await start_proxy(Upstream(reset))
+    harness = await start_proxy(Upstream(reset_connection))
     await harness.send_request()
     line = await harness.discovery.calls.get()
     assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -69,14 +69,14 @@
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, how)
     await asyncio.sleep(1.0)
-    discovery.fail(fault)
+    discovery.begin_outage(fault)
     began = loop.time()
     recovered = loop.create_future()
 
     def end() -> None:
         if not recovered.done():
             discovery.fault = ""
-            discovery.change()
+            discovery.drain_upstream()
             recovered.set_result(loop.time())
 
     def end_after_attempt() -> None:
@@ -86,7 +86,7 @@
 
     discovery.on_attempt = end_after_attempt
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
-    return await proxy.learns_of_drain() - recovered_at
+    return await proxy.wait_for_drain() - recovered_at
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
@@ -107,11 +107,11 @@
     proxy = WatchingProxy(discovery, seed, 10_000.0, how)
     for _ in range(calls):
         began, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
-    discovery.fail("silent")
+    discovery.begin_outage("silent")
     discovery.fault = ""  # only the connections established before are unresponsive
-    discovery.change()
+    discovery.drain_upstream()
     deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
-    assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
+    assert await proxy.wait_for_drain() + LIST_TRANSFER_S < deadline
 
 
 @pytest.mark.parametrize("how", ["ask", "push"])
@@ -128,7 +128,7 @@
     old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
     proxy = WatchingProxy(old, seed, 120_000.0, how)
     await asyncio.sleep(1.0)
-    old.fail("refuses")
+    old.begin_outage("refuses")
     await asyncio.sleep(40.0)
     attempts = len(old.attempts)
     # The policy sets its timer again with the next call.
@@ -140,14 +140,14 @@
     def recover() -> None:
         new.fault = ""
         new.on_attempt = lambda: None
-        new.change()
+        new.drain_upstream()
 
     new.on_attempt = lambda: loop.call_soon(recover)  # once the first call has been received or has failed
-    proxy.move(new)
-    learned_at = await proxy.learns_of_drain()
+    proxy.switch_to(new)
+    learned_at = await proxy.wait_for_drain()
     assert new.attempts[0] == moved_at
     # A connection that is established late costs both timeouts: of the connect and of the response.
-    allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_MOVE_DELAY_S
+    allowed = MAX_LIST_DELAY_S if fault == "connects late" else MAX_MOVE_DELAY_S
     assert learned_at + LIST_TRANSFER_S < moved_at + allowed
 
 
@@ -165,10 +165,10 @@
     proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
     for discovery in discoveries:
-        discovery.fail("refuses")
+        discovery.begin_outage("refuses")
     await asyncio.sleep(30.0)
     for discovery in discoveries[1:]:
-        proxy.move(discovery)
+        proxy.switch_to(discovery)
         await asyncio.sleep(0.2)
     await asyncio.sleep(10.0)
     last = discoveries[-1]
@@ -179,8 +179,8 @@
     earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
     assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
     last.fault = ""
-    last.change()
-    learned_at = await proxy.learns_of_drain()
+    last.drain_upstream()
+    learned_at = await proxy.wait_for_drain()
     calls = len(last.calls)
     await asyncio.sleep(30.0)  # a leftover timer does not interrupt the watch
     assert loop.time() >= learned_at + 30.0
@@ -213,7 +213,7 @@
     discovery = SimulatedDiscovery(loop, 1)
     proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, seeds + 1)]
     await asyncio.sleep(1.0)
-    discovery.fail(fault)
+    discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
     discovery.attempts.clear()
     await asyncio.sleep(span_s)
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -21,7 +21,7 @@
 
 async def test_pipelined_requests_get_their_responses_in_order(start_proxy: StartProxy) -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-        writer.write(response(200, received.line.encode()))
+        writer.write(response(200, received.start_line.encode()))
 
     harness = await start_proxy(Upstream(echo))
     client = await harness.client()
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -17,7 +17,7 @@
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.event_recorder import record_events
 from tests.support.http_messages import response, status
-from tests.support.policy_hooks import PolicyFaultError, replace_policy
+from tests.support.policy_hooks import InjectedPolicyError, replace_policy
 from tests.support.program import ProgramWithOpenRequest, read_log_line
 from tests.support.scripted_discovery import DiscoveryServer, list_response
 from tests.support.scripted_upstream import Upstream, never_respond
@@ -87,7 +87,7 @@
     upstream = Upstream(never_respond)
     upstreams = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(upstreams)
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     connection = attempt.attempt.connection
     assert connection is not None
     attempt.attempt.handle_timeout()
@@ -169,7 +169,7 @@
             # Both attempts fail at once: two events are queued while the policy handles the first of them.
             return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
         if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
-            raise PolicyFaultError
+            raise InjectedPolicyError
         return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
 
     replace_policy(harness, faulty)
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -10,8 +10,8 @@
 from loadbalancer.events import ClientDisconnected, Event, Outcome, RequestReceived
 from tests.support.event_recorder import outcomes, record_events
 from tests.support.http_messages import ReceivedMessage, response, status
-from tests.support.policy_hooks import PolicyFaultError, replace_policy
-from tests.support.scripted_upstream import Upstream, never_respond, reset
+from tests.support.policy_hooks import InjectedPolicyError, replace_policy
+from tests.support.scripted_upstream import Upstream, never_respond, reset_connection
 
 if TYPE_CHECKING:
     from loadbalancer.actions import Action
@@ -31,7 +31,7 @@
     assert (status(reply), reply.body) == (200, b"\x00tile")
     assert reply.headers["content-type"] == "image/x"
     received = upstream.received[0]
-    assert (received.line, received.body) == ("POST /put/a?b=c HTTP/1.1", b"debit")
+    assert (received.start_line, received.body) == ("POST /put/a?b=c HTTP/1.1", b"debit")
     assert received.headers["x-request-id"] == "9b1f03aa"
     assert received.headers["idempotency-key"] == "5c0f"
     assert received.headers["x-class"] == "put"
@@ -65,7 +65,7 @@
         (b"HTTP/1.1 101 Switch\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nxx", Outcome.RESET, 502),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", Outcome.RESET, 502),
         (b"nonsense\r\n\r\n", Outcome.RESET, 502),
-        (reset, Outcome.RESET, 502),
+        (reset_connection, Outcome.RESET, 502),
     ],
 )
 async def test_outcome_of_an_attempt_by_how_the_upstream_ends_it(
@@ -122,7 +122,7 @@
     events = record_events(harness)
     client = await harness.client()
     client.send(deadline="1200m")
-    await asyncio.gather(first.seen.wait(), second.seen.wait())
+    await asyncio.gather(first.request_received.wait(), second.request_received.wait())
     second.writers[0].write(response(200, b"second"))
     assert (await client.read_response()).body == b"second"
     await first.connection_closed.wait()
@@ -136,7 +136,7 @@
     events = record_events(harness)
     client = await harness.client()
     client.send()
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     client.writer.close()
     await upstream.connection_closed.wait()
     assert any(isinstance(event, ClientDisconnected) for event in events)
@@ -153,7 +153,7 @@
 
     def raise_for_first_request(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived) and event.request_id == 1:
-            raise PolicyFaultError
+            raise InjectedPolicyError
         return handle(event, now)
 
     replace_policy(harness, raise_for_first_request)
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
+from tests.support.configurations import LISTEN_ON_ANY_PORT, config_text, entry
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import running_program
@@ -88,9 +88,9 @@
     with unresponsive_discovery(state) as address:
         path = tmp_path / "config.json"
         text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
-        path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+        path.write_text(text.replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
         async with running_program(path):
-            client = await Client.of_program(port)
+            client = await Client.connect_to_program(port)
             client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status(await client.read_response()) == 200
             client.writer.close()
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -22,7 +22,7 @@
     first = await harness.client()
     second = await harness.client()
     first.send("/pay/x", b"debit", x_request_id="same")
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     second.send("/pay/x", b"debit", x_request_id="same")
     assert status(await second.read_response()) == 409
     upstream.writers[0].write(response(200, b"unaffected"))
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -58,7 +58,7 @@
     upstream = Upstream(never_respond)
     upstreams = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(upstreams)
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     upstream.writers[0].write(response())  # received by the kernel, and not yet read
     attempt.attempt.cancel()
     attempt.attempt.cancel()
@@ -125,7 +125,7 @@
     starter = AttemptStarter(asyncio.get_running_loop(), upstreams)
     attempt = starter.start("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
-    await other.seen.wait()
+    await other.request_received.wait()
     assert upstreams.open_connections == 1
     # The balancer lacks a descriptor, which must not count as a failure of the upstream.
     assert await ObservedAttempt(upstreams).outcome() is Outcome.NOT_SENT
--- a/tests/support/busy_event_loop.py
+++ b/tests/support/busy_event_loop.py
@@ -5,6 +5,6 @@
 import time
 
 
-def keep_event_loop_busy(duration_s: float) -> None:
+def block_event_loop(duration_s: float) -> None:
     """Block the event loop: it accepts and reads nothing meanwhile, while the kernel does."""
     time.sleep(duration_s)
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.configuration import Configuration, read_configuration
 
-LISTEN_ANYWHERE = "127.0.0.1:0"
+LISTEN_ON_ANY_PORT = "127.0.0.1:0"
 DEFAULT_SEED = "8c1f30d27a5be964"
 
 
@@ -48,7 +48,7 @@
     return json.dumps(
         {
             "name": "n1",
-            "listen": LISTEN_ANYWHERE,
+            "listen": LISTEN_ON_ANY_PORT,
             "discovery": discovery,
             "seed": DEFAULT_SEED,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -34,7 +34,7 @@
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-async def until_idle(harness: ProxyHarness) -> None:
+async def wait_until_idle(harness: ProxyHarness) -> None:
     """Wait until no request is open and no attempt in progress."""
     await wait_until(
         lambda: not harness.proxy.open_requests,
@@ -43,7 +43,7 @@
     )
 
 
-async def until_disconnected(harness: ProxyHarness) -> None:
+async def wait_until_disconnected(harness: ProxyHarness) -> None:
     """Wait until the proxy has no connection to a client."""
     listener = harness.proxy.listener
     await wait_until(
@@ -51,7 +51,7 @@
     )
 
 
-def pass_reuse_delay(harness: ProxyHarness) -> None:
+def skip_reuse_delay(harness: ProxyHarness) -> None:
     """Let idle connections to upstreams be reused immediately."""
     pools = harness.proxy.upstreams
     for name in pools.endpoint_names:
@@ -64,16 +64,16 @@
 
     Args:
         monkeypatch: Undoes the change at the end of the test.
-        first: How many connections are established without delay before that.
+        undelayed: How many connections are established without delay before that.
 
     Attributes:
-        is_waiting: Set once a connection waits to be allowed.
+        connect_pending: Set once a connection waits to be allowed.
         allowed: To be set by the test.
         on_established: Called as a delayed connection is established.
     """
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, first: int = 0) -> None:
-        self.is_waiting = asyncio.Event()
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, undelayed: int = 0) -> None:
+        self.connect_pending = asyncio.Event()
         self.allowed = asyncio.Event()
         self.on_established: Callable[[], None] = lambda: None
         connect = UpstreamPool.connect
@@ -82,8 +82,8 @@
         async def delayed_connect(pool: UpstreamPool) -> UpstreamConnection:
             connection = await connect(pool)
             connects.append(pool)
-            if len(connects) > first:
-                self.is_waiting.set()
+            if len(connects) > undelayed:
+                self.connect_pending.set()
                 await self.allowed.wait()
                 self.on_established()
             return connection
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -6,7 +6,7 @@
 import itertools
 
 from tests.support.http_messages import ReceivedMessage, read_message
-from tests.support.sockets import connect_if_accepted
+from tests.support.sockets import try_connect
 from tests.support.waiting import wait_until
 
 _REQUEST_NUMBERS = itertools.count(1)  # an id is new with every request
@@ -19,10 +19,10 @@
     writer: asyncio.StreamWriter
 
     @classmethod
-    async def of_program(cls, port: int) -> Client:
+    async def connect_to_program(cls, port: int) -> Client:
         """Connect to a program that was started just now, as soon as it listens."""
         connected = await wait_until(
-            lambda: connect_if_accepted(port), "the program accepts connections", poll_interval_s=0.01
+            lambda: try_connect(port), "the program accepts connections", poll_interval_s=0.01
         )
         client = cls()
         client.reader, client.writer = await asyncio.open_connection(sock=connected)
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -12,7 +12,7 @@
     """A request as an upstream received it, or a response as a client did."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
-        self.line, *rest = head.decode("latin-1").split("\r\n")
+        self.start_line, *rest = head.decode("latin-1").split("\r\n")
         self.headers = {n.lower(): v for n, _, v in (line.partition(": ") for line in rest if line)}
         self.body = body
 
@@ -33,4 +33,4 @@
 
 def status(reply: ReceivedMessage) -> int:
     """Return the status of a response."""
-    return int(reply.line.split(" ")[1])
+    return int(reply.start_line.split(" ")[1])
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -12,7 +12,7 @@
     from tests.support.proxy_harness import ProxyHarness
 
 
-class PolicyFaultError(Exception):
+class InjectedPolicyError(Exception):
     """Raised by a test in place of the policy."""
 
     def __init__(self) -> None:
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -24,7 +24,7 @@
 
     Args:
         upstreams: Its upstreams, which are started with it and named `s0`, `s1` and so on.
-        more_entries: Further endpoints that it knows at the start.
+        extra_entries: Further endpoints that it knows at the start.
         process_limits: The limits of the process, in place of the defaults of `config_text`.
         settings: Replace the defaults of `config_text`.
 
@@ -38,7 +38,7 @@
     def __init__(
         self,
         *upstreams: Upstream,
-        more_entries: Sequence[dict[str, Any]] = (),
+        extra_entries: Sequence[dict[str, Any]] = (),
         process_limits: dict[str, Any] | None = None,
         **settings: Any,
     ) -> None:
@@ -46,7 +46,7 @@
         self._process_limits = process_limits
         self._settings = settings
         self.discovery = DiscoveryServer()
-        self.entries = [*more_entries]
+        self.entries = [*extra_entries]
         self.proxy: Proxy
         self._clients: list[Client] = []
         self._sockets: list[socket.socket] = []
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -43,7 +43,7 @@
         try:
             while True:
                 call = await read_message(reader)
-                self.calls.put_nowait(call.line)
+                self.calls.put_nowait(call.start_line)
                 reply = asyncio.ensure_future(self.responses.get())
                 # The balancer sends nothing before it has the response: reading ends only by a disconnect.
                 end = asyncio.ensure_future(reader.read(1))
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -19,7 +19,7 @@
         received: The requests that it received.
         connections: How many connections it accepted.
         writers: The sending side of each of them.
-        seen: Set with the first request.
+        request_received: Set with the first request.
         connection_closed: Set when the balancer has ended a connection.
     """
 
@@ -28,7 +28,7 @@
         self.received: list[ReceivedMessage] = []
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.seen = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.connection_closed = asyncio.Event()
 
     async def start(self) -> str:
@@ -50,7 +50,7 @@
                 request = await read_message(reader)
                 script = self._scripts[min(len(self.received), len(self._scripts) - 1)]
                 self.received.append(request)
-                self.seen.set()
+                self.request_received.set()
                 if isinstance(script, bytes):
                     writer.write(script)
                 else:
@@ -64,6 +64,6 @@
     """Never respond."""
 
 
-async def reset(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+async def reset_connection(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
     """Reset the connection instead of a response."""
     writer.transport.abort()
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -23,8 +23,8 @@
 
     from loadbalancer.actions import Action
 
-FAULTS = ("refuses", "resets", "away", "late", "silent", "error", "half")
-CONNECT_FAULTS = ("refuses", "away", "late")  # the faults of a connect
+FAULTS = ("refuses", "resets", "unreachable", "connects late", "silent", "error", "truncated")
+CONNECT_FAULTS = ("refuses", "unreachable", "connects late")  # the faults of a connect
 KNOWN_INDEX = 8  # the version of the list at the start
 T = TypeVar("T")
 
@@ -51,12 +51,12 @@
     """An event loop with a simulated clock, whose connections lead to simulated discoveries by port."""
 
     def __init__(self) -> None:
-        self._selector_in_use = _JumpingSelector(selectors.DefaultSelector())
+        self._jumping_selector = _JumpingSelector(selectors.DefaultSelector())
         self.discoveries: dict[int, SimulatedDiscovery] = {}
-        super().__init__(cast("selectors.BaseSelector", self._selector_in_use))
+        super().__init__(cast("selectors.BaseSelector", self._jumping_selector))
 
     def time(self) -> float:
-        return self._selector_in_use.now_s
+        return self._jumping_selector.now_s
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
         return await self.discoveries[port].connect(factory)
@@ -66,7 +66,7 @@
     """The balancer's side of one connection to a simulated discovery.
 
     Attributes:
-        is_dead: Whether it is unresponsive: nothing is received on it any more.
+        is_unresponsive: Whether it is unresponsive: nothing is received on it any more.
         after: The index given by the watch call that waits on it; None if no call waits.
         calls: The number of calls on it.
     """
@@ -76,7 +76,7 @@
         self._discovery = discovery
         self._protocol = protocol
         self._is_open = True
-        self.is_dead = False
+        self.is_unresponsive = False
         self.after: int | None = None
         self.calls = 0
 
@@ -93,7 +93,7 @@
 
     def become_unresponsive(self) -> None:
         """Let nothing be received on it any more."""
-        self.is_dead = True
+        self.is_unresponsive = True
 
     def receive(self, data: bytes) -> None:
         """Have the balancer read bytes of a response in the next iteration of the event loop."""
@@ -101,7 +101,7 @@
         asyncio.get_running_loop().call_soon(self._receive_now, data)
 
     def _receive_now(self, data: bytes) -> None:
-        if self._is_open and not self.is_dead:
+        if self._is_open and not self.is_unresponsive:
             self._protocol.data_received(data)
 
 
@@ -138,21 +138,21 @@
             self.on_attempt()
         if fault == "refuses":
             raise ConnectionRefusedError
-        if fault == "away":
+        if fault == "unreachable":
             await self.loop.create_future()  # never established
-        if fault == "late":
+        if fault == "connects late":
             # Calls on it get no response either.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
-        connection.is_dead = fault == "late"
+        connection.is_unresponsive = fault == "connects late"
         self.connections.add(connection)
         protocol.connection_made(connection)
         return connection, protocol
 
     def on_call(self, connection: SimulatedConnection, call: str) -> None:
         """Handle a call, given as its request line."""
-        if not connection.is_dead:
+        if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
         self.calls.append(call)
         connection.calls += 1
@@ -161,15 +161,15 @@
 
     def _respond(self, connection: SimulatedConnection, call: str) -> None:
         match self.fault:
-            case _ if connection.is_dead:
+            case _ if connection.is_unresponsive:
                 pass
-            case "silent" | "away" | "late":
-                connection.is_dead = True
+            case "silent" | "unreachable" | "connects late":
+                connection.is_unresponsive = True
             case "resets" | "refuses":
                 connection.abort()
             case "error":
                 connection.receive(response(500, b"sorry"))
-            case "half":
+            case "truncated":
                 connection.receive(list_response(KNOWN_INDEX)[:-5])
                 self.loop.call_soon(connection.become_unresponsive)
             case _:
@@ -193,18 +193,18 @@
     def _list(self, *, snapshot: bool) -> bytes:
         return list_response(self.index, *self._entries, snapshot=snapshot)
 
-    def fail(self, fault: str) -> None:
+    def begin_outage(self, fault: str) -> None:
         """Begin an outage, with its effect on open connections."""
         self.fault = fault
         for connection in list(self.connections):
             if fault in ("refuses", "resets"):
                 connection.abort()
-            elif fault in ("silent", "away", "late"):
-                connection.is_dead = True
+            elif fault in ("silent", "unreachable", "connects late"):
+                connection.is_unresponsive = True
             elif connection.after is not None:
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
-    def change(self) -> None:
+    def drain_upstream(self) -> None:
         """Have an upstream begin to drain, and send the change to each waiting watch."""
         self.index += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
@@ -217,19 +217,24 @@
     """A proxy on the simulated event loop, and the time at which its policy learns of the drain.
 
     Attributes:
-        drain_learned: Completed with that time, in seconds of the event loop's clock.
+        drain_learned_at: Completed with that time, in seconds of the event loop's clock.
     """
 
-    def __init__(self, discovery: SimulatedDiscovery, seed: int, poll_deadline_ms: float, how: str) -> None:
+    def __init__(
+        self, discovery: SimulatedDiscovery, seed: int, poll_deadline_ms: float, discovery_mode: str
+    ) -> None:
         loop = discovery.loop
         contract = {"drainGrace": 500.0, "askWithin": poll_deadline_ms}
         self._text = config_text(
-            f"127.0.0.1:{discovery.port}", [entry("s0", "127.0.0.1:9")], discovery=how, contract=contract
+            f"127.0.0.1:{discovery.port}",
+            [entry("s0", "127.0.0.1:9")],
+            discovery=discovery_mode,
+            contract=contract,
         ).replace(DEFAULT_SEED, f"{seed:x}")
         self._loop = loop
         self.proxy = Proxy(configuration(self._text), loop)
         self.proxy.clock.now = lambda: 1e12 + loop.time() * 1000  # type: ignore[method-assign]
-        self.drain_learned: asyncio.Future[float] = loop.create_future()
+        self.drain_learned_at: asyncio.Future[float] = loop.create_future()
         self._handle = self.proxy.balancer.handle
         self.proxy.balancer.handle = self._record_and_handle  # type: ignore[method-assign]
         self.proxy.start()
@@ -237,18 +242,18 @@
     def _record_and_handle(self, event: Event, now: float) -> list[Action]:
         if isinstance(event, EndpointListUpdate):
             drains = any(endpoint.state is EndpointState.DRAINING for endpoint in event.endpoints)
-            if drains and not self.drain_learned.done():
-                self.drain_learned.set_result(self._loop.time())
+            if drains and not self.drain_learned_at.done():
+                self.drain_learned_at.set_result(self._loop.time())
         return self._handle(event, now)
 
-    def move(self, discovery: SimulatedDiscovery) -> None:
+    def switch_to(self, discovery: SimulatedDiscovery) -> None:
         """Reconfigure the proxy with another address of discovery, as SIGHUP does."""
         document = json.loads(self._text) | {"discovery": f"127.0.0.1:{discovery.port}"}
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
-    async def learns_of_drain(self) -> float:
+    async def wait_for_drain(self) -> float:
         """Wait until the policy learns of the drain, close the listener, and return the time."""
-        learned_at: float = await asyncio.wait_for(self.drain_learned, 120)
+        learned_at: float = await asyncio.wait_for(self.drain_learned_at, 120)
         self.stop()
         return learned_at
 
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -22,7 +22,7 @@
         return int(probe.getsockname()[1])
 
 
-def connect_if_accepted(port: int) -> socket.socket | None:
+def try_connect(port: int) -> socket.socket | None:
     """Return a non-blocking client of a port, or None if the connection is refused."""
     try:
         client = socket.create_connection(("127.0.0.1", port))
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -43,7 +43,7 @@
 
 
 def read_list(response: ReceivedMessage) -> tuple[int, bool, Known]:
-    assert response.line.split(" ")[1] == "200"
+    assert response.start_line.split(" ")[1] == "200"
     content = json.loads(response.body)
     return content["index"], content["snapshot"], {e["name"]: e for e in content["endpoints"]}
 
@@ -110,7 +110,7 @@
             ("?after=x", "/v1/servers", "400"),
             ("", "/v1/others", "404"),
         ):
-            assert (await watcher.request(query, path)).line.split(" ")[1] == status
+            assert (await watcher.request(query, path)).start_line.split(" ")[1] == status
 
 
 async def test_a_watch_continues_if_the_next_request_comes_within_200_ms() -> None:
