--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -129,8 +129,8 @@
         self._clock.schedule(
             now + max(remaining_ms - WATCHDOG_MARGIN_MS, 0.0), self._respond_before_deadline, request
         )
-        policy_ms = max(remaining_ms - POLICY_DEADLINE_MARGIN_MS, 0.0)
-        self._dispatch(RequestReceived(request.number, self._class_name, policy_ms), request)
+        policy_remaining_ms = max(remaining_ms - POLICY_DEADLINE_MARGIN_MS, 0.0)
+        self._dispatch(RequestReceived(request.number, self._class_name, policy_remaining_ms), request)
         return request.number
 
     def disconnect(self, number: int) -> None:
@@ -145,12 +145,12 @@
     def _abandon(self, request: _Request) -> None:
         request.is_open = False
         self._dispatch(ClientDisconnected(request.number), request)
-        self._withdraw_attempts(request)
+        self._finish_unsent_attempts(request)
 
-    def _withdraw_attempts(self, request: _Request) -> None:
+    def _finish_unsent_attempts(self, request: _Request) -> None:
         for attempt in request.attempts:
             if attempt is not None:
-                attempt.withdraw()
+                attempt.finish_if_unsent()
 
     def _respond_before_deadline(self, request: _Request) -> None:
         """Respond shortly before the deadline where the policy has not."""
@@ -176,7 +176,7 @@
     def _handle(self, event: Event, request: _Request | None) -> None:
         began_s = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
-        self._statistics.record_decision(time.perf_counter() - began_s)
+        self._statistics.record_policy_event(time.perf_counter() - began_s)
         for action in actions:
             self._perform(action)
         if request is not None:
@@ -251,4 +251,4 @@
         has_response = not request.is_open
         self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, has_response), request)
         if not request.is_open:
-            self._withdraw_attempts(request)
+            self._finish_unsent_attempts(request)
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -66,20 +66,20 @@
         depth: The number of tiers.
         deadline_ms: The deadline of every request from outside.
         attempts_by_phase: For each phase of the outside requests, the attempts at each tier, tier 1 first.
-        decisions: Events that balancers have handled.
-        decision_s: The measured processing time of these events, in seconds.
+        policy_events: Events that balancers have handled.
+        policy_s: The measured processing time of these events, in seconds.
     """
 
     depth: int
     deadline_ms: float
     attempts_by_phase: dict[int, list[int]] = field(default_factory=dict)
-    decisions: int = 0
-    decision_s: float = 0.0
+    policy_events: int = 0
+    policy_s: float = 0.0
 
-    def record_decision(self, seconds: float) -> None:
+    def record_policy_event(self, seconds: float) -> None:
         """Count one handled event and its measured processing time."""
-        self.decision_s += seconds
-        self.decisions += 1
+        self.policy_s += seconds
+        self.policy_events += 1
 
     def record_attempt(self, request: ClientRequest, tier: int, timeout_ms: float) -> None:
         """Count an attempt at a tier (from 1) with its timeout."""
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -24,7 +24,7 @@
     from testbed.virtual_clock import VirtualClock
 
 
-class MissingInnerRequestError(TestbedError, InvalidStateError):
+class MissingNextTierRequestError(TestbedError, InvalidStateError):
     """An attempt waits for the next tier without a request there: a fault of the simulation."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
     IN_TRANSIT = enum.auto()
     QUEUED = enum.auto()
     IN_SERVICE = enum.auto()
-    CALLING = enum.auto()
+    CALLING_NEXT_TIER = enum.auto()
     """The server waits for its own balancer's response from the next tier."""
     FINISHED = enum.auto()
 
@@ -77,10 +77,11 @@
         timeout_ms: The time that the balancer waits for a response.
         is_finished: Whether the balancer has an outcome for it.
         was_sent: Whether the server may have received it.
-        is_closed: Whether the server has seen the end of the balancer's connection.
+        is_connection_closed: Whether the server has seen the end of the balancer's connection.
         stage: Its stage at the server.
         deadline_ms: Its deadline from the server's point of view: arrival plus timeout.
-        inner_number: The number of the server's request to the next tier, at the server's own balancer.
+        next_tier_request_number: The number of the server's request to the next tier, at the server's own
+            balancer.
     """
 
     __slots__ = (
@@ -88,9 +89,9 @@
         "client_request",
         "deadline_ms",
         "index",
-        "inner_number",
-        "is_closed",
+        "is_connection_closed",
         "is_finished",
+        "next_tier_request_number",
         "request_number",
         "server",
         "stage",
@@ -115,10 +116,10 @@
         self.timeout_ms = timeout_ms
         self.is_finished = False
         self.was_sent = False
-        self.is_closed = False
+        self.is_connection_closed = False
         self.stage = AttemptStage.IN_TRANSIT
         self.deadline_ms = math.inf
-        self.inner_number: int | None = None
+        self.next_tier_request_number: int | None = None
 
     def start(self) -> None:
         """Send the attempt, or fail to connect where the server refuses connections."""
@@ -135,7 +136,7 @@
         """Stop waiting for a response."""
         self.finish(Outcome.CANCELLED)
 
-    def withdraw(self) -> None:
+    def finish_if_unsent(self) -> None:
         """Finish the attempt as `NOT_SENT` if it was not sent."""
         if not self.was_sent:
             self.finish(Outcome.NOT_SENT)
@@ -150,7 +151,7 @@
         self.is_finished = True
         if self.was_sent and outcome in (Outcome.CANCELLED, Outcome.TIMED_OUT):
             clock = self.server.clock
-            clock.schedule(clock.now + self.server.hop_ms, self.server.close, self)
+            clock.schedule(clock.now + self.server.hop_ms, self.server.on_connection_closed, self)
         self._on_finished(self, outcome)
 
     def respond(self, status: int) -> None:
@@ -199,7 +200,7 @@
         elif self.behaviour is Behaviour.HANGS:
             return
         elif self._settings.workers == 0 or self.in_service < self._settings.workers:
-            self._begin(attempt)
+            self._start_work(attempt)
         elif len(self._queue) < self._settings.queue:
             attempt.stage = AttemptStage.QUEUED
             self._queue.append(attempt)
@@ -207,44 +208,46 @@
             self.rejected += 1
             self._send_response(attempt, Outcome.REJECTED)
 
-    def close(self, attempt: Attempt) -> None:
+    def on_connection_closed(self, attempt: Attempt) -> None:
         """Handle the balancer closing the attempt's connection."""
-        attempt.is_closed = True
+        attempt.is_connection_closed = True
         if attempt.stage is AttemptStage.QUEUED:
             self._queue.remove(attempt)
-        elif attempt.stage is AttemptStage.CALLING:
-            if self.balancer is None or attempt.inner_number is None:
-                raise MissingInnerRequestError
+        elif attempt.stage is AttemptStage.CALLING_NEXT_TIER:
+            if self.balancer is None or attempt.next_tier_request_number is None:
+                raise MissingNextTierRequestError
             attempt.stage = AttemptStage.FINISHED
-            self.balancer.disconnect(attempt.inner_number)
-            self._end()
+            self.balancer.disconnect(attempt.next_tier_request_number)
+            self._release_slot()
 
     def respond(self, attempt: Attempt, outcome: Outcome) -> None:
         """Respond to an attempt, unless it has finished at this server."""
         if attempt.stage is not AttemptStage.FINISHED:
             attempt.stage = AttemptStage.FINISHED
             self._send_response(attempt, outcome)
-            self._end()
+            self._release_slot()
 
-    def _begin(self, attempt: Attempt) -> None:
+    def _start_work(self, attempt: Attempt) -> None:
         self.in_service += 1
         attempt.stage = AttemptStage.IN_SERVICE
         self.clock.schedule(self.clock.now + self._model.service_ms(), self._finish_work, attempt)
 
     def _finish_work(self, attempt: Attempt) -> None:
         fails = self.behaviour is Behaviour.FAILS and self._model.fails(self.failure_fraction)
-        if fails or self.balancer is None or attempt.is_closed:
+        if fails or self.balancer is None or attempt.is_connection_closed:
             self.respond(attempt, Outcome.ERROR if fails else Outcome.SUCCEEDED)
             return
-        attempt.stage = AttemptStage.CALLING
+        attempt.stage = AttemptStage.CALLING_NEXT_TIER
         remaining_ms = attempt.deadline_ms - self.clock.now
-        attempt.inner_number = self.balancer.receive(attempt, attempt.client_request, remaining_ms)
+        attempt.next_tier_request_number = self.balancer.receive(
+            attempt, attempt.client_request, remaining_ms
+        )
 
     def _send_response(self, attempt: Attempt, outcome: Outcome) -> None:
-        if not attempt.is_closed:
+        if not attempt.is_connection_closed:
             self.clock.schedule(self.clock.now + self.hop_ms, attempt.finish, outcome)
 
-    def _end(self) -> None:
+    def _release_slot(self) -> None:
         self.in_service -= 1
         if self._queue:
-            self._begin(self._queue.popleft())
+            self._start_work(self._queue.popleft())
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -50,10 +50,10 @@
             self._process.join()
 
 
-def run_child(scenario: Coroutine[Any, Any, None]) -> None:
+def run_child(main: Coroutine[Any, Any, None]) -> None:
     """Run the main coroutine of a child process on a uvloop event loop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(scenario)
+        runner.run(main)
 
 
 async def serve_pipe(pipe: Connection, respond: Callable[[], object]) -> None:
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -11,8 +11,8 @@
 import typer
 
 from testbed import results
-from testbed.experiment import FOLDER, ExperimentError, read_plan
-from testbed.runs import RUNS
+from testbed.experiment import EXPERIMENTS_FOLDER, ExperimentError, read_plan
+from testbed.runs import RUN_KINDS
 
 _EXIT_USAGE = 2
 """The exit status if a file can't be read, or is not an experiment or result."""
@@ -39,25 +39,25 @@
     )
 
 
-def _fail(text: str) -> typer.Exit:
+def _usage_error(text: str) -> typer.Exit:
     typer.echo(f"testbed: {text}", err=True)
     return typer.Exit(_EXIT_USAGE)
 
 
-def _path(name: str) -> Path:
+def _experiment_path(name: str) -> Path:
     """Return the path of an experiment given by file or by the name of one in the package."""
     path = Path(name)
-    return path if path.suffix == ".toml" else FOLDER / f"{name}.toml"
+    return path if path.suffix == ".toml" else EXPERIMENTS_FOLDER / f"{name}.toml"
 
 
 @app.command("list")
 def list_experiments() -> None:
     """List the experiments in the package, one on each line."""
-    for path in sorted(FOLDER.glob("*.toml")):
+    for path in sorted(EXPERIMENTS_FOLDER.glob("*.toml")):
         try:
-            typer.echo(f"{path.stem:24} {read_plan(path, RUNS).about}")
+            typer.echo(f"{path.stem:24} {read_plan(path, RUN_KINDS).about}")
         except ExperimentError as error:
-            raise _fail(str(error)) from None
+            raise _usage_error(str(error)) from None
 
 
 @app.command()
@@ -72,14 +72,14 @@
     _configure_logs()
     log = structlog.get_logger()
     try:
-        plans = [(_path(name), read_plan(_path(name), RUNS)) for name in names]
+        plans = [(_experiment_path(name), read_plan(_experiment_path(name), RUN_KINDS)) for name in names]
     except ExperimentError as error:
-        raise _fail(str(error)) from None
+        raise _usage_error(str(error)) from None
     all_valid = True
     for path, plan in plans:
         log.info("begins", experiment=path.stem, run=plan.run, seed=plan.seed)
-        result = RUNS[plan.run].measure(plan, log)
-        results.write(out / f"{path.stem}.json", path.stem, plan.model_dump(mode="json"), result)
+        result = RUN_KINDS[plan.run].measure(plan, log)
+        results.write_result(out / f"{path.stem}.json", path.stem, plan.model_dump(mode="json"), result)
         log.info("ended", experiment=path.stem, rows=len(result.rows), doubts=result.invalid_reasons)
         all_valid = all_valid and result.is_valid
     if not all_valid:
@@ -94,8 +94,8 @@
     for path in paths:
         try:
             stored = json.loads(path.read_text(encoding="utf-8"))
-            typer.echo(results.table(stored) + "\n")
+            typer.echo(results.format_result(stored) + "\n")
         except (OSError, ValueError, KeyError, TypeError) as error:
             problem = " ".join(str(error).split())
             failure = f"{path}: no result: {problem}"
-            raise _fail(failure) from None
+            raise _usage_error(failure) from None
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -18,7 +18,7 @@
 
     from testbed.results import RunResult
 
-FOLDER = Path(__file__).parent / "experiments"
+EXPERIMENTS_FOLDER = Path(__file__).parent / "experiments"
 
 
 class ExperimentError(TestbedError, ValueError):
@@ -47,7 +47,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     run: str
-    """The kind of run: a name in `testbed.runs.RUNS`."""
+    """The kind of run: a name in `testbed.runs.RUN_KINDS`."""
     about: str
     """The question that the experiment answers, in one sentence."""
     seed: Annotated[int, Field(ge=0)]
@@ -57,14 +57,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class RunKind:
     """A kind of experiment: the model of its file, and the function that measures it."""
 
-    plan: type[Plan]
+    plan_type: type[Plan]
     measure: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
 
 
-def read_plan(path: Path, runs: dict[str, Run]) -> Plan:
+def read_plan(path: Path, run_kinds: dict[str, RunKind]) -> Plan:
     """Read and validate the plan in a file.
 
     Raises:
@@ -74,13 +74,13 @@
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ExperimentError(path, error) from None
-    run = runs.get(str(raw.get("run")))
-    if run is None:
-        problem = f"run is {raw.get('run')!r}: it must be one of {', '.join(runs)}"
+    run_kind = run_kinds.get(str(raw.get("run")))
+    if run_kind is None:
+        problem = f"run is {raw.get('run')!r}: it must be one of {', '.join(run_kinds)}"
         raise ExperimentError(path, problem)
     try:
-        return run.plan.model_validate(raw)
+        return run_kind.plan_type.model_validate(raw)
     except ValidationError as error:
         first = error.errors()[0]
-        where = ".".join(map(str, first["loc"]))
-        raise ExperimentError(path, f"{where}: {first['msg']}") from None
+        field_path = ".".join(map(str, first["loc"]))
+        raise ExperimentError(path, f"{field_path}: {first['msg']}") from None
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -77,7 +77,7 @@
     intercept_error: float
     points: int
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Return the line's value at x; outside the range of the points it is an extrapolation."""
         return self.slope * x + self.intercept
 
@@ -103,15 +103,17 @@
     """
     xs = np.array([float(value) for value in x_values])
     ys = np.array([float(value) for value in y_values])
-    spread = float(((xs - xs.mean()) ** 2).sum()) if len(xs) else 0.0
-    if spread == 0:
+    squared_deviations = float(((xs - xs.mean()) ** 2).sum()) if len(xs) else 0.0
+    if squared_deviations == 0:
         raise UndeterminedSlopeError(x, y)
-    slope = float(((xs - xs.mean()) * (ys - ys.mean())).sum()) / spread
+    slope = float(((xs - xs.mean()) * (ys - ys.mean())).sum()) / squared_deviations
     intercept = float(ys.mean() - slope * xs.mean())
-    free = len(xs) - 2
-    noise = float(((ys - slope * xs - intercept) ** 2).sum()) / free if free else 0.0
-    slope_error = math.sqrt(noise / spread)
-    intercept_error = math.sqrt(noise * (1 / len(xs) + float(xs.mean()) ** 2 / spread))
+    dof = len(xs) - 2
+    residual_variance = float(((ys - slope * xs - intercept) ** 2).sum()) / dof if dof else 0.0
+    slope_error = math.sqrt(residual_variance / squared_deviations)
+    intercept_error = math.sqrt(
+        residual_variance * (1 / len(xs) + float(xs.mean()) ** 2 / squared_deviations)
+    )
     return Fit(y, x, slope, slope_error, intercept, intercept_error, len(xs))
 
 
@@ -132,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured(Generic[RowT]):
+class MeasuredRow(Generic[RowT]):
     """One row, and the reasons why its values are invalid, if any."""
 
     row: RowT
@@ -153,7 +155,7 @@
         """Whether there is no reason against the results."""
         return not self.invalid_reasons
 
-    def add(self, measured: Measured[RowT]) -> None:
+    def add(self, measured: MeasuredRow[RowT]) -> None:
         """Add a row and the reasons why its values are invalid."""
         self.rows.append(measured.row)
         self.invalid_reasons += measured.invalid_reasons
@@ -193,7 +195,7 @@
     }
 
 
-def write(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
+def write_result(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
     """Write one result as a JSON file: experiment, machine, versions, and rows and fits if they are valid.
 
     Args:
@@ -217,7 +219,7 @@
     path.write_text(json.dumps(stored, indent=1) + "\n", encoding="utf-8")
 
 
-def table(stored: dict[str, Any]) -> str:
+def format_result(stored: dict[str, Any]) -> str:
     """Format a stored result's rows and fits as plain text.
 
     Raises:
@@ -226,7 +228,7 @@
     """
     lines = [f"{stored['experiment']}: {stored['plan']['about']}"]
     lines += [f"no figures: {reason}" for reason in stored["doubts"]]
-    lines += _aligned(stored["rows"])
+    lines += _table_lines(stored["rows"])
     for fit in stored["fits"]:
         lines.append(
             f"{fit['y']} = {fit['slope']:.4g} (+- {fit['slope_error']:.2g}) x {fit['x']}"
@@ -235,7 +237,7 @@
     return "\n".join(lines)
 
 
-def _aligned(rows: list[dict[str, Any]]) -> list[str]:
+def _table_lines(rows: list[dict[str, Any]]) -> list[str]:
     """Format rows as right-aligned lines below a header line; return no lines if there are no rows."""
     if not rows:
         return []
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -21,7 +21,7 @@
 from testbed.load import streams as load
 from testbed.measurement import latency
 from testbed.measurement.meter import CoresWatch, Usage, usage
-from testbed.results import Measured, Row, RunResult, fit_columns
+from testbed.results import MeasuredRow, Row, RunResult, fit_columns, stored_as
 from testbed.runs import load_plan
 from testbed.upstream.group import UpstreamProcess
 
@@ -60,7 +60,7 @@
 
     entries: int
     """The length of the list."""
-    calls: int
+    requests: int = stored_as("calls")
     """Requests through the balancer."""
     served: int
     """Requests through the balancer with a 200 response."""
@@ -73,20 +73,20 @@
     over_median_90_ms: float
     over_median_99_ms: float
     over_median_999_ms: float
-    processor_us_a_call: float
+    processor_us_per_request: float = stored_as("processor_us_a_call")
     """The balancer's processor time per request."""
-    rest_us_a_s: float
+    idle_us_per_s: float = stored_as("rest_us_a_s")
     """The balancer's processor time per second without load."""
-    net_us_a_call: float
+    net_us_per_request: float = stored_as("net_us_a_call")
     """The balancer's processor time per request, without the part that it uses without load."""
     resident_mib: float
     """The balancer's resident memory at the end."""
-    attempts_a_call: float
-    opened_a_call: float
+    attempts_per_request: float = stored_as("attempts_a_call")
+    opened_connections_per_request: float = stored_as("opened_a_call")
     """Connections opened to upstreams per request."""
-    probes: int
+    health_checks: int = stored_as("probes")
     """Health checks at all upstreams."""
-    late_99_ms: float
+    p99_lateness_ms: float = stored_as("late_99_ms")
     """The 99th percentile of the lateness of requests through the balancer."""
     cores_busy: float
     """The fraction of core time that was busy, from 0 to 1."""
@@ -105,7 +105,7 @@
     return result
 
 
-async def _measure_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
+async def _measure_size(plan: Plan, size: int) -> MeasuredRow[AddedTimeRow]:
     """Start upstreams, discovery and a balancer, and measure it."""
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
@@ -138,7 +138,7 @@
 class _Readings:
     """The readings before and after the measured load."""
 
-    rest_us_a_s: float
+    idle_us_per_s: float
     usage_before: Usage
     usage_after: Usage
     counts_before: UpstreamCounts
@@ -160,11 +160,11 @@
             load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
         ]
 
-    async def run(self) -> Measured[AddedTimeRow]:
+    async def run(self) -> MeasuredRow[AddedTimeRow]:
         """Warm up, measure without load, and measure under load."""
         plan = self._plan
         await load.run_streams(self._streams, plan.warm_s, plan.seed + 1)
-        rest_us_a_s = await self._rest()
+        idle_us_per_s = await self._measure_idle_us_per_s()
         gc.collect()
         gc.freeze()  # keeps collections during the measurement short
         cores = CoresWatch()
@@ -178,11 +178,11 @@
         for name, report in reports.items():
             reasons += report.invalid_reasons(f"{self._size} entries, {name}", plan.late_ms)
         readings = _Readings(
-            rest_us_a_s, usage_before, usage_after, counts_before, counts_after, busy, reports
+            idle_us_per_s, usage_before, usage_after, counts_before, counts_after, busy, reports
         )
-        return Measured(self._row(readings), reasons)
+        return MeasuredRow(self._row(readings), reasons)
 
-    async def _rest(self) -> float:
+    async def _measure_idle_us_per_s(self) -> float:
         """Measure the balancer's processor time per second without load, in microseconds."""
         before = self._usage()
         await asyncio.sleep(self._plan.rest_s)
@@ -195,19 +195,20 @@
         direct, through = readings.reports["direct"], readings.reports["through"]
         before, after = readings.counts_before, readings.counts_after
         processor_us = (readings.usage_after.processor_s - readings.usage_before.processor_s) * 1e6
-        rest_us = readings.rest_us_a_s * self._plan.measure_s
+        idle_us = readings.idle_us_per_s * self._plan.measure_s
         return AddedTimeRow(
             entries=self._size,
-            calls=through.sends,
+            requests=through.sends,
             served=through.served.count,
             **latency.added(direct.served, through.served),
-            processor_us_a_call=processor_us / through.sends,
-            rest_us_a_s=readings.rest_us_a_s,
-            net_us_a_call=(processor_us - rest_us) / through.sends,
+            processor_us_per_request=processor_us / through.sends,
+            idle_us_per_s=readings.idle_us_per_s,
+            net_us_per_request=(processor_us - idle_us) / through.sends,
             resident_mib=readings.usage_after.resident / _MIB,
-            attempts_a_call=(after.requests - before.requests - direct.sends) / through.sends,
-            opened_a_call=(after.connections - before.connections - direct.opened) / through.sends,
-            probes=after.health_checks - before.health_checks,
-            late_99_ms=through.lateness.quantile_ms(0.99),
+            attempts_per_request=(after.requests - before.requests - direct.sends) / through.sends,
+            opened_connections_per_request=(after.connections - before.connections - direct.opened)
+            / through.sends,
+            health_checks=after.health_checks - before.health_checks,
+            p99_lateness_ms=through.lateness.quantile_ms(0.99),
             cores_busy=readings.cores_busy,
         )
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -16,14 +16,14 @@
 from testbed import experiment, settings
 from testbed.discovery.churn import apply_changes_over_time, single_changes
 from testbed.load.arrivals import arrival_times
-from testbed.results import Measured, RunResult, fit_columns
+from testbed.results import MeasuredRow, RunResult, fit_columns
 from testbed.runs.control.change_measurement import ChangeMeasurement, ChangeRow
-from testbed.runs.control.delays import VersionSeen
+from testbed.runs.control.delays import VersionObservation
 from testbed.runs.control.group import (
     FOLLOW_TIMEOUT_S,
     BalancerGroup,
-    all_follow,
-    run_scenario,
+    all_up_to_date,
+    run_on_new_loop,
     start_discovery,
     start_group,
     wait_until,
@@ -34,7 +34,7 @@
 
     from structlog.typing import FilteringBoundLogger
 
-DAY_S = 86_400
+SECONDS_PER_DAY = 86_400
 _DELAYS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
 _COSTS = ("core_percent", "bytes_per_s", "calls_per_s")
 _REAL_COSTS = ("real_core_percent",)
@@ -61,25 +61,25 @@
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
     """Measure every number of balancers at every rate of change."""
-    return run_scenario(_measure_all(plan, log))
+    return run_on_new_loop(_measure_all(plan, log))
 
 
 async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
     result: RunResult[ChangeRow] = RunResult()
-    for balancers in plan.sizes:
-        await _measure_size(plan, balancers, result, log)
+    for hollow_count in plan.sizes:
+        await _measure_size(plan, hollow_count, result, log)
     _add_fits(plan, result)
     return result
 
 
 async def _measure_size(
-    plan: Plan, balancers: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
+    plan: Plan, hollow_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
     """Start a number of hollow balancers and measure each rate, one after another."""
-    watch_calls: list[VersionSeen] = []
+    acknowledgements: list[VersionObservation] = []
 
-    def on_watch(agent: int, after: int, at_s: float) -> None:
-        watch_calls.append(VersionSeen(agent, after, at_s))
+    def on_watch(agent: int, known_version: int, at_s: float) -> None:
+        acknowledgements.append(VersionObservation(agent, known_version, at_s))
 
     async with AsyncExitStack() as stack:
         discovery = start_discovery(stack, time.monotonic, on_watch)
@@ -88,17 +88,17 @@
         group = await start_group(
             stack,
             discovery,
-            hollow=balancers,
-            processes=plan.processes,
-            real=plan.real,
+            hollow_count=hollow_count,
+            process_count=plan.processes,
+            real_count=plan.real,
             balancer_settings=settings.balancer_settings(
-                balancers=max(balancers, plan.entries), pushed=plan.pushed
+                balancers=max(hollow_count, plan.entries), pushed=plan.pushed
             ),
             seed=plan.seed,
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
-        for multiple, span_s in zip(plan.multiples, plan.spans_s, strict=True):
-            measured = await _measure_rate(plan, group, multiple, span_s, changes, watch_calls)
+        for multiple, duration_s in zip(plan.multiples, plan.spans_s, strict=True):
+            measured = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
             result.add(measured)
             log.info("under change", **measured.row.columns())
 
@@ -107,21 +107,21 @@
     plan: Plan,
     group: BalancerGroup,
     multiple: float,
-    span_s: float,
+    duration_s: float,
     changes: Iterator[tuple[settings.EndpointEntry, ...]],
-    watch_calls: list[VersionSeen],
-) -> Measured[ChangeRow]:
+    acknowledgements: list[VersionObservation],
+) -> MeasuredRow[ChangeRow]:
     """Apply changes at one rate, and measure until every balancer has the last one."""
     measurement = ChangeMeasurement(group)
-    rate_per_s = multiple * plan.changes_per_day / DAY_S
-    seed = plan.seed + round(1000 * multiple) + group.hollow
-    moments_s = arrival_times(rate_per_s, span_s, random.Random(seed))
-    max_lateness_s = await apply_changes_over_time(group.discovery, changes, moments_s)
-    await asyncio.sleep(max(span_s - measurement.elapsed_s, 0.0))
+    rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
+    seed = plan.seed + round(1000 * multiple) + group.hollow_count
+    change_times_s = arrival_times(rate_per_s, duration_s, random.Random(seed))
+    max_lateness_s = await apply_changes_over_time(group.discovery, changes, change_times_s)
+    await asyncio.sleep(max(duration_s - measurement.elapsed_s, 0.0))
     await wait_until(
-        lambda: all_follow(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
+        lambda: all_up_to_date(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
     )
-    return measurement.finish(multiple, max_lateness_s, watch_calls)
+    return measurement.finish(multiple, max_lateness_s, acknowledgements)
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
@@ -132,7 +132,7 @@
             result.fits.append(fit_columns(rows, y, "balancers", label=f"{y} ({multiple:g} times)"))
     for y in (*_COSTS, *_REAL_COSTS) if plan.real else _COSTS:
         result.fits.append(fit_columns(result.rows, y, "changes_per_s"))
-        for balancers in plan.sizes:
-            rows = [row for row in result.rows if row.balancers == balancers]
-            label = f"{y} ({balancers} balancers)"
+        for hollow_count in plan.sizes:
+            rows = [row for row in result.rows if row.balancers == hollow_count]
+            label = f"{y} ({hollow_count} balancers)"
             result.fits.append(fit_columns(rows, y, "changes_per_s", label=label))
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
-from testbed.results import Measured, Row, stored_as
-from testbed.runs.control.delays import VersionSeen, delays_ms, spread
+from testbed.results import MeasuredRow, Row, stored_as
+from testbed.runs.control.delays import VersionObservation, delay_quantiles, delays_ms
 from testbed.runs.control.group import MAX_LATENESS_S, BalancerGroup, sum_counts
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
     """
     real_core_percent: float | None
     """Mean processor time of a real balancer, as a percentage of a core; null if there are none."""
-    calls_per_s: float
+    requests_per_s: float = stored_as("calls_per_s")
     """Requests of a hollow balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
@@ -105,7 +105,7 @@
         self._group = group
         self._lag = LoopLag(asyncio.get_running_loop())
         self._cores = CoresWatch()
-        self._began = time.monotonic()
+        self._start_s = time.monotonic()
         self._first_version = group.discovery.index + 1
         self._processor_s = _processor_s(group)
         self._counts = sum_counts(group.discovery, group.hollow_agents)
@@ -113,22 +113,22 @@
     @property
     def elapsed_s(self) -> float:
         """The time since the measurement began."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._start_s
 
     def finish(
-        self, multiple: float, max_lateness_s: float, watch_calls: Sequence[VersionSeen]
-    ) -> Measured[ChangeRow]:
+        self, multiple: float, max_lateness_s: float, acknowledgements: Sequence[VersionObservation]
+    ) -> MeasuredRow[ChangeRow]:
         """End the measurement.
 
         Args:
             multiple: The rate as a multiple of the baseline rate.
             max_lateness_s: The maximum lateness of a change.
-            watch_calls: The versions that watch requests acknowledged, in the order of time.
+            acknowledgements: The versions that watch requests acknowledged, in the order of time.
 
         Returns:
             The row, and the reasons why it is invalid, if any.
         """
-        name = f"{self._group.hollow} balancers, {multiple:g} times"
+        name = f"{self._group.hollow_count} balancers, {multiple:g} times"
         elapsed_s = self.elapsed_s
         processor_s = [
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
@@ -141,49 +141,53 @@
         p99_lag_s = max([p99_lag_s, *(report.p99_lag_s for report in reports)])
         readings = _Readings(elapsed_s, processor_s, counts, reports, p99_lag_s)
         reasons += _invalid_reasons(name, readings, max_lateness_s)
-        return Measured(self._row(multiple, readings, watch_calls), reasons)
+        return MeasuredRow(self._row(multiple, readings, acknowledgements), reasons)
 
-    def _row(self, multiple: float, readings: _Readings, watch_calls: Sequence[VersionSeen]) -> ChangeRow:
+    def _row(
+        self, multiple: float, readings: _Readings, acknowledgements: Sequence[VersionObservation]
+    ) -> ChangeRow:
         group, elapsed_s, counts = self._group, readings.elapsed_s, readings.counts
         changes = len(group.discovery.changed_at[self._first_version :])
         core_percent = np.array(readings.processor_s) / elapsed_s * 100
         hollow_percent = core_percent[: len(group.processes)]
         real_percent = core_percent[len(group.processes) :]
         return ChangeRow(
-            balancers=group.hollow,
+            balancers=group.hollow_count,
             multiple=multiple,
             changes=changes,
             changes_per_s=changes / elapsed_s,
-            delays=self._delays(readings.reports, watch_calls),
-            core_percent=float(hollow_percent.sum()) / group.hollow,
-            real_core_percent=float(real_percent.mean()) if group.real else None,
-            calls_per_s=counts.requests / elapsed_s / group.hollow,
-            bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow,
+            delays=self._delays(readings.reports, acknowledgements),
+            core_percent=float(hollow_percent.sum()) / group.hollow_count,
+            real_core_percent=float(real_percent.mean()) if group.real_balancers else None,
+            requests_per_s=counts.requests / elapsed_s / group.hollow_count,
+            bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow_count,
             snapshots=counts.snapshots,
             p99_loop_lag_ms=readings.p99_lag_s * 1000,
             max_process_percent=float(core_percent.max()),
         )
 
-    def _delays(self, reports: list[HollowReport], watch_calls: Sequence[VersionSeen]) -> DelayColumns:
-        group, first = self._group, self._first_version
-        changed_at = np.array(group.discovery.changed_at[first:])
-        in_force = delays_ms(_applied_versions(reports), group.hollow_agents, first, changed_at)
-        watched = delays_ms(watch_calls, group.hollow_agents, first, changed_at)
-        real_watched = delays_ms(watch_calls, group.real_agents, first, changed_at)
-        written_s = np.array(group.discovery.written_at[first:]) - changed_at
-        in_force_spread, watched_spread = spread(in_force), spread(watched)
-        real_spread = spread(real_watched)
+    def _delays(
+        self, reports: list[HollowReport], acknowledgements: Sequence[VersionObservation]
+    ) -> DelayColumns:
+        group, first_version = self._group, self._first_version
+        changed_at = np.array(group.discovery.changed_at[first_version:])
+        in_force = delays_ms(_applied_versions(reports), group.hollow_agents, first_version, changed_at)
+        acknowledged = delays_ms(acknowledgements, group.hollow_agents, first_version, changed_at)
+        real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, changed_at)
+        written_s = np.array(group.discovery.written_at[first_version:]) - changed_at
+        in_force_quantiles, acknowledged_quantiles = delay_quantiles(in_force), delay_quantiles(acknowledged)
+        real_acknowledged_quantiles = delay_quantiles(real_acknowledged)
         return DelayColumns(
-            median_in_force_ms=in_force_spread.median,
-            p99_in_force_ms=in_force_spread.p99,
-            max_in_force_ms=in_force_spread.maximum,
+            median_in_force_ms=in_force_quantiles.median,
+            p99_in_force_ms=in_force_quantiles.p99,
+            max_in_force_ms=in_force_quantiles.maximum,
             median_everywhere_ms=float(np.median(in_force.max(axis=0))) if in_force.size else None,
-            median_acknowledged_ms=watched_spread.median,
-            p99_acknowledged_ms=watched_spread.p99,
-            max_acknowledged_ms=watched_spread.maximum,
-            median_real_acknowledged_ms=real_spread.median,
-            p99_real_acknowledged_ms=real_spread.p99,
-            max_real_acknowledged_ms=real_spread.maximum,
+            median_acknowledged_ms=acknowledged_quantiles.median,
+            p99_acknowledged_ms=acknowledged_quantiles.p99,
+            max_acknowledged_ms=acknowledged_quantiles.maximum,
+            median_real_acknowledged_ms=real_acknowledged_quantiles.median,
+            p99_real_acknowledged_ms=real_acknowledged_quantiles.p99,
+            max_real_acknowledged_ms=real_acknowledged_quantiles.maximum,
             max_written_ms=float(written_s.max() * 1000) if written_s.size else None,
         )
 
@@ -195,19 +199,19 @@
         reasons.append(f"{name}: a loop was {readings.p99_lag_s * 1000:.0f} ms late")
     if max_lateness_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: a change was played {max_lateness_s * 1000:.0f} ms late")
-    busiest = max(readings.processor_s) / readings.elapsed_s
-    if busiest >= FULL_PROCESS_FRACTION:
-        reasons.append(f"{name}: a process took {busiest:.0%} of a core")
+    max_process_fraction = max(readings.processor_s) / readings.elapsed_s
+    if max_process_fraction >= FULL_PROCESS_FRACTION:
+        reasons.append(f"{name}: a process took {max_process_fraction:.0%} of a core")
     return reasons
 
 
-def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionSeen]:
+def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionObservation]:
     """Yield the versions that hollow balancers applied, by process and then by time."""
     for report in reports:
-        yield from map(VersionSeen, report.balancers, report.indexes, report.times)
+        yield from map(VersionObservation, report.balancers, report.indexes, report.times)
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
     """Return the processor time of each process so far: those of hollow balancers, then the real ones."""
-    pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real]
+    pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real_balancers]
     return [usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-Table = NDArray[np.float64]
+DelayTable = NDArray[np.float64]
 
 
-class VersionSeen(NamedTuple):
+class VersionObservation(NamedTuple):
     """An observation: a balancer had a version of the list at a time."""
 
     balancer: int
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class DelayQuantiles:
     """The distribution of delays in milliseconds; None if nothing changed."""
 
     median: float | None = None
@@ -33,36 +33,39 @@
 
 
 def delays_ms(
-    seen: Iterable[VersionSeen], balancers: range, first: int, changed_at: NDArray[np.float64]
-) -> Table:
+    observations: Iterable[VersionObservation],
+    balancers: range,
+    first_version: int,
+    changed_at: NDArray[np.float64],
+) -> DelayTable:
     """Compute the delay of each change at each balancer.
 
     A balancer has a change from the first observation of that version or a later one.
 
     Args:
-        seen: The observations in the order of time; those of other balancers are ignored.
+        observations: The observations in the order of time; those of other balancers are ignored.
         balancers: The numbers of the balancers.
-        first: The version of the first change.
-        changed_at: The times of the changes in seconds, one for each version from `first` on.
+        first_version: The version of the first change.
+        changed_at: The times of the changes in seconds, one for each version from `first_version` on.
 
     Returns:
         Milliseconds by balancer (rows) and change (columns); infinite if the change was never observed.
     """
-    wanted = np.arange(first, first + len(changed_at))
+    change_versions = np.arange(first_version, first_version + len(changed_at))
     delays = np.full((len(balancers), len(changed_at)), np.inf)
     by_balancer: dict[int, list[tuple[int, float]]] = {number: [] for number in balancers}
-    for number, version, at_s in seen:
+    for number, version, at_s in observations:
         if number in by_balancer:
             by_balancer[int(number)].append((int(version), at_s))
     for row, number in enumerate(balancers):
         versions = np.array([version for version, _ in by_balancer[number]])
-        moments = np.array([*(at_s for _, at_s in by_balancer[number]), np.inf])
-        delays[row] = (moments[np.searchsorted(versions, wanted)] - changed_at) * 1000
+        times_s = np.array([*(at_s for _, at_s in by_balancer[number]), np.inf])
+        delays[row] = (times_s[np.searchsorted(versions, change_versions)] - changed_at) * 1000
     return delays
 
 
-def spread(delays: Table) -> Spread:
+def delay_quantiles(delays: DelayTable) -> DelayQuantiles:
     """Compute the median, the 99th percentile and the maximum of a table of delays."""
     if not delays.size:
-        return Spread()
-    return Spread(float(np.median(delays)), float(np.percentile(delays, 99)), float(delays.max()))
+        return DelayQuantiles()
+    return DelayQuantiles(float(np.median(delays)), float(np.percentile(delays, 99)), float(delays.max()))
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -43,10 +43,10 @@
         super().__init__(f"not within {timeout_s:g} s: {description}")
 
 
-def run_scenario(scenario: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
+def run_on_new_loop(main: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
     """Run a coroutine on a new uvloop event loop and return its result."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(scenario)
+        return runner.run(main)
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float, description: str) -> None:
@@ -62,16 +62,16 @@
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def all_follow(discovery: Discovery) -> bool:
+def all_up_to_date(discovery: Discovery) -> bool:
     """Whether every balancer has acknowledged the current version."""
     return all(agent.acknowledged_index == discovery.index for agent in discovery.agents.values())
 
 
-def sum_counts(discovery: Discovery, numbers: range) -> RequestCounts:
+def sum_counts(discovery: Discovery, agent_numbers: range) -> RequestCounts:
     """Return the sum of the counts of some agents."""
     total = RequestCounts()
-    for number in numbers:
-        total += discovery.agents[number].counts
+    for agent_number in agent_numbers:
+        total += discovery.agents[agent_number].counts
     return total
 
 
@@ -79,57 +79,60 @@
 class BalancerGroup:
     """Balancers under one discovery stand-in.
 
-    The first `hollow` agents are those of the hollow balancers; those of the real balancers follow.
+    The first `hollow_count` agents are those of the hollow balancers; those of the real balancers follow.
     """
 
     discovery: Discovery
     processes: list[HollowProcess]
-    real: list[RealBalancer]
-    hollow: int
+    real_balancers: list[RealBalancer]
+    hollow_count: int
 
     @property
     def hollow_agents(self) -> range:
         """The numbers of the hollow balancers' agents."""
-        return range(self.hollow)
+        return range(self.hollow_count)
 
     @property
     def real_agents(self) -> range:
         """The numbers of the real balancers' agents."""
-        return range(self.hollow, self.hollow + len(self.real))
+        return range(self.hollow_count, self.hollow_count + len(self.real_balancers))
 
 
 async def start_group(
     stack: AsyncExitStack,
     discovery: Discovery,
     *,
-    hollow: int,
-    processes: int,
-    real: int,
+    hollow_count: int,
+    process_count: int,
+    real_count: int,
     balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
     """Start balancers, spread evenly over processes, and wait until all of them follow the list."""
-    group = BalancerGroup(discovery, [], [], hollow)
+    group = BalancerGroup(discovery, [], [], hollow_count)
 
-    def text(number: int, listen: str) -> str:
+    def configuration_text(number: int, listen: str) -> str:
         agent = discovery.agent_address(number)
         return settings.configuration_text(
             f"n{number}", listen, agent, [], balancer_settings, seed=seed + number
         )
 
-    for first in range(min(processes, hollow)):
-        texts = {number: text(number, "127.0.0.1:0") for number in range(first, hollow, processes)}
+    for first in range(min(process_count, hollow_count)):
+        texts = {
+            number: configuration_text(number, "127.0.0.1:0")
+            for number in range(first, hollow_count, process_count)
+        }
         process = HollowProcess(texts)
         stack.callback(process.stop)
         group.processes.append(process)
-    for number in range(hollow, hollow + real):
-        listen = free_address(_REAL_HOST.format(number - hollow + 1))
-        balancer = await RealBalancer.start(text(number, listen), SAME_PYTHON)
+    for number in range(hollow_count, hollow_count + real_count):
+        listen = free_address(_REAL_HOST.format(number - hollow_count + 1))
+        balancer = await RealBalancer.start(configuration_text(number, listen), SAME_PYTHON)
         stack.push_async_callback(balancer.stop)
-        group.real.append(balancer)
-    for balancer in group.real:
+        group.real_balancers.append(balancer)
+    for balancer in group.real_balancers:
         await balancer.ready()
-    await wait_until(lambda: all_follow(discovery), START_TIMEOUT_S, "every balancer follows the list")
+    await wait_until(lambda: all_up_to_date(discovery), START_TIMEOUT_S, "every balancer follows the list")
     return group
 
 
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -12,11 +12,11 @@
 
 from testbed import experiment, settings
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
-from testbed.results import Row, RunResult, fit_columns
+from testbed.results import Row, RunResult, fit_columns, stored_as
 from testbed.runs.control.group import (
     MAX_LATENESS_S,
     BalancerGroup,
-    run_scenario,
+    run_on_new_loop,
     start_discovery,
     start_group,
     sum_counts,
@@ -55,11 +55,11 @@
     """Resident memory of the real balancer, in MiB."""
     descriptors: int
     """Open descriptors of the real balancer."""
-    calls_per_s: float
+    requests_per_s: float = stored_as("calls_per_s")
     """Requests of the real balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
-    hollow_calls_per_s: float
+    hollow_requests_per_s: float = stored_as("hollow_calls_per_s")
     """Requests of a hollow balancer to discovery, the mean over all."""
     hollow_bytes_per_s: float
     """Bytes of these requests and their responses."""
@@ -71,13 +71,13 @@
 
     processor_s: float
     """Processor time of the real balancer."""
-    real: RequestCounts
-    hollow: RequestCounts
+    real_counts: RequestCounts
+    hollow_counts: RequestCounts
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
     """Measure all sizes concurrently, first with pushed lists and then with polling."""
-    return run_scenario(_measure_all(plan, log))
+    return run_on_new_loop(_measure_all(plan, log))
 
 
 async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
@@ -85,11 +85,11 @@
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
             groups = [
-                await _start(stack, plan, place, entries, pushed=pushed)
-                for place, entries in enumerate(plan.sizes)
+                await _start_group(stack, plan, size_index, entries, pushed=pushed)
+                for size_index, entries in enumerate(plan.sizes)
             ]
             await asyncio.sleep(plan.settle_s)
-            await _measure(plan, groups, result, pushed=pushed)
+            await _measure_groups(plan, groups, result, pushed=pushed)
         for row in result.rows[-len(plan.sizes) :]:
             log.info("at rest", **row.columns())
     for mode in ("push", "ask"):
@@ -99,64 +99,64 @@
     return result
 
 
-async def _start(
-    stack: AsyncExitStack, plan: Plan, place: int, entries: int, *, pushed: bool
+async def _start_group(
+    stack: AsyncExitStack, plan: Plan, size_index: int, entries: int, *, pushed: bool
 ) -> BalancerGroup:
-    """Start the balancers of one size with a discovery of their own; `place` is the index of the size."""
+    """Start the balancers of one size with a discovery of their own; `size_index` is its index."""
     discovery = start_discovery(stack)
-    await discovery.start(f"127.32.{place}.1")
+    await discovery.start(f"127.32.{size_index}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
     balancer_settings = settings.balancer_settings(balancers=entries, pushed=pushed)
     return await start_group(
         stack,
         discovery,
-        hollow=plan.hollow,
-        processes=1,
-        real=1,
+        hollow_count=plan.hollow,
+        process_count=1,
+        real_count=1,
         balancer_settings=balancer_settings,
         seed=plan.seed,
     )
 
 
-async def _measure(
+async def _measure_groups(
     plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
 ) -> None:
     """Measure all sizes over the span and add a row for each."""
     lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
     began = time.monotonic()
-    before = [_read(group) for group in groups]
+    before = [_take_reading(group) for group in groups]
     await asyncio.sleep(plan.span_s)
-    span_s = time.monotonic() - began
+    elapsed_s = time.monotonic() - began
     for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
-        result.rows.append(_row(entries, group, reading, span_s, pushed=pushed))
-    late_s, _ = lag.take()
+        result.rows.append(_row(entries, group, reading, elapsed_s, pushed=pushed))
+    p99_lag_s, _ = lag.take()
     lag.stop()
     phase = f"at rest, {'pushed' if pushed else 'asked for'}"
     result.invalid_reasons += cores.invalid_reasons(phase)
-    if late_s >= MAX_LATENESS_S:
-        result.invalid_reasons.append(f"{phase}: the stand-in's loop was {late_s * 1000:.0f} ms late")
+    if p99_lag_s >= MAX_LATENESS_S:
+        result.invalid_reasons.append(f"{phase}: the stand-in's loop was {p99_lag_s * 1000:.0f} ms late")
 
 
-def _read(group: BalancerGroup) -> _Reading:
-    processor_s = usage([group.real[0].pid]).processor_s
+def _take_reading(group: BalancerGroup) -> _Reading:
+    processor_s = usage([group.real_balancers[0].pid]).processor_s
     real = sum_counts(group.discovery, group.real_agents)
     hollow = sum_counts(group.discovery, group.hollow_agents)
     return _Reading(processor_s, real, hollow)
 
 
-def _row(entries: int, group: BalancerGroup, before: _Reading, span_s: float, *, pushed: bool) -> RestRow:
-    now = _read(group)
-    real = now.real - before.real
-    hollow = now.hollow - before.hollow
-    used = usage([group.real[0].pid])
+def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> RestRow:
+    now = _take_reading(group)
+    real = now.real_counts - before.real_counts
+    hollow = now.hollow_counts - before.hollow_counts
+    resources = usage([group.real_balancers[0].pid])
     return RestRow(
         entries=entries,
         mode="push" if pushed else "ask",
-        core_percent=(now.processor_s - before.processor_s) / span_s * 100,
-        resident_mib=used.resident / _MIB,
-        descriptors=used.descriptors,
-        calls_per_s=real.requests / span_s,
-        bytes_per_s=(real.bytes_in + real.bytes_out) / span_s,
-        hollow_calls_per_s=hollow.requests / span_s / group.hollow,
-        hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / span_s / group.hollow,
+        core_percent=(now.processor_s - before.processor_s) / elapsed_s * 100,
+        resident_mib=resources.resident / _MIB,
+        descriptors=resources.descriptors,
+        requests_per_s=real.requests / elapsed_s,
+        bytes_per_s=(real.bytes_in + real.bytes_out) / elapsed_s,
+        hollow_requests_per_s=hollow.requests / elapsed_s / group.hollow_count,
+        hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / elapsed_s / group.hollow_count,
     )
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -11,7 +11,7 @@
 from testbed.experiment import formerly
 
 Positive = Annotated[float, Field(gt=0)]
-NotNegative = Annotated[float, Field(ge=0)]
+NonNegative = Annotated[float, Field(ge=0)]
 
 
 class Fault(BaseModel):
@@ -27,7 +27,7 @@
     servers: Annotated[int, Field(ge=0)] = 0
     """The number of faulty servers; 0 for all of the tier."""
 
-    def tier_of(self, depth: int) -> int:
+    def tier_number(self, depth: int) -> int:
         """Return the tier of the faulty servers, counted from 1."""
         return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
 
@@ -43,17 +43,17 @@
     """Front balancers, which receive the outside requests."""
     calls_per_s: Positive = 100.0
     """The mean rate of outside requests, a Poisson process."""
-    warm_s: NotNegative = 5.0
+    warm_s: NonNegative = 5.0
     """The time before the fault in seconds; with 0 the fault is there from the first request on."""
     fault_s: Annotated[Positive, formerly("fault_s", "trouble_s")] = 15.0
     """The length of the fault in seconds."""
-    after_s: NotNegative = 0.0
+    after_s: NonNegative = 0.0
     """The time after the fault in seconds; with 0 the fault lasts until the last request has ended."""
     single_call: bool = False
     """Whether only one request arrives during the fault."""
     idempotency: Annotated[Idempotency, formerly("idempotency", "effect")] = Idempotency.SAFE
     """If keyed, all servers together deduplicate requests for `idempotency_window_ms`."""
-    idempotency_window_ms: Annotated[NotNegative, formerly("idempotency_window_ms", "repeat_window_ms")] = (
+    idempotency_window_ms: Annotated[NonNegative, formerly("idempotency_window_ms", "repeat_window_ms")] = (
         2_000.0
     )
     latency_objective_ms: Annotated[Positive, formerly("latency_objective_ms", "aim_ms")] = 1_000.0
@@ -62,9 +62,9 @@
     attempts_cap: Annotated[int, Field(ge=1)] = 4
     may_cancel: bool = True
     may_hedge: Annotated[bool, formerly("may_hedge", "may_duplicate")] = False
-    hop_ms: NotNegative = 0.2
+    hop_ms: NonNegative = 0.2
     """The time of a message between machines."""
-    service_ms: NotNegative = 1.0
+    service_ms: NonNegative = 1.0
     """The mean service time of a server's own work on a request."""
     steady_service: bool = False
     """Whether service times are constant; else they are exponentially distributed."""
@@ -75,9 +75,9 @@
     events_max: Annotated[int, Field(ge=1), formerly("events_max", "events_most")] = 3_000_000
     """The limit on events for each depth and fault, after which a simulation is cut short."""
 
-    def shape(self, depth: int) -> ChainSettings:
+    def chain_settings(self, depth: int) -> ChainSettings:
         """Return the settings of a chain with `depth` tiers."""
-        window = self.idempotency_window_ms if self.idempotency is Idempotency.KEYED else 0.0
+        window_ms = self.idempotency_window_ms if self.idempotency is Idempotency.KEYED else 0.0
         return ChainSettings(
             depth,
             RequestClass(
@@ -86,7 +86,7 @@
                 self.deadline_ms,
                 self.idempotency,
                 IdempotencyScope.ALL,
-                window,
+                window_ms,
                 late_value=self.late_value,
             ),
             self.servers_a_tier,
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -37,10 +37,10 @@
                 depth=depth,
                 trouble=fault.name,
                 served=row.served.served,
-                bottom_attempts_a_call=row.attempts.bottom_attempts_a_call,
+                bottom_attempts_a_call=row.attempts.bottom_attempts_per_request,
                 events=row.work.events,
                 cut_short=row.cut_short,
-                machine_s=round(row.work.machine_s, 2),
+                machine_s=round(row.work.elapsed_s, 2),
             )
         for column in _FITTED:
             result.fits += _fits(result.rows, fault.name, column)
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -24,7 +24,7 @@
 
 WINDOW_MS = 500.0
 """The length of the windows in which requests after the fault are counted."""
-SINGLE_CALL_DELAY_MS = 1_000.0
+SINGLE_REQUEST_DELAY_MS = 1_000.0
 """The time between the end of the warm-up and a single request."""
 _OK = 200
 _UNAVAILABLE = 503
@@ -49,11 +49,11 @@
     """Of all requests that ended."""
     served_before: float | None
     """Of those before the fault, except the last `WINDOW_MS`, which may be in flight as it begins."""
-    served_while: float | None
+    served_during: float | None = stored_as("served_while")
     served_after: float | None
-    back_after_s: float | None
+    recovery_s: float | None = stored_as("back_after_s")
     """From the end of the fault to the end of the first window that is served as before; null if none is."""
-    shed_while: float | None
+    shed_during: float | None = stored_as("shed_while")
     """The fraction of requests during the fault that were rejected without an attempt."""
 
 
@@ -61,9 +61,9 @@
 class AttemptColumns(Row):
     """Attempts for the requests that arrived during the fault; null if there was none."""
 
-    bottom_attempts_a_call: float | None
+    bottom_attempts_per_request: float | None = stored_as("bottom_attempts_a_call")
     """Attempts at the last tier per request."""
-    bottom_attempts_an_admitted: float | None
+    bottom_attempts_per_admitted: float | None = stored_as("bottom_attempts_an_admitted")
     """Attempts at the last tier per request for which any attempt was made."""
     max_bottom_attempts: int = stored_as("bottom_attempts_most")
     """The maximum of attempts at the last tier for one request."""
@@ -77,11 +77,11 @@
     virtual_s: float
     """Virtual time at the end."""
     events: int
-    decisions: int
+    policy_events: int = stored_as("decisions")
     """Events that policies handled."""
-    machine_us_a_decision: float
+    policy_us_per_event: float = stored_as("machine_us_a_decision")
     """Measured processing time of the policies per event."""
-    machine_s: float
+    elapsed_s: float = stored_as("machine_s")
     """Measured time of the simulation."""
 
 
@@ -92,15 +92,15 @@
     depth: int
     fault: str = stored_as("trouble")
     """The name of the fault in the plan."""
-    calls: int
+    requests: int = stored_as("calls")
     """Outside requests."""
     served: ServedColumns
     attempts: AttemptColumns
     rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected because their queues were full."""
-    added_a_hop_p50_ms: float | None
+    p50_added_per_tier_ms: float | None = stored_as("added_a_hop_p50_ms")
     """The median of the time that a tier adds to a served request, beyond messages and mean service time."""
-    added_a_hop_p99_ms: float | None
+    p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
     """The 99th percentile of the same time."""
     bottom_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
@@ -116,9 +116,9 @@
 
     def __init__(self, plan: Plan, depth: int, fault: Fault) -> None:
         self._plan, self._fault = plan, fault
-        self._chain = Chain(plan.shape(depth), plan.seed)
-        self._gaps = random.Random(f"{plan.seed}:arrivals")
-        delay_ms = SINGLE_CALL_DELAY_MS if plan.single_call and plan.warm_s else 0.0
+        self._chain = Chain(plan.chain_settings(depth), plan.seed)
+        self._arrival_rng = random.Random(f"{plan.seed}:arrivals")
+        delay_ms = SINGLE_REQUEST_DELAY_MS if plan.single_call and plan.warm_s else 0.0
         self._warm_up_end_ms = plan.warm_s * 1000
         self._fault_start_ms = self._warm_up_end_ms + delay_ms
         self._fault_end_ms = self._fault_start_ms + plan.fault_s * 1000
@@ -128,127 +128,137 @@
             clock.schedule(self._fault_end_ms, self._set_behaviour, Behaviour.SERVES)
         if plan.single_call:
             clock.schedule(self._fault_start_ms, self._chain.send_request, Phase.DURING)
-        self._schedule_call(0.0)
+        self._schedule_request(0.0)
 
     def _set_behaviour(self, behaviour: Behaviour) -> None:
         """Change the behaviour of the servers that the fault affects."""
         fault, settings = self._fault, self._chain.settings
         count = fault.servers or settings.servers_per_tier
-        self._chain.set_behaviour(fault.tier_of(settings.depth), count, behaviour, fault.fraction)
+        self._chain.set_behaviour(fault.tier_number(settings.depth), count, behaviour, fault.fraction)
 
-    def _schedule_call(self, now: float) -> None:
+    def _schedule_request(self, previous_ms: float) -> None:
         """Schedule the request after the one at `now`, unless it would arrive after the end."""
-        at = now + self._gaps.expovariate(self._plan.calls_per_s / 1000)
-        if self._plan.single_call and self._warm_up_end_ms <= at < self._fault_end_ms:
-            at = self._fault_end_ms + at - self._warm_up_end_ms
-        if at < self._fault_end_ms + self._plan.after_s * 1000:
-            self._chain.clock.schedule(at, self._arrive, at)
-
-    def _arrive(self, at: float) -> None:
-        self._chain.send_request(self._phase_at(at))
-        self._schedule_call(at)
-
-    def _phase_at(self, at: float) -> Phase:
-        if at < self._fault_start_ms:
+        time_ms = previous_ms + self._arrival_rng.expovariate(self._plan.calls_per_s / 1000)
+        if self._plan.single_call and self._warm_up_end_ms <= time_ms < self._fault_end_ms:
+            time_ms = self._fault_end_ms + time_ms - self._warm_up_end_ms
+        if time_ms < self._fault_end_ms + self._plan.after_s * 1000:
+            self._chain.clock.schedule(time_ms, self._on_arrival, time_ms)
+
+    def _on_arrival(self, time_ms: float) -> None:
+        self._chain.send_request(self._phase_at(time_ms))
+        self._schedule_request(time_ms)
+
+    def _phase_at(self, time_ms: float) -> Phase:
+        if time_ms < self._fault_start_ms:
             return Phase.BEFORE
-        return Phase.DURING if at < self._fault_end_ms else Phase.AFTER
+        return Phase.DURING if time_ms < self._fault_end_ms else Phase.AFTER
 
     def run(self) -> DepthRow:
         """Run the simulation to its end or to the limit on events, and return its row."""
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         chain = self._chain
-        finished = chain.clock.run(self._plan.events_max)
-        calls = chain.client_requests if finished else [call for call in chain.client_requests if call.status]
-        windows = self._served_by_window(calls)
-        added_ms = self._added_a_hop_ms(calls)
-        deadline_parts = [call.deadline_fraction for call in chain.client_requests if call.last_tier_attempts]
+        is_complete = chain.clock.run(self._plan.events_max)
+        requests = (
+            chain.client_requests
+            if is_complete
+            else [request for request in chain.client_requests if request.status]
+        )
+        windows = self._served_by_window(requests)
+        added_ms = self._added_per_tier_ms(requests)
+        deadline_fractions = [
+            request.deadline_fraction for request in chain.client_requests if request.last_tier_attempts
+        ]
         return DepthRow(
             depth=chain.settings.depth,
             fault=self._fault.name,
-            calls=len(chain.client_requests),
-            served=self._served(calls, windows),
-            attempts=self._attempts(),
+            requests=len(chain.client_requests),
+            served=self._served_columns(requests, windows),
+            attempts=self._attempt_columns(),
             rejected_queue_full=sum(server.rejected for tier in chain.tiers for server in tier),
-            added_a_hop_p50_ms=float(np.percentile(added_ms, 50)) if added_ms else None,
-            added_a_hop_p99_ms=float(np.percentile(added_ms, 99)) if added_ms else None,
-            bottom_deadline_fraction=statistics.median(deadline_parts) if deadline_parts else None,
+            p50_added_per_tier_ms=float(np.percentile(added_ms, 50)) if added_ms else None,
+            p99_added_per_tier_ms=float(np.percentile(added_ms, 99)) if added_ms else None,
+            bottom_deadline_fraction=statistics.median(deadline_fractions) if deadline_fractions else None,
             served_after_by_window=windows,
-            cut_short=not finished,
-            work=self._work(began),
+            cut_short=not is_complete,
+            work=self._work_columns(start_s),
         )
 
-    def _served(self, calls: Sequence[ClientRequest], windows: list[float | None]) -> ServedColumns:
-        before, during, after = ([call for call in calls if call.phase == phase] for phase in Phase)
+    def _served_columns(
+        self, requests: Sequence[ClientRequest], windows: list[float | None]
+    ) -> ServedColumns:
+        before, during, after = (
+            [request for request in requests if request.phase == phase] for phase in Phase
+        )
         # Requests in flight as the fault begins are not representative of the time before it.
-        settled = [call for call in before if call.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
+        settled = [request for request in before if request.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
         served_before = _served_fraction(settled)
-        shed = [call.status == _UNAVAILABLE and not call.was_attempted for call in during]
+        shed = [request.status == _UNAVAILABLE and not request.was_attempted for request in during]
         return ServedColumns(
-            served=_served_fraction(calls),
+            served=_served_fraction(requests),
             served_before=served_before,
-            served_while=_served_fraction(during),
+            served_during=_served_fraction(during),
             served_after=_served_fraction(after),
-            back_after_s=_back_after_s(windows, served_before),
-            shed_while=_fraction(shed),
+            recovery_s=_recovery_s(windows, served_before),
+            shed_during=_fraction(shed),
         )
 
-    def _attempts(self) -> AttemptColumns:
+    def _attempt_columns(self) -> AttemptColumns:
         chain = self._chain
-        during = [call for call in chain.client_requests if call.phase == Phase.DURING]
-        admitted = sum(call.was_attempted for call in during)
+        during = [request for request in chain.client_requests if request.phase == Phase.DURING]
+        admitted = sum(request.was_attempted for request in during)
         by_tier = chain.statistics.attempts_by_phase.get(Phase.DURING, [0] * chain.settings.depth)
         return AttemptColumns(
-            bottom_attempts_a_call=by_tier[-1] / len(during) if during else None,
-            bottom_attempts_an_admitted=by_tier[-1] / admitted if admitted else None,
-            max_bottom_attempts=max((call.last_tier_attempts for call in during), default=0),
+            bottom_attempts_per_request=by_tier[-1] / len(during) if during else None,
+            bottom_attempts_per_admitted=by_tier[-1] / admitted if admitted else None,
+            max_bottom_attempts=max((request.last_tier_attempts for request in during), default=0),
             attempts_a_call_by_tier=[
                 round(attempts / len(during), 4) if during else None for attempts in by_tier
             ],
         )
 
-    def _added_a_hop_ms(self, calls: Sequence[ClientRequest]) -> list[float]:
+    def _added_per_tier_ms(self, requests: Sequence[ClientRequest]) -> list[float]:
         """Return the time per tier of each served request, less messages and mean service time."""
-        plain_ms = 2 * self._plan.hop_ms + self._plan.service_ms
+        expected_ms = 2 * self._plan.hop_ms + self._plan.service_ms
         depth = self._chain.settings.depth
         return [
-            (call.finished_at_ms - call.received_at_ms) / depth - plain_ms
-            for call in calls
-            if call.status == _OK
+            (request.finished_at_ms - request.received_at_ms) / depth - expected_ms
+            for request in requests
+            if request.status == _OK
         ]
 
-    def _served_by_window(self, calls: Sequence[ClientRequest]) -> list[float | None]:
+    def _served_by_window(self, requests: Sequence[ClientRequest]) -> list[float | None]:
         """Return the served fraction of the requests that arrived in each window after the fault."""
         if not self._plan.after_s:
             return []
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
         windows: list[list[ClientRequest]] = [[] for _ in range(count)]
-        for call in calls:
-            if call.phase == Phase.AFTER:
-                windows[min(int((call.received_at_ms - self._fault_end_ms) / WINDOW_MS), count - 1)].append(
-                    call
-                )
+        for request in requests:
+            if request.phase == Phase.AFTER:
+                windows[
+                    min(int((request.received_at_ms - self._fault_end_ms) / WINDOW_MS), count - 1)
+                ].append(request)
         return [_served_fraction(window) for window in windows]
 
-    def _work(self, began: float) -> WorkColumns:
+    def _work_columns(self, start_s: float) -> WorkColumns:
         chain = self._chain
         return WorkColumns(
             virtual_s=chain.clock.now / 1000,
             events=chain.clock.events_run,
-            decisions=chain.statistics.decisions,
-            machine_us_a_decision=chain.statistics.decision_s / max(chain.statistics.decisions, 1) * 1e6,
-            machine_s=time.perf_counter() - began,
+            policy_events=chain.statistics.policy_events,
+            policy_us_per_event=chain.statistics.policy_s / max(chain.statistics.policy_events, 1) * 1e6,
+            elapsed_s=time.perf_counter() - start_s,
         )
 
 
-def _fraction(which: Sequence[bool]) -> float | None:
-    return sum(which) / len(which) if which else None
+def _fraction(flags: Sequence[bool]) -> float | None:
+    return sum(flags) / len(flags) if flags else None
 
 
-def _served_fraction(calls: Sequence[ClientRequest]) -> float | None:
-    return _fraction([call.status == _OK for call in calls])
+def _served_fraction(requests: Sequence[ClientRequest]) -> float | None:
+    return _fraction([request.status == _OK for request in requests])
 
 
-def _back_after_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
+def _recovery_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
     """Return the time in seconds to the end of the first window served as before; None if none is."""
     for i, served in enumerate(windows):
         if served is not None and served_before is not None and served >= served_before:
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -20,17 +20,17 @@
     RequestReceived,
 )
 from loadbalancer.policy.balancer import LoadBalancer
-from testbed.runs.list_size.plan import Keeps, Plan, configuration, freeze_collector
-from testbed.runs.list_size.rows import CellName, DecisionRow
+from testbed.runs.list_size.plan import EndpointUse, Plan, configuration, freeze_live_objects
+from testbed.runs.list_size.rows import BenchmarkIdentity, DecisionRow
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from testbed.runs.list_size.rounds import RoundColumns
 
-_BEGIN_MS = 1_000_000.0
-_ATTEMPT = 0
-_US_NS = 1e3
+_START_MS = 1_000_000.0
+_ATTEMPT_INDEX = 0
+_NS_PER_US = 1e3
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     """For each request, whether the policy made no attempt."""
 
 
-class _End(NamedTuple):
+class _AttemptEnd(NamedTuple):
     """The scheduled end of an attempt."""
 
     at_ms: float
@@ -53,32 +53,32 @@
     endpoint: str
 
 
-class DecisionCell:
+class DecisionBenchmark:
     """Measures a warmed-up policy under a light load of which all attempts succeed."""
 
-    def __init__(self, plan: Plan, entries: int, keeps: Keeps, tier: int) -> None:
+    def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> None:
         self._plan = plan
-        self.name = CellName(measured="decision", entries=entries, keeps=keeps, tier=tier)
-        read = configuration(plan, entries, keeps, tier)
-        self._classes = read.settings.classes
-        self._balancer = LoadBalancer(read.settings, read.seed)
+        self.identity = BenchmarkIdentity(measured="decision", entries=entries, keeps=endpoint_use, tier=tier)
+        balancer_configuration = configuration(plan, entries, endpoint_use, tier)
+        self._classes = balancer_configuration.settings.classes
+        self._balancer = LoadBalancer(balancer_configuration.settings, balancer_configuration.seed)
         self._random = random.Random(plan.seed)
-        self._now_ms = _BEGIN_MS
+        self._now_ms = _START_MS
         self._last_request = 0
-        self._ends: list[_End] = []
-        self._called: set[str] = set()
-        endpoints = tuple([e.endpoint for e in read.known_endpoints.endpoints])
+        self._attempt_ends: list[_AttemptEnd] = []
+        self._endpoints_called: set[str] = set()
+        endpoints = tuple([e.endpoint for e in balancer_configuration.known_endpoints.endpoints])
         self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints), self._now_ms)
-        freeze_collector()
+        freeze_live_objects()
         self._run_requests(plan.warm_calls)
 
     def run_round(self) -> DecisionRound:
         """Run the requests of one round."""
         return self._run_requests(self._plan.calls)
 
-    def _run_requests(self, calls: int) -> DecisionRound:
+    def _run_requests(self, request_count: int) -> DecisionRound:
         measured = DecisionRound()
-        for _ in range(calls):
+        for _ in range(request_count):
             self._now_ms += self._random.expovariate(self._plan.calls_per_s / 1000)
             self._finish_attempts(measured)
             self._receive_request(measured)
@@ -86,10 +86,10 @@
 
     def _finish_attempts(self, measured: DecisionRound) -> None:
         """Finish the attempts that end before the current time."""
-        while self._ends and self._ends[0].at_ms <= self._now_ms:
-            end = heapq.heappop(self._ends)
+        while self._attempt_ends and self._attempt_ends[0].at_ms <= self._now_ms:
+            end = heapq.heappop(self._attempt_ends)
             finished = AttemptFinished(
-                end.request, _ATTEMPT, end.endpoint, Outcome.SUCCEEDED, is_request_complete=True
+                end.request, _ATTEMPT_INDEX, end.endpoint, Outcome.SUCCEEDED, is_request_complete=True
             )
             self._handle(finished, end.at_ms, measured.ends_ns)
 
@@ -103,31 +103,31 @@
         measured.shed.append(not attempts)
         for attempt in attempts:
             service_ms = self._random.expovariate(1 / self._plan.service_ms)
-            self._called.add(attempt.endpoint)
-            ends_ms = self._now_ms + min(service_ms, attempt.timeout_ms / 2)
-            heapq.heappush(self._ends, _End(ends_ms, self._last_request, attempt.endpoint))
+            self._endpoints_called.add(attempt.endpoint)
+            end_ms = self._now_ms + min(service_ms, attempt.timeout_ms / 2)
+            heapq.heappush(self._attempt_ends, _AttemptEnd(end_ms, self._last_request, attempt.endpoint))
 
-    def _handle(self, event: Event, now_ms: float, spans_ns: list[int]) -> Sequence[Action]:
+    def _handle(self, event: Event, now_ms: float, durations_ns: list[int]) -> Sequence[Action]:
         """Pass an event to the policy, and record the processing time."""
-        began = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         actions = self._balancer.handle(event, now_ms)
-        spans_ns.append(time.perf_counter_ns() - began)
+        durations_ns.append(time.perf_counter_ns() - start_ns)
         return actions
 
     def row(self, quick_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
         """Return one row for all quick rounds."""
-        arrivals_ns = [span for measured in quick_rounds for span in measured.arrivals_ns]
-        ends_ns = [span for measured in quick_rounds for span in measured.ends_ns]
+        arrivals_ns = [duration_ns for measured in quick_rounds for duration_ns in measured.arrivals_ns]
+        ends_ns = [duration_ns for measured in quick_rounds for duration_ns in measured.ends_ns]
         return DecisionRow(
-            cell=self.name,
-            arrival_us_median=float(np.median(arrivals_ns)) / _US_NS,
-            arrival_us_mean=float(np.mean(arrivals_ns)) / _US_NS,
-            p99_arrival_us=float(np.percentile(arrivals_ns, 99)) / _US_NS,
-            end_us_median=float(np.median(ends_ns)) / _US_NS,
-            end_us_mean=float(np.mean(ends_ns)) / _US_NS,
-            p99_end_us=float(np.percentile(ends_ns, 99)) / _US_NS,
-            calls=len(arrivals_ns),
+            identity=self.identity,
+            arrival_us_median=float(np.median(arrivals_ns)) / _NS_PER_US,
+            arrival_us_mean=float(np.mean(arrivals_ns)) / _NS_PER_US,
+            p99_arrival_us=float(np.percentile(arrivals_ns, 99)) / _NS_PER_US,
+            end_us_median=float(np.median(ends_ns)) / _NS_PER_US,
+            end_us_mean=float(np.mean(ends_ns)) / _NS_PER_US,
+            p99_end_us=float(np.percentile(ends_ns, 99)) / _NS_PER_US,
+            requests=len(arrivals_ns),
             shed=sum(sum(measured.shed) for measured in quick_rounds),
-            servers_called=len(self._called),
+            endpoints_called=len(self._endpoints_called),
             rounds=columns,
         )
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -19,18 +19,24 @@
 from testbed import settings
 from testbed.balancer.hollow import HollowBalancer
 from testbed.discovery.service import Discovery
-from testbed.runs.list_size.plan import Keeps, Plan, configuration_text, freeze_collector, ignore_message
-from testbed.runs.list_size.rows import CellName, ListRow
+from testbed.runs.list_size.plan import (
+    EndpointUse,
+    Plan,
+    configuration_text,
+    freeze_live_objects,
+    ignore_message,
+)
+from testbed.runs.list_size.rows import BenchmarkIdentity, ListRow
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
     from testbed.runs.list_size.rounds import RoundColumns
 
-_BEGIN_MS = 1_000_000.0
+_START_MS = 1_000_000.0
 _UPDATE_INTERVAL_MS = 1000.0
-_US_NS = 1e3
-_MS_NS = 1e6
+_NS_PER_US = 1e3
+_NS_PER_MS = 1e6
 _KIB = 1024
 
 
@@ -59,43 +65,48 @@
     """One entry for each delta."""
 
 
-class ListCell:
+class ListBenchmark:
     """Measures the steps of snapshots and deltas: JSON, `read_endpoint_list`, connection pools, policy."""
 
-    def __init__(self, plan: Plan, entries: int, keeps: Keeps) -> None:
+    def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse) -> None:
         self._plan = plan
-        self.name = CellName(measured="list", entries=entries, keeps=keeps, tier=0)
-        self._text = configuration_text(plan, entries, keeps, 0)
-        configuration = read_configuration(self._text, ignore_message)
+        self.identity = BenchmarkIdentity(measured="list", entries=entries, keeps=endpoint_use, tier=0)
+        self._configuration_text = configuration_text(plan, entries, endpoint_use, 0)
+        configuration = read_configuration(self._configuration_text, ignore_message)
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
         self._upstreams = UpstreamPools(configuration, loop)
         loop.close()  # applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
-        self._now_ms = _BEGIN_MS
-        self._changes = 0
+        self._now_ms = _START_MS
+        self._change_count = 0
         self._discovery.replace_entries(self._entries)
         # The first list creates the state that later ones update.
         self._apply_update(self._discovery.list_response(-1).body)
         self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
-        freeze_collector()
+        freeze_live_objects()
 
     def _apply_update(self, body: bytes) -> UpdateTimes:
         """Apply a response of discovery with the steps of the program, and return their times."""
         self._now_ms += _UPDATE_INTERVAL_MS
-        began = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         raw = json.loads(body)
-        parsed = time.perf_counter_ns()
+        parsed_ns = time.perf_counter_ns()
         update = read_endpoint_list(raw)
-        was_read = time.perf_counter_ns()
+        read_ns = time.perf_counter_ns()
         self._upstreams.update_endpoints(update)
-        in_pools = time.perf_counter_ns()
+        pools_updated_ns = time.perf_counter_ns()
         kind = EndpointListKind.SNAPSHOT if update.is_complete else EndpointListKind.DELTA
         endpoints = tuple([e.endpoint for e in update.endpoints])
         self._balancer.handle(EndpointListUpdate(kind, endpoints), self._now_ms)
-        in_policy = time.perf_counter_ns()
-        return UpdateTimes(parsed - began, was_read - parsed, in_pools - was_read, in_policy - in_pools)
+        policy_updated_ns = time.perf_counter_ns()
+        return UpdateTimes(
+            parsed_ns - start_ns,
+            read_ns - parsed_ns,
+            pools_updated_ns - read_ns,
+            policy_updated_ns - pools_updated_ns,
+        )
 
     def run_round(self) -> ListRound:
         """Apply the snapshots of one round, then its deltas."""
@@ -103,45 +114,45 @@
         for _ in range(self._plan.lists):
             measured.lists.append(self._apply_update(self._discovery.list_response(-1).body))
         for _ in range(self._plan.deltas):
-            measured.deltas.append(self._apply_update(self._change()))
+            measured.deltas.append(self._apply_update(self._next_delta()))
         return measured
 
-    def _change(self) -> bytes:
+    def _next_delta(self) -> bytes:
         """Change the weight of the next entry, and return discovery's response with the delta."""
         version = self._discovery.index
-        self._changes += 1
-        entry = self._entries[self._changes % len(self._entries)]
-        self._discovery.apply_changes([entry | {"weight": 1.0 + self._changes % 7}])
+        self._change_count += 1
+        entry = self._entries[self._change_count % len(self._entries)]
+        self._discovery.apply_changes([entry | {"weight": 1.0 + self._change_count % 7}])
         body = self._discovery.list_response(version).body
         self._delta_bytes = len(body)
         return body
 
     def row(self, quick_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
         """Return one row for all quick rounds, with the memory measured now."""
-        lists = [spans for measured in quick_rounds for spans in measured.lists]
-        deltas = [spans for measured in quick_rounds for spans in measured.deltas]
+        lists = [times for measured in quick_rounds for times in measured.lists]
+        deltas = [times for measured in quick_rounds for times in measured.deltas]
         return ListRow(
-            cell=self.name,
+            identity=self.identity,
             list_bytes=self._list_bytes,
             delta_bytes=self._delta_bytes,
-            list_parse_ms=_median(spans.parse for spans in lists) / _MS_NS,
-            delta_parse_us=_median(spans.parse for spans in deltas) / _US_NS,
-            list_read_ms=_median(spans.read for spans in lists) / _MS_NS,
-            delta_read_us=_median(spans.read for spans in deltas) / _US_NS,
-            list_pools_ms=_median(spans.pools for spans in lists) / _MS_NS,
-            delta_pools_us=_median(spans.pools for spans in deltas) / _US_NS,
-            list_module_ms=_median(spans.policy for spans in lists) / _MS_NS,
-            delta_module_us=_median(spans.policy for spans in deltas) / _US_NS,
-            list_total_ms=_median(spans.total for spans in lists) / _MS_NS,
-            delta_total_us=_median(spans.total for spans in deltas) / _US_NS,
-            delta_total_us_p99=float(np.percentile([spans.total for spans in deltas], 99)) / _US_NS,
-            memory_kib=_memory_bytes(self._text) / _KIB,
+            list_parse_ms=_median(times.parse for times in lists) / _NS_PER_MS,
+            delta_parse_us=_median(times.parse for times in deltas) / _NS_PER_US,
+            list_read_ms=_median(times.read for times in lists) / _NS_PER_MS,
+            delta_read_us=_median(times.read for times in deltas) / _NS_PER_US,
+            list_pools_ms=_median(times.pools for times in lists) / _NS_PER_MS,
+            delta_pools_us=_median(times.pools for times in deltas) / _NS_PER_US,
+            list_module_ms=_median(times.policy for times in lists) / _NS_PER_MS,
+            delta_module_us=_median(times.policy for times in deltas) / _NS_PER_US,
+            list_total_ms=_median(times.total for times in lists) / _NS_PER_MS,
+            delta_total_us=_median(times.total for times in deltas) / _NS_PER_US,
+            delta_total_us_p99=float(np.percentile([times.total for times in deltas], 99)) / _NS_PER_US,
+            memory_kib=_memory_bytes(self._configuration_text) / _KIB,
             rounds=columns,
         )
 
 
-def _median(spans_ns: Iterable[int]) -> float:
-    return float(np.median(list(spans_ns)))
+def _median(durations_ns: Iterable[int]) -> float:
+    return float(np.median(list(durations_ns)))
 
 
 def _memory_bytes(text: str) -> int:
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -10,7 +10,7 @@
 from loadbalancer.configuration import Configuration, read_configuration
 from testbed import experiment, settings
 
-Keeps = Literal["part", "all"]
+EndpointUse = Literal["part", "all"]
 """Whether a balancer uses a subset of the endpoints, as one of many, or all, as the only balancer."""
 
 
@@ -37,25 +37,27 @@
     """The limit on rounds of a cell, whether quick or not."""
 
 
-def configuration(plan: Plan, entries: int, keeps: Keeps, tier: int) -> Configuration:
+def configuration(plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> Configuration:
     """Return the configuration of the balancer in one cell, read by the program's own reader.
 
     Args:
         plan: The plan of the run.
         entries: The length of the list.
-        keeps: Whether it uses a subset of the endpoints or all of them.
+        endpoint_use: Whether it uses a subset of the endpoints or all of them.
         tier: The tier that it sends to.
     """
-    return read_configuration(configuration_text(plan, entries, keeps, tier), ignore_message)
+    return read_configuration(configuration_text(plan, entries, endpoint_use, tier), ignore_message)
 
 
-def configuration_text(plan: Plan, entries: int, keeps: Keeps, tier: int) -> str:
+def configuration_text(plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> str:
     """Return the text of the file that `LB_CONFIG` would name; see `configuration` for the arguments."""
-    known = settings.endpoint_entries(entries, seed=plan.seed)
-    balancers = entries if keeps == "part" else 1
-    balancer_settings = settings.balancer_settings(balancers=balancers, tier=tier, zone=known[0]["zone"])
+    cached_entries = settings.endpoint_entries(entries, seed=plan.seed)
+    balancers = entries if endpoint_use == "part" else 1
+    balancer_settings = settings.balancer_settings(
+        balancers=balancers, tier=tier, zone=cached_entries[0]["zone"]
+    )
     return settings.configuration_text(
-        "n0", "127.0.0.1:0", "127.0.0.1:1", known, balancer_settings, seed=plan.seed, index=1
+        "n0", "127.0.0.1:0", "127.0.0.1:1", cached_entries, balancer_settings, seed=plan.seed, index=1
     )
 
 
@@ -63,7 +65,7 @@
     """Ignore messages about the configuration, which is generated."""
 
 
-def freeze_collector() -> None:
+def freeze_live_objects() -> None:
     """Exempt all existing objects from later garbage collections, as the program does after its start."""
     gc.unfreeze()
     gc.collect()
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from testbed.results import Row, RunResult
+from testbed.results import Row, RunResult, stored_as
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -25,7 +25,7 @@
 """The number of readings at the start, whose minimum is the time on an undisturbed core."""
 MAX_QUICK_RATIO = 1.25
 """A reference is quick up to this ratio to the minimum; on a core with a busy sibling it is nearly 2."""
-_US_NS = 1e3
+_NS_PER_US = 1e3
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -34,7 +34,7 @@
 
     rounds: int
     """The number of quick rounds, from which the row is computed."""
-    rounds_played: int
+    rounds_run: int = stored_as("rounds_played")
     reference_us: float
     """The maximum of the references of the quick rounds, in microseconds."""
 
@@ -44,11 +44,11 @@
 RowT = TypeVar("RowT", bound=Row)
 
 
-class Cell(Protocol[RoundT, RowT_co]):
+class Benchmark(Protocol[RoundT, RowT_co]):
     """One combination of size and settings, which is measured in rounds."""
 
     @property
-    def name(self) -> Row:
+    def identity(self) -> Row:
         """The columns that identify the cell."""
 
     def run_round(self) -> RoundT:
@@ -60,12 +60,12 @@
 
 def reference_us() -> float:
     """Measure the median time of the reference computation, in microseconds."""
-    spans_ns = []
+    durations_ns = []
     for _ in range(REFERENCE_REPETITIONS):
-        began = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         sum([math.exp(-i / 1000) for i in range(1000)])
-        spans_ns.append(time.perf_counter_ns() - began)
-    return float(np.median(spans_ns)) / _US_NS
+        durations_ns.append(time.perf_counter_ns() - start_ns)
+    return float(np.median(durations_ns)) / _NS_PER_US
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
     measured: Any
 
 
-class Rounds(Generic[RowT]):
+class BenchmarkRunner(Generic[RowT]):
     """Measures cells in rounds until enough of them were quick.
 
     Args:
@@ -87,38 +87,38 @@
 
     def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
         self._quick_rounds, self._max_rounds, self._reference = quick_rounds, max_rounds, reference
-        self._measured_cells: list[tuple[Cell[Any, RowT], list[_MeasuredRound]]] = []
+        self._measured_benchmarks: list[tuple[Benchmark[Any, RowT], list[_MeasuredRound]]] = []
         self._min_reference_us = min([reference() for _ in range(INITIAL_REFERENCES)])
 
     def _is_quick(self, measured_round: _MeasuredRound) -> bool:
         return measured_round.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
 
-    def measure(self, cell: Cell[Any, RowT]) -> None:
+    def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
         """Run rounds of a cell until enough were quick by the current minimum, or the limit is reached."""
         rounds: list[_MeasuredRound] = []
         before = self._reference()
         while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
-            measured = cell.run_round()
+            measured = benchmark.run_round()
             after = self._reference()
             self._min_reference_us = min(self._min_reference_us, after)
             rounds.append(_MeasuredRound(max(before, after), measured))
             before = after
-        self._measured_cells.append((cell, rounds))
+        self._measured_benchmarks.append((benchmark, rounds))
 
     def result(self) -> RunResult[RowT]:
         """Return the rows of all cells; the result is invalid if a cell has no quick round."""
         result: RunResult[RowT] = RunResult()
-        for cell, rounds in self._measured_cells:
+        for benchmark, rounds in self._measured_benchmarks:
             quick = list(filter(self._is_quick, rounds))
             if not quick:
                 result.invalid_reasons.append(
-                    f"{cell.name.columns()}: none of {len(rounds)} rounds was quick"
+                    f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was quick"
                 )
                 continue
             columns = RoundColumns(
                 rounds=len(quick),
-                rounds_played=len(rounds),
-                reference_us=max(each.reference_us for each in quick),
+                rounds_run=len(rounds),
+                reference_us=max(measured_round.reference_us for measured_round in quick),
             )
-            result.rows.append(cell.row([each.measured for each in quick], columns))
+            result.rows.append(benchmark.row([measured_round.measured for measured_round in quick], columns))
         return result
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -6,18 +6,18 @@
 from typing import Any, Literal
 
 from testbed.results import OMITTED_IF_NONE, Row, stored_as
-from testbed.runs.list_size.plan import Keeps
+from testbed.runs.list_size.plan import EndpointUse
 from testbed.runs.list_size.rounds import RoundColumns
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CellName(Row):
+class BenchmarkIdentity(Row):
     """The columns that identify a cell."""
 
     measured: Literal["decision", "list"]
     entries: int
     """The length of the list."""
-    keeps: Keeps
+    keeps: EndpointUse
     tier: int
     """The tier that the balancer sends to."""
 
@@ -30,17 +30,17 @@
     exponent of the length of the list with which the cost grew from the previous size.
     """
 
-    cell: CellName
+    identity: BenchmarkIdentity
     arrival_us_median: float
     arrival_us_mean: float
     p99_arrival_us: float = stored_as("arrival_us_99")
     end_us_median: float
     end_us_mean: float
     p99_end_us: float = stored_as("end_us_99")
-    calls: int
+    requests: int = stored_as("calls")
     shed: int
     """Requests for which no attempt was made."""
-    servers_called: int
+    endpoints_called: int = stored_as("servers_called")
     """Endpoints that requests were sent to, including those of the warm-up."""
     rounds: RoundColumns
     arrival_us_mean_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -57,7 +57,7 @@
     list with which the cost grew from the previous size.
     """
 
-    cell: CellName
+    identity: BenchmarkIdentity
     list_bytes: int
     """The length of the body of a snapshot."""
     delta_bytes: int
@@ -98,22 +98,22 @@
     Returns:
         The rows in the same order; those of the first size are unchanged.
     """
-    last_rows: dict[tuple[str, str, int], ListSizeRow] = {}
-    grown: list[ListSizeRow] = []
+    previous_rows: dict[tuple[str, str, int], ListSizeRow] = {}
+    rows_with_growth: list[ListSizeRow] = []
     for row in rows:
-        key = (row.cell.measured, row.cell.keeps, row.cell.tier)
-        last = last_rows.get(key)
-        grown.append(row if last is None else _with_growth_since(last, row))
-        last_rows[key] = row
-    return grown
+        key = (row.identity.measured, row.identity.keeps, row.identity.tier)
+        previous = previous_rows.get(key)
+        rows_with_growth.append(row if previous is None else _with_growth_since(previous, row))
+        previous_rows[key] = row
+    return rows_with_growth
 
 
-def _with_growth_since(last: ListSizeRow, row: ListSizeRow) -> ListSizeRow:
-    longer = math.log(row.cell.entries / last.cell.entries)
+def _with_growth_since(previous: ListSizeRow, row: ListSizeRow) -> ListSizeRow:
+    log_length_ratio = math.log(row.identity.entries / previous.identity.entries)
     costs = _DECISION_COSTS if isinstance(row, DecisionRow) else _LIST_COSTS
     growth: dict[str, Any] = {}
-    columns, last_columns = row.columns(), last.columns()
+    columns, previous_columns = row.columns(), previous.columns()
     for cost in costs:
-        ratio = columns[cost] / last_columns[cost]
-        growth[f"{cost}_growth"] = math.log(ratio) / longer
+        ratio = columns[cost] / previous_columns[cost]
+        growth[f"{cost}_growth"] = math.log(ratio) / log_length_ratio
     return replace(row, **growth)
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -11,10 +11,10 @@
 
 from testbed.measurement.meter import CoresWatch
 from testbed.results import Fit, RunResult, fit_columns
-from testbed.runs.list_size.decisions import DecisionCell
-from testbed.runs.list_size.lists import ListCell
-from testbed.runs.list_size.plan import Keeps, Plan
-from testbed.runs.list_size.rounds import Rounds, reference_us
+from testbed.runs.list_size.decisions import DecisionBenchmark
+from testbed.runs.list_size.lists import ListBenchmark
+from testbed.runs.list_size.plan import EndpointUse, Plan
+from testbed.runs.list_size.rounds import BenchmarkRunner, reference_us
 from testbed.runs.list_size.rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 
 __all__ = ["Plan", "measure"]
 
-_KEEPS: tuple[Keeps, ...] = ("part", "all")
+_ENDPOINT_USES: tuple[EndpointUse, ...] = ("part", "all")
 _DECISION_COSTS = ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean")
 _LIST_COSTS = (
     "list_bytes",
@@ -45,33 +45,34 @@
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
     """Measure every size with a subset and with all endpoints, at every tier."""
     cores = CoresWatch()
-    rounds: Rounds[ListSizeRow] = Rounds(plan.rounds, plan.rounds_max, reference_us)
+    runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
-        for keeps in _KEEPS:
+        for endpoint_use in _ENDPOINT_USES:
             for tier in plan.tiers:
-                rounds.measure(DecisionCell(plan, entries, keeps, tier))
-            rounds.measure(ListCell(plan, entries, keeps))
-            log.info("measured", entries=entries, keeps=keeps)
-    result = rounds.result()
-    missing_rows = bool(result.invalid_reasons)
+                runner.measure(DecisionBenchmark(plan, entries, endpoint_use, tier))
+            runner.measure(ListBenchmark(plan, entries, endpoint_use))
+            log.info("measured", entries=entries, keeps=endpoint_use)
+    result = runner.result()
+    has_missing_rows = bool(result.invalid_reasons)
     result.invalid_reasons = cores.invalid_reasons("whole run") + result.invalid_reasons
-    if missing_rows:
+    if has_missing_rows:
         return result
     result.rows = with_growth(result.rows)
-    for keeps in _KEEPS:
-        result.fits += _fits(plan, result.rows, keeps)
+    for endpoint_use in _ENDPOINT_USES:
+        result.fits += _fits(plan, result.rows, endpoint_use)
     return result
 
 
-def _fits(plan: Plan, rows: list[ListSizeRow], keeps: Keeps) -> list[Fit]:
+def _fits(plan: Plan, rows: list[ListSizeRow], endpoint_use: EndpointUse) -> list[Fit]:
     """Fit costs over the length of the list, for balancers with a subset or with all endpoints."""
     fits = []
-    matching = [row for row in rows if row.cell.keeps == keeps]
+    matching = [row for row in rows if row.identity.keeps == endpoint_use]
     for tier in plan.tiers:
-        decisions = [row for row in matching if isinstance(row, DecisionRow) and row.cell.tier == tier]
+        decisions = [row for row in matching if isinstance(row, DecisionRow) and row.identity.tier == tier]
         fits += [
-            fit_columns(decisions, y, "entries", label=f"{y} ({keeps}, tier {tier})") for y in _DECISION_COSTS
+            fit_columns(decisions, y, "entries", label=f"{y} ({endpoint_use}, tier {tier})")
+            for y in _DECISION_COSTS
         ]
     lists = [row for row in matching if isinstance(row, ListRow)]
-    fits += [fit_columns(lists, y, "entries", label=f"{y} ({keeps})") for y in _LIST_COSTS]
+    fits += [fit_columns(lists, y, "entries", label=f"{y} ({endpoint_use})") for y in _LIST_COSTS]
     return fits
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -16,11 +16,11 @@
 if TYPE_CHECKING:
     from testbed.upstream.connection import ReceivedRequest
 
-_WIDTH = 2  # upstreams in each tier, and balancers that send to each tier
-_STARTED_TOGETHER = 8
+_TIER_SIZE = 2  # upstreams in each tier, and balancers that send to each tier
+_START_BATCH_SIZE = 8
 
 
-class Chain:
+class RealChain:
     """Tiers of upstreams that are connected by real balancers, and upstreams that are connected directly.
 
     Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two front
@@ -31,12 +31,12 @@
         self._depth = depth
         self._seeds = itertools.count(seed * 1_000)
         self._upstreams = UpstreamGroup(seed)
-        self._lists: list[Discovery] = []
+        self._discoveries: list[Discovery] = []
         self.tiers: list[list[Upstream]] = []
         self.balancers: list[RealBalancer] = []
-        self.fronts: list[http_client.Client] = []
+        self.front_clients: list[http_client.Client] = []
         """The clients of the front balancers."""
-        self.direct: http_client.Client
+        self.direct_client: http_client.Client
         """The client of the chain without balancers."""
         self.deadlines_ms: list[float] = []
         """The deadlines of the requests that reached the last tier."""
@@ -58,14 +58,14 @@
             upper.forward = forward_through(
                 http_client.Client(lower.address), http_client.request_ids(next(self._seeds))
             )
-        self.direct = http_client.Client(upstreams[0].address)
+        self.direct_client = http_client.Client(upstreams[0].address)
 
     async def _start_tier(self, tier: int) -> None:
         """Start the upstreams of a tier and the discovery that lists them."""
-        self.tiers.append(await self._upstreams.start(_WIDTH))
-        self._lists.append(Discovery())
-        await self._lists[tier].start(f"127.79.{tier}.1")
-        self._lists[tier].replace_entries(
+        self.tiers.append(await self._upstreams.start(_TIER_SIZE))
+        self._discoveries.append(Discovery())
+        await self._discoveries[tier].start(f"127.79.{tier}.1")
+        self._discoveries[tier].replace_entries(
             [
                 settings.endpoint_entry(f"s-{tier:04x}{i:04x}", upstream.address)
                 for i, upstream in enumerate(self.tiers[tier])
@@ -73,11 +73,13 @@
         )
 
     async def _start_balancers(self) -> None:
-        """Start the balancers of every tier, `_STARTED_TOGETHER` at a time."""
-        texts = [self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_WIDTH)]
-        for first in range(0, len(texts), _STARTED_TOGETHER):
-            for text in texts[first : first + _STARTED_TOGETHER]:
-                self.balancers.append(await RealBalancer.start(text, SAME_PYTHON))
+        """Start the balancers of every tier, `_START_BATCH_SIZE` at a time."""
+        configuration_texts = [
+            self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_TIER_SIZE)
+        ]
+        for first in range(0, len(configuration_texts), _START_BATCH_SIZE):
+            for configuration_text in configuration_texts[first : first + _START_BATCH_SIZE]:
+                self.balancers.append(await RealBalancer.start(configuration_text, SAME_PYTHON))
             await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
@@ -85,19 +87,19 @@
         return settings.configuration_text(
             f"n{tier}-{number}",
             free_address(f"127.78.{tier}.{number + 1}"),
-            self._lists[tier].agent_address(number),
-            self._lists[tier].entries,
-            settings.balancer_settings(balancers=_WIDTH, tier=tier, familyInfo={"passesDeadline": True}),
+            self._discoveries[tier].agent_address(number),
+            self._discoveries[tier].entries,
+            settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
             seed=next(self._seeds),
-            index=self._lists[tier].index,
+            index=self._discoveries[tier].index,
         )
 
     def _connect_tiers(self) -> None:
         """Connect each upstream, except in the last tier, to the next tier through a balancer of its own."""
         clients = [http_client.Client(balancer.address) for balancer in self.balancers]
-        self.fronts = clients[:_WIDTH]
-        above = [upstream for tier in self.tiers[:-1] for upstream in tier]
-        for upstream, client in zip(above, clients[_WIDTH:], strict=True):
+        self.front_clients = clients[:_TIER_SIZE]
+        forwarding_upstreams = [upstream for tier in self.tiers[:-1] for upstream in tier]
+        for upstream, client in zip(forwarding_upstreams, clients[_TIER_SIZE:], strict=True):
             upstream.forward = forward_through(client, http_client.request_ids(next(self._seeds)))
 
     def _record_deadline(self, request: ReceivedRequest) -> None:
@@ -110,6 +112,6 @@
     async def stop(self) -> None:
         """Stop the balancers, discovery and the upstreams."""
         await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
-        for discovery in self._lists:
+        for discovery in self._discoveries:
             await discovery.stop()
         self._upstreams.close()
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -14,9 +14,9 @@
 
 from testbed.load import streams as load
 from testbed.measurement.meter import CoresWatch, Usage, usage
-from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns, stored_as
+from testbed.results import OMITTED_IF_NONE, MeasuredRow, Row, RunResult, fit_columns, stored_as
 from testbed.runs import load_plan
-from testbed.runs.real_depth.chain import Chain
+from testbed.runs.real_depth.chain import RealChain
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 
 _FITTED = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
 _OK = 200
-_REJECTED = (503, 429)
+_REJECTED_STATUSES = (503, 429)
 _MIB = 2**20
 
 
@@ -69,7 +69,7 @@
 class DeadlineColumns(Row):
     """The deadlines of the requests that reached the last tier, in milliseconds."""
 
-    bottom_deadline_50_ms: float
+    median_bottom_deadline_ms: float = stored_as("bottom_deadline_50_ms")
     min_bottom_deadline_ms: float = stored_as("bottom_deadline_least_ms")
 
 
@@ -80,7 +80,7 @@
     depth: int
     """The number of tiers, and so of the balancers that a request passes."""
     phase: str
-    calls: int
+    requests: int = stored_as("calls")
     """Requests through the balancers."""
     served: int
     """Requests with a 200 response."""
@@ -94,12 +94,12 @@
     """Omitted if no request, direct or through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no request reached the last tier."""
-    attempts_top: float
+    first_tier_attempts_per_request: float = stored_as("attempts_top")
     """Attempts at the first tier per request."""
-    attempts_bottom: float
+    bottom_attempts_per_request: float = stored_as("attempts_bottom")
     """Attempts at the last tier per request."""
     attempts_by_tier: list[int]
-    processor_us_a_call: float
+    processor_us_per_request: float = stored_as("processor_us_a_call")
     """Processor time of all balancers per request."""
     resident_mib: float
     """Resident memory of all balancers at the end."""
@@ -113,9 +113,9 @@
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_measure_depth(plan, depth, result, log))
-    calm = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
-    if len(calm) > 1:
-        result.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
+    without_fault = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
+    if len(without_fault) > 1:
+        result.fits = [fit_columns(without_fault, y, "depth") for y in _FITTED]
     return result
 
 
@@ -123,7 +123,7 @@
     plan: Plan, depth: int, result: RunResult[RealDepthRow], log: FilteringBoundLogger
 ) -> None:
     """Start a chain and measure its phases."""
-    chain = Chain(plan.seed, depth)
+    chain = RealChain(plan.seed, depth)
     try:
         await chain.start()
         await load.run_streams(_streams(plan, chain), plan.warm_s, plan.seed)
@@ -140,11 +140,11 @@
         await chain.stop()
 
 
-def _streams(plan: Plan, chain: Chain) -> list[load.Stream]:
-    clients = {"direct": [chain.direct], "through": chain.fronts}
+def _streams(plan: Plan, chain: RealChain) -> list[load.Stream]:
+    clients_by_stream = {"direct": [chain.direct_client], "through": chain.front_clients}
     return [
-        load.Stream(name, clients_of, plan.per_s, plan.class_name, plan.deadline_ms)
-        for name, clients_of in clients.items()
+        load.Stream(name, clients, plan.per_s, plan.class_name, plan.deadline_ms)
+        for name, clients in clients_by_stream.items()
     ]
 
 
@@ -160,7 +160,7 @@
     reports: dict[str, load.StreamReport]
 
 
-async def _measure_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
+async def _measure_phase(plan: Plan, chain: RealChain, phase: str, seed: int) -> MeasuredRow[RealDepthRow]:
     """Run the load of one phase and return its row."""
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
@@ -175,35 +175,35 @@
     for name, report in reports.items():
         reasons += report.invalid_reasons(name, plan.late_ms)
     readings = _Readings(usage_before, usage_after, busy, attempts, reports)
-    return Measured(_row(chain, phase, readings), reasons)
+    return MeasuredRow(_row(chain, phase, readings), reasons)
 
 
-def _row(chain: Chain, phase: str, readings: _Readings) -> RealDepthRow:
+def _row(chain: RealChain, phase: str, readings: _Readings) -> RealDepthRow:
     through = readings.reports["through"]
-    calls = through.sends
+    requests = through.sends
     served = through.statuses[_OK]
-    rejected = sum(through.statuses[status] for status in _REJECTED)
+    rejected = sum(through.statuses[status] for status in _REJECTED_STATUSES)
     processor_s = readings.usage_after.processor_s - readings.usage_before.processor_s
     return RealDepthRow(
         depth=len(chain.tiers),
         phase=phase,
-        calls=calls,
+        requests=requests,
         served=served,
         rejected=rejected,
-        failed=calls - served - rejected,
+        failed=requests - served - rejected,
         last_unserved_s=max(through.unserved, default=0.0),
-        times=_times(readings.reports["direct"].served, through.served),
-        deadlines=_deadlines(chain.deadlines_ms),
-        attempts_top=readings.attempts[0] / calls,
-        attempts_bottom=readings.attempts[-1] / calls,
+        times=_time_columns(readings.reports["direct"].served, through.served),
+        deadlines=_deadline_columns(chain.deadlines_ms),
+        first_tier_attempts_per_request=readings.attempts[0] / requests,
+        bottom_attempts_per_request=readings.attempts[-1] / requests,
         attempts_by_tier=readings.attempts,
-        processor_us_a_call=processor_s * 1e6 / calls,
+        processor_us_per_request=processor_s * 1e6 / requests,
         resident_mib=readings.usage_after.resident / _MIB,
         cores_busy=readings.cores_busy,
     )
 
 
-def _times(direct: Latencies, through: Latencies) -> TimeColumns | None:
+def _time_columns(direct: Latencies, through: Latencies) -> TimeColumns | None:
     """Compare direct latencies with those through the balancers; return None if either has none."""
     if not through.count or not direct.count:
         return None
@@ -216,11 +216,11 @@
     )
 
 
-def _deadlines(deadlines_ms: Sequence[float]) -> DeadlineColumns | None:
+def _deadline_columns(deadlines_ms: Sequence[float]) -> DeadlineColumns | None:
     """Return the median and the minimum of the deadlines, or None if there are none."""
     if not deadlines_ms:
         return None
     ordered = sorted(deadlines_ms)
     return DeadlineColumns(
-        bottom_deadline_50_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
+        median_bottom_deadline_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
     )
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -105,7 +105,7 @@
     name: str,
     listen: Address | str,
     discovery: Address | str,
-    known: Sequence[EndpointEntry],
+    cached_entries: Sequence[EndpointEntry],
     settings: dict[str, Any],
     *,
     seed: int,
@@ -117,10 +117,10 @@
         name: The balancer's name.
         listen: Where it listens.
         discovery: The address of its discovery agent.
-        known: The cached endpoint list; without entries the balancer first requests a snapshot.
+        cached_entries: The cached endpoint list; without entries the balancer first requests a snapshot.
         settings: The balancer's settings, from `balancer_settings`.
         seed: The seed of its random numbers.
-        index: The version of `known`.
+        index: The version of `cached_entries`.
     """
     configuration = {
         "name": name,
@@ -128,7 +128,7 @@
         "discovery": format_address(discovery),
         "seed": f"{seed:016x}",
         "limits": RESOURCE_LIMITS,
-        "known": {"index": index, "snapshot": True, "endpoints": list(known)},
+        "known": {"index": index, "snapshot": True, "endpoints": list(cached_entries)},
         "settings": settings,
     }
     return json.dumps(configuration)
@@ -183,10 +183,10 @@
         addresses: The entries' addresses; by default each entry has a loopback host of its own, on which
             nothing listens.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     names: dict[str, None] = {}  # in place of a set, since it keeps the order
     while len(names) < count:
-        names[f"s-{source.getrandbits(32):08x}"] = None
+        names[f"s-{rng.getrandbits(32):08x}"] = None
     entries = []
     for i, name in enumerate(names):
         zone, round_number = i % zones, i // zones
@@ -195,9 +195,9 @@
                 name,
                 addresses[i] if addresses else (loopback_host(i), ENDPOINT_PORT),
                 zone=f"r{zone % regions}-z{zone}",
-                endpoint_type=source.choice(ENDPOINT_TYPES),
+                endpoint_type=rng.choice(ENDPOINT_TYPES),
                 group=zone * groups + round_number % groups,
-                weight=source.choice(ENDPOINT_WEIGHTS),
+                weight=rng.choice(ENDPOINT_WEIGHTS),
             )
         )
     return entries
--- a/testbed/virtual_clock.py
+++ b/testbed/virtual_clock.py
@@ -26,12 +26,12 @@
         self.now = now
         self.events_run = 0
         self._queue: list[tuple[float, int, Callable[[Any], None], Any]] = []
-        self._scheduled = 0
+        self._last_sequence_number = 0
 
     def schedule(self, time_ms: float, callback: Callable[[Any], None], argument: Any) -> None:
         """Schedule `callback(argument)` for a time, or for the current time if that one has passed."""
-        self._scheduled += 1
-        heapq.heappush(self._queue, (max(time_ms, self.now), self._scheduled, callback, argument))
+        self._last_sequence_number += 1
+        heapq.heappush(self._queue, (max(time_ms, self.now), self._last_sequence_number, callback, argument))
 
     def run(self, max_events: int) -> bool:
         """Run callbacks until the queue is empty or the limit is reached.
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -23,7 +23,7 @@
 from testbed.chain.server import Behaviour
 from testbed.chain.settings import ChainSettings
 
-HOP, SERVICE = 0.25, 1.0  # binary fractions: sums of them are exact
+HOP_MS, SERVICE_MS = 0.25, 1.0  # binary fractions: sums of them are exact
 Script = Callable[[Event, float], list[Action]]
 
 
@@ -36,12 +36,12 @@
     base: dict[str, Any] = {
         "servers_per_tier": 2,
         "fronts": 1,
-        "hop_ms": HOP,
-        "service_ms": SERVICE,
+        "hop_ms": HOP_MS,
+        "service_ms": SERVICE_MS,
         "steady_service": True,
     }
-    cls = RequestClass("call", latency_objective_ms, 3_000.0, idempotency)
-    return ChainSettings(depth, cls, **(base | changes))
+    request_class = RequestClass("call", latency_objective_ms, 3_000.0, idempotency)
+    return ChainSettings(depth, request_class, **(base | changes))
 
 
 class RecordedEvents:
@@ -62,26 +62,28 @@
 
         monkeypatch.setattr("testbed.chain.host.LoadBalancer", RecordingBalancer)
 
-    def events_of(self, tier: int, *kinds: type) -> list[tuple[float, Any]]:
-        return [(now, event) for at, now, event in self.events if at == tier and isinstance(event, kinds)]
+    def events_of(self, tier: int, *event_types: type) -> list[tuple[float, Any]]:
+        return [
+            (now, event) for at, now, event in self.events if at == tier and isinstance(event, event_types)
+        ]
 
 
-def run_to_end(chain: Chain, events: int = 100_000) -> None:
-    assert chain.clock.run(events)
+def run_to_end(chain: Chain, max_events: int = 100_000) -> None:
+    assert chain.clock.run(max_events)
 
 
 @pytest.mark.parametrize(
-    ("behaviour", "outcome", "after_ms"),
+    ("behaviour", "outcome", "duration_ms"),
     [
-        (Behaviour.SERVES, Outcome.SUCCEEDED, 2 * HOP + SERVICE),
-        (Behaviour.FAILS, Outcome.ERROR, 2 * HOP + SERVICE),
-        (Behaviour.REFUSES, Outcome.CONNECT_FAILED, HOP),
-        (Behaviour.REJECTS, Outcome.REJECTED, 2 * HOP),
+        (Behaviour.SERVES, Outcome.SUCCEEDED, 2 * HOP_MS + SERVICE_MS),
+        (Behaviour.FAILS, Outcome.ERROR, 2 * HOP_MS + SERVICE_MS),
+        (Behaviour.REFUSES, Outcome.CONNECT_FAILED, HOP_MS),
+        (Behaviour.REJECTS, Outcome.REJECTED, 2 * HOP_MS),
         (Behaviour.HANGS, Outcome.TIMED_OUT, 500.0),
     ],
 )
-def test_each_behaviour_has_its_outcome_and_time(
-    monkeypatch: pytest.MonkeyPatch, behaviour: Behaviour, outcome: Outcome, after_ms: float
+def test_outcome_and_time_of_each_behaviour(
+    monkeypatch: pytest.MonkeyPatch, behaviour: Behaviour, outcome: Outcome, duration_ms: float
 ) -> None:
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(1, latency_objective_ms=500.0, max_attempts=1), 1)
@@ -94,14 +96,14 @@
     run_to_end(chain)
     [(at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
-    assert (finished.outcome, at, finished.is_request_complete) == (outcome, after_ms, served)
+    assert (finished.outcome, at, finished.is_request_complete) == (outcome, duration_ms, served)
     # A class that is safe to retry is rejected, not failed.
     assert chain.client_requests[0].status == (200 if served else 503)
-    assert chain.client_requests[0].finished_at_ms == after_ms
+    assert chain.client_requests[0].finished_at_ms == duration_ms
     assert all(front.open_requests == 0 for front in chain.fronts)
 
 
-def test_a_request_that_may_have_run_and_is_not_idempotent_fails() -> None:
+def test_non_idempotent_request_that_may_have_run_fails() -> None:
     chain = Chain(chain_settings(2, idempotency=Idempotency.NOT_IDEMPOTENT), 1)
     chain.set_behaviour(2, 2, Behaviour.FAILS)
     chain.send_request(0)
@@ -110,7 +112,7 @@
     assert chain.statistics.attempts_by_phase[0] == [1, 1]
 
 
-def test_a_server_fails_if_its_request_to_the_next_tier_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failure_of_the_next_tier_fails_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     """The response of its own balancer does not matter: here it says that a retry is harmless."""
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(2, max_attempts=1), 1)
@@ -121,7 +123,7 @@
     assert [e.outcome for _, e in recorded.events_of(0, AttemptFinished)] == [Outcome.ERROR]
 
 
-def test_each_tier_gets_the_time_that_remains(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_remaining_time_shrinks_from_tier_to_tier(monkeypatch: pytest.MonkeyPatch) -> None:
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(4), 1)
     chain.send_request(0)
@@ -130,23 +132,26 @@
     # Each balancer reserves 10 ms for its response; each server works for 1 ms before its own request.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
     assert chain.client_requests[0].status == 200
-    assert chain.client_requests[0].finished_at_ms == 4 * (2 * HOP + SERVICE)
+    assert chain.client_requests[0].finished_at_ms == 4 * (2 * HOP_MS + SERVICE_MS)
     assert chain.client_requests[0].deadline_fraction == pytest.approx(2957 / 3000)
 
 
-def cancelling(at: float) -> Script:
+def cancel_at(time_ms: float) -> Script:
     """Return a front that starts an attempt at once and cancels it at a time."""
 
     def act(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
-            return [StartAttempt(event.request_id, "t1-0", event.remaining_ms), SetTimer(at, HedgeTimer(1))]
+            return [
+                StartAttempt(event.request_id, "t1-0", event.remaining_ms),
+                SetTimer(time_ms, HedgeTimer(1)),
+            ]
         return [CancelAttempt(1, 0)] if isinstance(event, TimerFired) else []
 
     return act
 
 
-def test_a_cancelled_attempt_is_cancelled_tier_by_tier(monkeypatch: pytest.MonkeyPatch) -> None:
-    recorded = RecordedEvents(monkeypatch, cancelling(100.0))
+def test_cancellation_reaches_every_tier(monkeypatch: pytest.MonkeyPatch) -> None:
+    recorded = RecordedEvents(monkeypatch, cancel_at(100.0))
     chain = Chain(chain_settings(3), 1)
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
@@ -155,7 +160,7 @@
     assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (100.0, Outcome.CANCELLED)
     ]
-    for tier, disconnected_at in ((1, 100.0 + HOP), (2, 100.0 + 2 * HOP)):
+    for tier, disconnected_at in ((1, 100.0 + HOP_MS), (2, 100.0 + 2 * HOP_MS)):
         assert [now for now, _ in recorded.events_of(tier, ClientDisconnected)] == [disconnected_at]
         finished = [
             (now, e.outcome, e.is_request_complete) for now, e in recorded.events_of(tier, AttemptFinished)
@@ -164,15 +169,15 @@
     assert [server.in_service for tier in chain.tiers for server in tier] == [0] * 6
 
 
-def test_attempts_that_may_not_be_cancelled_continue_in_the_next_tier(
+def test_attempts_continue_if_cancellation_is_disabled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    recorded = RecordedEvents(monkeypatch, cancelling(100.0))
+    recorded = RecordedEvents(monkeypatch, cancel_at(100.0))
     chain = Chain(chain_settings(3, may_cancel=False), 1)
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     run_to_end(chain)
-    assert [now for now, _ in recorded.events_of(1, ClientDisconnected)] == [100.0 + HOP]
+    assert [now for now, _ in recorded.events_of(1, ClientDisconnected)] == [100.0 + HOP_MS]
     assert recorded.events_of(2, ClientDisconnected) == []
     # The next tier timed out and responded 500, which was no longer needed.
     [(_, finished)] = recorded.events_of(1, AttemptFinished)
@@ -180,7 +185,7 @@
     assert finished.is_request_complete
 
 
-def test_an_attempt_that_times_out_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timed_out_attempt_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
     def act(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [StartAttempt(event.request_id, "t1-0", 0.75 if event.request_id < 3 else 0.0)]
@@ -196,17 +201,20 @@
     assert [(e.request_id, now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (1, 0.75, Outcome.TIMED_OUT),
         (2, 0.75, Outcome.TIMED_OUT),
-        (3, 2 * HOP + 2 * SERVICE, Outcome.SUCCEEDED),
+        (3, 2 * HOP_MS + 2 * SERVICE_MS, Outcome.SUCCEEDED),
     ]
 
 
-def test_a_request_with_a_response_sends_no_further_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    served = 2 * HOP + SERVICE
+def test_no_attempt_is_sent_after_the_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    served_at_ms = 2 * HOP_MS + SERVICE_MS
 
     def act(event: Event, now: float) -> list[Action]:
         match event:
             case RequestReceived(number):
-                timers = [SetTimer(served - HOP / 2, HedgeTimer(2)), SetTimer(served + 1.0, HedgeTimer(3))]
+                timers = [
+                    SetTimer(served_at_ms - HOP_MS / 2, HedgeTimer(2)),
+                    SetTimer(served_at_ms + 1.0, HedgeTimer(3)),
+                ]
                 return [StartAttempt(number, "t1-0", 0.0), *timers]
             case TimerFired(HedgeTimer(2)):
                 return [StartAttempt(1, "t1-1", 0.0), StartAttempt(1, "t1-0", 0.0)]
@@ -224,18 +232,18 @@
     run_to_end(chain)
     finished = [(now, e.attempt_index, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)]
     assert finished == [
-        (served, 0, Outcome.SUCCEEDED),
-        (served, 1, Outcome.NOT_SENT),  # not connected yet
-        (served + 1.0, 3, Outcome.NOT_SENT),  # started after the response
-        (served + 1.0, 4, Outcome.NOT_SENT),
-        (2 * served - HOP / 2, 2, Outcome.SUCCEEDED),
+        (served_at_ms, 0, Outcome.SUCCEEDED),
+        (served_at_ms, 1, Outcome.NOT_SENT),  # not connected yet
+        (served_at_ms + 1.0, 3, Outcome.NOT_SENT),  # started after the response
+        (served_at_ms + 1.0, 4, Outcome.NOT_SENT),
+        (2 * served_at_ms - HOP_MS / 2, 2, Outcome.SUCCEEDED),
     ]
     assert chain.client_requests[0].status == 200
     assert chain.statistics.attempts_by_phase[0] == [3]
 
 
 @pytest.mark.parametrize(("sends", "status"), [(False, 503), (True, 502)])
-def test_the_host_responds_before_the_deadline(
+def test_host_responds_before_the_deadline(
     monkeypatch: pytest.MonkeyPatch, status: int, *, sends: bool
 ) -> None:
     def delayed(event: Event, now: float) -> list[Action]:
@@ -252,7 +260,7 @@
     assert [now for now, _ in recorded.events_of(0, ClientDisconnected)] == [2995.0]
 
 
-def test_a_full_server_rejects() -> None:
+def test_full_server_rejects() -> None:
     chain = Chain(chain_settings(1, servers_per_tier=1, workers=1, queue=2, max_attempts=1), 1)
     for _ in range(4):
         chain.send_request(0)
@@ -260,19 +268,19 @@
     # One in service, two queued, the fourth rejected at once.
     assert [request.status for request in chain.client_requests] == [200, 200, 200, 503]
     assert [request.finished_at_ms for request in chain.client_requests] == [
-        *(2 * HOP + n * SERVICE for n in (1, 2, 3)),
-        2 * HOP,
+        *(2 * HOP_MS + n * SERVICE_MS for n in (1, 2, 3)),
+        2 * HOP_MS,
     ]
     assert chain.tiers[0][0].rejected == 1
-    wide = Chain(chain_settings(1, servers_per_tier=1, workers=0, queue=0, max_attempts=1), 1)
+    unlimited = Chain(chain_settings(1, servers_per_tier=1, workers=0, queue=0, max_attempts=1), 1)
     for _ in range(4):
-        wide.send_request(0)
-    run_to_end(wide)
-    assert {request.finished_at_ms for request in wide.client_requests} == {2 * HOP + SERVICE}
+        unlimited.send_request(0)
+    run_to_end(unlimited)
+    assert {request.finished_at_ms for request in unlimited.client_requests} == {2 * HOP_MS + SERVICE_MS}
 
 
 @pytest.mark.parametrize("behaviour", [Behaviour.REFUSES, Behaviour.REJECTS])
-def test_requests_that_never_ran_get_all_attempts_that_the_limit_allows(behaviour: Behaviour) -> None:
+def test_attempts_that_never_ran_are_retried_up_to_the_limit(behaviour: Behaviour) -> None:
     for max_attempts in (1, 3, 4):
         chain = Chain(chain_settings(1, servers_per_tier=6, max_attempts=max_attempts), 1)
         chain.set_behaviour(1, 6, behaviour)
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -8,11 +8,11 @@
 import pytest
 import structlog
 
-from testbed.experiment import FOLDER, read_plan
-from testbed.runs import RUNS
+from testbed.experiment import EXPERIMENTS_FOLDER, read_plan
+from testbed.runs import RUN_KINDS
 from testbed.runs.control import change as control_change
 from testbed.runs.control import rest as control_rest
-from testbed.runs.control.delays import Spread, VersionSeen, delays_ms, spread
+from testbed.runs.control.delays import DelayQuantiles, VersionObservation, delay_quantiles, delays_ms
 from testbed.settings import balancer_settings
 
 # A logger of its own: tests of the command line leave the shared one with a closed output.
@@ -21,22 +21,22 @@
 )
 
 
-def test_a_change_is_at_a_balancer_from_the_first_version_as_new() -> None:
+def test_delay_ends_at_first_version_that_includes_the_change() -> None:
     # Versions 5, 6 and 7; balancer 1 gets 5 and 6 together, balancer 2 never gets 7.
     times = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
-    seen = [VersionSeen(*time) for time in times]
-    delays = delays_ms(seen, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
+    observations = [VersionObservation(*time) for time in times]
+    delays = delays_ms(observations, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
     assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
-    assert astuple(spread(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
-    assert spread(np.empty((0, 3))) == Spread(median=None, p99=None, maximum=None)
+    assert astuple(delay_quantiles(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
+    assert delay_quantiles(np.empty((0, 3))) == DelayQuantiles(median=None, p99=None, maximum=None)
 
 
-def test_the_run_under_change_sees_every_change_at_every_balancer() -> None:
-    plan = read_plan(FOLDER / "control_change.toml", RUNS)
-    small: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
-    small |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
+def test_change_run_observes_every_change() -> None:
+    plan = read_plan(EXPERIMENTS_FOLDER / "control_change.toml", RUN_KINDS)
+    overrides: dict[str, Any] = {"sizes": (1, 3), "entries": 30, "multiples": (200.0, 400.0)}
+    overrides |= {"spans_s": (0.1, 0.1), "processes": 2, "real": 1}
     result = control_change.measure(
-        control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG
+        control_change.Plan.model_validate(plan.model_dump() | overrides), DISABLED_LOG
     )
     rows = [row.columns() for row in result.rows]
     assert [(row["balancers"], row["multiple"]) for row in rows] == [
@@ -54,31 +54,33 @@
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in result.fits}
 
 
-def test_the_run_under_change_waits_until_its_balancers_follow() -> None:
-    plan = read_plan(FOLDER / "control_change.toml", RUNS)
-    small: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
-    small |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
+def test_change_run_waits_until_balancers_follow() -> None:
+    plan = read_plan(EXPERIMENTS_FOLDER / "control_change.toml", RUN_KINDS)
+    overrides: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
+    overrides |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
     result = control_change.measure(
-        control_change.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG
+        control_change.Plan.model_validate(plan.model_dump() | overrides), DISABLED_LOG
     )
     assert [row.snapshots for row in result.rows] == [0] * 4
     assert {row.real_core_percent for row in result.rows} == {None}
 
 
-def test_the_run_at_rest_measures_a_real_balancer_of_each_size(monkeypatch: pytest.MonkeyPatch) -> None:
-    modes = []
+def test_rest_run_measures_each_size_and_mode(monkeypatch: pytest.MonkeyPatch) -> None:
+    requested_settings = []
 
-    def recording_settings(**more: Any) -> dict[str, Any]:
-        modes.append((more["balancers"], more["pushed"]))
-        return balancer_settings(**more)
+    def recording_settings(**options: Any) -> dict[str, Any]:
+        requested_settings.append((options["balancers"], options["pushed"]))
+        return balancer_settings(**options)
 
     monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", recording_settings)
-    plan = read_plan(FOLDER / "control_rest.toml", RUNS)
-    small = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
-    result = control_rest.measure(control_rest.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
+    plan = read_plan(EXPERIMENTS_FOLDER / "control_rest.toml", RUN_KINDS)
+    overrides = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
+    result = control_rest.measure(
+        control_rest.Plan.model_validate(plan.model_dump() | overrides), DISABLED_LOG
+    )
     assert [(row.entries, row.mode) for row in result.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
     ]
-    assert modes == [(entries, pushed) for pushed in (True, False) for entries in (3, 30)]
+    assert requested_settings == [(entries, pushed) for pushed in (True, False) for entries in (3, 30)]
     assert all(row.resident_mib > 5 and row.descriptors > 5 for row in result.rows)
     assert {"resident_mib (push)", "bytes_per_s (ask)"} <= {fit.y for fit in result.fits}
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -23,16 +23,16 @@
     return depth_run.Plan.model_validate(base | changes)
 
 
-def found(**changes: Any) -> RunResult[Any]:
+def run_depth(**changes: Any) -> RunResult[Any]:
     with capture_logs():  # tests of the command line leave the shared logger with a closed output
         return depth_run.measure(plan(**changes), structlog.get_logger())
 
 
 def rows(**changes: Any) -> list[dict[str, Any]]:
-    return [row.columns() for row in found(**changes).rows]
+    return [row.columns() for row in run_depth(**changes).rows]
 
 
-def test_the_attempts_for_one_request_to_a_failed_last_tier_multiply_by_tiers() -> None:
+def test_attempts_for_a_single_request_multiply_by_tier() -> None:
     faults = [{"name": "refused", "behaviour": "refuses"}]
     one, two = rows(single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults)
     assert (one["bottom_attempts_a_call"], two["bottom_attempts_a_call"]) == (4, 16)
@@ -46,20 +46,20 @@
     return [{name: v for name, v in row.items() if not name.startswith("machine")} for row in rows_of_run]
 
 
-def test_the_same_seed_gives_the_same_rows() -> None:
-    more: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_hedge": True}
-    first, again, other = (without_measured_times(rows(seed=seed, **more)) for seed in (5, 5, 6))
+def test_same_seed_gives_same_rows() -> None:
+    overrides: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_hedge": True}
+    first, again, other = (without_measured_times(rows(seed=seed, **overrides)) for seed in (5, 5, 6))
     assert first == again
     assert first != other
     assert sum(row["calls"] for row in first) > 400
 
 
-def test_a_simulation_that_reaches_the_limit_on_events_is_marked_and_not_fitted() -> None:
-    complete = found(sizes=(1, 2, 4))
+def test_simulation_cut_short_is_marked_and_not_fitted() -> None:
+    complete = run_depth(sizes=(1, 2, 4))
     assert not any(row.cut_short for row in complete.rows)
     assert [(fit.x, fit.points) for fit in complete.fits] == [("depth", 3), ("depth", 3), ("ln depth", 3)] * 2
     event_limit = complete.rows[1].work.events
-    cut = found(sizes=(1, 2, 4), events_max=event_limit)
+    cut = run_depth(sizes=(1, 2, 4), events_max=event_limit)
     assert [row.cut_short for row in cut.rows] == [False, False, True]
     assert cut.rows[2].work.events == event_limit
     assert {fit.points for fit in cut.fits} == {2}
@@ -83,11 +83,11 @@
 
 
 @pytest.mark.parametrize(("tier", "faulty_tier"), [("first", 1), ("middle", 2), ("bottom", 4)])
-def test_a_fault_affects_its_tier_and_number_of_servers(tier: str, faulty_tier: int) -> None:
+def test_fault_affects_only_its_tier_and_servers(tier: str, faulty_tier: int) -> None:
     fault = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
     one = depth_run.Fault.model_validate(fault)
-    assert one.tier_of(4) == faulty_tier
-    assert one.tier_of(1) == 1
+    assert one.tier_number(4) == faulty_tier
+    assert one.tier_number(1) == 1
     [row] = rows(sizes=(4,), faults=[fault])
     by_tier = row["attempts_a_call_by_tier"]
     # Only at that tier do requests need a second attempt, until the faulty server is ejected.
@@ -97,7 +97,7 @@
     assert row["served"] == 1.0
 
 
-def test_a_fraction_of_requests_fails_at_random_and_rejections_without_attempts_count_as_shed() -> None:
+def test_fractional_failures_and_shed_requests() -> None:
     fraction = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
     [row] = rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fraction)
     assert 0.70 < row["served_while"] < 0.80
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -10,12 +10,12 @@
 
 from loadbalancer.policy.endpoint_set import BALANCERS_PER_ENDPOINT
 from testbed.discovery.service import Discovery
-from testbed.experiment import FOLDER, read_plan
+from testbed.experiment import EXPERIMENTS_FOLDER, read_plan
 from testbed.results import Row
-from testbed.runs import RUNS
+from testbed.runs import RUN_KINDS
 from testbed.runs.list_size import run as list_size
-from testbed.runs.list_size.rounds import INITIAL_REFERENCES, RoundColumns, Rounds
-from testbed.runs.list_size.rows import CellName, ListRow, with_growth
+from testbed.runs.list_size.rounds import INITIAL_REFERENCES, BenchmarkRunner, RoundColumns
+from testbed.runs.list_size.rows import BenchmarkIdentity, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
 # A logger of its own: tests of the command line leave the shared one with a closed output.
@@ -24,10 +24,10 @@
 )
 
 
-def test_the_run_on_list_sizes_measures_every_step_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_size_run_measures_every_step_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_size, "reference_us", lambda: 50.0)
-    plan = read_plan(FOLDER / "list_size.toml", RUNS)
-    small = {
+    plan = read_plan(EXPERIMENTS_FOLDER / "list_size.toml", RUN_KINDS)
+    overrides = {
         "sizes": (6, 40),
         "warm_calls": 20,
         "calls": 400,
@@ -36,12 +36,12 @@
         "rounds": 1,
         "rounds_max": 1,
     }
-    result = list_size.measure(list_size.Plan.model_validate(plan.model_dump() | small), DISABLED_LOG)
+    result = list_size.measure(list_size.Plan.model_validate(plan.model_dump() | overrides), DISABLED_LOG)
     rows = [row.columns() for row in result.rows]
     lists = [row for row in rows if row["measured"] == "list"]
     decisions = [row for row in rows if row["measured"] == "decision"]
     assert [(row["entries"], row["keeps"]) for row in lists] == [
-        (entries, keeps) for entries in (6, 40) for keeps in ("part", "all")
+        (entries, endpoint_use) for entries in (6, 40) for endpoint_use in ("part", "all")
     ]
     assert [(row["calls"], row["shed"]) for row in decisions] == [(400, 0)] * 8
     called = {row["keeps"]: row["servers_called"] for row in decisions if row["entries"] == 40}
@@ -58,8 +58,8 @@
     assert slopes["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
     )
-    for keeps in ("part", "all"):
-        assert {f"arrival_us_mean ({keeps}, tier {tier})" for tier in (0, 1)} <= slopes.keys()
+    for endpoint_use in ("part", "all"):
+        assert {f"arrival_us_mean ({endpoint_use}, tier {tier})" for tier in (0, 1)} <= slopes.keys()
     assert all("list_module_ms_growth" in row for row in lists[2:])
 
 
@@ -68,18 +68,18 @@
     growth = {"delta_module_us_growth": None, "list_module_ms_growth": None}
     values: dict[str, Any] = costs | growth | {"memory_kib": 1.0, "list_module_ms": list_module_ms}
     return ListRow(
-        cell=CellName(measured="list", entries=entries, keeps="all", tier=0),
-        rounds=RoundColumns(rounds=1, rounds_played=1, reference_us=1.0),
+        identity=BenchmarkIdentity(measured="list", entries=entries, keeps="all", tier=0),
+        rounds=RoundColumns(rounds=1, rounds_run=1, reference_us=1.0),
         **values,
     )
 
 
-def test_growth_is_the_exponent_of_the_length_between_two_sizes() -> None:
+def test_growth_is_an_exponent_of_the_list_length() -> None:
     rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
-    grown = [row.columns() for row in with_growth(rows)]
-    assert "list_module_ms_growth" not in grown[0]
-    assert [row["list_module_ms_growth"] for row in grown[1:]] == pytest.approx([0.0, 2.0])
-    assert [row["delta_module_us_growth"] for row in grown[1:]] == [0.0, 0.0]
+    grown_rows = [row.columns() for row in with_growth(rows)]
+    assert "list_module_ms_growth" not in grown_rows[0]
+    assert [row["list_module_ms_growth"] for row in grown_rows[1:]] == pytest.approx([0.0, 2.0])
+    assert [row["delta_module_us_growth"] for row in grown_rows[1:]] == [0.0, 0.0]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -88,22 +88,22 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RoundsRow(Row):
+class RoundRow(Row):
     round: list[float]
-    columns_of_rounds: RoundColumns
+    round_columns: RoundColumns
 
 
-class CountedCell:
+class CountingBenchmark:
     def __init__(self) -> None:
-        self.name = EntriesRow(entries=6)
+        self.identity = EntriesRow(entries=6)
         self.rounds = 0
 
     def run_round(self) -> float:
         self.rounds += 1
         return float(self.rounds)
 
-    def row(self, quick_rounds: Sequence[float], columns: RoundColumns) -> RoundsRow:
-        return RoundsRow(round=list(quick_rounds), columns_of_rounds=columns)
+    def row(self, quick_rounds: Sequence[float], columns: RoundColumns) -> RoundRow:
+        return RoundRow(round=list(quick_rounds), round_columns=columns)
 
 
 def test_only_rounds_between_quick_references_count() -> None:
@@ -111,10 +111,12 @@
         quick_rounds: int, max_rounds: int, *readings: float
     ) -> tuple[list[dict[str, Any]], list[str]]:
         references = iter([*[10.0] * INITIAL_REFERENCES, *readings])
-        rounds: Rounds[RoundsRow] = Rounds(quick_rounds, max_rounds, lambda: next(references))
-        rounds.measure(CountedCell())
+        runner: BenchmarkRunner[RoundRow] = BenchmarkRunner(
+            quick_rounds, max_rounds, lambda: next(references)
+        )
+        runner.measure(CountingBenchmark())
         assert next(references, None) is None
-        result = rounds.result()
+        result = runner.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
     # A slow reference before or after a round excludes the round; enough quick rounds end the measurement.
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -15,7 +15,7 @@
 )  # independent of the configuration by other tests
 
 
-def test_added_time_measures_both_paths_and_reports_why_the_load_is_invalid() -> None:
+def test_added_time_measures_both_paths_and_reports_late_load() -> None:
     plan = added_time.Plan(
         run="added_time",
         about="A trial.",
@@ -44,7 +44,7 @@
     ]
 
 
-def test_real_depth_measures_each_fault_at_the_last_tier_of_a_chain_of_real_balancers() -> None:
+def test_real_depth_measures_each_fault_at_the_last_tier() -> None:
     plan = real_depth.Plan(
         run="real_depth",
         about="A trial.",
@@ -71,6 +71,6 @@
         )
         if phase in ("fails all", "hangs"):
             assert row["served"] == 0
-    calm = rows["calm"]
-    assert calm["served"] == calm["calls"]
-    assert 0 < calm["bottom_deadline_50_ms"] < 1_000
+    no_fault = rows["calm"]
+    assert no_fault["served"] == no_fault["calls"]
+    assert 0 < no_fault["bottom_deadline_50_ms"] < 1_000
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -7,24 +7,24 @@
 from typer.testing import CliRunner
 
 from testbed.cli import app
-from testbed.experiment import FOLDER, Plan, Run, read_plan
+from testbed.experiment import EXPERIMENTS_FOLDER, Plan, RunKind, read_plan
 from testbed.results import RunResult
-from testbed.runs import RUNS
+from testbed.runs import RUN_KINDS
 
 
-@pytest.mark.parametrize("path", sorted(FOLDER.glob("*.toml")), ids=lambda path: path.stem)
-def test_the_list_has_each_experiment_of_the_package_with_its_question(path: Path) -> None:
-    plan = read_plan(path, RUNS)
+@pytest.mark.parametrize("path", sorted(EXPERIMENTS_FOLDER.glob("*.toml")), ids=lambda path: path.stem)
+def test_list_shows_every_experiment(path: Path) -> None:
+    plan = read_plan(path, RUN_KINDS)
     result = CliRunner().invoke(app, ["list"])
     assert result.exit_code == 0
     assert f"{path.stem:24} {plan.about}" in result.output.splitlines()
 
 
-def test_a_result_is_written_for_each_experiment_that_is_run(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_run_writes_a_result_for_each_experiment(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     reasons: list[str] = []
-    monkeypatch.setitem(RUNS, "none", Run(Plan, lambda plan, log: RunResult(invalid_reasons=reasons)))
+    monkeypatch.setitem(
+        RUN_KINDS, "none", RunKind(Plan, lambda plan, log: RunResult(invalid_reasons=reasons))
+    )
     paths = [tmp_path / "one.toml", tmp_path / "other.toml"]
     for path in paths:
         path.write_text('run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n')
@@ -40,7 +40,7 @@
             assert stored["plan"]["about"] == "Nothing."
 
 
-def test_an_error_is_reported_in_one_line(tmp_path: Path) -> None:
+def test_errors_are_reported_in_one_line(tmp_path: Path) -> None:
     missing = CliRunner().invoke(app, ["run", str(tmp_path / "no.toml")])
     assert missing.exit_code == 2
     assert missing.output.startswith("testbed: no.toml: ")
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from testbed.results import OMITTED_IF_NONE, Row, RunResult, fit_columns, fit_line, table, write
+from testbed.results import (
+    OMITTED_IF_NONE,
+    Row,
+    RunResult,
+    fit_columns,
+    fit_line,
+    format_result,
+    write_result,
+)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -32,14 +40,14 @@
     return [Point(n=n, ms=ms) for n, ms in pairs]
 
 
-def test_a_row_s_columns_are_its_fields_and_those_of_its_parts_in_their_order() -> None:
+def test_columns_of_nested_rows_keep_field_order() -> None:
     row = OuterRow(first=1, part=InnerRow(a=2, b=3), last=4)
     assert list(row.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
     assert OuterRow(first=1, part=InnerRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
     assert OuterRow(first=1, last=4).columns() == {"first": 1, "last": 4}
 
 
-def test_a_fit_gives_the_slope_and_its_error() -> None:
+def test_fit_has_slope_and_standard_error() -> None:
     exact = fit_columns(points(*((n, 3.0 * n + 2.0) for n in (1, 2, 4, 8))), "ms", "n")
     assert (exact.y, exact.x, exact.points) == ("ms", "n", 4)
     assert (exact.slope, exact.intercept) == pytest.approx((3.0, 2.0))
@@ -53,21 +61,21 @@
         fit_columns(points((1, 1.0)), "ms", "n")
 
 
-def test_the_result_of_an_invalid_run_has_no_rows_and_fits(tmp_path: Path) -> None:
+def test_invalid_result_has_no_rows_or_fits(tmp_path: Path) -> None:
     result = RunResult(points((1, 2.0), (2, 4.0)))
     result.fits.append(fit_columns(result.rows, "ms", "n"))
-    write(tmp_path / "good.json", "good", {"about": "A line."}, result)
+    write_result(tmp_path / "good.json", "good", {"about": "A line."}, result)
     good = json.loads((tmp_path / "good.json").read_text())
     assert good["valid"]
     assert good["rows"] == [{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}]
     assert good["fits"][0]["slope"] == pytest.approx(2.0)
     assert {"program", "python", "numpy"} <= good["versions"].keys()
     assert good["machine"]["cores"] > 0
-    assert "2 (+- 0) x n" in table(good)
+    assert "2 (+- 0) x n" in format_result(good)
     result.invalid_reasons.append("the load was late")
-    write(tmp_path / "late.json", "late", {"about": "A line."}, result)
+    write_result(tmp_path / "late.json", "late", {"about": "A line."}, result)
     late = json.loads((tmp_path / "late.json").read_text())
     assert not late["valid"]
     assert late["rows"] == []
     assert late["fits"] == []
-    assert "no figures: the load was late" in table(late)
+    assert "no figures: the load was late" in format_result(late)
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -5,29 +5,38 @@
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
 
 
-def test_settings_are_read_by_the_program_without_a_warning() -> None:
+def test_program_reads_generated_settings_without_warnings() -> None:
     warnings: list[str] = []
     entries = endpoint_entries(60)
     settings = balancer_settings(
         balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True}
     )
-    read = read_configuration(
+    configuration = read_configuration(
         configuration_text("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41),
         warnings.append,
     )
     assert warnings == []
-    assert (read.settings.balancers, read.settings.tier, read.settings.polls_discovery) == (7, 1, True)
-    assert {c.idempotency for c in read.settings.classes} == set(Idempotency)
-    assert read.settings.may_hedge
-    assert read.settings.may_cancel
-    assert read.settings.max_attempts == 4
-    assert (read.seed, read.discovery, read.known_endpoints.version, read.descriptor_limit) == (
+    assert (
+        configuration.settings.balancers,
+        configuration.settings.tier,
+        configuration.settings.polls_discovery,
+    ) == (7, 1, True)
+    assert {c.idempotency for c in configuration.settings.classes} == set(Idempotency)
+    assert configuration.settings.may_hedge
+    assert configuration.settings.may_cancel
+    assert configuration.settings.max_attempts == 4
+    assert (
+        configuration.seed,
+        configuration.discovery,
+        configuration.known_endpoints.version,
+        configuration.descriptor_limit,
+    ) == (
         5,
         ("127.0.0.2", 8500),
         41,
         1024,
     )
-    assert [e.endpoint.name for e in read.known_endpoints.endpoints] == [e["name"] for e in entries]
+    assert [e.endpoint.name for e in configuration.known_endpoints.endpoints] == [e["name"] for e in entries]
 
 
 def test_entries_are_spread_over_zones_and_regions() -> None:
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -11,7 +11,7 @@
 
 from testbed.cli import app
 from testbed.results import Row, column_name
-from testbed.runs import RUNS
+from testbed.runs import RUN_KINDS
 from testbed.runs.added_time import AddedTimeRow
 from testbed.runs.control.change_measurement import ChangeRow
 from testbed.runs.control.rest import RestRow
@@ -19,8 +19,8 @@
 from testbed.runs.list_size.rows import DecisionRow, ListRow
 from testbed.runs.real_depth.run import RealDepthRow
 
-FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
-PATHS = sorted(FOLDER.glob("*.json"))
+RESULTS_FOLDER = Path(__file__).parents[2] / "docs" / "capacity"
+RESULT_PATHS = sorted(RESULTS_FOLDER.glob("*.json"))
 ROW_TYPES: dict[str, tuple[type[Row], ...]] = {
     "added_time": (AddedTimeRow,),
     "control_change": (ChangeRow,),
@@ -43,27 +43,29 @@
             yield column_name(column)
 
 
-def in_order(row: dict[str, Any], names: list[str]) -> bool:
+def has_columns_in_order(row: dict[str, Any], names: list[str]) -> bool:
     return list(row) == [name for name in names if name in row]
 
 
-def test_every_run_has_a_stored_result() -> None:
-    runs = {json.loads(path.read_text(encoding="utf-8"))["plan"]["run"] for path in PATHS}
-    assert runs == RUNS.keys() == ROW_TYPES.keys()
+def test_every_run_kind_has_a_stored_result() -> None:
+    stored_run_kinds = {json.loads(path.read_text(encoding="utf-8"))["plan"]["run"] for path in RESULT_PATHS}
+    assert stored_run_kinds == RUN_KINDS.keys() == ROW_TYPES.keys()
 
 
-@pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
-def test_a_stored_result_has_the_columns_of_its_run_s_rows(path: Path) -> None:
+@pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
+def test_stored_columns_match_the_row_types(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))
     names = [list(column_names(row_type)) for row_type in ROW_TYPES[stored["plan"]["run"]]]
     for row in stored["rows"]:
-        assert any(in_order(row, of_type) for of_type in names)
+        assert any(has_columns_in_order(row, columns_of_type) for columns_of_type in names)
     if stored["rows"]:
-        assert {name for row in stored["rows"] for name in row} == {n for of_type in names for n in of_type}
+        assert {name for row in stored["rows"] for name in row} == {
+            n for columns_of_type in names for n in columns_of_type
+        }
 
 
-@pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
-def test_a_stored_result_is_shown_with_its_columns_rows_and_fits(path: Path) -> None:
+@pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
+def test_show_prints_columns_rows_and_fits(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))
     shown = CliRunner().invoke(app, ["show", str(path)])
     assert shown.exit_code == 0
@@ -78,9 +80,9 @@
         assert set(columns) == {name for row in stored["rows"] for name in row}
 
 
-@pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
-def test_the_plan_of_a_stored_result_is_still_read(path: Path) -> None:
+@pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
+def test_stored_plans_can_still_be_read(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))["plan"]
-    plan = RUNS[stored["run"]].plan.model_validate(stored)
+    plan = RUN_KINDS[stored["run"]].plan_type.model_validate(stored)
     assert (plan.run, plan.about, plan.seed) == (stored["run"], stored["about"], stored["seed"])
     assert plan.sizes == tuple(stored["sizes"])
--- a/tests/testbed/test_virtual_clock.py
+++ b/tests/testbed/test_virtual_clock.py
@@ -5,7 +5,7 @@
 from testbed.virtual_clock import VirtualClock
 
 
-def test_callbacks_run_in_the_order_of_their_times_and_then_of_scheduling() -> None:
+def test_callbacks_run_by_time_then_by_scheduling_order() -> None:
     clock = VirtualClock()
     ran: list[tuple[float, str]] = []
 
@@ -19,7 +19,7 @@
     assert ran == [(1.0, "first"), (1.0, "second"), (2.0, "last")]
 
 
-def test_a_callback_for_a_time_that_has_passed_runs_at_the_current_time() -> None:
+def test_past_time_runs_at_current_time() -> None:
     clock = VirtualClock(now=5.0)
     ran: list[float] = []
     clock.schedule(1.0, lambda _: ran.append(clock.now), None)
@@ -27,7 +27,7 @@
     assert ran == [5.0]
 
 
-def test_run_reports_when_it_reached_the_limit_on_events() -> None:
+def test_run_stops_at_event_limit() -> None:
     clock = VirtualClock()
     ran: list[int] = []
     for number in range(3):
@@ -38,7 +38,7 @@
     assert clock.run(max_events=3)
 
 
-def test_run_until_runs_callbacks_up_to_a_time_and_sets_the_clock() -> None:
+def test_run_until_includes_its_time_and_sets_clock() -> None:
     clock = VirtualClock()
     ran: list[str] = []
     clock.schedule(1.0, ran.append, "before")
