--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -30,10 +30,10 @@
 
     from testbed.upstream.behaviour import UpstreamCounts
 
-_AGENTS = "127.79.0.1"
-_BALANCER = "127.78.0.1"
+_FIRST_AGENT_HOST = "127.79.0.1"
+_BALANCER_HOST = "127.78.0.1"
 _MIB = 2**20
-_FITTED = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
+_FITTED_COLUMNS = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
 
 
 class Plan(load_plan.Plan):
@@ -101,7 +101,7 @@
         result.add(measured)
         log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
     if len(plan.sizes) > 1:
-        result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED]
+        result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED_COLUMNS]
     return result
 
 
@@ -110,13 +110,13 @@
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
-        await discovery.start(_AGENTS)
+        await discovery.start(_FIRST_AGENT_HOST)
         entries = settings.endpoint_entries(size, seed=plan.seed, addresses=upstreams.addresses)
         discovery.replace_entries(entries)
         balancer_settings = settings.balancer_settings(balancers=size)
         text = settings.configuration_text(
             "n1",
-            free_address(_BALANCER),
+            free_address(_BALANCER_HOST),
             discovery.agent_address(0),
             entries,
             balancer_settings,
@@ -153,11 +153,13 @@
     def __init__(self, plan: Plan, size: int, upstreams: UpstreamProcess, balancer: RealBalancer) -> None:
         self._plan, self._size = plan, size
         self._upstreams, self._balancer = upstreams, balancer
-        direct = [http_client.Client(address) for address in upstreams.addresses[: plan.direct_servers]]
-        front = http_client.Client(balancer.address)
+        direct_clients = [
+            http_client.Client(address) for address in upstreams.addresses[: plan.direct_servers]
+        ]
+        balancer_client = http_client.Client(balancer.address)
         self._streams = [
-            load.Stream("direct", direct, plan.per_s, plan.class_name, plan.deadline_ms),
-            load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
+            load.Stream("direct", direct_clients, plan.per_s, plan.class_name, plan.deadline_ms),
+            load.Stream("through", [balancer_client], plan.per_s, plan.class_name, plan.deadline_ms),
         ]
 
     async def run(self) -> MeasuredRow[AddedTimeRow]:
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -35,9 +35,9 @@
     from structlog.typing import FilteringBoundLogger
 
 SECONDS_PER_DAY = 86_400
-_DELAYS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
-_COSTS = ("core_percent", "bytes_per_s", "calls_per_s")
-_REAL_COSTS = ("real_core_percent",)
+_DELAY_COLUMNS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
+_COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
+_REAL_COST_COLUMNS = ("real_core_percent",)
 
 
 class Plan(experiment.Plan):
@@ -128,9 +128,9 @@
     """Fit delays over the number of balancers by rate, and costs over the rate by number of balancers."""
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
-        for y in _DELAYS:
+        for y in _DELAY_COLUMNS:
             result.fits.append(fit_columns(rows, y, "balancers", label=f"{y} ({multiple:g} times)"))
-    for y in (*_COSTS, *_REAL_COSTS) if plan.real else _COSTS:
+    for y in (*_COST_COLUMNS, *_REAL_COST_COLUMNS) if plan.real else _COST_COLUMNS:
         result.fits.append(fit_columns(result.rows, y, "changes_per_s"))
         for hollow_count in plan.sizes:
             rows = [row for row in result.rows if row.balancers == hollow_count]
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -22,7 +22,7 @@
 
 __all__ = ["Fault", "Plan", "measure"]
 
-_FITTED = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
+_FITTED_COLUMNS = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[DepthRow]:
@@ -42,7 +42,7 @@
                 cut_short=row.cut_short,
                 machine_s=round(row.work.elapsed_s, 2),
             )
-        for column in _FITTED:
+        for column in _FITTED_COLUMNS:
             result.fits += _fits(result.rows, fault.name, column)
     return result
 
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -82,8 +82,8 @@
 
 ListSizeRow = DecisionRow | ListRow
 
-_DECISION_COSTS = ("arrival_us_mean", "arrival_us_99", "end_us_mean")
-_LIST_COSTS = ("delta_module_us", "list_module_ms")
+_DECISION_GROWTH_COLUMNS = ("arrival_us_mean", "arrival_us_99", "end_us_mean")
+_LIST_GROWTH_COLUMNS = ("delta_module_us", "list_module_ms")
 
 
 def with_growth(rows: Sequence[ListSizeRow]) -> list[ListSizeRow]:
@@ -110,10 +110,10 @@
 
 def _with_growth_since(previous: ListSizeRow, row: ListSizeRow) -> ListSizeRow:
     log_length_ratio = math.log(row.identity.entries / previous.identity.entries)
-    costs = _DECISION_COSTS if isinstance(row, DecisionRow) else _LIST_COSTS
+    cost_columns = _DECISION_GROWTH_COLUMNS if isinstance(row, DecisionRow) else _LIST_GROWTH_COLUMNS
     growth: dict[str, Any] = {}
     columns, previous_columns = row.columns(), previous.columns()
-    for cost in costs:
-        ratio = columns[cost] / previous_columns[cost]
-        growth[f"{cost}_growth"] = math.log(ratio) / log_length_ratio
+    for column in cost_columns:
+        ratio = columns[column] / previous_columns[column]
+        growth[f"{column}_growth"] = math.log(ratio) / log_length_ratio
     return replace(row, **growth)
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -23,8 +23,8 @@
 __all__ = ["Plan", "measure"]
 
 _ENDPOINT_USES: tuple[EndpointUse, ...] = ("part", "all")
-_DECISION_COSTS = ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean")
-_LIST_COSTS = (
+_FITTED_DECISION_COLUMNS = ("arrival_us_median", "arrival_us_mean", "arrival_us_99", "end_us_mean")
+_FITTED_LIST_COLUMNS = (
     "list_bytes",
     "delta_bytes",
     "list_parse_ms",
@@ -71,8 +71,8 @@
         decisions = [row for row in matching if isinstance(row, DecisionRow) and row.identity.tier == tier]
         fits += [
             fit_columns(decisions, y, "entries", label=f"{y} ({endpoint_use}, tier {tier})")
-            for y in _DECISION_COSTS
+            for y in _FITTED_DECISION_COLUMNS
         ]
     lists = [row for row in matching if isinstance(row, ListRow)]
-    fits += [fit_columns(lists, y, "entries", label=f"{y} ({endpoint_use})") for y in _LIST_COSTS]
+    fits += [fit_columns(lists, y, "entries", label=f"{y} ({endpoint_use})") for y in _FITTED_LIST_COLUMNS]
     return fits
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -54,9 +54,9 @@
     async def _start_direct(self) -> None:
         """Start the chain without balancers, with one upstream in each tier."""
         upstreams = await self._upstreams.start(self._depth)
-        for upper, lower in itertools.pairwise(upstreams):
-            upper.forward = forward_through(
-                http_client.Client(lower.address), http_client.request_ids(next(self._seeds))
+        for upstream, next_upstream in itertools.pairwise(upstreams):
+            upstream.forward = forward_through(
+                http_client.Client(next_upstream.address), http_client.request_ids(next(self._seeds))
             )
         self.direct_client = http_client.Client(upstreams[0].address)
 
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -39,7 +39,7 @@
 )
 
 
-_FITTED = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
+_FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
 _OK = 200
 _REJECTED_STATUSES = (503, 429)
 _MIB = 2**20
@@ -115,7 +115,7 @@
             runner.run(_measure_depth(plan, depth, result, log))
     without_fault = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
     if len(without_fault) > 1:
-        result.fits = [fit_columns(without_fault, y, "depth") for y in _FITTED]
+        result.fits = [fit_columns(without_fault, y, "depth") for y in _FITTED_COLUMNS]
     return result
 
 
