--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins, loads and experiments that measure `loadbalancer` at the sizes it is meant for.
+"""Load generators, simulated services and experiments that measure `loadbalancer` at its intended scale.
 
-Nothing in `loadbalancer` imports this package; its dependencies are the optional ones named `testbed`.
+`loadbalancer` does not import this package, whose dependencies are in the optional group `testbed`.
 """
--- a/testbed/chain/chain.py
+++ b/testbed/chain/chain.py
@@ -1,8 +1,8 @@
-"""Simulated chains: tiers of servers that send requests to one another through real balancing policies.
+"""Simulated chains: tiers of servers, each of which calls the next tier through the real policy.
 
 Each server of the tiers 1 to depth-1 has a `LoadBalancer` of its own, which sends to the next tier; front
-balancers send to the first tier (PROTOCOL, "Callers to balancers"). The simulation is event-driven on one
-virtual clock: it opens no socket and never sleeps, and all random numbers are drawn from the seed.
+balancers send to the first tier (PROTOCOL, "Callers to balancers"). This is a discrete-event simulation on
+one virtual clock: it opens no sockets and never sleeps, and all random numbers are derived from the seed.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class Chain:
-    """The tiers of servers, the front balancers and the requests from outside.
+    """The tiers of servers, the front balancers and the outside requests.
 
     Attributes:
         settings: The size of the chain and the limits of its balancers.
         clock: The virtual clock.
-        statistics: Counts of the balancers' decisions and attempts.
-        client_requests: The requests from outside, in the order of their arrival.
+        statistics: Counts of the events and attempts of all balancers.
+        client_requests: The outside requests, in the order of their arrival.
         tiers: The servers, by tier.
         fronts: The front balancers.
     """
@@ -33,6 +33,7 @@
         self.clock = VirtualClock()
         self.statistics = ChainStatistics(settings.depth, settings.request_class.deadline_ms)
         self.client_requests: list[ClientRequest] = []
+        # The text after the seed selects a random stream: another text would change all results.
         self._front_random = random.Random(f"{seed}:doors")
         self._seed_random = random.Random(f"{seed}:balancers")
         model = ServiceModel(settings, seed)
@@ -52,7 +53,7 @@
         return BalancerHost(self.settings, self.clock, self.statistics, tier, servers, seed)
 
     def send_request(self, phase: int) -> None:
-        """Send a request from outside now, to a front that is drawn at random."""
+        """Send an outside request now, to a front balancer that is chosen at random."""
         request = ClientRequest(self.clock, phase)
         self.client_requests.append(request)
         front = self.fronts[self._front_random.randrange(len(self.fronts))]
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -1,7 +1,7 @@
-"""The host of one balancer's policy on the virtual clock: passes events in and carries out the actions.
+"""The host of one balancer's policy on the virtual clock: feeds it events and carries out its actions.
 
-The host is to the simulation what `loadbalancer.network.proxy` is to real sockets. All times are
-milliseconds, except the measured processing time of decisions, which is in seconds.
+The host takes the place of `loadbalancer.network.proxy`, without sockets. All times are milliseconds, except
+the measured processing time of the policy, which is in seconds.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class UnexpectedHealthCheckError(TestbedError, ValueError):
-    """The policy started a health check, which the settings of a simulated chain do not allow."""
+    """The policy started a health check, which the settings of a simulated chain do not enable."""
 
     def __init__(self) -> None:
         super().__init__("a health check, though the settings allow none")
@@ -61,16 +61,16 @@
     responder: Responder
     client_request: ClientRequest
     deadline_ms: float
-    """The latest end of an attempt that leaves time for the response to reach the client."""
+    """When attempts have to end, so that the response still reaches the client in time."""
     attempts: list[Attempt | None] = field(default_factory=list)
-    """By attempt index; None for an attempt that the policy started after the response."""
+    """The attempts by index; None for an attempt that the policy started after the response."""
     is_open: bool = True
     """Whether the client still waits for the final response."""
     may_have_run: bool = False
     """Whether an attempt that has finished may have run."""
     running_attempts: int = 0
     queued_events: int = 0
-    """Events that the policy has not handled yet."""
+    """Events of this request that the policy has not handled yet."""
 
     @property
     def is_finished(self) -> bool:
@@ -79,7 +79,7 @@
 
 
 class BalancerHost:
-    """A balancer's policy, and the requests that it has open."""
+    """Runs a balancer's policy, and keeps its open requests."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that have no response yet, or have running attempts."""
+        """The number of requests that have no response yet, or have running attempts."""
         return len(self._requests)
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
@@ -114,11 +114,11 @@
 
         Args:
             responder: Receives the response.
-            client_request: The request from outside that it is made for.
+            client_request: The outside request that it belongs to.
             remaining_ms: The time until its deadline.
 
         Returns:
-            Its number at this balancer.
+            The number of the request at this balancer.
         """
         self._last_number += 1
         now = self._clock.now
@@ -134,7 +134,7 @@
         return request.number
 
     def disconnect(self, number: int) -> None:
-        """Handle the disconnect of a request's client; without effect once the request has its response."""
+        """Handle the disconnect of a request's client; does nothing if the request has its response."""
         request = self._requests.get(number)
         if request is not None and request.is_open:
             self._abandon(request)
@@ -153,7 +153,7 @@
                 attempt.finish_if_unsent()
 
     def _respond_before_deadline(self, request: _Request) -> None:
-        """Respond shortly before the deadline where the policy has not."""
+        """Respond shortly before the deadline if the policy has not; 503 if no attempt may have run."""
         if request.is_open:
             may_run = request.may_have_run or request.running_attempts
             request.responder.respond(502 if may_run else 503)
@@ -162,7 +162,7 @@
     # ---- events -------------------------------------------------------------------------------
 
     def _dispatch(self, event: Event, request: _Request | None = None) -> None:
-        """Pass an event on. Events caused by an action wait until all actions are carried out."""
+        """Pass an event to the policy, after all actions for earlier events have been carried out."""
         if request is not None:
             request.queued_events += 1
         self._events.append((event, request))
@@ -202,7 +202,7 @@
                 snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
                 self._clock.schedule(self._clock.now, self._dispatch, snapshot)
             case CloseIdleConnections() | LogMessage():
-                pass  # simulated connections never idle out, and the log is not kept
+                pass  # simulated connections do not become idle, and log messages are dropped
             case StartHealthCheck():
                 raise UnexpectedHealthCheckError
 
@@ -238,11 +238,11 @@
         attempt.start()
 
     def _on_attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
-        request = self._requests[attempt.request_number]  # kept while an attempt is running
+        request = self._requests[attempt.request_number]  # not removed while an attempt is running
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
-        """Record an attempt's outcome. The first successful response is sent before anything else."""
+        """Record an attempt's outcome; the first successful response is sent on before the policy runs."""
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
         if request.is_open and outcome is Outcome.SUCCEEDED:
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -1,4 +1,4 @@
-"""A request from outside on its way through the tiers of a simulated chain, and counts over all requests."""
+"""An outside request that passes through the tiers of a simulated chain, and statistics over all requests."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class Responder(Protocol):
-    """The receiver of a balancer's response: an outside client, or a server of the previous tier."""
+    """Receives a balancer's response: an outside client, or a server of the previous tier."""
 
     def respond(self, status: int) -> None:
         """Receive the final response; called once."""
 
 
 class ClientRequest:
-    """One request from outside.
+    """One outside request.
 
     Attributes:
         phase: The phase of the simulation in which it arrived, as the run defines phases.
         received_at_ms: When it arrived.
-        finished_at_ms: When the front responded; infinite until then.
-        status: The front's response: 200 served, 502 failed, 503 rejected; 0 until then.
-        was_attempted: Whether the front made any attempt. A request that was rejected without one was shed.
+        finished_at_ms: When the front balancer responded; infinite until then.
+        status: The status of that response: 200 served, 502 failed, 503 rejected; 0 until then.
+        was_attempted: Whether the front balancer made an attempt; a request rejected without one was shed.
         last_tier_attempts: Attempts at the last tier that were made for this request.
         deadline_fraction: The timeout of the first attempt at the last tier, as a fraction of the request's
             deadline; NaN if there was none.
@@ -53,20 +53,20 @@
         self.deadline_fraction = math.nan
 
     def respond(self, status: int) -> None:
-        """Record the front's response and its time."""
+        """Record the front balancer's response and its time."""
         self.status = status
         self.finished_at_ms = self._clock.now
 
 
 @dataclass(slots=True)
 class ChainStatistics:
-    """Counts over all balancers of a chain.
+    """Statistics over all balancers of a chain.
 
     Attributes:
         depth: The number of tiers.
-        deadline_ms: The deadline of every request from outside.
-        attempts_by_phase: For each phase of the outside requests, the attempts at each tier, tier 1 first.
-        policy_events: Events that balancers have handled.
+        deadline_ms: The deadline of every outside request.
+        attempts_by_phase: For outside requests of each phase, the attempts at each tier, tier 1 first.
+        policy_events: The number of events that policies have handled.
         policy_s: The measured processing time of these events, in seconds.
     """
 
@@ -82,7 +82,7 @@
         self.policy_events += 1
 
     def record_attempt(self, request: ClientRequest, tier: int, timeout_ms: float) -> None:
-        """Count an attempt at a tier (from 1) with its timeout."""
+        """Record an attempt at a tier, counted from 1, with its timeout."""
         attempts_by_tier = self.attempts_by_phase.setdefault(request.phase, [0] * self.depth)
         attempts_by_tier[tier - 1] += 1
         request.was_attempted = True
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -1,8 +1,8 @@
 """The servers of a simulated chain, and the attempts that balancers make at them.
 
-Connections are always established: a message takes `hop_ms` in each direction, and a refused connect fails
-after one `hop_ms`. A server and its own balancer share a machine, so messages between them take no time. All
-times are milliseconds.
+Connections count as established already: a message takes `hop_ms` in each direction, and a refused
+connection attempt fails after `hop_ms`. A server and its own balancer share a machine, so messages between
+them take no time. All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 
 
 class MissingNextTierRequestError(TestbedError, InvalidStateError):
-    """An attempt waits for the next tier without a request there: a fault of the simulation."""
+    """An attempt waits for the next tier, but has no request there: a bug in the simulation."""
 
     def __init__(self) -> None:
         super().__init__("the attempt has no request at the next tier")
 
 
 class Behaviour(enum.Enum):
-    """What a server does with an attempt that reaches it; experiment files use the values."""
+    """How a server handles attempts; experiment files contain the values."""
 
     SERVES = "serves"
     FAILS = "fails"
-    """It responds with 500 to a fraction of attempts after its own work, without calling the next tier."""
+    """It responds 500 to a fraction of the attempts after its own work, without calling the next tier."""
     REFUSES = "refuses"
-    """Its listener is closed: new attempts can't connect, attempts in flight continue."""
+    """Its listener is closed: new attempts can't connect, and attempts in flight continue."""
     REJECTS = "turns away"
-    """It responds at once with 503 and X-Not-Run."""
+    """It responds 503 with X-Not-Run at once."""
     HANGS = "hangs"
-    """It accepts new attempts and never responds to them; attempts in flight continue."""
+    """It accepts new attempts and never responds to them, and attempts in flight continue."""
 
 
 class AttemptStage(enum.Enum):
@@ -52,34 +52,34 @@
     QUEUED = enum.auto()
     IN_SERVICE = enum.auto()
     CALLING_NEXT_TIER = enum.auto()
-    """The server waits for its own balancer's response from the next tier."""
+    """The server waits for the response of the next tier, from its own balancer."""
     FINISHED = enum.auto()
 
 
 class LocalBalancer(Protocol):
-    """The balancer of a server, through which it calls the next tier."""
+    """A server's own balancer, through which it calls the next tier."""
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
-        """Pass on a request with its remaining time, and return its number."""
+        """Accept a request with its remaining time, and return its number."""
 
     def disconnect(self, number: int) -> None:
         """Handle the disconnect of the request's client."""
 
 
 class Attempt:
-    """One attempt: the balancer's side and the server's side of it.
+    """One attempt, as seen by the balancer and by the server.
 
     Attributes:
         request_number: The number of the request at its balancer.
         index: The attempt's index among those of its request.
         server: The server that it goes to.
-        client_request: The request from outside that it is made for.
+        client_request: The outside request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
         is_finished: Whether the balancer has an outcome for it.
         was_sent: Whether the server may have received it.
-        is_connection_closed: Whether the server has seen the end of the balancer's connection.
+        is_connection_closed: Whether the server knows that the balancer has closed the connection.
         stage: Its stage at the server.
-        deadline_ms: Its deadline from the server's point of view: arrival plus timeout.
+        deadline_ms: When the timeout expires, counted by the server from the arrival.
         next_tier_request_number: The number of the server's request to the next tier, at the server's own
             balancer.
     """
@@ -122,7 +122,7 @@
         self.next_tier_request_number: int | None = None
 
     def start(self) -> None:
-        """Send the attempt, or fail to connect where the server refuses connections."""
+        """Send the attempt, or fail to connect if the server refuses connections."""
         server, clock = self.server, self.server.clock
         arrival_ms = clock.now + server.hop_ms
         if server.behaviour is Behaviour.REFUSES:
@@ -155,7 +155,7 @@
         self._on_finished(self, outcome)
 
     def respond(self, status: int) -> None:
-        """Receive the response of the next tier: the server succeeds only if its own request did."""
+        """Receive the response of the next tier; the server succeeds only if that response is 200."""
         self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
 
     def _connect_failed(self, _: None) -> None:
@@ -166,17 +166,18 @@
 
 
 class Server:
-    """One server: it works on an attempt, then sends a request to the next tier through its own balancer.
+    """One server: it works on an attempt, then calls the next tier through its own balancer.
 
-    An attempt occupies one of `workers` slots from the start of the work until the response, or until the
-    balancer closes the connection. Up to `queue` further attempts wait; any more are rejected.
+    An attempt occupies one of `workers` slots from the start of the work until the response, or, while it
+    waits for the next tier, until the balancer closes the connection. Up to `queue` further attempts wait;
+    any more are rejected.
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
         behaviour: What it does with attempts.
         failure_fraction: The fraction of attempts that fail under `Behaviour.FAILS`.
-        in_service: Attempts that occupy a slot.
-        rejected: Attempts that were rejected because the queue was full.
+        in_service: The number of attempts that occupy a slot.
+        rejected: The number of attempts that were rejected because the queue was full.
     """
 
     def __init__(self, name: str, clock: VirtualClock, settings: ChainSettings, model: ServiceModel) -> None:
@@ -209,7 +210,7 @@
             self._send_response(attempt, Outcome.REJECTED)
 
     def on_connection_closed(self, attempt: Attempt) -> None:
-        """Handle the balancer closing the attempt's connection."""
+        """Drop the attempt from the queue, or its request to the next tier; work in progress continues."""
         attempt.is_connection_closed = True
         if attempt.stage is AttemptStage.QUEUED:
             self._queue.remove(attempt)
@@ -221,7 +222,7 @@
             self._release_slot()
 
     def respond(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Respond to an attempt, unless it has finished at this server."""
+        """Respond to an attempt and release its slot, unless it has finished at this server."""
         if attempt.stage is not AttemptStage.FINISHED:
             attempt.stage = AttemptStage.FINISHED
             self._send_response(attempt, outcome)
--- a/testbed/chain/settings.py
+++ b/testbed/chain/settings.py
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainSettings:
-    """The size of a chain, the work of its servers and the limits of its balancers.
+    """The size of a chain, the capacity of its servers and the limits of its balancers.
 
     Attributes:
         depth: The number of tiers of servers.
         request_class: The class of every request.
         servers_per_tier: Servers in each tier; each has its own balancer, except in the last tier.
-        fronts: Balancers that receive requests from outside.
-        hop_ms: The time of a message from one machine to another.
+        fronts: Front balancers, which receive the outside requests.
+        hop_ms: The network latency of a message between two machines.
         service_ms: The mean service time of a server's own work on a request.
         steady_service: Whether service times are constant; else they are exponentially distributed.
-        workers: Requests that a server works on at once; 0 for no limit.
-        queue: Requests that wait at a server; further ones are rejected.
-        max_attempts: Attempts per request that a balancer may make.
+        workers: The limit on requests that a server works on concurrently; 0 for no limit.
+        queue: The limit on requests that wait at a server; any more are rejected.
+        max_attempts: The limit on attempts per request at each balancer.
         may_cancel: Whether a balancer may cancel attempts.
         may_hedge: Whether a balancer may send hedged requests.
     """
@@ -41,7 +41,7 @@
     may_hedge: bool = False
 
     def balancer_settings(self, tier: int) -> Settings:
-        """Return the settings of a balancer that serves a tier; tier 0 is that of the front balancers."""
+        """Return the settings of a balancer in a tier; tier 0 is that of the front balancers."""
         return Settings(
             classes=(self.request_class,),
             balancers=self.servers_per_tier if tier else self.fronts,
@@ -53,10 +53,11 @@
 
 
 class ServiceModel:
-    """Draws service times and failures; each has its own random stream, shared by all servers of a chain."""
+    """Draws service times and failures from two random streams, which all servers of a chain share."""
 
     def __init__(self, settings: ChainSettings, seed: int) -> None:
         self._settings = settings
+        # The text after the seed selects a random stream: another text would change all results.
         self._service_random = random.Random(f"{seed}:service")
         self._failure_random = random.Random(f"{seed}:fate")
 
@@ -68,5 +69,5 @@
         return self._service_random.expovariate(1 / mean_ms)
 
     def fails(self, fraction: float) -> bool:
-        """Draw whether a request fails, with that probability; 1 or more fails every request."""
+        """Draw whether a request fails, with the probability `fraction`; 1 or more fails every request."""
         return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -1,4 +1,4 @@
-"""A child process that runs a part of an experiment and responds to requests over a pipe."""
+"""A child process that runs part of an experiment and responds to requests over a pipe."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from multiprocessing.connection import Connection
 
 STOP_TIMEOUT_S = 10.0
-"""The time in seconds after which a child that has not exited is killed."""
+"""The time in seconds that a child has to exit before it is killed."""
 
 
 class ChildProcess:
@@ -30,7 +30,7 @@
         self._process = context.Process(target=target, args=(child_pipe, *args), daemon=True)
         self._process.start()
         child_pipe.close()
-        self.pid = cast("int", self._process.pid)  # known from the start on
+        self.pid = cast("int", self._process.pid)  # not None once the process has been started
 
     def receive(self) -> Any:
         """Wait for a message from the child."""
@@ -51,7 +51,7 @@
 
 
 def run_child(main: Coroutine[Any, Any, None]) -> None:
-    """Run the main coroutine of a child process on a uvloop event loop."""
+    """Run the main coroutine of a child process on a new uvloop event loop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main)
 
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -1,4 +1,4 @@
-"""The command line, which lists, runs and shows experiments."""
+"""The command-line interface: lists, runs and shows experiments."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from testbed.runs import RUN_KINDS
 
 _EXIT_USAGE = 2
-"""The exit status if a file can't be read, or is not an experiment or result."""
+"""The exit status if a file can't be read, or is not a valid experiment or result."""
 _EXIT_INVALID = 3
 """The exit status if the results of a run are invalid."""
 
@@ -45,14 +45,14 @@
 
 
 def _experiment_path(name: str) -> Path:
-    """Return the path of an experiment given by file or by the name of one in the package."""
+    """Return the path of an experiment, given as a TOML file or as the name of one in the package."""
     path = Path(name)
     return path if path.suffix == ".toml" else EXPERIMENTS_FOLDER / f"{name}.toml"
 
 
 @app.command("list")
 def list_experiments() -> None:
-    """List the experiments in the package, one on each line."""
+    """List the experiments in the package, one per line."""
     for path in sorted(EXPERIMENTS_FOLDER.glob("*.toml")):
         try:
             typer.echo(f"{path.stem:24} {read_plan(path, RUN_KINDS).about}")
@@ -67,7 +67,7 @@
 ) -> None:
     """Run experiments one after another and write a JSON result for each.
 
-    The exit status is 3 if the results of a run are invalid, since its load was late or the cores were full.
+    The exit status is 3 if the results of a run are invalid: its load was late or the cores were saturated.
     """
     _configure_logs()
     log = structlog.get_logger()
--- a/testbed/errors.py
+++ b/testbed/errors.py
@@ -10,7 +10,7 @@
 
 
 class NotConnectedError(TestbedError, InvalidStateError):
-    """A connection was used before its transport existed: a fault of the testbed."""
+    """A connection was used before its transport existed: a bug in the testbed."""
 
     def __init__(self) -> None:
         super().__init__("the connection has no transport yet")
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: one TOML file each, validated before the run starts."""
+"""Experiment files: TOML files that are validated before the run starts."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 class ExperimentError(TestbedError, ValueError):
-    """An experiment's file can't be used; the text is one line that begins with the file's name."""
+    """An experiment file can't be used; the message is one line that begins with the file's name."""
 
     def __init__(self, path: Path, problem: object) -> None:
         super().__init__(f"{path.name}: {' '.join(str(problem).split())}")
 
 
 def formerly(name: str, old_name: str) -> Any:
-    """Define a field that has been renamed, for use within `Annotated`.
+    """Define a plan field that has been renamed, for use in `Annotated`.
 
     Args:
         name: The field's current name.
-        old_name: Its earlier name, which experiment files may still use.
+        old_name: Its earlier name, which experiment files and stored results may still use.
 
     Returns:
-        A pydantic field that is read under either name and written under the current one.
+        A pydantic field that is parsed under either name and serialized under the current one.
     """
     return Field(validation_alias=AliasChoices(name, old_name))
 
 
 class Plan(BaseModel):
-    """The fields that every experiment has; each kind of run adds its own in a subclass."""
+    """The fields that all experiments have; each kind of run adds its own in a subclass."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -53,12 +53,12 @@
     seed: Annotated[int, Field(ge=0)]
     """The seed of all random numbers."""
     sizes: Annotated[tuple[int, ...], Field(min_length=1)]
-    """The sizes to compare, ascending. The kind of run says what they count; a fit needs four or more."""
+    """The sizes to compare, ascending. Each kind of run says what they count; a fit needs at least four."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunKind:
-    """A kind of experiment: the model of its file, and the function that measures it."""
+    """A kind of run: the model of its experiment files, and the function that measures it."""
 
     plan_type: type[Plan]
     measure: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -1,8 +1,8 @@
 """Results of a run: rows, linear fits, and the reasons why they are invalid, if any.
 
-A run returns typed rows, which are converted to JSON objects here when a result is written. The stored
-columns keep their names, so that results of any age can be compared: a column is named after its field, or
-by `stored_as` if the field has been renamed.
+A run returns typed rows, which are converted to JSON objects when a result is written. The names of stored
+columns do not change, so that old and new results can be compared: a column has the name of its field, or
+the one given by `stored_as` if the field has been renamed.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
 LIBRARIES = ("uvloop", "httptools", "typer", "structlog", "hdrhistogram", "psutil", "numpy", "pydantic")
 """The libraries whose versions are stored with each result."""
 OMITTED_IF_NONE = {"omitted_if_none": True}
-"""Metadata of a row's field that is left out of the stored row where it is None; others become null."""
+"""Metadata of a field that is left out of the stored row if it is None; any other None becomes null."""
 
 
 def stored_as(column_name: str) -> Any:
-    """Define a row's field whose column keeps an older name in stored results."""
+    """Define a field of a row whose column has another name in stored results."""
     return field(metadata={"column_name": column_name})
 
 
 def column_name(column: Field[Any]) -> str:
-    """Return the name of the stored column of a row's field: its own, unless `stored_as` gives another."""
+    """Return the name of a field's stored column: that of the field, unless `stored_as` gives another."""
     return str(column.metadata.get("column_name", column.name))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
-    """One row of a run's table; each run defines its columns as fields.
+    """One row of a result; each kind of run defines its columns as the fields of a subclass.
 
-    A field that holds another row contributes the columns of that row, in its place.
+    A field whose value is another row stands for the columns of that row.
     """
 
     def columns(self) -> dict[str, Any]:
-        """Return the values by column name, in the order of the fields."""
+        """Return the values by column name, in the order of the fields; nested rows are flattened."""
         columns: dict[str, Any] = {}
         for column in fields(self):
             value = getattr(self, column.name)
@@ -66,7 +66,7 @@
 class Fit:
     """A least-squares line: y = slope * x + intercept.
 
-    The errors are standard errors in the units of slope and intercept; with two points they are 0.
+    The errors are the standard errors of slope and intercept, in their units; with two points they are 0.
     """
 
     y: str
@@ -83,7 +83,7 @@
 
 
 class UndeterminedSlopeError(TestbedError, ValueError):
-    """Points with fewer than two different x do not determine a slope."""
+    """The points have fewer than two different x, which do not determine a slope."""
 
     def __init__(self, x: str, y: str) -> None:
         super().__init__(f"{y} over {x}: a slope needs two sizes or more")
@@ -93,8 +93,8 @@
     """Fit a line through points by least squares.
 
     Args:
-        x_values: The points' x.
-        y_values: The points' y, of the same number.
+        x_values: The x of each point.
+        y_values: The y of each point.
         x: The name of x.
         y: The name of y.
 
@@ -124,7 +124,7 @@
         rows: The rows.
         y: The column of the dependent variable.
         x: The column of the independent variable.
-        label: The name of y in the fit, if not that of the column.
+        label: The name of y in the fit; by default the name of the column.
 
     Raises:
         UndeterminedSlopeError: There are fewer than two different x.
@@ -143,16 +143,16 @@
 
 @dataclass(slots=True)
 class RunResult(Generic[RowT]):
-    """The results of a run; rows and fits of an invalid run are left out of the written result."""
+    """The results of a run; if they are invalid, rows and fits are not written."""
 
     rows: list[RowT] = field(default_factory=list)
     fits: list[Fit] = field(default_factory=list)
     invalid_reasons: list[str] = field(default_factory=list)
-    """Why the results are invalid, if they are: the load was late, or the cores were saturated."""
+    """Why the results are invalid, such as late load or saturated cores; empty if they are valid."""
 
     @property
     def is_valid(self) -> bool:
-        """Whether there is no reason against the results."""
+        """Whether there is no reason why the results are invalid."""
         return not self.invalid_reasons
 
     def add(self, measured: MeasuredRow[RowT]) -> None:
@@ -196,10 +196,10 @@
 
 
 def write_result(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
-    """Write one result as a JSON file: experiment, machine, versions, and rows and fits if they are valid.
+    """Write a result as a JSON file with the plan, the machine and the versions; rows and fits if valid.
 
     Args:
-        path: The file; missing folders are created.
+        path: The file; missing parent folders are created.
         name: The experiment's name.
         plan: The experiment's plan as a JSON object.
         result: What the run measured.
@@ -223,8 +223,8 @@
     """Format a stored result's rows and fits as plain text.
 
     Raises:
-        KeyError: A part is missing.
-        TypeError: A part has another form.
+        KeyError: A field is missing.
+        TypeError: A field has an unexpected type.
     """
     lines = [f"{stored['experiment']}: {stored['plan']['about']}"]
     lines += [f"no figures: {reason}" for reason in stored["doubts"]]
@@ -238,7 +238,7 @@
 
 
 def _table_lines(rows: list[dict[str, Any]]) -> list[str]:
-    """Format rows as right-aligned lines below a header line; return no lines if there are no rows."""
+    """Format rows as right-aligned columns below a header line; return no lines if there are no rows."""
     if not rows:
         return []
     columns = list(dict.fromkeys(name for row in rows for name in row))
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -1,4 +1,4 @@
-"""Generated settings, endpoint lists and configurations (formats: PROTOCOL, WIRE and DEPLOY pages)."""
+"""Generates settings, endpoint lists and configurations (formats: PROTOCOL, WIRE and DEPLOY pages)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointEntry(TypedDict):
-    """One entry of discovery's list, in the format of the PROTOCOL page."""
+    """One entry of the endpoint list, in the format of the PROTOCOL page."""
 
     name: str
     address: str
@@ -53,15 +53,15 @@
     "tipAfter": 1_000.0,
 }
 RESOURCE_LIMITS = {"cores": 1.0, "memory_mb": 256, "sockets": 1024}
-"""The limits of each balancer: cores, memory in MB and file descriptors."""
+"""The resource limits of each balancer: cores, memory in MB and file descriptors."""
 
 ENDPOINT_TYPES = ("m1", "m2", "m4")
 ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
-"""Weights are drawn from these: a quarter of the endpoints has double weight."""
+"""The weights that are drawn from uniformly, so that about a quarter of the endpoints has double weight."""
 
 ENDPOINT_PORT = 5000
 HOSTS_PER_OCTET = 250
-"""Loopback hosts use 1 to 250 of the last octet and 0 to 249 of the third one."""
+"""In loopback hosts, the last octet goes from 1 to 250 and the third one from 0 to 249."""
 
 
 def balancer_settings(
@@ -71,11 +71,11 @@
 
     Args:
         balancers: The number of balancers in its tier.
-        tier: The tier that it sends to.
+        tier: The tier of the balancer; tier 0 faces the clients.
         pushed: Whether discovery pushes lists; else the balancer polls for them.
         zone: The balancer's zone.
-        overrides: Replacements of top-level parts; those for `limits` and `contract` are merged into the
-            defaults.
+        overrides: Replacements of top-level settings; `limits` and `contract` are merged into the defaults
+            instead.
     """
     settings: dict[str, Any] = {
         "balancers": balancers,
@@ -184,7 +184,7 @@
             nothing listens.
     """
     rng = random.Random(seed)
-    names: dict[str, None] = {}  # in place of a set, since it keeps the order
+    names: dict[str, None] = {}  # not a set, since a dict keeps the order
     while len(names) < count:
         names[f"s-{rng.getrandbits(32):08x}"] = None
     entries = []
--- a/testbed/virtual_clock.py
+++ b/testbed/virtual_clock.py
@@ -1,6 +1,6 @@
 """A virtual clock with an event queue, for discrete-event simulations.
 
-The simulations of the testbed and of the policy's tests use this clock. All times are milliseconds.
+It drives the simulations of the testbed and of the policy's tests. All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
     Attributes:
         now: The current time, in milliseconds from the start of the simulation.
-        events_run: How many callbacks have run so far.
+        events_run: The number of callbacks that have run so far.
     """
 
     def __init__(self, now: float = 0.0) -> None:
@@ -29,7 +29,7 @@
         self._last_sequence_number = 0
 
     def schedule(self, time_ms: float, callback: Callable[[Any], None], argument: Any) -> None:
-        """Schedule `callback(argument)` for a time, or for the current time if that one has passed."""
+        """Schedule `callback(argument)` for a time, or for the current time if the given one has passed."""
         self._last_sequence_number += 1
         heapq.heappush(self._queue, (max(time_ms, self.now), self._last_sequence_number, callback, argument))
 
@@ -37,12 +37,12 @@
         """Run callbacks until the queue is empty or the limit is reached.
 
         Args:
-            max_events: The limit on `events_run`, which includes those of earlier calls.
+            max_events: The limit on `events_run`, which includes the callbacks of earlier calls.
 
         Returns:
             True if the queue is empty, False if the limit was reached first.
         """
-        queue, pop = self._queue, heapq.heappop  # local names: this loop runs millions of times
+        queue, pop = self._queue, heapq.heappop  # local variables are faster in this hot loop
         while queue:
             if self.events_run >= max_events:
                 return False
