--- a/testbed/runs/__init__.py
+++ b/testbed/runs/__init__.py
@@ -1,4 +1,4 @@
-"""The kinds of runs by name; each experiment file names one."""
+"""The kinds of runs by name; the `run` field of an experiment file names one."""
 
 from __future__ import annotations
 
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -1,8 +1,8 @@
-"""The time that a real balancer adds to a request, and its processor time, over the length of the list.
+"""Measures the latency that a real balancer adds, and its processor time, for endpoint lists of each length.
 
 Requests go through the balancer and, at the same time, directly to a few of the upstreams on persistent
-connections. One process sends both and measures their latency from the scheduled time; the upstreams and the
-balancer run in processes of their own.
+connections. One process sends both and measures their latency from the scheduled time; the upstreams run in
+a second process, and the balancer in a third.
 """
 
 from __future__ import annotations
@@ -34,28 +34,29 @@
 _BALANCER_HOST = "127.78.0.1"
 _MIB = 2**20
 _FITTED_COLUMNS = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
+"""The stored columns to fit over the length of the list."""
 
 
 class Plan(load_plan.Plan):
-    """The load; `sizes` count the entries of the list, and the settings give as many balancers."""
+    """The load; `sizes` are lengths of the endpoint list, and the settings state as many balancers."""
 
     service_ms: float
     """The service time of an upstream in milliseconds."""
     direct_servers: int
     """The number of upstreams, from the start of the list, that get direct requests."""
     rest_s: float
-    """The time without load, in seconds, to measure the processor time that is not caused by requests."""
+    """The time without load in seconds, in which the processor time of an idle balancer is measured."""
     measure_s: float
-    """The length of the measured load in seconds."""
+    """The duration of the measured load in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddedTimeRow(Row):
-    """A balancer under load with a list of one length.
+    """The measurements of a balancer under load, with a list of one length.
 
-    Requests go `direct` to the upstreams and `through` the balancer at the same time. The numbers in names
-    are percentiles (999: 99.9). `added` is the percentile through the balancer less the same percentile of
-    direct requests; `over_median` is the percentile through the balancer less the median of direct requests.
+    The numbers in names of latencies are percentiles (999: 99.9), of requests `direct` to the upstreams or
+    `through` the balancer. `added` is the percentile through the balancer minus the same percentile of direct
+    requests; `over_median` is the percentile through the balancer minus the median of direct requests.
     """
 
     entries: int
@@ -76,24 +77,24 @@
     processor_us_per_request: float = stored_as("processor_us_a_call")
     """The balancer's processor time per request."""
     idle_us_per_s: float = stored_as("rest_us_a_s")
-    """The balancer's processor time per second without load."""
+    """The balancer's processor time per second without load, in microseconds."""
     net_us_per_request: float = stored_as("net_us_a_call")
-    """The balancer's processor time per request, without the part that it uses without load."""
+    """The balancer's processor time per request, minus what it uses without load."""
     resident_mib: float
-    """The balancer's resident memory at the end."""
+    """The balancer's resident memory after the load."""
     attempts_per_request: float = stored_as("attempts_a_call")
     opened_connections_per_request: float = stored_as("opened_a_call")
     """Connections opened to upstreams per request."""
     health_checks: int = stored_as("probes")
-    """Health checks at all upstreams."""
+    """Health checks that the upstreams received."""
     p99_lateness_ms: float = stored_as("late_99_ms")
-    """The 99th percentile of the lateness of requests through the balancer."""
+    """The 99th percentile of the lateness with which requests through the balancer were sent."""
     cores_busy: float
     """The fraction of core time that was busy, from 0 to 1."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
-    """Measure each size, and fit lines over the sizes."""
+    """Measure each length of the list, and fit lines over the lengths."""
     result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -106,7 +107,7 @@
 
 
 async def _measure_size(plan: Plan, size: int) -> MeasuredRow[AddedTimeRow]:
-    """Start upstreams, discovery and a balancer, and measure it."""
+    """Start upstreams, discovery and a balancer, and measure the balancer."""
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
@@ -148,7 +149,7 @@
 
 
 class _Measurement:
-    """Measures direct requests and requests through a balancer, and the balancer's usage of the machine."""
+    """Measures direct requests, requests through a balancer, and the balancer's resource usage."""
 
     def __init__(self, plan: Plan, size: int, upstreams: UpstreamProcess, balancer: RealBalancer) -> None:
         self._plan, self._size = plan, size
@@ -168,7 +169,7 @@
         await load.run_streams(self._streams, plan.warm_s, plan.seed + 1)
         idle_us_per_s = await self._measure_idle_us_per_s()
         gc.collect()
-        gc.freeze()  # keeps collections during the measurement short
+        gc.freeze()  # makes garbage collections during the measurement short
         cores = CoresWatch()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
--- a/testbed/runs/control/__init__.py
+++ b/testbed/runs/control/__init__.py
@@ -1,1 +1,1 @@
-"""Runs that measure how balancers follow changes of the endpoint list."""
+"""Runs on the control plane: how balancers follow the endpoint list, and what it costs them."""
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -1,4 +1,4 @@
-"""How fast balancers apply a change of the endpoint list, and what it costs them.
+"""Measures how fast balancers apply a change of the endpoint list, and what it costs them.
 
 Hundreds of hollow balancers and a few real ones follow the list while it changes.
 """
@@ -36,27 +36,30 @@
 
 SECONDS_PER_DAY = 86_400
 _DELAY_COLUMNS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
+"""The stored columns to fit over the number of balancers."""
 _COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
+"""The stored columns to fit over the rate of changes."""
 _REAL_COST_COLUMNS = ("real_core_percent",)
+"""The stored columns to fit over the rate of changes if the plan has real balancers."""
 
 
 class Plan(experiment.Plan):
-    """The changes and the balancers; sizes count the hollow balancers."""
+    """The changes and the balancers; `sizes` are numbers of hollow balancers."""
 
     entries: Annotated[int, Field(gt=0)]
     """The length of the list."""
     changes_per_day: Annotated[float, Field(gt=0)]
     """The baseline rate of changes, each of one entry, per day."""
     multiples: tuple[float, ...]
-    """The measured rates, as multiples of the baseline rate."""
+    """The rates to measure, as multiples of the baseline rate."""
     spans_s: tuple[float, ...]
-    """The length of the measurement at each rate, in seconds."""
+    """The duration of the measurement at each rate, in seconds."""
     processes: Annotated[int, Field(gt=0)]
     """The number of processes for the hollow balancers."""
     real: Annotated[int, Field(ge=0)]
     """The number of real balancers."""
     pushed: bool = True
-    """Whether discovery pushes lists; else balancers poll for them."""
+    """Whether discovery pushes lists; otherwise balancers poll for them."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
@@ -75,7 +78,7 @@
 async def _measure_size(
     plan: Plan, hollow_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
-    """Start a number of hollow balancers and measure each rate, one after another."""
+    """Start hollow and real balancers, and measure the rates one after another."""
     acknowledgements: list[VersionObservation] = []
 
     def on_watch(agent: int, known_version: int, at_s: float) -> None:
@@ -111,7 +114,7 @@
     changes: Iterator[tuple[settings.EndpointEntry, ...]],
     acknowledgements: list[VersionObservation],
 ) -> MeasuredRow[ChangeRow]:
-    """Apply changes at one rate, and measure until every balancer has the last one."""
+    """Apply changes at one rate, and measure until every balancer has the last change."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
     seed = plan.seed + round(1000 * multiple) + group.hollow_count
@@ -125,7 +128,7 @@
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
-    """Fit delays over the number of balancers by rate, and costs over the rate by number of balancers."""
+    """Fit delays over the number of balancers for each rate, and costs over the rate for each number."""
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAY_COLUMNS:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -21,12 +21,15 @@
     from testbed.discovery.agent_state import RequestCounts
 
 FULL_PROCESS_FRACTION = 0.8
-"""The fraction of a core from which on a process's delays include its balancers' waits for one another."""
+"""Results are invalid if a process uses this fraction of a core or more.
+
+Its balancers then wait for one another, which adds to their delays.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DelayColumns(Row):
-    """Delays from a change of the list at discovery, in milliseconds; null if nothing changed.
+    """Delays from a change of the list at discovery until an event, in milliseconds; null if nothing changed.
 
     The hollow balancers of a process apply a change one after another, so their delays are upper bounds.
     """
@@ -36,7 +39,7 @@
     p99_in_force_ms: float | None = stored_as("in_force_ms_99")
     max_in_force_ms: float | None = stored_as("in_force_ms_longest")
     median_everywhere_ms: float | None = stored_as("everywhere_ms_median")
-    """Until all hollow balancers have applied a change; the median over the changes."""
+    """Until all hollow balancers have applied the change; the median over the changes."""
     median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
     """Until the next watch request of a hollow balancer acknowledges the change."""
     p99_acknowledged_ms: float | None = stored_as("taken_up_ms_99")
@@ -65,13 +68,13 @@
     core_percent: float
     """Processor time of a hollow balancer, as a percentage of a core.
 
-    It includes the balancer's part of the measurement of the event loop's lag (less than 1% of a core for
-    each process). This part does not depend on the rate, so the slope over the rate does not include it.
+    It includes a share of the cost of measuring the event loop's lag (less than 1% of a core per process).
+    This cost does not depend on the rate, so the slope over the rate does not include it.
     """
     real_core_percent: float | None
-    """Mean processor time of a real balancer, as a percentage of a core; null if there are none."""
+    """Mean processor time of a real balancer, as a percentage of a core; null if there is none."""
     requests_per_s: float = stored_as("calls_per_s")
-    """Requests of a hollow balancer to discovery."""
+    """Requests from a hollow balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
     snapshots: int = stored_as("whole_lists")
@@ -90,18 +93,18 @@
     processor_s: list[float]
     """Processor time of each process, those of hollow balancers first."""
     counts: RequestCounts
-    """Counts of the requests of hollow balancers to discovery."""
+    """Counts of the requests from hollow balancers to discovery."""
     reports: list[HollowReport]
     p99_lag_s: float
     """The 99th percentile of an event loop's lag; the maximum over all event loops."""
 
 
 class ChangeMeasurement:
-    """Measures a group from the object's creation to `finish`."""
+    """Measures a group from the creation of this object until `finish`."""
 
     def __init__(self, group: BalancerGroup) -> None:
         for process in group.processes:
-            process.report()  # resets the lag that was measured so far
+            process.report()  # discards the lag that was measured so far
         self._group = group
         self._lag = LoopLag(asyncio.get_running_loop())
         self._cores = CoresWatch()
@@ -122,8 +125,8 @@
 
         Args:
             multiple: The rate as a multiple of the baseline rate.
-            max_lateness_s: The maximum lateness of a change.
-            acknowledgements: The versions that watch requests acknowledged, in the order of time.
+            max_lateness_s: The maximum time by which a change was late.
+            acknowledgements: The versions that watch requests acknowledged, in chronological order.
 
         Returns:
             The row, and the reasons why it is invalid, if any.
@@ -193,7 +196,7 @@
 
 
 def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
-    """Return why the measurement is invalid, apart from saturated cores."""
+    """Return why the measurement is invalid, other than because of saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: a loop was {readings.p99_lag_s * 1000:.0f} ms late")
@@ -206,12 +209,12 @@
 
 
 def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionObservation]:
-    """Yield the versions that hollow balancers applied, by process and then by time."""
+    """Yield the versions that hollow balancers applied, in chronological order for each process."""
     for report in reports:
         yield from map(VersionObservation, report.balancers, report.indexes, report.times)
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
-    """Return the processor time of each process so far: those of hollow balancers, then the real ones."""
+    """Return the processor time of each process so far, those of hollow balancers first."""
     pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real_balancers]
     return [usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -15,7 +15,7 @@
 
 
 class VersionObservation(NamedTuple):
-    """An observation: a balancer had a version of the list at a time."""
+    """The observation that a balancer had a version of the list at a time."""
 
     balancer: int
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayQuantiles:
-    """The distribution of delays in milliseconds; None if nothing changed."""
+    """Quantiles of delays in milliseconds; None if nothing changed."""
 
     median: float | None = None
     p99: float | None = None
@@ -40,16 +40,16 @@
 ) -> DelayTable:
     """Compute the delay of each change at each balancer.
 
-    A balancer has a change from the first observation of that version or a later one.
+    A balancer has a change once it is observed with the version of that change or with a later one.
 
     Args:
-        observations: The observations in the order of time; those of other balancers are ignored.
+        observations: The observations, in chronological order for each balancer; other balancers are ignored.
         balancers: The numbers of the balancers.
         first_version: The version of the first change.
         changed_at: The times of the changes in seconds, one for each version from `first_version` on.
 
     Returns:
-        Milliseconds by balancer (rows) and change (columns); infinite if the change was never observed.
+        A table of milliseconds by balancer (rows) and change (columns); infinite if never observed.
     """
     change_versions = np.arange(first_version, first_version + len(changed_at))
     delays = np.full((len(balancers), len(changed_at)), np.inf)
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,6 +1,6 @@
-"""Groups of balancers under one discovery stand-in, for the runs on the control plane.
+"""Groups of balancers with one simulated discovery, for the runs on the control plane.
 
-A group has hollow balancers, spread over a few processes, and real ones with a process each.
+A group has hollow balancers, spread over a few processes, and real ones, each in a process of its own.
 """
 
 from __future__ import annotations
@@ -26,11 +26,14 @@
     from testbed.results import RowT, RunResult
 
 MAX_LATENESS_S = 0.1
-"""Results are invalid if the 99th percentile of an event loop's lag reaches this time, in seconds."""
+"""The limit in seconds on the 99th percentile of an event loop's lag, and on the lateness of a change.
+
+The results are invalid if it is reached.
+"""
 START_TIMEOUT_S = 60.0
-"""The timeout in seconds until all balancers of a group follow the list."""
+"""The time in seconds within which all balancers of a group have to follow the list."""
 FOLLOW_TIMEOUT_S = 10.0
-"""The timeout in seconds until all balancers have the last change."""
+"""The time in seconds within which all balancers have to acknowledge the last change."""
 POLL_INTERVAL_S = 0.01
 """The interval in seconds between two checks of a condition."""
 _REAL_HOST = "127.30.0.{}"
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True)
 class BalancerGroup:
-    """Balancers under one discovery stand-in.
+    """Balancers with one simulated discovery.
 
     The first `hollow_count` agents are those of the hollow balancers; those of the real balancers follow.
     """
@@ -108,7 +111,7 @@
     balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
-    """Start balancers, spread evenly over processes, and wait until all of them follow the list."""
+    """Start hollow balancers, spread evenly over processes, and real ones; wait until all follow the list."""
     group = BalancerGroup(discovery, [], [], hollow_count)
 
     def configuration_text(number: int, listen: str) -> str:
@@ -137,7 +140,7 @@
 
 
 def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Create a discovery stand-in that stops with the stack; `args` are those of `Discovery`."""
+    """Create a simulated discovery that stops when the stack closes; `args` are those of `Discovery`."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -1,4 +1,4 @@
-"""What following an unchanged list costs a real balancer without load, over the length of the list."""
+"""Measures what it costs a real balancer to follow an unchanging list, for each length, without load."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 class Plan(experiment.Plan):
-    """The measurement; sizes count the entries of the list, and the settings give as many balancers."""
+    """The measurement; `sizes` are lengths of the endpoint list, and the settings state as many balancers."""
 
     span_s: Annotated[float, Field(gt=0)]
-    """The length of the measurement in seconds."""
+    """The duration of the measurement in seconds."""
     settle_s: Annotated[float, Field(ge=0)]
-    """The time between the start of the balancers and that of the measurement, in seconds."""
+    """The time from the start of the balancers to that of the measurement, in seconds."""
     hollow: Annotated[int, Field(gt=0)]
-    """The number of hollow balancers for each size, whose requests and bytes are counted."""
+    """The number of hollow balancers for each length of the list, whose requests and bytes are counted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -56,18 +56,18 @@
     descriptors: int
     """Open descriptors of the real balancer."""
     requests_per_s: float = stored_as("calls_per_s")
-    """Requests of the real balancer to discovery."""
+    """Requests from the real balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
     hollow_requests_per_s: float = stored_as("hollow_calls_per_s")
-    """Requests of a hollow balancer to discovery, the mean over all."""
+    """Requests from a hollow balancer to discovery, the mean over all."""
     hollow_bytes_per_s: float
     """Bytes of these requests and their responses."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """The usage of a group's balancers so far, and their exchange with discovery."""
+    """The resource usage of a group so far, and its requests to discovery."""
 
     processor_s: float
     """Processor time of the real balancer."""
@@ -76,7 +76,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
-    """Measure all sizes concurrently, first with pushed lists and then with polling."""
+    """Measure all lengths at the same time, first with pushed lists and then with polling."""
     return run_on_new_loop(_measure_all(plan, log))
 
 
@@ -102,7 +102,7 @@
 async def _start_group(
     stack: AsyncExitStack, plan: Plan, size_index: int, entries: int, *, pushed: bool
 ) -> BalancerGroup:
-    """Start the balancers of one size with a discovery of their own; `size_index` is its index."""
+    """Start the balancers for one length of the list, with a discovery of their own."""
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{size_index}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
@@ -121,7 +121,7 @@
 async def _measure_groups(
     plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
 ) -> None:
-    """Measure all sizes over the span and add a row for each."""
+    """Measure all groups over the same period, and add a row for each."""
     lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
     began = time.monotonic()
     before = [_take_reading(group) for group in groups]
--- a/testbed/runs/depth/__init__.py
+++ b/testbed/runs/depth/__init__.py
@@ -1,1 +1,1 @@
-"""The run that simulates chains of many tiers."""
+"""The run that simulates chains of different depths, with faults."""
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -1,4 +1,4 @@
-"""The plan of the run on depth: the chains, the load and the faults."""
+"""The plan of a depth run: the chains, the load and the faults."""
 
 from typing import Annotated, Literal
 
@@ -15,14 +15,14 @@
 
 
 class Fault(BaseModel):
-    """One fault: the tier, the number of servers, and their behaviour."""
+    """One fault: the faulty servers and their behaviour."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     name: str
     behaviour: Behaviour
     fraction: Annotated[float, Field(gt=0, le=1), formerly("fraction", "part")] = 1.0
-    """The fraction of requests that fail, if the behaviour is to fail."""
+    """The fraction of requests that fail, if the behaviour is `Behaviour.FAILS`."""
     tier: Literal["first", "middle", "bottom"] = "bottom"
     servers: Annotated[int, Field(ge=0)] = 0
     """The number of faulty servers; 0 for all of the tier."""
@@ -33,26 +33,26 @@
 
 
 class Plan(experiment.Plan):
-    """The chains, the load and the faults; sizes count the tiers."""
+    """The chains, the load and the faults; `sizes` are numbers of tiers."""
 
     faults: Annotated[tuple[Fault, ...], Field(min_length=1), formerly("faults", "troubles")]
     """The faults, each of which is simulated at each depth."""
     servers_a_tier: Annotated[int, Field(ge=1)] = 6
-    """Servers in each tier; each has a balancer of its own, except in the last tier."""
+    """The number of servers in each tier; each has a balancer of its own, except in the last tier."""
     fronts: Annotated[int, Field(ge=1)] = 6
-    """Front balancers, which receive the outside requests."""
+    """The number of front balancers, which receive the outside requests."""
     calls_per_s: Positive = 100.0
-    """The mean rate of outside requests, a Poisson process."""
+    """The mean rate of outside requests, which arrive as a Poisson process."""
     warm_s: NonNegative = 5.0
-    """The time before the fault in seconds; with 0 the fault is there from the first request on."""
+    """The time before the fault in seconds; with 0 the fault is present from the first request on."""
     fault_s: Annotated[Positive, formerly("fault_s", "trouble_s")] = 15.0
-    """The length of the fault in seconds."""
+    """The duration of the fault in seconds."""
     after_s: NonNegative = 0.0
     """The time after the fault in seconds; with 0 the fault lasts until the last request has ended."""
     single_call: bool = False
     """Whether only one request arrives during the fault."""
     idempotency: Annotated[Idempotency, formerly("idempotency", "effect")] = Idempotency.SAFE
-    """If keyed, all servers together deduplicate requests for `idempotency_window_ms`."""
+    """If requests are keyed, all servers together deduplicate them for `idempotency_window_ms`."""
     idempotency_window_ms: Annotated[NonNegative, formerly("idempotency_window_ms", "repeat_window_ms")] = (
         2_000.0
     )
@@ -63,17 +63,17 @@
     may_cancel: bool = True
     may_hedge: Annotated[bool, formerly("may_hedge", "may_duplicate")] = False
     hop_ms: NonNegative = 0.2
-    """The time of a message between machines."""
+    """The network latency of a message between two machines."""
     service_ms: NonNegative = 1.0
     """The mean service time of a server's own work on a request."""
     steady_service: bool = False
     """Whether service times are constant; else they are exponentially distributed."""
     workers: Annotated[int, Field(ge=0)] = 64
-    """Requests that a server works on at the same time; 0 for no limit."""
+    """The limit on requests that a server works on concurrently; 0 for no limit."""
     queue: Annotated[int, Field(ge=0)] = 64
-    """Requests that wait at a server; any more are rejected."""
+    """The limit on requests that wait at a server; any more are rejected."""
     events_max: Annotated[int, Field(ge=1), formerly("events_max", "events_most")] = 3_000_000
-    """The limit on events for each depth and fault, after which a simulation is cut short."""
+    """The limit on events of one simulation (one depth and fault), which is cut short when it is reached."""
 
     def chain_settings(self, depth: int) -> ChainSettings:
         """Return the settings of a chain with `depth` tiers."""
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -1,9 +1,9 @@
-"""What a failing server or tier costs in chains of different depths, simulated on a virtual clock.
+"""Simulates faulty servers and tiers in chains of different depths, on a virtual clock.
 
-Sizes are depths in tiers. Outside requests arrive as a Poisson process, independent of the responses, and
-clients do not retry. Each row is one depth under one fault; its attempts are those of the requests that
-arrived during the fault. A simulation that needs more than `events_max` events is cut short: its row is
-marked, its attempts are lower bounds, and the fits leave it out.
+Outside requests arrive as a Poisson process, independent of the responses, and clients do not retry. Each row
+is for one depth and one fault; its attempts are those of the requests that arrived during the fault. A
+simulation that needs more than `events_max` events is cut short: its row is marked, its attempts are lower
+bounds, and it is excluded from the fits.
 """
 
 from __future__ import annotations
@@ -23,6 +23,7 @@
 __all__ = ["Fault", "Plan", "measure"]
 
 _FITTED_COLUMNS = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
+"""The stored columns to fit over depth."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[DepthRow]:
@@ -48,7 +49,7 @@
 
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
-    """Fit the growth over depth as linear, as exponential (ln n over depth) and as power law (log-log)."""
+    """Fit a linear, an exponential (ln y over depth) and a power-law (ln y over ln depth) growth."""
     fitted = [row for row in rows if row.fault == fault and not row.cut_short and row.columns()[column]]
     depths = [row.depth for row in fitted]
     if len(set(depths)) < 2:
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -1,4 +1,4 @@
-"""The simulation of one chain under one fault: its schedule, and its row of the result."""
+"""The simulation of one chain with one fault: its schedule, and its row of the result."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from testbed.runs.depth.plan import Fault, Plan
 
 WINDOW_MS = 500.0
-"""The length of the windows in which requests after the fault are counted."""
+"""The length of the windows by which requests after the fault are counted."""
 SINGLE_REQUEST_DELAY_MS = 1_000.0
 """The time between the end of the warm-up and a single request."""
 _OK = 200
@@ -31,7 +31,7 @@
 
 
 class Phase(enum.IntEnum):
-    """The phase in which a request arrived."""
+    """The phase of the simulation in which a request arrived."""
 
     BEFORE = 0
     """Before the fault."""
@@ -43,30 +43,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServedColumns(Row):
-    """Fractions of outside requests with a 200 response; null if there was no request."""
+    """Fractions of outside requests with a 200 response; null if there were no requests."""
 
     served: float | None
-    """Of all requests that ended."""
+    """Of all requests that have a response."""
     served_before: float | None
-    """Of those before the fault, except the last `WINDOW_MS`, which may be in flight as it begins."""
+    """Of those before the fault, except in the last `WINDOW_MS`: these may be in flight when it begins."""
     served_during: float | None = stored_as("served_while")
     served_after: float | None
     recovery_s: float | None = stored_as("back_after_s")
-    """From the end of the fault to the end of the first window that is served as before; null if none is."""
+    """From the end of the fault to the end of the first window served as before; null if there is none."""
     shed_during: float | None = stored_as("shed_while")
     """The fraction of requests during the fault that were rejected without an attempt."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptColumns(Row):
-    """Attempts for the requests that arrived during the fault; null if there was none."""
+    """Attempts for the requests that arrived during the fault; null if there were no requests."""
 
     bottom_attempts_per_request: float | None = stored_as("bottom_attempts_a_call")
     """Attempts at the last tier per request."""
     bottom_attempts_per_admitted: float | None = stored_as("bottom_attempts_an_admitted")
-    """Attempts at the last tier per request for which any attempt was made."""
+    """Attempts at the last tier per request for which the front balancer made an attempt."""
     max_bottom_attempts: int = stored_as("bottom_attempts_most")
-    """The maximum of attempts at the last tier for one request."""
+    """The maximum number of attempts at the last tier for one request."""
     attempts_a_call_by_tier: list[float | None]
 
 
@@ -75,44 +75,44 @@
     """The cost of the simulation."""
 
     virtual_s: float
-    """Virtual time at the end."""
+    """The virtual time at the end."""
     events: int
     policy_events: int = stored_as("decisions")
-    """Events that policies handled."""
+    """The number of events that policies handled."""
     policy_us_per_event: float = stored_as("machine_us_a_decision")
-    """Measured processing time of the policies per event."""
+    """The measured processing time of the policies per event."""
     elapsed_s: float = stored_as("machine_s")
-    """Measured time of the simulation."""
+    """The measured duration of the simulation."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DepthRow(Row):
-    """A chain of one depth under one fault."""
+    """The result for a chain of one depth with one fault."""
 
     depth: int
     fault: str = stored_as("trouble")
     """The name of the fault in the plan."""
     requests: int = stored_as("calls")
-    """Outside requests."""
+    """The number of outside requests."""
     served: ServedColumns
     attempts: AttemptColumns
     rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected because their queues were full."""
     p50_added_per_tier_ms: float | None = stored_as("added_a_hop_p50_ms")
-    """The median of the time that a tier adds to a served request, beyond messages and mean service time."""
+    """The median of the time per tier of a served request, minus two messages and the mean service time."""
     p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
     """The 99th percentile of the same time."""
     bottom_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
-    """The served fraction of the requests that arrived in each window after the fault."""
+    """The fraction of requests served, by the window after the fault in which they arrived."""
     cut_short: bool
-    """Whether the simulation reached the plan's limit on events, so that its attempts are lower bounds."""
+    """Whether the simulation reached `Plan.events_max`, so that its attempts are lower bounds."""
     work: WorkColumns
 
 
 class Simulation:
-    """The simulation of one chain under one fault."""
+    """The simulation of one chain with one fault."""
 
     def __init__(self, plan: Plan, depth: int, fault: Fault) -> None:
         self._plan, self._fault = plan, fault
@@ -131,13 +131,16 @@
         self._schedule_request(0.0)
 
     def _set_behaviour(self, behaviour: Behaviour) -> None:
-        """Change the behaviour of the servers that the fault affects."""
+        """Set the behaviour of the servers that the fault affects."""
         fault, settings = self._fault, self._chain.settings
         count = fault.servers or settings.servers_per_tier
         self._chain.set_behaviour(fault.tier_number(settings.depth), count, behaviour, fault.fraction)
 
     def _schedule_request(self, previous_ms: float) -> None:
-        """Schedule the request after the one at `now`, unless it would arrive after the end."""
+        """Schedule the request after the one at `previous_ms`, unless it would arrive after the end.
+
+        With `single_call`, an arrival between the warm-up and the end of the fault moves to after the fault.
+        """
         time_ms = previous_ms + self._arrival_rng.expovariate(self._plan.calls_per_s / 1000)
         if self._plan.single_call and self._warm_up_end_ms <= time_ms < self._fault_end_ms:
             time_ms = self._fault_end_ms + time_ms - self._warm_up_end_ms
@@ -154,7 +157,7 @@
         return Phase.DURING if time_ms < self._fault_end_ms else Phase.AFTER
 
     def run(self) -> DepthRow:
-        """Run the simulation to its end or to the limit on events, and return its row."""
+        """Run the simulation until it ends or reaches the limit on events, and return its row."""
         start_s = time.perf_counter()
         chain = self._chain
         is_complete = chain.clock.run(self._plan.events_max)
@@ -189,7 +192,7 @@
         before, during, after = (
             [request for request in requests if request.phase == phase] for phase in Phase
         )
-        # Requests in flight as the fault begins are not representative of the time before it.
+        # Requests in flight when the fault begins do not represent the time before it.
         settled = [request for request in before if request.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
         served_before = _served_fraction(settled)
         shed = [request.status == _UNAVAILABLE and not request.was_attempted for request in during]
@@ -217,7 +220,7 @@
         )
 
     def _added_per_tier_ms(self, requests: Sequence[ClientRequest]) -> list[float]:
-        """Return the time per tier of each served request, less messages and mean service time."""
+        """Return the time per tier of each served request, minus two messages and the mean service time."""
         expected_ms = 2 * self._plan.hop_ms + self._plan.service_ms
         depth = self._chain.settings.depth
         return [
@@ -227,7 +230,7 @@
         ]
 
     def _served_by_window(self, requests: Sequence[ClientRequest]) -> list[float | None]:
-        """Return the served fraction of the requests that arrived in each window after the fault."""
+        """Return the fraction of requests served, by the window after the fault in which they arrived."""
         if not self._plan.after_s:
             return []
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
@@ -259,7 +262,7 @@
 
 
 def _recovery_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
-    """Return the time in seconds to the end of the first window served as before; None if none is."""
+    """Return the time to the end of the first window that is served as before, or None if none is."""
     for i, served in enumerate(windows):
         if served is not None and served_before is not None and served >= served_before:
             return (i + 1) * WINDOW_MS / 1000
--- a/testbed/runs/list_size/__init__.py
+++ b/testbed/runs/list_size/__init__.py
@@ -1,1 +1,1 @@
-"""The run that measures costs over the length of the endpoint list."""
+"""The run that measures the costs of a balancer by the length of its endpoint list."""
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -1,4 +1,4 @@
-"""The processing time of the policy's decisions with an endpoint list of a given length."""
+"""Benchmarks the policy's decisions with an endpoint list of a given length."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     """The measurements of one round."""
 
     arrivals_ns: list[int] = field(default_factory=list)
-    """The policy's processing time of each `RequestReceived`."""
+    """The policy's processing time for each `RequestReceived`."""
     ends_ns: list[int] = field(default_factory=list)
-    """The policy's processing time of each `AttemptFinished`."""
+    """The policy's processing time for each `AttemptFinished`."""
     shed: list[bool] = field(default_factory=list)
     """For each request, whether the policy made no attempt."""
 
@@ -54,7 +54,7 @@
 
 
 class DecisionBenchmark:
-    """Measures a warmed-up policy under a light load of which all attempts succeed."""
+    """Measures a warmed-up policy under a light load, of which all attempts succeed."""
 
     def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> None:
         self._plan = plan
@@ -85,7 +85,7 @@
         return measured
 
     def _finish_attempts(self, measured: DecisionRound) -> None:
-        """Finish the attempts that end before the current time."""
+        """Finish the attempts that have ended by the current time."""
         while self._attempt_ends and self._attempt_ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._attempt_ends)
             finished = AttemptFinished(
@@ -94,7 +94,7 @@
             self._handle(finished, end.at_ms, measured.ends_ns)
 
     def _receive_request(self, measured: DecisionRound) -> None:
-        """Pass the next request to the policy, and schedule the ends of its attempts."""
+        """Pass the next request to the policy, and schedule when its attempts end."""
         self._last_request += 1
         request_class = self._classes[self._last_request % len(self._classes)]
         received = RequestReceived(self._last_request, request_class.name, request_class.deadline_ms)
@@ -108,14 +108,14 @@
             heapq.heappush(self._attempt_ends, _AttemptEnd(end_ms, self._last_request, attempt.endpoint))
 
     def _handle(self, event: Event, now_ms: float, durations_ns: list[int]) -> Sequence[Action]:
-        """Pass an event to the policy, and record the processing time."""
+        """Pass an event to the policy, and record its processing time."""
         start_ns = time.perf_counter_ns()
         actions = self._balancer.handle(event, now_ms)
         durations_ns.append(time.perf_counter_ns() - start_ns)
         return actions
 
     def row(self, quick_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
-        """Return one row for all quick rounds."""
+        """Return the row that combines all quick rounds."""
         arrivals_ns = [duration_ns for measured in quick_rounds for duration_ns in measured.arrivals_ns]
         ends_ns = [duration_ns for measured in quick_rounds for duration_ns in measured.ends_ns]
         return DecisionRow(
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -1,4 +1,4 @@
-"""The cost of applying a snapshot of a given length, and a delta with one entry."""
+"""Benchmarks the application of snapshots of a given length, and of deltas with one entry."""
 
 from __future__ import annotations
 
@@ -76,19 +76,19 @@
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
         self._upstreams = UpstreamPools(configuration, loop)
-        loop.close()  # applying a list opens no connection
+        loop.close()  # not needed any more: applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _START_MS
         self._change_count = 0
         self._discovery.replace_entries(self._entries)
-        # The first list creates the state that later ones update.
+        # The first list creates the state that the measured ones update.
         self._apply_update(self._discovery.list_response(-1).body)
         self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         freeze_live_objects()
 
     def _apply_update(self, body: bytes) -> UpdateTimes:
-        """Apply a response of discovery with the steps of the program, and return their times."""
+        """Apply a response of discovery in the same steps as the program, and return their times."""
         self._now_ms += _UPDATE_INTERVAL_MS
         start_ns = time.perf_counter_ns()
         raw = json.loads(body)
@@ -118,7 +118,7 @@
         return measured
 
     def _next_delta(self) -> bytes:
-        """Change the weight of the next entry, and return discovery's response with the delta."""
+        """Change the weight of the next entry, and return the body of discovery's response with the delta."""
         version = self._discovery.index
         self._change_count += 1
         entry = self._entries[self._change_count % len(self._entries)]
@@ -128,7 +128,7 @@
         return body
 
     def row(self, quick_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
-        """Return one row for all quick rounds, with the memory measured now."""
+        """Return the row that combines all quick rounds; the memory is measured now."""
         lists = [times for measured in quick_rounds for times in measured.lists]
         deltas = [times for measured in quick_rounds for times in measured.deltas]
         return ListRow(
@@ -162,7 +162,7 @@
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
-        # No variable refers to the configuration: parts that the balancer drops must not be counted.
+        # No variable may refer to the configuration: the parts that the balancer drops must not be counted.
         hollow = HollowBalancer(
             read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
         )
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -1,4 +1,4 @@
-"""The plan of the run on list sizes, and the configurations of the balancers that it measures."""
+"""The plan of a list-size run, and the configurations of the balancers that it measures."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from testbed import experiment, settings
 
 EndpointUse = Literal["part", "all"]
-"""Whether a balancer uses a subset of the endpoints, as one of many, or all, as the only balancer."""
+"""Which endpoints a balancer uses: a subset ("part") as one of many balancers, or all as the only one."""
 
 
 class Plan(experiment.Plan):
-    """The load, the updates and the rounds; sizes count the entries of the list."""
+    """The load, the updates and the rounds; `sizes` are lengths of the endpoint list."""
 
     tiers: tuple[int, ...] = (0, 1)
-    """The tiers that balancers send to; only balancers of the first one shed load."""
+    """The tiers of the measured balancers, of which only tier 0 sheds load."""
     calls_per_s: Annotated[float, Field(gt=0)]
     """The rate of requests on the balancer's virtual clock."""
     service_ms: Annotated[float, Field(gt=0)]
-    """The mean of the exponentially distributed service times."""
+    """The mean service time; service times are exponentially distributed."""
     warm_calls: Annotated[int, Field(ge=0)]
-    """Requests before the measured ones."""
+    """The number of requests before the measured ones."""
     calls: Annotated[int, Field(gt=0)]
-    """Requests in a round."""
+    """The number of requests in a round."""
     deltas: Annotated[int, Field(gt=0)]
-    """Deltas of one entry in a round."""
+    """The number of deltas in a round, each of one entry."""
     lists: Annotated[int, Field(gt=0)]
-    """Snapshots in a round."""
+    """The number of snapshots in a round."""
     rounds: Annotated[int, Field(gt=0)]
-    """The number of quick rounds that a cell needs."""
+    """The number of quick rounds that a benchmark needs."""
     rounds_max: Annotated[int, Field(gt=0), experiment.formerly("rounds_max", "rounds_most")]
-    """The limit on rounds of a cell, whether quick or not."""
+    """The limit on rounds of a benchmark, whether quick or not."""
 
 
 def configuration(plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> Configuration:
-    """Return the configuration of the balancer in one cell, read by the program's own reader.
+    """Return the configuration of the balancer in one benchmark, read by the program's own reader.
 
     Args:
         plan: The plan of the run.
         entries: The length of the list.
         endpoint_use: Whether it uses a subset of the endpoints or all of them.
-        tier: The tier that it sends to.
+        tier: The tier of the balancer.
     """
     return read_configuration(configuration_text(plan, entries, endpoint_use, tier), ignore_message)
 
@@ -66,7 +66,7 @@
 
 
 def freeze_live_objects() -> None:
-    """Exempt all existing objects from later garbage collections, as the program does after its start."""
+    """Exempt all live objects from later garbage collections, as the program does after its start."""
     gc.unfreeze()
     gc.collect()
     gc.freeze()
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -1,8 +1,8 @@
-"""Repeated measurement in rounds, of which only those on an undisturbed core count.
+"""Runs benchmarks in rounds, of which only those on an undisturbed core count.
 
-The speed of a core depends on its sibling hyperthread: a busy sibling nearly halves it. Each cell is
-therefore measured in short rounds, each between two runs of a fixed reference computation, and only rounds
-between two quick references count.
+The speed of a core depends on its sibling hyperthread: a busy sibling nearly halves it. Each benchmark is
+therefore run in short rounds, with a fixed reference computation before and after each round, and only
+rounds between two quick references count.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
     from collections.abc import Callable, Sequence
 
 REFERENCE_REPETITIONS = 20
-"""The number of computations in one reading of the reference, which is their median."""
+"""The number of repetitions of the reference computation, of which the median is one reading."""
 INITIAL_REFERENCES = 100
-"""The number of readings at the start, whose minimum is the time on an undisturbed core."""
+"""The number of readings at the start; their minimum is the time on an undisturbed core."""
 MAX_QUICK_RATIO = 1.25
-"""A reference is quick up to this ratio to the minimum; on a core with a busy sibling it is nearly 2."""
+"""The maximum ratio of a quick reference to the minimum; on a core with a busy sibling it is nearly 2."""
 _NS_PER_US = 1e3
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoundColumns(Row):
-    """The rounds behind a row."""
+    """The rounds that a row is based on."""
 
     rounds: int
-    """The number of quick rounds, from which the row is computed."""
+    """The number of quick rounds, which the row is computed from."""
     rounds_run: int = stored_as("rounds_played")
     reference_us: float
-    """The maximum of the references of the quick rounds, in microseconds."""
+    """The slowest reference of the quick rounds, in microseconds."""
 
 
 RoundT = TypeVar("RoundT")
@@ -45,17 +45,17 @@
 
 
 class Benchmark(Protocol[RoundT, RowT_co]):
-    """One combination of size and settings, which is measured in rounds."""
+    """A benchmark with one combination of list length and settings."""
 
     @property
     def identity(self) -> Row:
-        """The columns that identify the cell."""
+        """The columns that identify the benchmark."""
 
     def run_round(self) -> RoundT:
         """Run one round."""
 
     def row(self, quick_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
-        """Return one row for all quick rounds, which includes `columns`."""
+        """Return the row that combines all quick rounds and includes `columns`."""
 
 
 def reference_us() -> float:
@@ -70,18 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _MeasuredRound:
-    """A round, and the longer of the references before and after it."""
+    """The measurements of a round, and the slower of the references before and after it."""
 
     reference_us: float
     measured: Any
 
 
 class BenchmarkRunner(Generic[RowT]):
-    """Measures cells in rounds until enough of them were quick.
+    """Runs rounds of each benchmark until enough of them were quick.
 
     Args:
-        quick_rounds: The number of quick rounds that each cell needs.
-        max_rounds: The limit on rounds of a cell.
+        quick_rounds: The number of quick rounds that each benchmark needs.
+        max_rounds: The limit on rounds of a benchmark.
         reference: Returns a reading of the reference in microseconds.
     """
 
@@ -94,7 +94,7 @@
         return measured_round.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
 
     def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
-        """Run rounds of a cell until enough were quick by the current minimum, or the limit is reached."""
+        """Run rounds until enough were quick, compared with the minimum so far, or the limit is reached."""
         rounds: list[_MeasuredRound] = []
         before = self._reference()
         while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
@@ -106,7 +106,7 @@
         self._measured_benchmarks.append((benchmark, rounds))
 
     def result(self) -> RunResult[RowT]:
-        """Return the rows of all cells; the result is invalid if a cell has no quick round."""
+        """Return the rows of all benchmarks; the result is invalid if one of them has no quick round."""
         result: RunResult[RowT] = RunResult()
         for benchmark, rounds in self._measured_benchmarks:
             quick = list(filter(self._is_quick, rounds))
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -1,4 +1,4 @@
-"""The rows of the run on list sizes, and the growth of their costs from one size to the next."""
+"""The rows of a list-size run, and the growth of their costs from one length to the next."""
 
 import math
 from collections.abc import Sequence
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BenchmarkIdentity(Row):
-    """The columns that identify a cell."""
+    """The columns that identify a benchmark."""
 
     measured: Literal["decision", "list"]
     entries: int
     """The length of the list."""
     keeps: EndpointUse
     tier: int
-    """The tier that the balancer sends to."""
+    """The tier of the balancer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DecisionRow(Row):
     """Processing times of the policy in microseconds.
 
-    `arrival` is the arrival of a request, `end` the end of an attempt that succeeded. A growth column is the
-    exponent of the length of the list with which the cost grew from the previous size.
+    `arrival` is for the arrival of a request, `end` for the end of a successful attempt. For growth columns
+    see `with_growth`.
     """
 
     identity: BenchmarkIdentity
@@ -41,7 +41,7 @@
     shed: int
     """Requests for which no attempt was made."""
     endpoints_called: int = stored_as("servers_called")
-    """Endpoints that requests were sent to, including those of the warm-up."""
+    """The number of endpoints that got an attempt, in the warm-up or later."""
     rounds: RoundColumns
     arrival_us_mean_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
     arrival_us_99_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -53,8 +53,7 @@
     """Median processing times of snapshots (in milliseconds) and of deltas with one entry (in microseconds).
 
     `parse` is the parsing of JSON, `read` the validation and conversion, `pools` the update of connection
-    pools, `module` that of the policy, `total` the sum. A growth column is the exponent of the length of the
-    list with which the cost grew from the previous size.
+    pools, `module` that of the policy, `total` the sum. For growth columns see `with_growth`.
     """
 
     identity: BenchmarkIdentity
@@ -87,16 +86,16 @@
 
 
 def with_growth(rows: Sequence[ListSizeRow]) -> list[ListSizeRow]:
-    """Add to each row the exponents of growth of its costs since the previous size.
+    """Add to each row how its costs grew with the length of the list since the previous length.
 
-    The exponent is ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is proportional to
-    the length.
+    The growth is the exponent ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is
+    proportional to the length.
 
     Args:
-        rows: Rows of all sizes, ascending.
+        rows: Rows of all lengths, ascending.
 
     Returns:
-        The rows in the same order; those of the first size are unchanged.
+        The rows in the same order; those of the first length are unchanged.
     """
     previous_rows: dict[tuple[str, str, int], ListSizeRow] = {}
     rows_with_growth: list[ListSizeRow] = []
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,8 +1,8 @@
-"""The costs of a balancer over the length of its list: decisions, deltas, snapshots, memory and bytes.
+"""Measures the costs of a balancer by the length of its list: decisions, updates, memory and bytes.
 
-The run measures the real policy and the real connection pools in one process, on a virtual clock. Each size
-is measured for a balancer that uses a subset of the endpoints, with as many balancers as endpoints, and for
-the only balancer, which uses all endpoints.
+The run drives the real policy and the real connection pools in one process, on a virtual clock. It measures
+each length twice: for a balancer that uses a subset of the endpoints, since there are as many balancers as
+endpoints, and for the only balancer, which uses all endpoints.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
-    """Measure every size with a subset and with all endpoints, at every tier."""
+    """Measure every length of the list, with a subset and with all endpoints, at every tier."""
     cores = CoresWatch()
     runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
@@ -64,7 +64,7 @@
 
 
 def _fits(plan: Plan, rows: list[ListSizeRow], endpoint_use: EndpointUse) -> list[Fit]:
-    """Fit costs over the length of the list, for balancers with a subset or with all endpoints."""
+    """Fit costs over the length of the list, with a subset or with all endpoints."""
     fits = []
     matching = [row for row in rows if row.identity.keeps == endpoint_use]
     for tier in plan.tiers:
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -1,4 +1,4 @@
-"""A chain of tiers that are connected by real balancers, and a chain of the same depth without balancers."""
+"""A chain of upstreams with real balancers between the tiers, and one of the same depth without balancers."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 if TYPE_CHECKING:
     from testbed.upstream.connection import ReceivedRequest
 
-_TIER_SIZE = 2  # upstreams in each tier, and balancers that send to each tier
+_TIER_SIZE = 2
+"""The number of upstreams in each tier, and of balancers that send to each tier."""
 _START_BATCH_SIZE = 8
+"""The number of balancers that are started before waiting until they are ready."""
 
 
 class RealChain:
-    """Tiers of upstreams that are connected by real balancers, and upstreams that are connected directly.
+    """Tiers of upstreams with real balancers between them, and a direct chain without balancers.
 
     Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two front
-    balancers send to the first tier.
+    balancers send to the first tier. The direct chain has one upstream in each tier.
     """
 
     def __init__(self, seed: int, depth: int) -> None:
@@ -35,9 +37,9 @@
         self.tiers: list[list[Upstream]] = []
         self.balancers: list[RealBalancer] = []
         self.front_clients: list[http_client.Client] = []
-        """The clients of the front balancers."""
+        """Clients that send to the front balancers."""
         self.direct_client: http_client.Client
-        """The client of the chain without balancers."""
+        """A client that sends to the direct chain."""
         self.deadlines_ms: list[float] = []
         """The deadlines of the requests that reached the last tier."""
 
@@ -52,7 +54,7 @@
             upstream.on_request = self._record_deadline
 
     async def _start_direct(self) -> None:
-        """Start the chain without balancers, with one upstream in each tier."""
+        """Start the direct chain."""
         upstreams = await self._upstreams.start(self._depth)
         for upstream, next_upstream in itertools.pairwise(upstreams):
             upstream.forward = forward_through(
@@ -83,7 +85,7 @@
             await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
-        """Return the configuration of a balancer that sends to a tier, counted from 0."""
+        """Return the configuration of balancer `number` that sends to `tier`, both counted from 0."""
         return settings.configuration_text(
             f"n{tier}-{number}",
             free_address(f"127.78.{tier}.{number + 1}"),
@@ -106,7 +108,7 @@
         self.deadlines_ms.append(request.deadline_ms)
 
     def attempts(self) -> list[int]:
-        """Return the number of attempts so far at each tier."""
+        """Return the number of attempts at each tier so far."""
         return [sum(upstream.counts.requests for upstream in tier) for tier in self.tiers]
 
     async def stop(self) -> None:
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -1,7 +1,7 @@
-"""Real balancers in deep chains: the time they add, the deadline at the last tier, and faults there.
+"""Measures real balancers in deep chains: added latency, deadlines at the last tier, and faults there.
 
 Direct requests go through a chain of the same depth without balancers, with one upstream in each tier; the
-difference in latency is the time that the balancers add.
+difference in latency is what the balancers add.
 """
 
 from __future__ import annotations
@@ -37,26 +37,28 @@
     ("hangs", Behaviour(UpstreamMode.HANG)),
     ("back after hanging", _NO_FAULT),
 )
+"""The name of each phase, and the behaviour of the last tier in it."""
 
 
 _FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
+"""The stored columns to fit over depth."""
 _OK = 200
 _REJECTED_STATUSES = (503, 429)
 _MIB = 2**20
 
 
 class Plan(load_plan.Plan):
-    """The load and the faults; `sizes` count the tiers, and so the balancers that a request passes."""
+    """The load and the faults; `sizes` are numbers of tiers, and so of balancers that a request passes."""
 
     faults_at: tuple[int, ...]
-    """The sizes at which the last tier fails, hangs and recovers; the others have no faults."""
+    """The sizes at which the last tier fails, hangs and recovers; the other sizes have no faults."""
     phase_s: float
-    """The length of each phase in seconds."""
+    """The duration of each phase in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimeColumns(Row):
-    """Latency quantiles in milliseconds of requests with a 200 response; `added` is the difference."""
+    """Latency percentiles of requests with a 200 response; `added` is `through` minus `direct`."""
 
     direct_50_ms: float
     through_50_ms: float
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RealDepthRow(Row):
-    """A chain of one depth in one phase."""
+    """The measurements of a chain of one depth in one phase."""
 
     depth: int
     """The number of tiers, and so of the balancers that a request passes."""
@@ -89,9 +91,9 @@
     failed: int
     """All other requests."""
     last_unserved_s: float
-    """The last scheduled time, from the start of the phase, of a request not served; 0 if all were."""
+    """The scheduled time, from the start of the phase, of the last request not served; 0 if all were."""
     times: TimeColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
-    """Omitted if no request, direct or through the balancers, was served."""
+    """Omitted if no direct request, or none through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no request reached the last tier."""
     first_tier_attempts_per_request: float = stored_as("attempts_top")
@@ -100,15 +102,15 @@
     """Attempts at the last tier per request."""
     attempts_by_tier: list[int]
     processor_us_per_request: float = stored_as("processor_us_a_call")
-    """Processor time of all balancers per request."""
+    """Processor time of all balancers per request, in microseconds."""
     resident_mib: float
-    """Resident memory of all balancers at the end."""
+    """Resident memory of all balancers after the phase."""
     cores_busy: float
     """The fraction of core time that was busy, from 0 to 1."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each size and phase, and fit lines over the phases without fault."""
+    """Measure each depth and phase, and fit lines over the depths without fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -122,7 +124,7 @@
 async def _measure_depth(
     plan: Plan, depth: int, result: RunResult[RealDepthRow], log: FilteringBoundLogger
 ) -> None:
-    """Start a chain and measure its phases."""
+    """Start a chain and measure its phases one after another."""
     chain = RealChain(plan.seed, depth)
     try:
         await chain.start()
