--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -1,4 +1,4 @@
-"""Simulated chains: the events that a balancer's host passes on, and the actions that it carries out."""
+"""Simulated chains: the events that a balancer's host passes to the policy, and how it performs actions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,7 +23,8 @@
 from testbed.chain.server import Behaviour
 from testbed.chain.settings import ChainSettings
 
-HOP_MS, SERVICE_MS = 0.25, 1.0  # binary fractions: sums of them are exact
+# Binary fractions, whose sums are exact.
+HOP_MS, SERVICE_MS = 0.25, 1.0
 Script = Callable[[Event, float], list[Action]]
 
 
@@ -45,7 +46,7 @@
 
 
 class RecordedEvents:
-    """Records the events of all balancers by tier; the front balancer may be replaced by a script."""
+    """Records the events of all balancers by tier; a script can replace the policy of the front balancer."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, front: Script | None = None) -> None:
         self.events: list[tuple[int, float, Event]] = []
@@ -97,7 +98,7 @@
     [(at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
     assert (finished.outcome, at, finished.is_request_complete) == (outcome, duration_ms, served)
-    # A class that is safe to retry is rejected, not failed.
+    # Requests that are safe to retry get 503 and not 502.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == duration_ms
     assert all(front.open_requests == 0 for front in chain.fronts)
@@ -113,7 +114,7 @@
 
 
 def test_failure_of_the_next_tier_fails_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The response of its own balancer does not matter: here it says that a retry is harmless."""
+    """A server responds 500 even if the response of its own balancer says that a retry is safe."""
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(2, max_attempts=1), 1)
     chain.set_behaviour(2, 2, Behaviour.REJECTS)
@@ -129,7 +130,7 @@
     chain.send_request(0)
     run_to_end(chain)
     arrived = [[e.remaining_ms for _, e in recorded.events_of(tier, RequestReceived)] for tier in range(4)]
-    # Each balancer reserves 10 ms for its response; each server works for 1 ms before its own request.
+    # Each balancer reserves 10 ms for its response; each server works for 1 ms before it calls the next tier.
     assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
     assert chain.client_requests[0].status == 200
     assert chain.client_requests[0].finished_at_ms == 4 * (2 * HOP_MS + SERVICE_MS)
@@ -137,7 +138,7 @@
 
 
 def cancel_at(time_ms: float) -> Script:
-    """Return a front that starts an attempt at once and cancels it at a time."""
+    """Return a script that starts an attempt at once and cancels it at a given time."""
 
     def act(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -156,7 +157,7 @@
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     run_to_end(chain)
-    # The end of the connection takes one hop to each server, whose balancer then cancels its own attempt.
+    # Each server notices the closed connection one hop later, and its balancer then cancels its own attempt.
     assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (100.0, Outcome.CANCELLED)
     ]
@@ -179,7 +180,7 @@
     run_to_end(chain)
     assert [now for now, _ in recorded.events_of(1, ClientDisconnected)] == [100.0 + HOP_MS]
     assert recorded.events_of(2, ClientDisconnected) == []
-    # The next tier timed out and responded 500, which was no longer needed.
+    # The next tier timed out and responded 500 after this request had ended.
     [(_, finished)] = recorded.events_of(1, AttemptFinished)
     assert finished.outcome is Outcome.ERROR
     assert finished.is_request_complete
@@ -196,8 +197,8 @@
     for _ in range(3):
         chain.send_request(0)
     run_to_end(chain)
-    # The first is in service when it times out and keeps its slot until it is done; the second is queued and
-    # leaves the queue; the third is served after the first.
+    # The first request is in service when it times out, and keeps its slot until the work is done. The second
+    # one is queued when it times out, and leaves the queue. The third one is served after the first.
     assert [(e.request_id, now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (1, 0.75, Outcome.TIMED_OUT),
         (2, 0.75, Outcome.TIMED_OUT),
@@ -221,7 +222,7 @@
             case TimerFired(HedgeTimer(3)):
                 return [StartAttempt(1, "t1-0", 0.0), StartAttempt(1, "t1-0", 0.0)]
             case AttemptFinished(attempt_index=3):
-                return [CancelAttempt(1, 4)]  # handled only once both actions have been carried out
+                return [CancelAttempt(1, 4)]  # performed after both attempts have been started
         return []
 
     recorded = RecordedEvents(monkeypatch, act)
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -1,4 +1,4 @@
-"""The runs on the control plane: balancers at rest, and while the list changes."""
+"""The runs on the control plane, with an unchanging list and with a changing one."""
 
 import logging
 from dataclasses import astuple
@@ -15,14 +15,14 @@
 from testbed.runs.control.delays import DelayQuantiles, VersionObservation, delay_quantiles, delays_ms
 from testbed.settings import balancer_settings
 
-# A logger of its own: tests of the command line leave the shared one with a closed output.
+# Not the shared logger, whose output is closed by the tests of the command line.
 DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
 
 
 def test_delay_ends_at_first_version_that_includes_the_change() -> None:
-    # Versions 5, 6 and 7; balancer 1 gets 5 and 6 together, balancer 2 never gets 7.
+    # The changes are versions 5, 6 and 7. Balancer 1 gets 5 and 6 together; balancer 2 never gets 7.
     times = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
     observations = [VersionObservation(*time) for time in times]
     delays = delays_ms(observations, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
@@ -50,7 +50,7 @@
         assert row["core_percent"] > 0
         assert row["real_core_percent"] > 0
         assert row["bytes_per_s"] > 0
-    assert {row.snapshots for row in result.rows} == {0}  # all followed the list from the start
+    assert {row.snapshots for row in result.rows} == {0}  # all balancers had the list before the measurement
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in result.fits}
 
 
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -1,4 +1,4 @@
-"""The run on chains of different depths."""
+"""The depth run: simulated chains with faults."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 
 def run_depth(**changes: Any) -> RunResult[Any]:
-    with capture_logs():  # tests of the command line leave the shared logger with a closed output
+    with capture_logs():  # the tests of the command line close the output of the shared logger
         return depth_run.measure(plan(**changes), structlog.get_logger())
 
 
@@ -90,7 +90,7 @@
     assert one.tier_number(1) == 1
     [row] = rows(sizes=(4,), faults=[fault])
     by_tier = row["attempts_a_call_by_tier"]
-    # Only at that tier do requests need a second attempt, until the faulty server is ejected.
+    # Requests need a second attempt only at the faulty tier, until the faulty server is ejected.
     assert [n > before for before, n in zip([1.0, *by_tier], by_tier, strict=False)] == [
         tier == faulty_tier for tier in (1, 2, 3, 4)
     ]
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -1,4 +1,4 @@
-"""The run on list sizes."""
+"""The list-size run: benchmarks, growth and quick rounds."""
 
 import logging
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 from testbed.runs.list_size.rows import BenchmarkIdentity, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
-# A logger of its own: tests of the command line leave the shared one with a closed output.
+# Not the shared logger, whose output is closed by the tests of the command line.
 DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
@@ -53,7 +53,7 @@
         steps_ms = sum(row[f"list_{step}_ms"] for step in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
-        assert row["memory_kib"] > row["entries"]  # the list alone takes less than 1 KiB an entry
+        assert row["memory_kib"] > row["entries"]  # more than the list, which takes less than 1 KiB per entry
     slopes = {fit.y: fit for fit in result.fits}
     assert slopes["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
@@ -119,11 +119,11 @@
         result = runner.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
-    # A slow reference before or after a round excludes the round; enough quick rounds end the measurement.
+    # A slow reference before or after a round excludes the round; rounds end once enough were quick.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
     assert measure_rounds(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
-    # A quicker reference later makes the earlier rounds slow.
+    # A later reference lowers the minimum, so that the earlier rounds no longer count as quick.
     rows, reasons = measure_rounds(3, 3, 10.0, 10.0, 6.0, 6.0)
     assert [row["round"] for row in rows] == [[3.0]]
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -1,4 +1,4 @@
-"""The runs that load real balancers: added time and real depth."""
+"""The runs that send load through real balancers: added time and real depth."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 LOG = structlog.wrap_logger(
     structlog.testing.CapturingLogger(), processors=[]
-)  # independent of the configuration by other tests
+)  # not affected by how other tests configure logging
 
 
 def test_added_time_measures_both_paths_and_reports_late_load() -> None:
@@ -21,7 +21,7 @@
         about="A trial.",
         seed=5,
         sizes=(3,),
-        per_s=50.0,  # one at a time: if requests overlap on a slow machine, the balancer sheds some
+        per_s=50.0,  # so few that requests hardly overlap: on a slow machine, the balancer sheds some that do
         class_name="look-up",
         deadline_ms=2_000.0,
         service_ms=0.0,
--- a/tests/testbed/support/loads.py
+++ b/tests/testbed/support/loads.py
@@ -1,4 +1,4 @@
-"""Clocks and requests for the tests of the load and of the hollow upstreams."""
+"""A simulated clock and a function that sends requests, for the tests of the load and of upstreams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SteppingClock:
-    """A clock that advances by the length of each sleep, and by `step` seconds with each reading.
+    """A clock that advances by the duration of each sleep, and by `step` seconds on each reading.
 
     The first sleep takes `stall` seconds longer.
     """
@@ -23,7 +23,7 @@
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        await asyncio.sleep(0)  # runs the callbacks that are ready
+        await asyncio.sleep(0)  # lets the event loop run the callbacks that are ready
         self.now += max(seconds, 1e-4) + self._stall
         self._stall = 0.0
 
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -1,4 +1,4 @@
-"""The testbed's command line."""
+"""The command-line interface of the testbed."""
 
 import json
 from pathlib import Path
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files."""
+"""Reading and validating experiment files."""
 
 from pathlib import Path
 from typing import Annotated
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -1,4 +1,4 @@
-"""The testbed's rows, fits and result files."""
+"""Rows, fits and result files of the testbed."""
 
 import json
 from dataclasses import dataclass, field
@@ -52,7 +52,7 @@
     assert (exact.y, exact.x, exact.points) == ("ms", "n", 4)
     assert (exact.slope, exact.intercept) == pytest.approx((3.0, 2.0))
     assert exact.slope_error == pytest.approx(0.0, abs=1e-9)
-    # Calculated by hand: residuals -0.5, 1, -0.5 of one degree of freedom, over a spread of 2.
+    # Calculated by hand: residuals -0.5, 1, -0.5, one degree of freedom, squared deviations of x sum to 2.
     noisy = fit_columns(points((0, 0.0), (1, 2.0), (2, 1.0)), "ms", "n", label="ms (noisy)")
     assert noisy == fit_line([0, 1, 2], [0.0, 2.0, 1.0], x="n", y="ms (noisy)")
     assert (noisy.slope, noisy.intercept) == pytest.approx((0.5, 0.5))
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -1,4 +1,4 @@
-"""The testbed's generated settings and endpoint lists."""
+"""Settings and endpoint lists that the testbed generates."""
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.settings import Idempotency
@@ -47,5 +47,5 @@
     assert {zones.count(zone) for zone in zones} == {10}
     assert len({zone.partition("-")[0] for zone in zones}) == 8
     assert len({e["name"] for e in entries}) == len({e["address"] for e in entries}) == 290
-    # The WIRE page: no two zones share a group's number.
+    # As the WIRE page requires, no group number is used in two zones.
     assert len({(e["zone"], e["group"]) for e in entries}) == len({e["group"] for e in entries})
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -1,4 +1,4 @@
-"""Stored results have the columns of today's rows, so that they can be compared."""
+"""Stored results have the columns of the current rows and can be shown, so that they can be compared."""
 
 import json
 from collections.abc import Iterator
@@ -32,7 +32,7 @@
 
 
 def column_names(row_type: type[Row]) -> Iterator[str]:
-    """Yield the columns that rows of a type can have, in their order."""
+    """Yield the columns that rows of a type can have, in order."""
     hints = get_type_hints(row_type)
     for column in fields(row_type):
         types = get_args(hints[column.name]) or (hints[column.name],)
--- a/tests/testbed/test_virtual_clock.py
+++ b/tests/testbed/test_virtual_clock.py
@@ -1,4 +1,4 @@
-"""The virtual clock of simulations."""
+"""The virtual clock of the simulations."""
 
 from __future__ import annotations
 
