--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -50,7 +50,7 @@
     """The policy started a health check, which the settings of a simulated chain do not enable."""
 
     def __init__(self) -> None:
-        super().__init__("a health check, though the settings allow none")
+        super().__init__("the policy started a health check, which the settings do not enable")
 
 
 @dataclass(slots=True)
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -20,7 +20,7 @@
 """The exit status if the results of a run are invalid."""
 
 app = typer.Typer(
-    help="Experiments on loadbalancer at the sizes it is meant for.",
+    help="Run load and scale experiments on loadbalancer, and show their results.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
@@ -62,8 +62,8 @@
 
 @app.command()
 def run(
-    names: Annotated[list[str], typer.Argument(help="Experiments by name, or TOML files.")],
-    out: Annotated[Path, typer.Option(help="The folder for results.")] = Path("docs/capacity"),
+    names: Annotated[list[str], typer.Argument(help="Names of experiments in the package, or TOML files.")],
+    out: Annotated[Path, typer.Option(help="The folder to write results to.")] = Path("docs/capacity"),
 ) -> None:
     """Run experiments one after another and write a JSON result for each.
 
@@ -97,5 +97,5 @@
             typer.echo(results.format_result(stored) + "\n")
         except (OSError, ValueError, KeyError, TypeError) as error:
             problem = " ".join(str(error).split())
-            failure = f"{path}: no result: {problem}"
+            failure = f"{path}: can't read the result: {problem}"
             raise _usage_error(failure) from None
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -199,12 +199,12 @@
     """Return why the measurement is invalid, other than because of saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
-        reasons.append(f"{name}: a loop was {readings.p99_lag_s * 1000:.0f} ms late")
+        reasons.append(f"{name}: an event loop lagged by {readings.p99_lag_s * 1000:.0f} ms")
     if max_lateness_s >= MAX_LATENESS_S:
-        reasons.append(f"{name}: a change was played {max_lateness_s * 1000:.0f} ms late")
+        reasons.append(f"{name}: a change was made {max_lateness_s * 1000:.0f} ms late")
     max_process_fraction = max(readings.processor_s) / readings.elapsed_s
     if max_process_fraction >= FULL_PROCESS_FRACTION:
-        reasons.append(f"{name}: a process took {max_process_fraction:.0%} of a core")
+        reasons.append(f"{name}: a process used {max_process_fraction:.0%} of a core")
     return reasons
 
 
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -43,7 +43,7 @@
     """A condition that a run waits for did not hold in time."""
 
     def __init__(self, description: str, timeout_s: float) -> None:
-        super().__init__(f"not within {timeout_s:g} s: {description}")
+        super().__init__(f"condition not met within {timeout_s:g} s: {description}")
 
 
 def run_on_new_loop(main: Coroutine[Any, Any, RunResult[RowT]]) -> RunResult[RowT]:
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -131,10 +131,12 @@
         result.rows.append(_row(entries, group, reading, elapsed_s, pushed=pushed))
     p99_lag_s, _ = lag.take()
     lag.stop()
-    phase = f"at rest, {'pushed' if pushed else 'asked for'}"
+    phase = f"at rest, {'pushed' if pushed else 'polled'}"
     result.invalid_reasons += cores.invalid_reasons(phase)
     if p99_lag_s >= MAX_LATENESS_S:
-        result.invalid_reasons.append(f"{phase}: the stand-in's loop was {p99_lag_s * 1000:.0f} ms late")
+        result.invalid_reasons.append(
+            f"{phase}: the event loop of discovery lagged by {p99_lag_s * 1000:.0f} ms"
+        )
 
 
 def _take_reading(group: BalancerGroup) -> _Reading:
