--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -174,9 +174,9 @@
         self._is_dispatching = False
 
     def _handle(self, event: Event, request: _Request | None) -> None:
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
-        self._statistics.record_policy_event(time.perf_counter() - began_s)
+        self._statistics.record_policy_event(time.perf_counter() - start_s)
         for action in actions:
             self._perform(action)
         if request is not None:
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -123,10 +123,10 @@
 ) -> None:
     """Measure all groups over the same period, and add a row for each."""
     lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
-    began = time.monotonic()
+    start_s = time.monotonic()
     before = [_take_reading(group) for group in groups]
     await asyncio.sleep(plan.span_s)
-    elapsed_s = time.monotonic() - began
+    elapsed_s = time.monotonic() - start_s
     for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
         result.rows.append(_row(entries, group, reading, elapsed_s, pushed=pushed))
     p99_lag_s, _ = lag.take()
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -117,7 +117,7 @@
     def __init__(self, plan: Plan, depth: int, fault: Fault) -> None:
         self._plan, self._fault = plan, fault
         self._chain = Chain(plan.chain_settings(depth), plan.seed)
-        self._arrival_rng = random.Random(f"{plan.seed}:arrivals")
+        self._arrival_random = random.Random(f"{plan.seed}:arrivals")
         delay_ms = SINGLE_REQUEST_DELAY_MS if plan.single_call and plan.warm_s else 0.0
         self._warm_up_end_ms = plan.warm_s * 1000
         self._fault_start_ms = self._warm_up_end_ms + delay_ms
@@ -141,7 +141,7 @@
 
         With `single_call`, an arrival between the warm-up and the end of the fault moves to after the fault.
         """
-        time_ms = previous_ms + self._arrival_rng.expovariate(self._plan.calls_per_s / 1000)
+        time_ms = previous_ms + self._arrival_random.expovariate(self._plan.calls_per_s / 1000)
         if self._plan.single_call and self._warm_up_end_ms <= time_ms < self._fault_end_ms:
             time_ms = self._fault_end_ms + time_ms - self._warm_up_end_ms
         if time_ms < self._fault_end_ms + self._plan.after_s * 1000:
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -183,10 +183,10 @@
         addresses: The entries' addresses; by default each entry has a loopback host of its own, on which
             nothing listens.
     """
-    rng = random.Random(seed)
+    source = random.Random(seed)
     names: dict[str, None] = {}  # not a set, since a dict keeps the order
     while len(names) < count:
-        names[f"s-{rng.getrandbits(32):08x}"] = None
+        names[f"s-{source.getrandbits(32):08x}"] = None
     entries = []
     for i, name in enumerate(names):
         zone, round_number = i % zones, i // zones
@@ -195,9 +195,9 @@
                 name,
                 addresses[i] if addresses else (loopback_host(i), ENDPOINT_PORT),
                 zone=f"r{zone % regions}-z{zone}",
-                endpoint_type=rng.choice(ENDPOINT_TYPES),
+                endpoint_type=source.choice(ENDPOINT_TYPES),
                 group=zone * groups + round_number % groups,
-                weight=rng.choice(ENDPOINT_WEIGHTS),
+                weight=source.choice(ENDPOINT_WEIGHTS),
             )
         )
     return entries
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -243,12 +243,12 @@
     assert chain.statistics.attempts_by_phase[0] == [3]
 
 
-@pytest.mark.parametrize(("sends", "status"), [(False, 503), (True, 502)])
+@pytest.mark.parametrize(("starts_attempt", "status"), [(False, 503), (True, 502)])
 def test_host_responds_before_the_deadline(
-    monkeypatch: pytest.MonkeyPatch, status: int, *, sends: bool
+    monkeypatch: pytest.MonkeyPatch, status: int, *, starts_attempt: bool
 ) -> None:
     def delayed(event: Event, now: float) -> list[Action]:
-        if sends and isinstance(event, RequestReceived):
+        if starts_attempt and isinstance(event, RequestReceived):
             return [SetTimer(now, HedgeTimer(1))]
         return [StartAttempt(1, "t1-0", 0.0)] if isinstance(event, TimerFired) else []
 
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -34,12 +34,14 @@
 
 def test_attempts_for_a_single_request_multiply_by_tier() -> None:
     faults = [{"name": "refused", "behaviour": "refuses"}]
-    one, two = rows(single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults)
-    assert (one["bottom_attempts_a_call"], two["bottom_attempts_a_call"]) == (4, 16)
-    assert one["attempts_a_call_by_tier"] == [4]
-    assert two["attempts_a_call_by_tier"] == [4, 16]
-    assert one["served_before"] == two["served_before"] == 1.0
-    assert one["served_while"] == 0.0
+    one_tier, two_tiers = rows(
+        single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults
+    )
+    assert (one_tier["bottom_attempts_a_call"], two_tiers["bottom_attempts_a_call"]) == (4, 16)
+    assert one_tier["attempts_a_call_by_tier"] == [4]
+    assert two_tiers["attempts_a_call_by_tier"] == [4, 16]
+    assert one_tier["served_before"] == two_tiers["served_before"] == 1.0
+    assert one_tier["served_while"] == 0.0
 
 
 def without_measured_times(rows_of_run: list[dict[str, Any]]) -> list[dict[str, Any]]:
@@ -76,18 +78,18 @@
     )
     assert (row["served_before"], row["served_while"]) == (1.0, 0.0)
     windows = row["served_after_by_window"]
-    recovered = round(row["back_after_s"] / 0.5)
+    recovery_window = round(row["back_after_s"] / 0.5)
     assert len(windows) == 24
-    assert windows[recovered - 1] == 1.0
-    assert max(windows[: recovered - 1], default=0.0) < 1.0
+    assert windows[recovery_window - 1] == 1.0
+    assert max(windows[: recovery_window - 1], default=0.0) < 1.0
 
 
 @pytest.mark.parametrize(("tier", "faulty_tier"), [("first", 1), ("middle", 2), ("bottom", 4)])
 def test_fault_affects_only_its_tier_and_servers(tier: str, faulty_tier: int) -> None:
     fault = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
-    one = depth_run.Fault.model_validate(fault)
-    assert one.tier_number(4) == faulty_tier
-    assert one.tier_number(1) == 1
+    parsed_fault = depth_run.Fault.model_validate(fault)
+    assert parsed_fault.tier_number(4) == faulty_tier
+    assert parsed_fault.tier_number(1) == 1
     [row] = rows(sizes=(4,), faults=[fault])
     by_tier = row["attempts_a_call_by_tier"]
     # Requests need a second attempt only at the faulty tier, until the faulty server is ejected.
@@ -98,8 +100,8 @@
 
 
 def test_fractional_failures_and_shed_requests() -> None:
-    fraction = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
-    [row] = rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fraction)
+    fractional_failures = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
+    [row] = rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fractional_failures)
     assert 0.70 < row["served_while"] < 0.80
     assert row["bottom_attempts_a_call"] == 1.0
     [hung] = rows(sizes=(1,), fault_s=5, faults=[{"name": "hang", "behaviour": "hangs"}])
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -44,8 +44,8 @@
         (entries, endpoint_use) for entries in (6, 40) for endpoint_use in ("part", "all")
     ]
     assert [(row["calls"], row["shed"]) for row in decisions] == [(400, 0)] * 8
-    called = {row["keeps"]: row["servers_called"] for row in decisions if row["entries"] == 40}
-    assert called["part"] <= BALANCERS_PER_ENDPOINT < called["all"]
+    endpoints_called = {row["keeps"]: row["servers_called"] for row in decisions if row["entries"] == 40}
+    assert endpoints_called["part"] <= BALANCERS_PER_ENDPOINT < endpoints_called["all"]
     for row in lists:
         discovery = Discovery()
         discovery.replace_entries(endpoint_entries(row["entries"], seed=plan.seed))
@@ -54,12 +54,12 @@
         assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
         assert row["memory_kib"] > row["entries"]  # more than the list, which takes less than 1 KiB per entry
-    slopes = {fit.y: fit for fit in result.fits}
-    assert slopes["list_bytes (all)"].slope == pytest.approx(
+    fits_by_y = {fit.y: fit for fit in result.fits}
+    assert fits_by_y["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
     )
     for endpoint_use in ("part", "all"):
-        assert {f"arrival_us_mean ({endpoint_use}, tier {tier})" for tier in (0, 1)} <= slopes.keys()
+        assert {f"arrival_us_mean ({endpoint_use}, tier {tier})" for tier in (0, 1)} <= fits_by_y.keys()
     assert all("list_module_ms_growth" in row for row in lists[2:])
 
 
