--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -76,7 +76,7 @@
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
         self._upstreams = UpstreamPools(configuration, loop)
-        loop.close()  # not needed any more: applying a list opens no connection
+        loop.close()  # can be closed already, since applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _START_MS
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -18,6 +18,7 @@
     entries: int
     """The length of the list."""
     keeps: EndpointUse
+    """Which endpoints the balancer uses."""
     tier: int
     """The tier of the balancer."""
 
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -39,7 +39,6 @@
 )
 """The name of each phase, and the behaviour of the last tier in it."""
 
-
 _FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
 """The stored columns to fit over depth."""
 _OK = 200
