--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -1,7 +1,7 @@
-"""The host of one balancer's policy on the virtual clock: passes events in and carries out the actions.
+"""The host of one balancer's policy on the virtual clock: feeds it events and carries out its actions.
 
-The host is to the simulation what `loadbalancer.network.proxy` is to real sockets. All times are
-milliseconds, except the measured processing time of decisions, which is in seconds.
+The host takes the place of `loadbalancer.network.proxy`, without sockets. All times are milliseconds, except
+the measured processing time of the policy, which is in seconds.
 """
 
 from __future__ import annotations
@@ -47,10 +47,10 @@
 
 
 class UnexpectedHealthCheckError(TestbedError, ValueError):
-    """The policy started a health check, which the settings of a simulated chain do not allow."""
+    """The policy started a health check, which the settings of a simulated chain do not enable."""
 
     def __init__(self) -> None:
-        super().__init__("a health check, though the settings allow none")
+        super().__init__("the policy started a health check, which the settings do not enable")
 
 
 @dataclass(slots=True)
@@ -61,16 +61,16 @@
     responder: Responder
     client_request: ClientRequest
     deadline_ms: float
-    """The latest end of an attempt that leaves time for the response to reach the client."""
+    """When attempts have to end, so that the response still reaches the client in time."""
     attempts: list[Attempt | None] = field(default_factory=list)
-    """By attempt index; None for an attempt that the policy started after the response."""
+    """The attempts by index; None for an attempt that the policy started after the response."""
     is_open: bool = True
     """Whether the client still waits for the final response."""
     may_have_run: bool = False
     """Whether an attempt that has finished may have run."""
     running_attempts: int = 0
     queued_events: int = 0
-    """Events that the policy has not handled yet."""
+    """Events of this request that the policy has not handled yet."""
 
     @property
     def is_finished(self) -> bool:
@@ -79,7 +79,7 @@
 
 
 class BalancerHost:
-    """A balancer's policy, and the requests that it has open."""
+    """Runs a balancer's policy, and keeps its open requests."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that have no response yet, or have running attempts."""
+        """The number of requests that have no response yet, or have running attempts."""
         return len(self._requests)
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
@@ -114,11 +114,11 @@
 
         Args:
             responder: Receives the response.
-            client_request: The request from outside that it is made for.
+            client_request: The outside request that it belongs to.
             remaining_ms: The time until its deadline.
 
         Returns:
-            Its number at this balancer.
+            The number of the request at this balancer.
         """
         self._last_number += 1
         now = self._clock.now
@@ -129,12 +129,12 @@
         self._clock.schedule(
             now + max(remaining_ms - WATCHDOG_MARGIN_MS, 0.0), self._respond_before_deadline, request
         )
-        policy_ms = max(remaining_ms - POLICY_DEADLINE_MARGIN_MS, 0.0)
-        self._dispatch(RequestReceived(request.number, self._class_name, policy_ms), request)
+        policy_remaining_ms = max(remaining_ms - POLICY_DEADLINE_MARGIN_MS, 0.0)
+        self._dispatch(RequestReceived(request.number, self._class_name, policy_remaining_ms), request)
         return request.number
 
     def disconnect(self, number: int) -> None:
-        """Handle the disconnect of a request's client; without effect once the request has its response."""
+        """Handle the disconnect of a request's client; does nothing if the request has its response."""
         request = self._requests.get(number)
         if request is not None and request.is_open:
             self._abandon(request)
@@ -145,15 +145,15 @@
     def _abandon(self, request: _Request) -> None:
         request.is_open = False
         self._dispatch(ClientDisconnected(request.number), request)
-        self._withdraw_attempts(request)
+        self._finish_unsent_attempts(request)
 
-    def _withdraw_attempts(self, request: _Request) -> None:
+    def _finish_unsent_attempts(self, request: _Request) -> None:
         for attempt in request.attempts:
             if attempt is not None:
-                attempt.withdraw()
+                attempt.finish_if_unsent()
 
     def _respond_before_deadline(self, request: _Request) -> None:
-        """Respond shortly before the deadline where the policy has not."""
+        """Respond shortly before the deadline if the policy has not; 503 if no attempt may have run."""
         if request.is_open:
             may_run = request.may_have_run or request.running_attempts
             request.responder.respond(502 if may_run else 503)
@@ -162,7 +162,7 @@
     # ---- events -------------------------------------------------------------------------------
 
     def _dispatch(self, event: Event, request: _Request | None = None) -> None:
-        """Pass an event on. Events caused by an action wait until all actions are carried out."""
+        """Pass an event to the policy, after all actions for earlier events have been carried out."""
         if request is not None:
             request.queued_events += 1
         self._events.append((event, request))
@@ -174,9 +174,9 @@
         self._is_dispatching = False
 
     def _handle(self, event: Event, request: _Request | None) -> None:
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
-        self._statistics.record_decision(time.perf_counter() - began_s)
+        self._statistics.record_policy_event(time.perf_counter() - start_s)
         for action in actions:
             self._perform(action)
         if request is not None:
@@ -202,7 +202,7 @@
                 snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
                 self._clock.schedule(self._clock.now, self._dispatch, snapshot)
             case CloseIdleConnections() | LogMessage():
-                pass  # simulated connections never idle out, and the log is not kept
+                pass  # simulated connections do not become idle, and log messages are dropped
             case StartHealthCheck():
                 raise UnexpectedHealthCheckError
 
@@ -238,11 +238,11 @@
         attempt.start()
 
     def _on_attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
-        request = self._requests[attempt.request_number]  # kept while an attempt is running
+        request = self._requests[attempt.request_number]  # not removed while an attempt is running
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
-        """Record an attempt's outcome. The first successful response is sent before anything else."""
+        """Record an attempt's outcome; the first successful response is sent on before the policy runs."""
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED:
@@ -251,4 +251,4 @@
         has_response = not request.is_open
         self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, has_response), request)
         if not request.is_open:
-            self._withdraw_attempts(request)
+            self._finish_unsent_attempts(request)
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -1,8 +1,8 @@
 """The servers of a simulated chain, and the attempts that balancers make at them.
 
-Connections are always established: a message takes `hop_ms` in each direction, and a refused connect fails
-after one `hop_ms`. A server and its own balancer share a machine, so messages between them take no time. All
-times are milliseconds.
+Connections count as established already: a message takes `hop_ms` in each direction, and a refused
+connection attempt fails after `hop_ms`. A server and its own balancer share a machine, so messages between
+them take no time. All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
     from testbed.virtual_clock import VirtualClock
 
 
-class MissingInnerRequestError(TestbedError, InvalidStateError):
-    """An attempt waits for the next tier without a request there: a fault of the simulation."""
+class MissingNextTierRequestError(TestbedError, InvalidStateError):
+    """An attempt waits for the next tier, but has no request there: a bug in the simulation."""
 
     def __init__(self) -> None:
         super().__init__("the attempt has no request at the next tier")
 
 
 class Behaviour(enum.Enum):
-    """What a server does with an attempt that reaches it; experiment files use the values."""
+    """How a server handles attempts; experiment files contain the values."""
 
     SERVES = "serves"
     FAILS = "fails"
-    """It responds with 500 to a fraction of attempts after its own work, without calling the next tier."""
+    """It responds 500 to a fraction of the attempts after its own work, without calling the next tier."""
     REFUSES = "refuses"
-    """Its listener is closed: new attempts can't connect, attempts in flight continue."""
+    """Its listener is closed: new attempts can't connect, and attempts in flight continue."""
     REJECTS = "turns away"
-    """It responds at once with 503 and X-Not-Run."""
+    """It responds 503 with X-Not-Run at once."""
     HANGS = "hangs"
-    """It accepts new attempts and never responds to them; attempts in flight continue."""
+    """It accepts new attempts and never responds to them, and attempts in flight continue."""
 
 
 class AttemptStage(enum.Enum):
@@ -51,36 +51,37 @@
     IN_TRANSIT = enum.auto()
     QUEUED = enum.auto()
     IN_SERVICE = enum.auto()
-    CALLING = enum.auto()
-    """The server waits for its own balancer's response from the next tier."""
+    CALLING_NEXT_TIER = enum.auto()
+    """The server waits for the response of the next tier, from its own balancer."""
     FINISHED = enum.auto()
 
 
 class LocalBalancer(Protocol):
-    """The balancer of a server, through which it calls the next tier."""
+    """A server's own balancer, through which it calls the next tier."""
 
     def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
-        """Pass on a request with its remaining time, and return its number."""
+        """Accept a request with its remaining time, and return its number."""
 
     def disconnect(self, number: int) -> None:
         """Handle the disconnect of the request's client."""
 
 
 class Attempt:
-    """One attempt: the balancer's side and the server's side of it.
+    """One attempt, as seen by the balancer and by the server.
 
     Attributes:
         request_number: The number of the request at its balancer.
         index: The attempt's index among those of its request.
         server: The server that it goes to.
-        client_request: The request from outside that it is made for.
+        client_request: The outside request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
         is_finished: Whether the balancer has an outcome for it.
         was_sent: Whether the server may have received it.
-        is_closed: Whether the server has seen the end of the balancer's connection.
+        is_connection_closed: Whether the server knows that the balancer has closed the connection.
         stage: Its stage at the server.
-        deadline_ms: Its deadline from the server's point of view: arrival plus timeout.
-        inner_number: The number of the server's request to the next tier, at the server's own balancer.
+        deadline_ms: When the timeout expires, counted by the server from the arrival.
+        next_tier_request_number: The number of the server's request to the next tier, at the server's own
+            balancer.
     """
 
     __slots__ = (
@@ -88,9 +89,9 @@
         "client_request",
         "deadline_ms",
         "index",
-        "inner_number",
-        "is_closed",
+        "is_connection_closed",
         "is_finished",
+        "next_tier_request_number",
         "request_number",
         "server",
         "stage",
@@ -115,13 +116,13 @@
         self.timeout_ms = timeout_ms
         self.is_finished = False
         self.was_sent = False
-        self.is_closed = False
+        self.is_connection_closed = False
         self.stage = AttemptStage.IN_TRANSIT
         self.deadline_ms = math.inf
-        self.inner_number: int | None = None
+        self.next_tier_request_number: int | None = None
 
     def start(self) -> None:
-        """Send the attempt, or fail to connect where the server refuses connections."""
+        """Send the attempt, or fail to connect if the server refuses connections."""
         server, clock = self.server, self.server.clock
         arrival_ms = clock.now + server.hop_ms
         if server.behaviour is Behaviour.REFUSES:
@@ -135,7 +136,7 @@
         """Stop waiting for a response."""
         self.finish(Outcome.CANCELLED)
 
-    def withdraw(self) -> None:
+    def finish_if_unsent(self) -> None:
         """Finish the attempt as `NOT_SENT` if it was not sent."""
         if not self.was_sent:
             self.finish(Outcome.NOT_SENT)
@@ -150,11 +151,11 @@
         self.is_finished = True
         if self.was_sent and outcome in (Outcome.CANCELLED, Outcome.TIMED_OUT):
             clock = self.server.clock
-            clock.schedule(clock.now + self.server.hop_ms, self.server.close, self)
+            clock.schedule(clock.now + self.server.hop_ms, self.server.on_connection_closed, self)
         self._on_finished(self, outcome)
 
     def respond(self, status: int) -> None:
-        """Receive the response of the next tier: the server succeeds only if its own request did."""
+        """Receive the response of the next tier; the server succeeds only if that response is 200."""
         self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
 
     def _connect_failed(self, _: None) -> None:
@@ -165,17 +166,18 @@
 
 
 class Server:
-    """One server: it works on an attempt, then sends a request to the next tier through its own balancer.
+    """One server: it works on an attempt, then calls the next tier through its own balancer.
 
-    An attempt occupies one of `workers` slots from the start of the work until the response, or until the
-    balancer closes the connection. Up to `queue` further attempts wait; any more are rejected.
+    An attempt occupies one of `workers` slots from the start of the work until the response, or, while it
+    waits for the next tier, until the balancer closes the connection. Up to `queue` further attempts wait;
+    any more are rejected.
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
         behaviour: What it does with attempts.
         failure_fraction: The fraction of attempts that fail under `Behaviour.FAILS`.
-        in_service: Attempts that occupy a slot.
-        rejected: Attempts that were rejected because the queue was full.
+        in_service: The number of attempts that occupy a slot.
+        rejected: The number of attempts that were rejected because the queue was full.
     """
 
     def __init__(self, name: str, clock: VirtualClock, settings: ChainSettings, model: ServiceModel) -> None:
@@ -199,7 +201,7 @@
         elif self.behaviour is Behaviour.HANGS:
             return
         elif self._settings.workers == 0 or self.in_service < self._settings.workers:
-            self._begin(attempt)
+            self._start_work(attempt)
         elif len(self._queue) < self._settings.queue:
             attempt.stage = AttemptStage.QUEUED
             self._queue.append(attempt)
@@ -207,44 +209,46 @@
             self.rejected += 1
             self._send_response(attempt, Outcome.REJECTED)
 
-    def close(self, attempt: Attempt) -> None:
-        """Handle the balancer closing the attempt's connection."""
-        attempt.is_closed = True
+    def on_connection_closed(self, attempt: Attempt) -> None:
+        """Drop the attempt from the queue, or its request to the next tier; work in progress continues."""
+        attempt.is_connection_closed = True
         if attempt.stage is AttemptStage.QUEUED:
             self._queue.remove(attempt)
-        elif attempt.stage is AttemptStage.CALLING:
-            if self.balancer is None or attempt.inner_number is None:
-                raise MissingInnerRequestError
+        elif attempt.stage is AttemptStage.CALLING_NEXT_TIER:
+            if self.balancer is None or attempt.next_tier_request_number is None:
+                raise MissingNextTierRequestError
             attempt.stage = AttemptStage.FINISHED
-            self.balancer.disconnect(attempt.inner_number)
-            self._end()
+            self.balancer.disconnect(attempt.next_tier_request_number)
+            self._release_slot()
 
     def respond(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Respond to an attempt, unless it has finished at this server."""
+        """Respond to an attempt and release its slot, unless it has finished at this server."""
         if attempt.stage is not AttemptStage.FINISHED:
             attempt.stage = AttemptStage.FINISHED
             self._send_response(attempt, outcome)
-            self._end()
+            self._release_slot()
 
-    def _begin(self, attempt: Attempt) -> None:
+    def _start_work(self, attempt: Attempt) -> None:
         self.in_service += 1
         attempt.stage = AttemptStage.IN_SERVICE
         self.clock.schedule(self.clock.now + self._model.service_ms(), self._finish_work, attempt)
 
     def _finish_work(self, attempt: Attempt) -> None:
         fails = self.behaviour is Behaviour.FAILS and self._model.fails(self.failure_fraction)
-        if fails or self.balancer is None or attempt.is_closed:
+        if fails or self.balancer is None or attempt.is_connection_closed:
             self.respond(attempt, Outcome.ERROR if fails else Outcome.SUCCEEDED)
             return
-        attempt.stage = AttemptStage.CALLING
+        attempt.stage = AttemptStage.CALLING_NEXT_TIER
         remaining_ms = attempt.deadline_ms - self.clock.now
-        attempt.inner_number = self.balancer.receive(attempt, attempt.client_request, remaining_ms)
+        attempt.next_tier_request_number = self.balancer.receive(
+            attempt, attempt.client_request, remaining_ms
+        )
 
     def _send_response(self, attempt: Attempt, outcome: Outcome) -> None:
-        if not attempt.is_closed:
+        if not attempt.is_connection_closed:
             self.clock.schedule(self.clock.now + self.hop_ms, attempt.finish, outcome)
 
-    def _end(self) -> None:
+    def _release_slot(self) -> None:
         self.in_service -= 1
         if self._queue:
-            self._begin(self._queue.popleft())
+            self._start_work(self._queue.popleft())
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -10,8 +10,8 @@
 import numpy as np
 
 from testbed.measurement.meter import CoresWatch, LoopLag, usage
-from testbed.results import Measured, Row, stored_as
-from testbed.runs.control.delays import VersionSeen, delays_ms, spread
+from testbed.results import MeasuredRow, Row, stored_as
+from testbed.runs.control.delays import VersionObservation, delay_quantiles, delays_ms
 from testbed.runs.control.group import MAX_LATENESS_S, BalancerGroup, sum_counts
 
 if TYPE_CHECKING:
@@ -21,12 +21,15 @@
     from testbed.discovery.agent_state import RequestCounts
 
 FULL_PROCESS_FRACTION = 0.8
-"""The fraction of a core from which on a process's delays include its balancers' waits for one another."""
+"""Results are invalid if a process uses this fraction of a core or more.
+
+Its balancers then wait for one another, which adds to their delays.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DelayColumns(Row):
-    """Delays from a change of the list at discovery, in milliseconds; null if nothing changed.
+    """Delays from a change of the list at discovery until an event, in milliseconds; null if nothing changed.
 
     The hollow balancers of a process apply a change one after another, so their delays are upper bounds.
     """
@@ -36,7 +39,7 @@
     p99_in_force_ms: float | None = stored_as("in_force_ms_99")
     max_in_force_ms: float | None = stored_as("in_force_ms_longest")
     median_everywhere_ms: float | None = stored_as("everywhere_ms_median")
-    """Until all hollow balancers have applied a change; the median over the changes."""
+    """Until all hollow balancers have applied the change; the median over the changes."""
     median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
     """Until the next watch request of a hollow balancer acknowledges the change."""
     p99_acknowledged_ms: float | None = stored_as("taken_up_ms_99")
@@ -65,13 +68,13 @@
     core_percent: float
     """Processor time of a hollow balancer, as a percentage of a core.
 
-    It includes the balancer's part of the measurement of the event loop's lag (less than 1% of a core for
-    each process). This part does not depend on the rate, so the slope over the rate does not include it.
+    It includes a share of the cost of measuring the event loop's lag (less than 1% of a core per process).
+    This cost does not depend on the rate, so the slope over the rate does not include it.
     """
     real_core_percent: float | None
-    """Mean processor time of a real balancer, as a percentage of a core; null if there are none."""
-    calls_per_s: float
-    """Requests of a hollow balancer to discovery."""
+    """Mean processor time of a real balancer, as a percentage of a core; null if there is none."""
+    requests_per_s: float = stored_as("calls_per_s")
+    """Requests from a hollow balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
     snapshots: int = stored_as("whole_lists")
@@ -90,22 +93,22 @@
     processor_s: list[float]
     """Processor time of each process, those of hollow balancers first."""
     counts: RequestCounts
-    """Counts of the requests of hollow balancers to discovery."""
+    """Counts of the requests from hollow balancers to discovery."""
     reports: list[HollowReport]
     p99_lag_s: float
     """The 99th percentile of an event loop's lag; the maximum over all event loops."""
 
 
 class ChangeMeasurement:
-    """Measures a group from the object's creation to `finish`."""
+    """Measures a group from the creation of this object until `finish`."""
 
     def __init__(self, group: BalancerGroup) -> None:
         for process in group.processes:
-            process.report()  # resets the lag that was measured so far
+            process.report()  # discards the lag that was measured so far
         self._group = group
         self._lag = LoopLag(asyncio.get_running_loop())
         self._cores = CoresWatch()
-        self._began = time.monotonic()
+        self._start_s = time.monotonic()
         self._first_version = group.discovery.index + 1
         self._processor_s = _processor_s(group)
         self._counts = sum_counts(group.discovery, group.hollow_agents)
@@ -113,22 +116,22 @@
     @property
     def elapsed_s(self) -> float:
         """The time since the measurement began."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._start_s
 
     def finish(
-        self, multiple: float, max_lateness_s: float, watch_calls: Sequence[VersionSeen]
-    ) -> Measured[ChangeRow]:
+        self, multiple: float, max_lateness_s: float, acknowledgements: Sequence[VersionObservation]
+    ) -> MeasuredRow[ChangeRow]:
         """End the measurement.
 
         Args:
             multiple: The rate as a multiple of the baseline rate.
-            max_lateness_s: The maximum lateness of a change.
-            watch_calls: The versions that watch requests acknowledged, in the order of time.
+            max_lateness_s: The maximum time by which a change was late.
+            acknowledgements: The versions that watch requests acknowledged, in chronological order.
 
         Returns:
             The row, and the reasons why it is invalid, if any.
         """
-        name = f"{self._group.hollow} balancers, {multiple:g} times"
+        name = f"{self._group.hollow_count} balancers, {multiple:g} times"
         elapsed_s = self.elapsed_s
         processor_s = [
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
@@ -141,73 +144,77 @@
         p99_lag_s = max([p99_lag_s, *(report.p99_lag_s for report in reports)])
         readings = _Readings(elapsed_s, processor_s, counts, reports, p99_lag_s)
         reasons += _invalid_reasons(name, readings, max_lateness_s)
-        return Measured(self._row(multiple, readings, watch_calls), reasons)
+        return MeasuredRow(self._row(multiple, readings, acknowledgements), reasons)
 
-    def _row(self, multiple: float, readings: _Readings, watch_calls: Sequence[VersionSeen]) -> ChangeRow:
+    def _row(
+        self, multiple: float, readings: _Readings, acknowledgements: Sequence[VersionObservation]
+    ) -> ChangeRow:
         group, elapsed_s, counts = self._group, readings.elapsed_s, readings.counts
         changes = len(group.discovery.changed_at[self._first_version :])
         core_percent = np.array(readings.processor_s) / elapsed_s * 100
         hollow_percent = core_percent[: len(group.processes)]
         real_percent = core_percent[len(group.processes) :]
         return ChangeRow(
-            balancers=group.hollow,
+            balancers=group.hollow_count,
             multiple=multiple,
             changes=changes,
             changes_per_s=changes / elapsed_s,
-            delays=self._delays(readings.reports, watch_calls),
-            core_percent=float(hollow_percent.sum()) / group.hollow,
-            real_core_percent=float(real_percent.mean()) if group.real else None,
-            calls_per_s=counts.requests / elapsed_s / group.hollow,
-            bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow,
+            delays=self._delays(readings.reports, acknowledgements),
+            core_percent=float(hollow_percent.sum()) / group.hollow_count,
+            real_core_percent=float(real_percent.mean()) if group.real_balancers else None,
+            requests_per_s=counts.requests / elapsed_s / group.hollow_count,
+            bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow_count,
             snapshots=counts.snapshots,
             p99_loop_lag_ms=readings.p99_lag_s * 1000,
             max_process_percent=float(core_percent.max()),
         )
 
-    def _delays(self, reports: list[HollowReport], watch_calls: Sequence[VersionSeen]) -> DelayColumns:
-        group, first = self._group, self._first_version
-        changed_at = np.array(group.discovery.changed_at[first:])
-        in_force = delays_ms(_applied_versions(reports), group.hollow_agents, first, changed_at)
-        watched = delays_ms(watch_calls, group.hollow_agents, first, changed_at)
-        real_watched = delays_ms(watch_calls, group.real_agents, first, changed_at)
-        written_s = np.array(group.discovery.written_at[first:]) - changed_at
-        in_force_spread, watched_spread = spread(in_force), spread(watched)
-        real_spread = spread(real_watched)
+    def _delays(
+        self, reports: list[HollowReport], acknowledgements: Sequence[VersionObservation]
+    ) -> DelayColumns:
+        group, first_version = self._group, self._first_version
+        changed_at = np.array(group.discovery.changed_at[first_version:])
+        in_force = delays_ms(_applied_versions(reports), group.hollow_agents, first_version, changed_at)
+        acknowledged = delays_ms(acknowledgements, group.hollow_agents, first_version, changed_at)
+        real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, changed_at)
+        written_s = np.array(group.discovery.written_at[first_version:]) - changed_at
+        in_force_quantiles, acknowledged_quantiles = delay_quantiles(in_force), delay_quantiles(acknowledged)
+        real_acknowledged_quantiles = delay_quantiles(real_acknowledged)
         return DelayColumns(
-            median_in_force_ms=in_force_spread.median,
-            p99_in_force_ms=in_force_spread.p99,
-            max_in_force_ms=in_force_spread.maximum,
+            median_in_force_ms=in_force_quantiles.median,
+            p99_in_force_ms=in_force_quantiles.p99,
+            max_in_force_ms=in_force_quantiles.maximum,
             median_everywhere_ms=float(np.median(in_force.max(axis=0))) if in_force.size else None,
-            median_acknowledged_ms=watched_spread.median,
-            p99_acknowledged_ms=watched_spread.p99,
-            max_acknowledged_ms=watched_spread.maximum,
-            median_real_acknowledged_ms=real_spread.median,
-            p99_real_acknowledged_ms=real_spread.p99,
-            max_real_acknowledged_ms=real_spread.maximum,
+            median_acknowledged_ms=acknowledged_quantiles.median,
+            p99_acknowledged_ms=acknowledged_quantiles.p99,
+            max_acknowledged_ms=acknowledged_quantiles.maximum,
+            median_real_acknowledged_ms=real_acknowledged_quantiles.median,
+            p99_real_acknowledged_ms=real_acknowledged_quantiles.p99,
+            max_real_acknowledged_ms=real_acknowledged_quantiles.maximum,
             max_written_ms=float(written_s.max() * 1000) if written_s.size else None,
         )
 
 
 def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
-    """Return why the measurement is invalid, apart from saturated cores."""
+    """Return why the measurement is invalid, other than because of saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
-        reasons.append(f"{name}: a loop was {readings.p99_lag_s * 1000:.0f} ms late")
+        reasons.append(f"{name}: an event loop lagged by {readings.p99_lag_s * 1000:.0f} ms")
     if max_lateness_s >= MAX_LATENESS_S:
-        reasons.append(f"{name}: a change was played {max_lateness_s * 1000:.0f} ms late")
-    busiest = max(readings.processor_s) / readings.elapsed_s
-    if busiest >= FULL_PROCESS_FRACTION:
-        reasons.append(f"{name}: a process took {busiest:.0%} of a core")
+        reasons.append(f"{name}: a change was made {max_lateness_s * 1000:.0f} ms late")
+    max_process_fraction = max(readings.processor_s) / readings.elapsed_s
+    if max_process_fraction >= FULL_PROCESS_FRACTION:
+        reasons.append(f"{name}: a process used {max_process_fraction:.0%} of a core")
     return reasons
 
 
-def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionSeen]:
-    """Yield the versions that hollow balancers applied, by process and then by time."""
+def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionObservation]:
+    """Yield the versions that hollow balancers applied, in chronological order for each process."""
     for report in reports:
-        yield from map(VersionSeen, report.balancers, report.indexes, report.times)
+        yield from map(VersionObservation, report.balancers, report.indexes, report.times)
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
-    """Return the processor time of each process so far: those of hollow balancers, then the real ones."""
-    pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real]
+    """Return the processor time of each process so far, those of hollow balancers first."""
+    pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real_balancers]
     return [usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -1,4 +1,4 @@
-"""The rows of the run on list sizes, and the growth of their costs from one size to the next."""
+"""The rows of a list-size run, and the growth of their costs from one length to the next."""
 
 import math
 from collections.abc import Sequence
@@ -6,42 +6,43 @@
 from typing import Any, Literal
 
 from testbed.results import OMITTED_IF_NONE, Row, stored_as
-from testbed.runs.list_size.plan import Keeps
+from testbed.runs.list_size.plan import EndpointUse
 from testbed.runs.list_size.rounds import RoundColumns
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CellName(Row):
-    """The columns that identify a cell."""
+class BenchmarkIdentity(Row):
+    """The columns that identify a benchmark."""
 
     measured: Literal["decision", "list"]
     entries: int
     """The length of the list."""
-    keeps: Keeps
+    keeps: EndpointUse
+    """Which endpoints the balancer uses."""
     tier: int
-    """The tier that the balancer sends to."""
+    """The tier of the balancer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DecisionRow(Row):
     """Processing times of the policy in microseconds.
 
-    `arrival` is the arrival of a request, `end` the end of an attempt that succeeded. A growth column is the
-    exponent of the length of the list with which the cost grew from the previous size.
+    `arrival` is for the arrival of a request, `end` for the end of a successful attempt. For growth columns
+    see `with_growth`.
     """
 
-    cell: CellName
+    identity: BenchmarkIdentity
     arrival_us_median: float
     arrival_us_mean: float
     p99_arrival_us: float = stored_as("arrival_us_99")
     end_us_median: float
     end_us_mean: float
     p99_end_us: float = stored_as("end_us_99")
-    calls: int
+    requests: int = stored_as("calls")
     shed: int
     """Requests for which no attempt was made."""
-    servers_called: int
-    """Endpoints that requests were sent to, including those of the warm-up."""
+    endpoints_called: int = stored_as("servers_called")
+    """The number of endpoints that got an attempt, in the warm-up or later."""
     rounds: RoundColumns
     arrival_us_mean_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
     arrival_us_99_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -53,11 +54,10 @@
     """Median processing times of snapshots (in milliseconds) and of deltas with one entry (in microseconds).
 
     `parse` is the parsing of JSON, `read` the validation and conversion, `pools` the update of connection
-    pools, `module` that of the policy, `total` the sum. A growth column is the exponent of the length of the
-    list with which the cost grew from the previous size.
+    pools, `module` that of the policy, `total` the sum. For growth columns see `with_growth`.
     """
 
-    cell: CellName
+    identity: BenchmarkIdentity
     list_bytes: int
     """The length of the body of a snapshot."""
     delta_bytes: int
@@ -82,38 +82,38 @@
 
 ListSizeRow = DecisionRow | ListRow
 
-_DECISION_COSTS = ("arrival_us_mean", "arrival_us_99", "end_us_mean")
-_LIST_COSTS = ("delta_module_us", "list_module_ms")
+_DECISION_GROWTH_COLUMNS = ("arrival_us_mean", "arrival_us_99", "end_us_mean")
+_LIST_GROWTH_COLUMNS = ("delta_module_us", "list_module_ms")
 
 
 def with_growth(rows: Sequence[ListSizeRow]) -> list[ListSizeRow]:
-    """Add to each row the exponents of growth of its costs since the previous size.
+    """Add to each row how its costs grew with the length of the list since the previous length.
 
-    The exponent is ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is proportional to
-    the length.
+    The growth is the exponent ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is
+    proportional to the length.
 
     Args:
-        rows: Rows of all sizes, ascending.
+        rows: Rows of all lengths, ascending.
 
     Returns:
-        The rows in the same order; those of the first size are unchanged.
+        The rows in the same order; those of the first length are unchanged.
     """
-    last_rows: dict[tuple[str, str, int], ListSizeRow] = {}
-    grown: list[ListSizeRow] = []
+    previous_rows: dict[tuple[str, str, int], ListSizeRow] = {}
+    rows_with_growth: list[ListSizeRow] = []
     for row in rows:
-        key = (row.cell.measured, row.cell.keeps, row.cell.tier)
-        last = last_rows.get(key)
-        grown.append(row if last is None else _with_growth_since(last, row))
-        last_rows[key] = row
-    return grown
+        key = (row.identity.measured, row.identity.keeps, row.identity.tier)
+        previous = previous_rows.get(key)
+        rows_with_growth.append(row if previous is None else _with_growth_since(previous, row))
+        previous_rows[key] = row
+    return rows_with_growth
 
 
-def _with_growth_since(last: ListSizeRow, row: ListSizeRow) -> ListSizeRow:
-    longer = math.log(row.cell.entries / last.cell.entries)
-    costs = _DECISION_COSTS if isinstance(row, DecisionRow) else _LIST_COSTS
+def _with_growth_since(previous: ListSizeRow, row: ListSizeRow) -> ListSizeRow:
+    log_length_ratio = math.log(row.identity.entries / previous.identity.entries)
+    cost_columns = _DECISION_GROWTH_COLUMNS if isinstance(row, DecisionRow) else _LIST_GROWTH_COLUMNS
     growth: dict[str, Any] = {}
-    columns, last_columns = row.columns(), last.columns()
-    for cost in costs:
-        ratio = columns[cost] / last_columns[cost]
-        growth[f"{cost}_growth"] = math.log(ratio) / longer
+    columns, previous_columns = row.columns(), previous.columns()
+    for column in cost_columns:
+        ratio = columns[column] / previous_columns[column]
+        growth[f"{column}_growth"] = math.log(ratio) / log_length_ratio
     return replace(row, **growth)
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -1,7 +1,7 @@
-"""Real balancers in deep chains: the time they add, the deadline at the last tier, and faults there.
+"""Measures real balancers in deep chains: added latency, deadlines at the last tier, and faults there.
 
 Direct requests go through a chain of the same depth without balancers, with one upstream in each tier; the
-difference in latency is the time that the balancers add.
+difference in latency is what the balancers add.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from testbed.load import streams as load
 from testbed.measurement.meter import CoresWatch, Usage, usage
-from testbed.results import OMITTED_IF_NONE, Measured, Row, RunResult, fit_columns, stored_as
+from testbed.results import OMITTED_IF_NONE, MeasuredRow, Row, RunResult, fit_columns, stored_as
 from testbed.runs import load_plan
-from testbed.runs.real_depth.chain import Chain
+from testbed.runs.real_depth.chain import RealChain
 from testbed.upstream.behaviour import Behaviour, UpstreamMode
 
 if TYPE_CHECKING:
@@ -37,26 +37,27 @@
     ("hangs", Behaviour(UpstreamMode.HANG)),
     ("back after hanging", _NO_FAULT),
 )
+"""The name of each phase, and the behaviour of the last tier in it."""
 
-
-_FITTED = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
+_FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
+"""The stored columns to fit over depth."""
 _OK = 200
-_REJECTED = (503, 429)
+_REJECTED_STATUSES = (503, 429)
 _MIB = 2**20
 
 
 class Plan(load_plan.Plan):
-    """The load and the faults; `sizes` count the tiers, and so the balancers that a request passes."""
+    """The load and the faults; `sizes` are numbers of tiers, and so of balancers that a request passes."""
 
     faults_at: tuple[int, ...]
-    """The sizes at which the last tier fails, hangs and recovers; the others have no faults."""
+    """The sizes at which the last tier fails, hangs and recovers; the other sizes have no faults."""
     phase_s: float
-    """The length of each phase in seconds."""
+    """The duration of each phase in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimeColumns(Row):
-    """Latency quantiles in milliseconds of requests with a 200 response; `added` is the difference."""
+    """Latency percentiles of requests with a 200 response; `added` is `through` minus `direct`."""
 
     direct_50_ms: float
     through_50_ms: float
@@ -69,18 +70,18 @@
 class DeadlineColumns(Row):
     """The deadlines of the requests that reached the last tier, in milliseconds."""
 
-    bottom_deadline_50_ms: float
+    median_bottom_deadline_ms: float = stored_as("bottom_deadline_50_ms")
     min_bottom_deadline_ms: float = stored_as("bottom_deadline_least_ms")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RealDepthRow(Row):
-    """A chain of one depth in one phase."""
+    """The measurements of a chain of one depth in one phase."""
 
     depth: int
     """The number of tiers, and so of the balancers that a request passes."""
     phase: str
-    calls: int
+    requests: int = stored_as("calls")
     """Requests through the balancers."""
     served: int
     """Requests with a 200 response."""
@@ -89,41 +90,41 @@
     failed: int
     """All other requests."""
     last_unserved_s: float
-    """The last scheduled time, from the start of the phase, of a request not served; 0 if all were."""
+    """The scheduled time, from the start of the phase, of the last request not served; 0 if all were."""
     times: TimeColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
-    """Omitted if no request, direct or through the balancers, was served."""
+    """Omitted if no direct request, or none through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no request reached the last tier."""
-    attempts_top: float
+    first_tier_attempts_per_request: float = stored_as("attempts_top")
     """Attempts at the first tier per request."""
-    attempts_bottom: float
+    bottom_attempts_per_request: float = stored_as("attempts_bottom")
     """Attempts at the last tier per request."""
     attempts_by_tier: list[int]
-    processor_us_a_call: float
-    """Processor time of all balancers per request."""
+    processor_us_per_request: float = stored_as("processor_us_a_call")
+    """Processor time of all balancers per request, in microseconds."""
     resident_mib: float
-    """Resident memory of all balancers at the end."""
+    """Resident memory of all balancers after the phase."""
     cores_busy: float
     """The fraction of core time that was busy, from 0 to 1."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each size and phase, and fit lines over the phases without fault."""
+    """Measure each depth and phase, and fit lines over the depths without fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_measure_depth(plan, depth, result, log))
-    calm = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
-    if len(calm) > 1:
-        result.fits = [fit_columns(calm, y, "depth") for y in _FITTED]
+    without_fault = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
+    if len(without_fault) > 1:
+        result.fits = [fit_columns(without_fault, y, "depth") for y in _FITTED_COLUMNS]
     return result
 
 
 async def _measure_depth(
     plan: Plan, depth: int, result: RunResult[RealDepthRow], log: FilteringBoundLogger
 ) -> None:
-    """Start a chain and measure its phases."""
-    chain = Chain(plan.seed, depth)
+    """Start a chain and measure its phases one after another."""
+    chain = RealChain(plan.seed, depth)
     try:
         await chain.start()
         await load.run_streams(_streams(plan, chain), plan.warm_s, plan.seed)
@@ -140,11 +141,11 @@
         await chain.stop()
 
 
-def _streams(plan: Plan, chain: Chain) -> list[load.Stream]:
-    clients = {"direct": [chain.direct], "through": chain.fronts}
+def _streams(plan: Plan, chain: RealChain) -> list[load.Stream]:
+    clients_by_stream = {"direct": [chain.direct_client], "through": chain.front_clients}
     return [
-        load.Stream(name, clients_of, plan.per_s, plan.class_name, plan.deadline_ms)
-        for name, clients_of in clients.items()
+        load.Stream(name, clients, plan.per_s, plan.class_name, plan.deadline_ms)
+        for name, clients in clients_by_stream.items()
     ]
 
 
@@ -160,7 +161,7 @@
     reports: dict[str, load.StreamReport]
 
 
-async def _measure_phase(plan: Plan, chain: Chain, phase: str, seed: int) -> Measured[RealDepthRow]:
+async def _measure_phase(plan: Plan, chain: RealChain, phase: str, seed: int) -> MeasuredRow[RealDepthRow]:
     """Run the load of one phase and return its row."""
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
@@ -175,35 +176,35 @@
     for name, report in reports.items():
         reasons += report.invalid_reasons(name, plan.late_ms)
     readings = _Readings(usage_before, usage_after, busy, attempts, reports)
-    return Measured(_row(chain, phase, readings), reasons)
+    return MeasuredRow(_row(chain, phase, readings), reasons)
 
 
-def _row(chain: Chain, phase: str, readings: _Readings) -> RealDepthRow:
+def _row(chain: RealChain, phase: str, readings: _Readings) -> RealDepthRow:
     through = readings.reports["through"]
-    calls = through.sends
+    requests = through.sends
     served = through.statuses[_OK]
-    rejected = sum(through.statuses[status] for status in _REJECTED)
+    rejected = sum(through.statuses[status] for status in _REJECTED_STATUSES)
     processor_s = readings.usage_after.processor_s - readings.usage_before.processor_s
     return RealDepthRow(
         depth=len(chain.tiers),
         phase=phase,
-        calls=calls,
+        requests=requests,
         served=served,
         rejected=rejected,
-        failed=calls - served - rejected,
+        failed=requests - served - rejected,
         last_unserved_s=max(through.unserved, default=0.0),
-        times=_times(readings.reports["direct"].served, through.served),
-        deadlines=_deadlines(chain.deadlines_ms),
-        attempts_top=readings.attempts[0] / calls,
-        attempts_bottom=readings.attempts[-1] / calls,
+        times=_time_columns(readings.reports["direct"].served, through.served),
+        deadlines=_deadline_columns(chain.deadlines_ms),
+        first_tier_attempts_per_request=readings.attempts[0] / requests,
+        bottom_attempts_per_request=readings.attempts[-1] / requests,
         attempts_by_tier=readings.attempts,
-        processor_us_a_call=processor_s * 1e6 / calls,
+        processor_us_per_request=processor_s * 1e6 / requests,
         resident_mib=readings.usage_after.resident / _MIB,
         cores_busy=readings.cores_busy,
     )
 
 
-def _times(direct: Latencies, through: Latencies) -> TimeColumns | None:
+def _time_columns(direct: Latencies, through: Latencies) -> TimeColumns | None:
     """Compare direct latencies with those through the balancers; return None if either has none."""
     if not through.count or not direct.count:
         return None
@@ -216,11 +217,11 @@
     )
 
 
-def _deadlines(deadlines_ms: Sequence[float]) -> DeadlineColumns | None:
+def _deadline_columns(deadlines_ms: Sequence[float]) -> DeadlineColumns | None:
     """Return the median and the minimum of the deadlines, or None if there are none."""
     if not deadlines_ms:
         return None
     ordered = sorted(deadlines_ms)
     return DeadlineColumns(
-        bottom_deadline_50_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
+        median_bottom_deadline_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
     )
