--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -22,7 +22,9 @@
 
 
 class HollowBalancer:
-    """A balancer without clients; `on_list_applied(index, at)` is called once the policy has applied a list.
+    """A balancer without clients.
+
+    `on_list_applied(version, at_s)` is called once the policy has applied a list.
 
     Attributes:
         proxy: The real proxy.
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -13,7 +13,7 @@
 from loadbalancer.configuration import read_configuration
 from testbed.balancer.hollow import HollowBalancer
 from testbed.child_process import ChildProcess, run_child, serve_pipe
-from testbed.measurement.meter import LoopLag
+from testbed.measurement.resource_usage import LoopLagMonitor
 
 if TYPE_CHECKING:
     from multiprocessing.connection import Connection
@@ -25,19 +25,20 @@
 class HollowReport:
     """The lists that the balancers of one process applied since the previous report.
 
-    `balancers`, `indexes` and `times` are the columns of one table with a row for each applied list.
+    `balancer_numbers`, `versions` and `applied_at_s` are the columns of one table with a row for each applied
+    list.
 
     Attributes:
-        balancers: The number of the balancer.
-        indexes: The version of the list.
-        times: When the list was applied, in seconds of the system's monotonic clock.
+        balancer_numbers: The number of the balancer.
+        versions: The version of the list.
+        applied_at_s: When the list was applied, in seconds of the system's monotonic clock.
         p99_lag_s: The 99th percentile of the event loop's lag.
         max_lag_s: The maximum of the event loop's lag.
     """
 
-    balancers: NDArray[np.int32]
-    indexes: NDArray[np.int64]
-    times: NDArray[np.float64]
+    balancer_numbers: NDArray[np.int32]
+    versions: NDArray[np.int64]
+    applied_at_s: NDArray[np.float64]
     p99_lag_s: float
     max_lag_s: float
 
@@ -45,9 +46,9 @@
 class _AppliedList(NamedTuple):
     """A list that a balancer applied."""
 
-    balancer: int
-    list_index: int
-    time_s: float
+    balancer_number: int
+    version: int
+    applied_at_s: float
 
 
 class HollowProcess:
@@ -78,20 +79,20 @@
     """Records the lists that balancers apply."""
 
     def __init__(self) -> None:
-        self._rows: list[_AppliedList] = []
+        self._applied_lists: list[_AppliedList] = []
 
-    def record(self, balancer: int, index: int, time_s: float) -> None:
+    def record(self, balancer_number: int, version: int, applied_at_s: float) -> None:
         """Record that a balancer has applied a list."""
-        self._rows.append(_AppliedList(balancer, index, time_s))
+        self._applied_lists.append(_AppliedList(balancer_number, version, applied_at_s))
 
-    def take_report(self, lag: LoopLag) -> HollowReport:
+    def take_report(self, lag: LoopLagMonitor) -> HollowReport:
         """Return the report since the previous one, with the lag of the event loop."""
-        rows, self._rows = self._rows, []
+        applied_lists, self._applied_lists = self._applied_lists, []
         p99_lag_s, max_lag_s = lag.take()
         return HollowReport(
-            np.array([row.balancer for row in rows], dtype=np.int32),
-            np.array([row.list_index for row in rows], dtype=np.int64),
-            np.array([row.time_s for row in rows], dtype=np.float64),
+            np.array([applied.balancer_number for applied in applied_lists], dtype=np.int32),
+            np.array([applied.version for applied in applied_lists], dtype=np.int64),
+            np.array([applied.applied_at_s for applied in applied_lists], dtype=np.float64),
             p99_lag_s,
             max_lag_s,
         )
@@ -114,5 +115,5 @@
         HollowBalancer(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
     gc.freeze()  # as the program does once it has started
-    lag = LoopLag(loop)  # created after the balancers, so that their start does not count as lag
+    lag = LoopLagMonitor(loop)  # created after the balancers, so that their start does not count as lag
     await serve_pipe(pipe, partial(recorder.take_report, lag))
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -18,10 +18,10 @@
 from testbed.errors import TestbedError
 
 ROOT = Path(__file__).parents[2]
-SAME_PYTHON = f"exec {sys.executable} -m loadbalancer"
+SOURCE_TREE_COMMAND = f"exec {sys.executable} -m loadbalancer"
 """The command that runs the balancer from this tree with the running Python interpreter."""
 
-MAX_RUNNING = 150
+MAX_RUNNING_BALANCERS = 150
 """The limit on balancers that run at the same time: each uses about 40 MiB of memory."""
 
 _HEALTH_POLL_S = 0.02
@@ -38,10 +38,10 @@
 
 
 class TooManyBalancersError(BalancerProcessError):
-    """`MAX_RUNNING` balancers are running already."""
+    """`MAX_RUNNING_BALANCERS` balancers are running already."""
 
     def __init__(self) -> None:
-        super().__init__(f"{MAX_RUNNING} balancers run already")
+        super().__init__(f"{MAX_RUNNING_BALANCERS} balancers run already")
 
 
 class BalancerExitedError(BalancerProcessError):
@@ -109,9 +109,9 @@
                 default the deploy file's `run` command.
 
         Raises:
-            TooManyBalancersError: `MAX_RUNNING` balancers run already.
+            TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers run already.
         """
-        if len(_running) >= MAX_RUNNING:
+        if len(_running) >= MAX_RUNNING_BALANCERS:
             raise TooManyBalancersError
         configuration = json.loads(configuration_text)
         folder = Path(tempfile.mkdtemp(prefix="balancer-"))
@@ -130,7 +130,7 @@
         _running.add(process.pid)
         return cls(process, folder, read_address(environment["LB_LISTEN"]))
 
-    async def ready(self, timeout_s: float = 30.0) -> None:
+    async def wait_until_ready(self, timeout_s: float = 30.0) -> None:
         """Wait until the response to `GET /healthz` is 200.
 
         Raises:
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -12,7 +12,7 @@
 from testbed.discovery.agent_state import AgentMode, AgentState, RequestCounts
 from testbed.discovery.endpoint_history import NO_VERSION, EndpointHistory, ListResponse
 from testbed.errors import NotConnectedError
-from testbed.http.reader import HttpRequest, MalformedRequestError, RequestReader
+from testbed.http.request_parser import HttpRequest, MalformedRequestError, RequestParser
 
 if TYPE_CHECKING:
     from loadbalancer.configuration import Address
@@ -43,8 +43,8 @@
         on_watch: Called with each watch request.
         counts: Counts of its requests and responses.
         state: Its mode and response delay.
-        written_index: The version that was last written to the balancer.
-        acknowledged_index: The highest version that a watch request named as known.
+        written_version: The version that was last written to the balancer.
+        acknowledged_version: The highest version that a watch request named as known.
         responded_at_s: When the last response was written.
         connections: Its open connections.
     """
@@ -57,8 +57,8 @@
     on_watch: WatchObserver
     counts: RequestCounts = field(default_factory=RequestCounts)
     state: AgentState = field(default_factory=AgentState)
-    written_index: int = NO_VERSION
-    acknowledged_index: int = NO_VERSION
+    written_version: int = NO_VERSION
+    acknowledged_version: int = NO_VERSION
     responded_at_s: float = float("-inf")
     connections: set[AgentConnection] = field(default_factory=set)
     _listener: socket.socket | None = None
@@ -120,23 +120,23 @@
         for task in list(self._serving):
             task.cancel()
 
-    def record_request(self, known_index: int) -> None:
+    def record_request(self, known_version: int) -> None:
         """Count a request; one with `NO_VERSION` gets a snapshot at once and is not a watch."""
         now_s = self.clock()
         self.counts.requests += 1
-        if known_index == NO_VERSION:
+        if known_version == NO_VERSION:
             return
         if now_s - self.responded_at_s <= CONTINUED_WATCH_S:
             self.counts.continued += 1
         else:
             self.counts.watches += 1
-        self.acknowledged_index = max(self.acknowledged_index, known_index)
-        self.on_watch(self.number, known_index, now_s)
+        self.acknowledged_version = max(self.acknowledged_version, known_version)
+        self.on_watch(self.number, known_version, now_s)
 
     def record_response(self, response: ListResponse) -> None:
         """Count a response as it is written."""
         self.responded_at_s = self.clock()
-        self.written_index = self.history.index
+        self.written_version = self.history.version
         self.counts.entries += response.entry_count
         self.counts.snapshots += response.is_snapshot
 
@@ -145,23 +145,23 @@
 class _ListRequest:
     """A request for the list: the balancer's version, and how long to wait for a newer one."""
 
-    known_index: int
+    known_version: int
     wait_ms: int
 
     @property
     def is_valid(self) -> bool:
-        return self.known_index >= NO_VERSION and 0 <= self.wait_ms <= MAX_WAIT_MS
+        return self.known_version >= NO_VERSION and 0 <= self.wait_ms <= MAX_WAIT_MS
 
 
 def _read_list_request(query_text: str) -> _ListRequest | None:
     """Parse the query of a request for the list; return None if it is invalid."""
     query = parse_qs(query_text)
     try:
-        known_index = int(query["after"][0]) if "after" in query else NO_VERSION
+        known_version = int(query["after"][0]) if "after" in query else NO_VERSION
         wait_ms = int(query["wait_ms"][0]) if "wait_ms" in query else 0
     except ValueError:
         return None
-    request = _ListRequest(known_index, wait_ms)
+    request = _ListRequest(known_version, wait_ms)
     return request if request.is_valid else None
 
 
@@ -170,9 +170,9 @@
 
     def __init__(self, agent: Agent) -> None:
         self._agent = agent
-        self._reader = RequestReader(self._on_request)
+        self._reader = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
-        self._known_index: int | None = None  # of the open request; None where there is none
+        self._known_version: int | None = None  # of the open request; None where there is none
         self._wait_has_ended = False  # of the open request
         self._wait_timer: asyncio.TimerHandle | None = None
         self._delay_timer: asyncio.TimerHandle | None = None
@@ -201,15 +201,15 @@
             self._write(404, b"")
             return
         list_request = _read_list_request(url.query)
-        if list_request is None or self._known_index is not None:
+        if list_request is None or self._known_version is not None:
             self._write(400, b"")
             return
         self._open_request(list_request)
 
     def _open_request(self, request: _ListRequest) -> None:
-        self._known_index = request.known_index
-        self._wait_has_ended = request.known_index == NO_VERSION
-        self._agent.record_request(request.known_index)
+        self._known_version = request.known_version
+        self._wait_has_ended = request.known_version == NO_VERSION
+        self._agent.record_request(request.known_version)
         if not self._wait_has_ended:
             loop = asyncio.get_running_loop()
             self._wait_timer = loop.call_later(request.wait_ms / 1000, self._end_wait)
@@ -224,9 +224,9 @@
 
         The response is sent after the agent's delay, and only if the agent is up at that time.
         """
-        if self._known_index is None or self._delay_timer is not None:
+        if self._known_version is None or self._delay_timer is not None:
             return
-        if not self._wait_has_ended and not self._agent.history.is_outdated(self._known_index):
+        if not self._wait_has_ended and not self._agent.history.is_outdated(self._known_version):
             return
         delay_ms = self._agent.state.delay_ms
         if delay_ms:
@@ -237,9 +237,9 @@
 
     def _respond(self) -> None:
         self._delay_timer = None
-        if self._known_index is None or self._agent.state.mode is not AgentMode.UP:
+        if self._known_version is None or self._agent.state.mode is not AgentMode.UP:
             return
-        response = self._agent.history.response_after(self._known_index)
+        response = self._agent.history.response_after(self._known_version)
         self._forget_request()
         self._agent.record_response(response)
         self._write(200, response.body)
@@ -255,7 +255,7 @@
             self._transport.close()
 
     def _forget_request(self) -> None:
-        self._known_index = None
+        self._known_version = None
         for timer in (self._wait_timer, self._delay_timer):
             if timer is not None:
                 timer.cancel()
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -40,14 +40,14 @@
     """The list, its version, and the latest change of each name.
 
     Attributes:
-        index: The version of the list.
+        version: The version of the list.
     """
 
     def __init__(self) -> None:
-        self.index = 0
+        self.version = 0
         self._entries: dict[str, EndpointEntry] = {}
         self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, the latest change last
-        self._oldest_index = 0  # all changes after this version are remembered
+        self._oldest_version = 0  # all changes after this version are remembered
         self._responses: dict[int, ListResponse] = {}  # of this version of the list, by known version
 
     @property
@@ -59,7 +59,7 @@
         """Replace the list; every balancer gets a snapshot of the new one."""
         self._entries = {entry["name"]: entry for entry in entries}
         self._changes.clear()
-        self._oldest_index = self.index + 1
+        self._oldest_version = self.version + 1
         self._advance()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> None:
@@ -71,37 +71,37 @@
             else:
                 self._entries[name] = entry
             self._changes.pop(name, None)
-            self._changes[name] = self.index + 1, entry
+            self._changes[name] = self.version + 1, entry
         while len(self._changes) > MAX_REMEMBERED_CHANGES:
             oldest_name = next(iter(self._changes))
-            self._oldest_index = self._changes.pop(oldest_name)[0]
+            self._oldest_version = self._changes.pop(oldest_name)[0]
         self._advance()
 
     def _advance(self) -> None:
-        self.index += 1
+        self.version += 1
         self._responses.clear()
 
-    def response_after(self, known_index: int) -> ListResponse:
+    def response_after(self, known_version: int) -> ListResponse:
         """Return the response for a balancer that knows a version, or `NO_VERSION`."""
-        response = self._responses.get(known_index)
+        response = self._responses.get(known_version)
         if response is None:
-            response = self._responses[known_index] = self._build_response(known_index)
+            response = self._responses[known_version] = self._build_response(known_version)
         return response
 
-    def _build_response(self, known_index: int) -> ListResponse:
-        is_snapshot = not self._oldest_index <= known_index <= self.index
-        entries = self.entries if is_snapshot else list(self._changes_after(known_index))
-        content = {"index": self.index, "snapshot": is_snapshot, "endpoints": entries}
+    def _build_response(self, known_version: int) -> ListResponse:
+        is_snapshot = not self._oldest_version <= known_version <= self.version
+        entries = self.entries if is_snapshot else list(self._changes_after(known_version))
+        content = {"index": self.version, "snapshot": is_snapshot, "endpoints": entries}
         body = json.dumps(content, separators=(",", ":")).encode()
         return ListResponse(body, len(entries), is_snapshot)
 
-    def _changes_after(self, known_index: int) -> Iterator[EndpointEntry]:
+    def _changes_after(self, known_version: int) -> Iterator[EndpointEntry]:
         """Yield the entries that changed after a version, the latest change first."""
-        for index, entry in reversed(self._changes.values()):
-            if index <= known_index:
+        for version, entry in reversed(self._changes.values()):
+            if version <= known_version:
                 return
             yield entry
 
-    def is_outdated(self, known_index: int) -> bool:
+    def is_outdated(self, known_version: int) -> bool:
         """Whether a version differs from the current one: older, or never issued."""
-        return known_index != self.index
+        return known_version != self.version
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -30,7 +30,7 @@
 _MODES_BY_SEVERITY = (AgentMode.DOWN, AgentMode.UNRESPONSIVE)
 
 
-def _ignore_watch(number: int, known_index: int, time_s: float) -> None:
+def _ignore_watch(number: int, known_version: int, time_s: float) -> None:
     """Ignore a watch request."""
 
 
@@ -86,9 +86,9 @@
     # ---- the list -------------------------------------------------------------------------------
 
     @property
-    def index(self) -> int:
+    def version(self) -> int:
         """The version of the list."""
-        return self._history.index
+        return self._history.version
 
     @property
     def entries(self) -> list[EndpointEntry]:
@@ -105,16 +105,16 @@
         self._history.apply_changes(entries)
         return self._publish()
 
-    def list_response(self, known_index: int) -> ListResponse:
+    def list_response(self, known_version: int) -> ListResponse:
         """Return the response for a balancer that knows a version, or `NO_VERSION`."""
-        return self._history.response_after(known_index)
+        return self._history.response_after(known_version)
 
     def _publish(self) -> int:
         self.changed_at.append(self._clock())
         for agent in self.agents.values():
             agent.respond_to_open()
         self.written_at.append(self._clock())
-        return self.index
+        return self.version
 
     # ---- agents ---------------------------------------------------------------------------------
 
--- a/testbed/http/reader.py
+++ b/testbed/http/request_parser.py
@@ -27,7 +27,7 @@
     """The received bytes are not an HTTP request."""
 
 
-class RequestReader:
+class RequestParser:
     """Parses the bytes of one connection and passes on each complete request."""
 
     def __init__(self, on_request: Callable[[HttpRequest], None]) -> None:
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -55,25 +55,25 @@
     """The results of a stream's requests.
 
     Attributes:
-        sends: Requests that were sent.
-        opened: Connections that were opened for them.
+        sent: Requests that were sent.
+        opened_connections: Connections that were opened for them.
         statuses: Requests by response status; `NO_RESPONSE` where there was none.
-        unserved: The scheduled times of requests without a 200 response, in seconds from the start, in the
-            order in which the requests ended.
-        served: Latencies of requests with a 200 response, from the scheduled time to the last byte.
+        unserved_at_s: The scheduled times of requests without a 200 response, in seconds from the start, in
+            the order in which the requests ended.
+        served_latencies: Latencies of requests with a 200 response, from the scheduled time to the last byte.
         lateness: Times from schedule to send.
     """
 
-    sends: int = 0
-    opened: int = 0
+    sent: int = 0
+    opened_connections: int = 0
     statuses: Counter[int] = field(default_factory=Counter)
-    unserved: list[float] = field(default_factory=list)
-    served: Latencies = field(default_factory=Latencies)
+    unserved_at_s: list[float] = field(default_factory=list)
+    served_latencies: Latencies = field(default_factory=Latencies)
     lateness: Latencies = field(default_factory=Latencies)
 
     def invalid_reasons(self, name: str, late_ms: float) -> list[str]:
         """Return why the results are invalid: the 99th percentile of lateness exceeds `late_ms`."""
-        lateness_ms = self.lateness.quantile_ms(0.99) if self.sends else 0.0
+        lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
         if lateness_ms <= late_ms:
             return []
         return [f"{name}: 1 send in 100 was {lateness_ms:.3f} ms late or more"]
@@ -103,7 +103,9 @@
         self._request_ids = request_ids(seed)
         self._open: set[asyncio.Task[None]] = set()
         self._start = 0.0
-        self.reports = {stream.name: StreamReport(opened=-stream.opened_connections) for stream in streams}
+        self.reports = {
+            stream.name: StreamReport(opened_connections=-stream.opened_connections) for stream in streams
+        }
 
     async def send_requests(self, schedule: Iterator[_PlannedRequest], start: float, sleep: Sleep) -> None:
         """Send each request at its scheduled time after `start`, without waiting for responses."""
@@ -121,21 +123,21 @@
     async def _send(self, stream: Stream, client: Client, scheduled_s: float) -> None:
         report = self.reports[stream.name]
         report.lateness.record(self._clock() - scheduled_s)
-        report.sends += 1
+        report.sent += 1
         request = compose_request(stream.class_name, next(self._request_ids), stream.deadline_ms)
         response = await client.send(request, stream.deadline_ms / 1000)
         report.statuses[response.status] += 1
         if response.status == 200:
-            report.served.record(response.received_at - scheduled_s)
+            report.served_latencies.record(response.received_at - scheduled_s)
         else:
-            report.unserved.append(scheduled_s - self._start)
+            report.unserved_at_s.append(scheduled_s - self._start)
 
     async def finish(self) -> None:
         """Wait for the open requests and complete the reports."""
         if self._open:
             await asyncio.wait(self._open)
         for stream in self._streams:
-            self.reports[stream.name].opened += stream.opened_connections
+            self.reports[stream.name].opened_connections += stream.opened_connections
 
 
 async def run_streams(
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -49,7 +49,7 @@
         return float(self._histogram.get_value_at_percentile(fraction * 100)) / _US_PER_MS
 
 
-class AddedTime(TypedDict):
+class AddedTimeColumns(TypedDict):
     """Columns of a result, all in milliseconds.
 
     `direct` and `through` are quantiles of requests direct to the upstreams and through the balancer. `added`
@@ -69,7 +69,7 @@
     over_median_999_ms: float
 
 
-def added(direct: Latencies, through: Latencies) -> AddedTime:
+def compare_latencies(direct: Latencies, through: Latencies) -> AddedTimeColumns:
     """Compare latencies through a balancer with direct ones of the same run."""
     median_ms = direct.quantile_ms(0.5)
     return {
--- a/testbed/measurement/meter.py
+++ b/testbed/measurement/resource_usage.py
@@ -12,7 +12,7 @@
     import asyncio
     from collections.abc import Iterable
 
-FULL_CORES_FRACTION = 0.9
+SATURATED_CORES_FRACTION = 0.9
 """The fraction of busy core time from which on measured times include waits for a core."""
 
 LAG_INTERVAL_S = 0.01
@@ -22,21 +22,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Usage:
+class ResourceUsage:
     """The resource usage of some processes, as sums.
 
     Attributes:
         processor_s: Processor time in seconds.
-        resident: Resident memory in bytes.
+        resident_bytes: Resident memory in bytes.
         descriptors: Open file descriptors.
     """
 
     processor_s: float
-    resident: int
+    resident_bytes: int
     descriptors: int
 
 
-def processor_s(pid: int) -> float:
+def processor_time_s(pid: int) -> float:
     """Return the processor time of a process's live threads in seconds, with a resolution of a nanosecond.
 
     The resolution of psutil is 10 ms, which is as much as an idle balancer uses in some seconds.
@@ -45,29 +45,29 @@
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / _NANOSECONDS
 
 
-def usage(pids: Iterable[int]) -> Usage:
+def measure_usage(pids: Iterable[int]) -> ResourceUsage:
     """Return the processor time that processes have used so far, and their current memory and descriptors.
 
     Raises:
         psutil.NoSuchProcess: One of them has ended.
     """
-    total_processor_s, resident, descriptors = 0.0, 0, 0
+    total_processor_s, resident_bytes, descriptors = 0.0, 0, 0
     for pid in pids:
         process = psutil.Process(pid)
         with process.oneshot():
-            resident += process.memory_info().rss
+            resident_bytes += process.memory_info().rss
             descriptors += process.num_fds()
-        total_processor_s += processor_s(pid)
-    return Usage(total_processor_s, resident, descriptors)
+        total_processor_s += processor_time_s(pid)
+    return ResourceUsage(total_processor_s, resident_bytes, descriptors)
 
 
-class CoresWatch:
+class CoreMonitor:
     """Measures the utilization of the machine's cores since its creation."""
 
     def __init__(self) -> None:
         self._start = psutil.cpu_times()
 
-    def busy(self) -> float:
+    def busy_fraction(self) -> float:
         """Return the fraction of core time that was not idle; steal time counts as busy."""
         start, now = self._start, psutil.cpu_times()
         # Guest time is part of user time and would count twice.
@@ -78,8 +78,8 @@
 
     def invalid_reasons(self, phase: str) -> list[str]:
         """Return why the results of a phase are invalid: the cores were saturated. Empty if they were not."""
-        busy = self.busy()
-        return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= FULL_CORES_FRACTION else []
+        busy = self.busy_fraction()
+        return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
 
 
 class Lag(NamedTuple):
@@ -89,7 +89,7 @@
     max_s: float
 
 
-class LoopLag:
+class LoopLagMonitor:
     """Measures the lag of an event loop with a timer of `LAG_INTERVAL_S`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -15,12 +15,12 @@
 import uvloop
 
 from testbed import settings
-from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
 from testbed.discovery.service import Discovery
 from testbed.http import client as http_client
 from testbed.load import streams as load
 from testbed.measurement import latency
-from testbed.measurement.meter import CoresWatch, Usage, usage
+from testbed.measurement.resource_usage import CoreMonitor, ResourceUsage, measure_usage
 from testbed.results import MeasuredRow, Row, RunResult, fit_columns, stored_as
 from testbed.runs import load_plan
 from testbed.upstream.group import UpstreamProcess
@@ -122,11 +122,11 @@
             entries,
             balancer_settings,
             seed=plan.seed,
-            index=discovery.index,
+            index=discovery.version,
         )
-        balancer = await RealBalancer.start(text, SAME_PYTHON)
+        balancer = await RealBalancer.start(text, SOURCE_TREE_COMMAND)
         try:
-            await balancer.ready()
+            await balancer.wait_until_ready()
             return await _Measurement(plan, size, upstreams, balancer).run()
         finally:
             await balancer.stop()
@@ -140,8 +140,8 @@
     """The readings before and after the measured load."""
 
     idle_us_per_s: float
-    usage_before: Usage
-    usage_after: Usage
+    usage_before: ResourceUsage
+    usage_after: ResourceUsage
     counts_before: UpstreamCounts
     counts_after: UpstreamCounts
     cores_busy: float
@@ -170,14 +170,14 @@
         idle_us_per_s = await self._measure_idle_us_per_s()
         gc.collect()
         gc.freeze()  # makes garbage collections during the measurement short
-        cores = CoresWatch()
+        cores = CoreMonitor()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
         reports = await load.run_streams(self._streams, plan.measure_s, plan.seed)
         usage_after = self._usage()
         counts_after = self._upstreams.counts()
         gc.unfreeze()
-        busy, reasons = cores.busy(), cores.invalid_reasons(f"{self._size} entries")
+        busy, reasons = cores.busy_fraction(), cores.invalid_reasons(f"{self._size} entries")
         for name, report in reports.items():
             reasons += report.invalid_reasons(f"{self._size} entries, {name}", plan.late_ms)
         readings = _Readings(
@@ -191,8 +191,8 @@
         await asyncio.sleep(self._plan.rest_s)
         return (self._usage().processor_s - before.processor_s) / self._plan.rest_s * 1e6
 
-    def _usage(self) -> Usage:
-        return usage([self._balancer.pid])
+    def _usage(self) -> ResourceUsage:
+        return measure_usage([self._balancer.pid])
 
     def _row(self, readings: _Readings) -> AddedTimeRow:
         direct, through = readings.reports["direct"], readings.reports["through"]
@@ -201,16 +201,18 @@
         idle_us = readings.idle_us_per_s * self._plan.measure_s
         return AddedTimeRow(
             entries=self._size,
-            requests=through.sends,
-            served=through.served.count,
-            **latency.added(direct.served, through.served),
-            processor_us_per_request=processor_us / through.sends,
+            requests=through.sent,
+            served=through.served_latencies.count,
+            **latency.compare_latencies(direct.served_latencies, through.served_latencies),
+            processor_us_per_request=processor_us / through.sent,
             idle_us_per_s=readings.idle_us_per_s,
-            net_us_per_request=(processor_us - idle_us) / through.sends,
-            resident_mib=readings.usage_after.resident / _MIB,
-            attempts_per_request=(after.requests - before.requests - direct.sends) / through.sends,
-            opened_connections_per_request=(after.connections - before.connections - direct.opened)
-            / through.sends,
+            net_us_per_request=(processor_us - idle_us) / through.sent,
+            resident_mib=readings.usage_after.resident_bytes / _MIB,
+            attempts_per_request=(after.requests - before.requests - direct.sent) / through.sent,
+            opened_connections_per_request=(
+                after.connections - before.connections - direct.opened_connections
+            )
+            / through.sent,
             health_checks=after.health_checks - before.health_checks,
             p99_lateness_ms=through.lateness.quantile_ms(0.99),
             cores_busy=readings.cores_busy,
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from testbed.measurement.meter import CoresWatch, LoopLag, usage
+from testbed.measurement.resource_usage import CoreMonitor, LoopLagMonitor, measure_usage
 from testbed.results import MeasuredRow, Row, stored_as
 from testbed.runs.control.delays import VersionObservation, delay_quantiles, delays_ms
 from testbed.runs.control.group import MAX_LATENESS_S, BalancerGroup, sum_counts
@@ -106,10 +106,10 @@
         for process in group.processes:
             process.report()  # discards the lag that was measured so far
         self._group = group
-        self._lag = LoopLag(asyncio.get_running_loop())
-        self._cores = CoresWatch()
+        self._lag = LoopLagMonitor(asyncio.get_running_loop())
+        self._cores = CoreMonitor()
         self._start_s = time.monotonic()
-        self._first_version = group.discovery.index + 1
+        self._first_version = group.discovery.version + 1
         self._processor_s = _processor_s(group)
         self._counts = sum_counts(group.discovery, group.hollow_agents)
 
@@ -211,10 +211,10 @@
 def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionObservation]:
     """Yield the versions that hollow balancers applied, in chronological order for each process."""
     for report in reports:
-        yield from map(VersionObservation, report.balancers, report.indexes, report.times)
+        yield from map(VersionObservation, report.balancer_numbers, report.versions, report.applied_at_s)
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
     """Return the processor time of each process so far, those of hollow balancers first."""
     pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real_balancers]
-    return [usage([pid]).processor_s for pid in pids]
+    return [measure_usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -14,7 +14,7 @@
 
 from testbed import settings
 from testbed.balancer.hollow_process import HollowProcess
-from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.errors import TestbedError
@@ -67,7 +67,7 @@
 
 def all_up_to_date(discovery: Discovery) -> bool:
     """Whether every balancer has acknowledged the current version."""
-    return all(agent.acknowledged_index == discovery.index for agent in discovery.agents.values())
+    return all(agent.acknowledged_version == discovery.version for agent in discovery.agents.values())
 
 
 def sum_counts(discovery: Discovery, agent_numbers: range) -> RequestCounts:
@@ -130,11 +130,11 @@
         group.processes.append(process)
     for number in range(hollow_count, hollow_count + real_count):
         listen = free_address(_REAL_HOST.format(number - hollow_count + 1))
-        balancer = await RealBalancer.start(configuration_text(number, listen), SAME_PYTHON)
+        balancer = await RealBalancer.start(configuration_text(number, listen), SOURCE_TREE_COMMAND)
         stack.push_async_callback(balancer.stop)
         group.real_balancers.append(balancer)
     for balancer in group.real_balancers:
-        await balancer.ready()
+        await balancer.wait_until_ready()
     await wait_until(lambda: all_up_to_date(discovery), START_TIMEOUT_S, "every balancer follows the list")
     return group
 
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/rest.py
@@ -11,7 +11,7 @@
 from pydantic import Field
 
 from testbed import experiment, settings
-from testbed.measurement.meter import CoresWatch, LoopLag, usage
+from testbed.measurement.resource_usage import CoreMonitor, LoopLagMonitor, measure_usage
 from testbed.results import Row, RunResult, fit_columns, stored_as
 from testbed.runs.control.group import (
     MAX_LATENESS_S,
@@ -122,7 +122,7 @@
     plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
 ) -> None:
     """Measure all groups over the same period, and add a row for each."""
-    lag, cores = LoopLag(asyncio.get_running_loop()), CoresWatch()
+    lag, cores = LoopLagMonitor(asyncio.get_running_loop()), CoreMonitor()
     start_s = time.monotonic()
     before = [_take_reading(group) for group in groups]
     await asyncio.sleep(plan.span_s)
@@ -140,7 +140,7 @@
 
 
 def _take_reading(group: BalancerGroup) -> _Reading:
-    processor_s = usage([group.real_balancers[0].pid]).processor_s
+    processor_s = measure_usage([group.real_balancers[0].pid]).processor_s
     real = sum_counts(group.discovery, group.real_agents)
     hollow = sum_counts(group.discovery, group.hollow_agents)
     return _Reading(processor_s, real, hollow)
@@ -150,12 +150,12 @@
     now = _take_reading(group)
     real = now.real_counts - before.real_counts
     hollow = now.hollow_counts - before.hollow_counts
-    resources = usage([group.real_balancers[0].pid])
+    resources = measure_usage([group.real_balancers[0].pid])
     return RestRow(
         entries=entries,
         mode="push" if pushed else "ask",
         core_percent=(now.processor_s - before.processor_s) / elapsed_s * 100,
-        resident_mib=resources.resident / _MIB,
+        resident_mib=resources.resident_bytes / _MIB,
         descriptors=resources.descriptors,
         requests_per_s=real.requests / elapsed_s,
         bytes_per_s=(real.bytes_in + real.bytes_out) / elapsed_s,
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -119,7 +119,7 @@
 
     def _next_delta(self) -> bytes:
         """Change the weight of the next entry, and return the body of discovery's response with the delta."""
-        version = self._discovery.index
+        version = self._discovery.version
         self._change_count += 1
         entry = self._entries[self._change_count % len(self._entries)]
         self._discovery.apply_changes([entry | {"weight": 1.0 + self._change_count % 7}])
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from testbed.measurement.meter import CoresWatch
+from testbed.measurement.resource_usage import CoreMonitor
 from testbed.results import Fit, RunResult, fit_columns
 from testbed.runs.list_size.decisions import DecisionBenchmark
 from testbed.runs.list_size.lists import ListBenchmark
@@ -44,7 +44,7 @@
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
     """Measure every length of the list, with a subset and with all endpoints, at every tier."""
-    cores = CoresWatch()
+    cores = CoreMonitor()
     runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(plan.rounds, plan.rounds_max, reference_us)
     for entries in plan.sizes:
         for endpoint_use in _ENDPOINT_USES:
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from testbed import settings
-from testbed.balancer.real import SAME_PYTHON, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
 from testbed.discovery.service import Discovery
 from testbed.http import client as http_client
 from testbed.upstream.group import UpstreamGroup
@@ -81,8 +81,8 @@
         ]
         for first in range(0, len(configuration_texts), _START_BATCH_SIZE):
             for configuration_text in configuration_texts[first : first + _START_BATCH_SIZE]:
-                self.balancers.append(await RealBalancer.start(configuration_text, SAME_PYTHON))
-            await asyncio.gather(*(balancer.ready() for balancer in self.balancers[first:]))
+                self.balancers.append(await RealBalancer.start(configuration_text, SOURCE_TREE_COMMAND))
+            await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[first:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
         """Return the configuration of balancer `number` that sends to `tier`, both counted from 0."""
@@ -93,7 +93,7 @@
             self._discoveries[tier].entries,
             settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
             seed=next(self._seeds),
-            index=self._discoveries[tier].index,
+            index=self._discoveries[tier].version,
         )
 
     def _connect_tiers(self) -> None:
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from testbed.load import streams as load
-from testbed.measurement.meter import CoresWatch, Usage, usage
+from testbed.measurement.resource_usage import CoreMonitor, ResourceUsage, measure_usage
 from testbed.results import OMITTED_IF_NONE, MeasuredRow, Row, RunResult, fit_columns, stored_as
 from testbed.runs import load_plan
 from testbed.runs.real_depth.chain import RealChain
@@ -153,8 +153,8 @@
 class _Readings:
     """The readings before and after a phase."""
 
-    usage_before: Usage
-    usage_after: Usage
+    usage_before: ResourceUsage
+    usage_after: ResourceUsage
     cores_busy: float
     attempts: list[int]
     """The attempts at each tier."""
@@ -165,12 +165,12 @@
     """Run the load of one phase and return its row."""
     chain.deadlines_ms.clear()
     pids = [balancer.pid for balancer in chain.balancers]
-    cores = CoresWatch()
-    usage_before = usage(pids)
+    cores = CoreMonitor()
+    usage_before = measure_usage(pids)
     attempts_before = chain.attempts()
     reports = await load.run_streams(_streams(plan, chain), plan.phase_s, seed)
-    usage_after = usage(pids)
-    busy = cores.busy()
+    usage_after = measure_usage(pids)
+    busy = cores.busy_fraction()
     attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
     reasons = cores.invalid_reasons("the phase")
     for name, report in reports.items():
@@ -181,7 +181,7 @@
 
 def _row(chain: RealChain, phase: str, readings: _Readings) -> RealDepthRow:
     through = readings.reports["through"]
-    requests = through.sends
+    requests = through.sent
     served = through.statuses[_OK]
     rejected = sum(through.statuses[status] for status in _REJECTED_STATUSES)
     processor_s = readings.usage_after.processor_s - readings.usage_before.processor_s
@@ -192,14 +192,14 @@
         served=served,
         rejected=rejected,
         failed=requests - served - rejected,
-        last_unserved_s=max(through.unserved, default=0.0),
-        times=_time_columns(readings.reports["direct"].served, through.served),
+        last_unserved_s=max(through.unserved_at_s, default=0.0),
+        times=_time_columns(readings.reports["direct"].served_latencies, through.served_latencies),
         deadlines=_deadline_columns(chain.deadlines_ms),
         first_tier_attempts_per_request=readings.attempts[0] / requests,
         bottom_attempts_per_request=readings.attempts[-1] / requests,
         attempts_by_tier=readings.attempts,
         processor_us_per_request=processor_s * 1e6 / requests,
-        resident_mib=readings.usage_after.resident / _MIB,
+        resident_mib=readings.usage_after.resident_bytes / _MIB,
         cores_busy=readings.cores_busy,
     )
 
--- a/testbed/upstream/connection.py
+++ b/testbed/upstream/connection.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Protocol, cast
 
 from testbed.errors import NotConnectedError
-from testbed.http.reader import HttpRequest, MalformedRequestError, RequestReader
+from testbed.http.request_parser import HttpRequest, MalformedRequestError, RequestParser
 from testbed.upstream.behaviour import Behaviour, UpstreamCounts, UpstreamMode
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
 
     def __init__(self, upstream: RequestHandler) -> None:
         self._upstream = upstream
-        self._reader = RequestReader(self._on_request)
+        self._reader = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None  # handles the open request
         self._was_reset_here = False
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -19,7 +19,7 @@
 
 async def wait_until_acknowledged(discovery: Discovery, version: int) -> None:
     await wait_until(
-        lambda: all(agent.acknowledged_index == version for agent in discovery.agents.values()),
+        lambda: all(agent.acknowledged_version == version for agent in discovery.agents.values()),
         f"every balancer has acknowledged version {version}",
     )
 
@@ -41,7 +41,7 @@
         hollow = HollowBalancer(
             read_configuration(text, ignore_warning),
             asyncio.get_running_loop(),
-            partial(lambda versions, index, at: versions.append(index), applied[i]),
+            partial(lambda versions, version, at_s: versions.append(version), applied[i]),
         )
         hollow.start()
         hollows.append(hollow)
@@ -75,7 +75,7 @@
     HollowBalancer(
         read_configuration(text, ignore_warning),
         asyncio.get_running_loop(),
-        lambda index, at: applied.append(index),
+        lambda version, at_s: applied.append(version),
     ).start()
     # The first request times out; a timer starts the next one.
     await wait_until(lambda: discovery.counts().requests == 2, "the balancer has polled again")
@@ -94,14 +94,14 @@
     process = HollowProcess(texts)
     await wait_until_acknowledged(discovery, first)
     began = process.report()
-    assert sorted(began.balancers) == [0, 0, 1, 1, 2, 2]
-    assert set(began.indexes) == {0, first}
+    assert sorted(began.balancer_numbers) == [0, 0, 1, 1, 2, 2]
+    assert set(began.versions) == {0, first}
     second = discovery.apply_changes([three_entries()[1] | {"weight": 2.0}])
     await wait_until_acknowledged(discovery, second)
     last = process.stop()
-    assert sorted(last.balancers) == [0, 1, 2]
-    assert set(last.indexes) == {second}
-    assert all(discovery.changed_at[second] <= at for at in last.times)
+    assert sorted(last.balancer_numbers) == [0, 1, 2]
+    assert set(last.versions) == {second}
+    assert all(discovery.changed_at[second] <= at_s for at_s in last.applied_at_s)
     assert last.max_lag_s >= last.p99_lag_s >= 0
     await discovery.stop()
     assert not psutil.pid_exists(process.pid)
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -32,9 +32,9 @@
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
-    balancer = await RealBalancer.start(configuration_on("127.81.0.1"), real.SAME_PYTHON)
+    balancer = await RealBalancer.start(configuration_on("127.81.0.1"), real.SOURCE_TREE_COMMAND)
     try:
-        await balancer.ready(10.0)
+        await balancer.wait_until_ready(10.0)
         assert psutil.Process(balancer.pid).cmdline()[-2:] == ["-m", "loadbalancer"]
         assert psutil.Process(balancer.pid).ppid() == os.getpid()
         assert balancer.address[0] == "127.81.0.1"
@@ -53,7 +53,7 @@
 
     balancer = await RealBalancer.start(configuration_on("127.81.0.2"), "echo no licence >&2; exit 7")
     with pytest.raises(BalancerExitedError, match="ended with 7: no licence"):
-        await balancer.ready(10.0)
+        await balancer.wait_until_ready(10.0)
     assert await balancer.stop() == 7
     assert names_in(tmp_path) == []
 
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -62,6 +62,6 @@
     max_lateness_s = await apply_changes_over_time(
         discovery, restarts(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9
     )
-    assert discovery.index == first + 4
+    assert discovery.version == first + 4
     assert max_lateness_s >= 0
     assert {e["since_ms"] for e in discovery.entries} == {9}
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -95,14 +95,14 @@
 
 async def test_a_watch_ends_with_a_change_or_with_its_wait(discovery: Discovery) -> None:
     await discovery.start()
-    index = discovery.replace_entries(three_entries())
+    version = discovery.replace_entries(three_entries())
     async with WatchClient(discovery.agent_address(0)) as watcher:
-        assert await watcher.request_list(f"?after={index}&wait_ms=5") == (index, False, {})
-        watcher.send(f"?after={index}&wait_ms=60000")
+        assert await watcher.request_list(f"?after={version}&wait_ms=5") == (version, False, {})
+        watcher.send(f"?after={version}&wait_ms=60000")
         await wait_until(lambda: discovery.counts().requests == 2, "two requests have been received")
-        assert discovery.agents[0].written_index == index
+        assert discovery.agents[0].written_version == version
         newest = discovery.apply_changes([three_entries()[2] | {"weight": 4.0}])
-        assert discovery.agents[0].written_index == newest  # written at once
+        assert discovery.agents[0].written_version == newest  # written at once
         assert discovery.changed_at[newest] <= discovery.written_at[newest]
         assert read_list(await read_message(watcher.reader))[0] == newest
         for query, path, status in (
@@ -117,12 +117,12 @@
     now = [10.0]
 
     discovery = Discovery(lambda: now[0])
-    index = discovery.replace_entries(three_entries())
+    version = discovery.replace_entries(three_entries())
     async with WatchClient(discovery.agent_address(0)) as watcher:
         await watcher.request_list()
         for interval_s, expected in ((0.2, (0, 1)), (0.201, (1, 1)), (0.0, (1, 2))):
             now[0] += interval_s
-            await watcher.request_list(f"?after={index}")
+            await watcher.request_list(f"?after={version}")
             counts = discovery.counts()
             assert (counts.watches, counts.continued) == expected
     await discovery.stop()
@@ -132,13 +132,13 @@
     seen: list[tuple[int, int]] = []
 
     discovery = Discovery(on_watch=lambda agent, after, at: seen.append((agent, after)))
-    index = discovery.replace_entries(three_entries())
+    version = discovery.replace_entries(three_entries())
     sent = got = 0
     async with (
         WatchClient(discovery.agent_address(0)) as one,
         WatchClient(discovery.agent_address(7)) as other,
     ):
-        for watcher, query in ((one, ""), (one, f"?after={index}"), (other, "")):
+        for watcher, query in ((one, ""), (one, f"?after={version}"), (other, "")):
             sent += watcher.send(query)
             head = await watcher.reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
@@ -147,15 +147,15 @@
         assert (counts.requests, counts.snapshots, counts.entries) == (3, 2, 6)
         assert (counts.bytes_in, counts.bytes_out) == (sent, got)
         assert discovery.agents[7].counts.requests == 1
-        assert discovery.agents[0].acknowledged_index == index
-        assert seen == [(0, index)]
+        assert discovery.agents[0].acknowledged_version == version
+        assert seen == [(0, version)]
         assert counts - counts == RequestCounts()
     await discovery.stop()
 
 
 async def test_an_unresponsive_group_of_agents_responds_once_it_is_up_again(discovery: Discovery) -> None:
     await discovery.start("127.32.0.9")
-    index = discovery.replace_entries(three_entries())
+    version = discovery.replace_entries(three_entries())
     healthy, unresponsive = (
         discovery.agent_address(0, "r0", "r0-z0"),
         discovery.agent_address(1, "r1", "r1-z1"),
@@ -164,27 +164,27 @@
     assert discovery.agent_address(0) == healthy
     async with WatchClient(healthy) as one, WatchClient(unresponsive) as other:
         for watcher in (one, other):
-            watcher.send(f"?after={index}&wait_ms=60000")
+            watcher.send(f"?after={version}&wait_ms=60000")
         await wait_until(lambda: discovery.counts().requests == 2, "two requests have been received")
         discovery.set_state(AgentState(AgentMode.UNRESPONSIVE), group="r1")
-        index = discovery.apply_changes([three_entries()[0] | {"weight": 2.0}])
-        assert read_list(await read_message(one.reader))[0] == index
-        assert discovery.agents[1].written_index == -1
+        version = discovery.apply_changes([three_entries()[0] | {"weight": 2.0}])
+        assert read_list(await read_message(one.reader))[0] == version
+        assert discovery.agents[1].written_version == -1
         async with WatchClient(unresponsive) as third:  # it still accepts connections
             third.send()
             await wait_until(lambda: discovery.counts().requests == 3, "the third request has been received")
-            assert discovery.agents[1].written_index == -1
+            assert discovery.agents[1].written_version == -1
             discovery.set_state(AgentState(), group="r1")
             assert read_list(await read_message(third.reader))[1]
-            assert read_list(await read_message(other.reader))[0] == index
+            assert read_list(await read_message(other.reader))[0] == version
 
 
 async def test_one_agent_goes_down_and_all_responses_are_delayed(discovery: Discovery) -> None:
-    index = discovery.replace_entries(three_entries())
+    version = discovery.replace_entries(three_entries())
     up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
     discovery.set_state(AgentState(), group="r1")
     async with WatchClient(up) as one, WatchClient(down) as other:
-        assert (await one.request_list())[0] == (await other.request_list())[0] == index
+        assert (await one.request_list())[0] == (await other.request_list())[0] == version
         discovery.set_state(AgentState(AgentMode.DOWN), agent=1)
         discovery.set_state(AgentState(delay_ms=50.0))
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -193,11 +193,11 @@
             await asyncio.open_connection(*down)
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
-        assert (await one.request_list())[0] == index
+        assert (await one.request_list())[0] == version
         assert loop.time() >= sent_at + 0.045  # the loop's timers round to milliseconds
         discovery.set_state(AgentState(), agent=1)
     async with WatchClient(down) as again:
-        assert (await again.request_list())[0] == index
+        assert (await again.request_list())[0] == version
     await discovery.stop()
     with pytest.raises(ConnectionError):
         await asyncio.open_connection(*up)
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -34,14 +34,14 @@
     upstream.forward = stall  # no response is sent before the last request has been received
     stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
     report = (await run_streams([stream], 0.01, seed=7))["calls"]
-    assert report.sends == report.opened == planned
+    assert report.sent == report.opened_connections == planned
     assert report.statuses == {200: planned}
-    assert report.unserved == []
+    assert report.unserved_at_s == []
     await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL))
     report = (await run_streams([stream], 0.01, seed=7))["calls"]
     assert report.statuses == {500: planned}
-    assert report.served.count == 0
-    assert sorted(report.unserved) == pytest.approx(
+    assert report.served_latencies.count == 0
+    assert sorted(report.unserved_at_s) == pytest.approx(
         list(arrival_times(4_000.0, 0.01, random.Random("7/calls")))
     )
 
@@ -58,8 +58,8 @@
 
     scheduled_s = list(arrival_times(20.0, 1.0, random.Random("3/calls")))
     late = await report_with(3.0)  # the first sleep takes 3 s too long
-    assert late.served.count == late.sends == len(scheduled_s)
-    max_ms, min_ms = late.served.quantile_ms(1.0), late.served.quantile_ms(0.0)
+    assert late.served_latencies.count == late.sent == len(scheduled_s)
+    max_ms, min_ms = late.served_latencies.quantile_ms(1.0), late.served_latencies.quantile_ms(0.0)
     assert max_ms == pytest.approx(3_000, rel=0.01)
     assert min_ms == pytest.approx((3.0 + scheduled_s[0] - scheduled_s[-1]) * 1000, rel=0.01)
     assert late.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
--- a/tests/testbed/measurement/test_latency.py
+++ b/tests/testbed/measurement/test_latency.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from testbed.measurement.latency import Latencies, added
+from testbed.measurement.latency import Latencies, compare_latencies
 
 
 def test_added_time_is_given_by_quantiles_and_over_the_direct_median() -> None:
@@ -10,7 +10,7 @@
     for number in range(1, 1_001):
         direct.record(number / 1e6)
         through.record(3 * number / 1e6)
-    figures = added(direct, through)
+    figures = compare_latencies(direct, through)
     assert figures["added_50_ms"] == pytest.approx(1.0, rel=0.01)
     assert figures["added_99_ms"] == pytest.approx(1.98, rel=0.01)
     assert figures["over_median_99_ms"] == pytest.approx(2.97 - 0.5, rel=0.01)
--- a/tests/testbed/measurement/test_meter.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -10,7 +10,7 @@
 import psutil
 import pytest
 
-from testbed.measurement.meter import CoresWatch, LoopLag, processor_s, usage
+from testbed.measurement.resource_usage import CoreMonitor, LoopLagMonitor, measure_usage, processor_time_s
 
 
 def test_the_meter_counts_a_childs_processor_time_and_descriptors() -> None:
@@ -21,19 +21,19 @@
     assert child.stdout is not None
     assert child.stdin is not None
     child.stdout.readline()
-    one = usage([child.pid])
+    one = measure_usage([child.pid])
     assert 0.14 <= one.processor_s < 5
     assert 20 < one.descriptors < 60
-    assert one.resident > 1 << 20
-    own = processor_s(os.getpid())
-    both = usage([child.pid, os.getpid()])
+    assert one.resident_bytes > 1 << 20
+    own = processor_time_s(os.getpid())
+    both = measure_usage([child.pid, os.getpid()])
     assert both.descriptors > one.descriptors
     assert both.processor_s >= one.processor_s + own
     child.stdin.close()
     child.wait()
     child.stdout.close()
     with pytest.raises(psutil.NoSuchProcess):
-        usage([child.pid])
+        measure_usage([child.pid])
     assert own > 0
 
 
@@ -47,13 +47,13 @@
     monkeypatch.setattr(psutil, "cpu_times", lambda: readings.pop(0))
     read(100.0, 100.0, 0.0, 100.0)
     read(150.0, 150.0, 0.0, 150.0)
-    assert CoresWatch().busy() == pytest.approx(0.5)
+    assert CoreMonitor().busy_fraction() == pytest.approx(0.5)
     read(100.0, 100.0, 0.0, 100.0)
     read(180.0, 105.0, 15.0, 180.0)
-    assert CoresWatch().invalid_reasons("rest") == ["rest: the cores were 95% busy"]
+    assert CoreMonitor().invalid_reasons("rest") == ["rest: the cores were 95% busy"]
     read(0.0, 0.0, 0.0, 0.0)
     read(0.0, 0.0, 0.0, 0.0)
-    assert CoresWatch().invalid_reasons("rest") == []
+    assert CoreMonitor().invalid_reasons("rest") == []
 
 
 def test_loop_lag_is_how_late_a_timer_runs() -> None:
@@ -65,7 +65,7 @@
         return SimpleNamespace(cancel=calls.clear)
 
     loop.call_at = call_at
-    lag = LoopLag(loop)
+    lag = LoopLagMonitor(loop)
     for late in (0.0, 0.0, 0.25, 0.0):
         at, callback = calls.pop()
         loop.now = at + late
