--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -33,7 +33,7 @@
     def __init__(
         self, configuration: Configuration, loop: asyncio.AbstractEventLoop, on_list_applied: OnListApplied
     ) -> None:
-        self.proxy = Proxy(configuration, loop, self._report)
+        self.proxy = Proxy(configuration, loop, self._report_applied)
         self._on_list_applied = on_list_applied
         self.proxy.listener.close()  # bound and not listening yet, so that no client can connect
 
@@ -41,5 +41,5 @@
         """Apply the cached endpoint list and begin the watch, as a real balancer does."""
         self.proxy.start(accepts_clients=False)
 
-    def _report(self, endpoint_list: EndpointList) -> None:
+    def _report_applied(self, endpoint_list: EndpointList) -> None:
         self._on_list_applied(endpoint_list.version, time.monotonic())
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -85,10 +85,10 @@
         """Record that a balancer has applied a list."""
         self._applied_lists.append(_AppliedList(balancer_number, version, applied_at_s))
 
-    def take_report(self, lag: LoopLagMonitor) -> HollowReport:
+    def take_report(self, lag_monitor: LoopLagMonitor) -> HollowReport:
         """Return the report since the previous one, with the lag of the event loop."""
         applied_lists, self._applied_lists = self._applied_lists, []
-        p99_lag_s, max_lag_s = lag.take()
+        p99_lag_s, max_lag_s = lag_monitor.take()
         return HollowReport(
             np.array([applied.balancer_number for applied in applied_lists], dtype=np.int32),
             np.array([applied.version for applied in applied_lists], dtype=np.int64),
@@ -98,7 +98,7 @@
         )
 
 
-def _ignore(_warning: str) -> None:
+def _ignore_warning(_warning: str) -> None:
     """Ignore warnings about the configuration, which is generated."""
 
 
@@ -111,9 +111,10 @@
     loop = asyncio.get_running_loop()
     recorder = _Recorder()
     for number, text in configuration_texts.items():
-        configuration = read_configuration(text, _ignore)
+        configuration = read_configuration(text, _ignore_warning)
         HollowBalancer(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
     gc.freeze()  # as the program does once it has started
-    lag = LoopLagMonitor(loop)  # created after the balancers, so that their start does not count as lag
-    await serve_pipe(pipe, partial(recorder.take_report, lag))
+    # Created after the balancers, so that their start does not count as lag.
+    lag_monitor = LoopLagMonitor(loop)
+    await serve_pipe(pipe, partial(recorder.take_report, lag_monitor))
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -17,20 +17,20 @@
 from loadbalancer.configuration import Address, read_address
 from testbed.errors import TestbedError
 
-ROOT = Path(__file__).parents[2]
+REPOSITORY_ROOT = Path(__file__).parents[2]
 SOURCE_TREE_COMMAND = f"exec {sys.executable} -m loadbalancer"
 """The command that runs the balancer from this tree with the running Python interpreter."""
 
 MAX_RUNNING_BALANCERS = 150
 """The limit on balancers that run at the same time: each uses about 40 MiB of memory."""
 
-_HEALTH_POLL_S = 0.02
-_HEALTH_TIMEOUT_S = 5.0
+_HEALTH_CHECK_INTERVAL_S = 0.02
+_HEALTH_CHECK_TIMEOUT_S = 5.0
 _KILL_AFTER_S = 10.0
-_LOG_TAIL = 500
+_LOG_TAIL_CHARACTERS = 500
 """The number of characters at the end of a log that an error quotes."""
 
-_running: set[int] = set()
+_running_pids: set[int] = set()
 
 
 class BalancerProcessError(TestbedError, RuntimeError):
@@ -48,40 +48,40 @@
     """A balancer exited before it was ready; the text holds the end of its log."""
 
     def __init__(self, status: int, log: str) -> None:
-        super().__init__(f"ended with {status}: {log[-_LOG_TAIL:]}")
+        super().__init__(f"ended with {status}: {log[-_LOG_TAIL_CHARACTERS:]}")
 
 
 class BalancerNotReadyError(BalancerProcessError):
     """A balancer was not ready in time; the text holds the end of its log."""
 
     def __init__(self, timeout_s: float, log: str) -> None:
-        super().__init__(f"not ready after {timeout_s} s: {log[-_LOG_TAIL:]}")
+        super().__init__(f"not ready after {timeout_s} s: {log[-_LOG_TAIL_CHARACTERS:]}")
 
 
 def deploy_command() -> str:
     """Return the deploy file's `run` command, which needs the result of its `build` command."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
 
 
 def free_address(host: str) -> str:
     """Return `host:port` with a port that is currently free."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        return f"{host}:{probe.getsockname()[1]}"
+    with socket.socket() as listener:
+        listener.bind((host, 0))
+        return f"{host}:{listener.getsockname()[1]}"
 
 
 def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
     """Write a balancer's configuration into a folder, and return the environment variables for it."""
-    configuration_path, private_folder = folder / "config.json", folder / "tmp"
+    configuration_path, temporary_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
-    private_folder.mkdir()
+    temporary_folder.mkdir()
     return {
         "LB_NAME": str(configuration["name"]),
         "LB_LISTEN": str(configuration["listen"]),
         "LB_DISCOVERY": str(configuration["discovery"]),
         "LB_CONFIG": str(configuration_path),
-        "TMPDIR": str(private_folder),
+        "TMPDIR": str(temporary_folder),
     }
 
 
@@ -111,7 +111,7 @@
         Raises:
             TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers run already.
         """
-        if len(_running) >= MAX_RUNNING_BALANCERS:
+        if len(_running_pids) >= MAX_RUNNING_BALANCERS:
             raise TooManyBalancersError
         configuration = json.loads(configuration_text)
         folder = Path(tempfile.mkdtemp(prefix="balancer-"))
@@ -121,13 +121,13 @@
                 "/bin/sh",
                 "-c",
                 command or deploy_command(),
-                cwd=ROOT,
+                cwd=REPOSITORY_ROOT,
                 env=os.environ | environment,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
             )
-        _running.add(process.pid)
+        _running_pids.add(process.pid)
         return cls(process, folder, read_address(environment["LB_LISTEN"]))
 
     async def wait_until_ready(self, timeout_s: float = 30.0) -> None:
@@ -144,7 +144,7 @@
                 raise BalancerExitedError(self._process.returncode, self.log())
             if loop.time() > deadline:
                 raise BalancerNotReadyError(timeout_s, self.log())
-            await asyncio.sleep(_HEALTH_POLL_S)
+            await asyncio.sleep(_HEALTH_CHECK_INTERVAL_S)
 
     async def _health_status(self) -> int:
         """Return the response status of one health check, or 0 without a response."""
@@ -154,8 +154,8 @@
             return 0
         try:
             writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-            line = await asyncio.wait_for(reader.readuntil(b"\r\n"), _HEALTH_TIMEOUT_S)
-            return int(line.split(b" ")[1])
+            status_line = await asyncio.wait_for(reader.readuntil(b"\r\n"), _HEALTH_CHECK_TIMEOUT_S)
+            return int(status_line.split(b" ")[1])
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError):
             return 0
         finally:
@@ -175,6 +175,6 @@
             with suppress(ProcessLookupError):
                 self._process.kill()
             status = await self._process.wait()
-        _running.discard(self.pid)
+        _running_pids.discard(self.pid)
         shutil.rmtree(self._folder, ignore_errors=True)
         return status
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -63,7 +63,7 @@
     connections: set[AgentConnection] = field(default_factory=set)
     _listener: socket.socket | None = None
     _server: asyncio.Server | None = None
-    _serving: set[asyncio.Task[None]] = field(default_factory=set)
+    _server_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def set_state(self, state: AgentState) -> None:
         """Change the state: close, listen again, or send the pending responses."""
@@ -73,9 +73,9 @@
         elif self._listener is None:
             self.listen()
         if state.mode is AgentMode.UP:
-            self.respond_to_open()
+            self.respond_to_open_requests()
 
-    def respond_to_open(self) -> None:
+    def respond_to_open_requests(self) -> None:
         """Respond to the open requests that are ready for a response."""
         for connection in list(self.connections):
             connection.respond_if_ready()
@@ -90,11 +90,11 @@
         listener.settimeout(0)
         self._listener = listener
         self.address = listener.getsockname()
-        task = asyncio.get_running_loop().create_task(self._serve(listener))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        task = asyncio.get_running_loop().create_task(self._start_server(listener))
+        self._server_tasks.add(task)
+        task.add_done_callback(self._server_tasks.discard)
 
-    async def _serve(self, listener: socket.socket) -> None:
+    async def _start_server(self, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         if self._listener is not listener:  # it went down before it could accept
             return
@@ -117,7 +117,7 @@
     def stop(self) -> None:
         """Close, and cancel the tasks that start listeners."""
         self.close()
-        for task in list(self._serving):
+        for task in list(self._server_tasks):
             task.cancel()
 
     def record_request(self, known_version: int) -> None:
@@ -127,9 +127,9 @@
         if known_version == NO_VERSION:
             return
         if now_s - self.responded_at_s <= CONTINUED_WATCH_S:
-            self.counts.continued += 1
+            self.counts.continued_watches += 1
         else:
-            self.counts.watches += 1
+            self.counts.new_watches += 1
         self.acknowledged_version = max(self.acknowledged_version, known_version)
         self.on_watch(self.number, known_version, now_s)
 
@@ -153,7 +153,7 @@
         return self.known_version >= NO_VERSION and 0 <= self.wait_ms <= MAX_WAIT_MS
 
 
-def _read_list_request(query_text: str) -> _ListRequest | None:
+def _parse_list_request(query_text: str) -> _ListRequest | None:
     """Parse the query of a request for the list; return None if it is invalid."""
     query = parse_qs(query_text)
     try:
@@ -170,7 +170,7 @@
 
     def __init__(self, agent: Agent) -> None:
         self._agent = agent
-        self._reader = RequestParser(self._on_request)
+        self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
         self._known_version: int | None = None  # of the open request; None where there is none
         self._wait_has_ended = False  # of the open request
@@ -185,13 +185,13 @@
     def connection_lost(self, _exc: Exception | None) -> None:
         """Unregister from the agent and drop the open request."""
         self._agent.connections.discard(self)
-        self._forget_request()
+        self._drop_request()
 
     def data_received(self, data: bytes) -> None:
         """Parse the data; a malformed request resets the connection."""
         self._agent.counts.bytes_in += len(data)
         try:
-            self._reader.feed(data)
+            self._parser.feed(data)
         except MalformedRequestError:
             self.reset()
 
@@ -200,7 +200,7 @@
         if url.path != LIST_PATH or request.method != "GET":
             self._write(404, b"")
             return
-        list_request = _read_list_request(url.query)
+        list_request = _parse_list_request(url.query)
         if list_request is None or self._known_version is not None:
             self._write(400, b"")
             return
@@ -240,7 +240,7 @@
         if self._known_version is None or self._agent.state.mode is not AgentMode.UP:
             return
         response = self._agent.history.response_after(self._known_version)
-        self._forget_request()
+        self._drop_request()
         self._agent.record_response(response)
         self._write(200, response.body)
 
@@ -251,10 +251,10 @@
         data = head % (status, len(body)) + body
         self._agent.counts.bytes_out += len(data)
         self._transport.write(data)
-        if not self._reader.keeps_alive:
+        if not self._parser.keeps_alive:
             self._transport.close()
 
-    def _forget_request(self) -> None:
+    def _drop_request(self) -> None:
         self._known_version = None
         for timer in (self._wait_timer, self._delay_timer):
             if timer is not None:
@@ -263,6 +263,6 @@
 
     def reset(self) -> None:
         """Abort the connection and drop the open request."""
-        self._forget_request()
+        self._drop_request()
         if self._transport is not None:
             self._transport.abort()
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -30,8 +30,8 @@
 
     Attributes:
         requests: Valid requests, watches included.
-        watches: Watch requests that began a watch.
-        continued: Watch requests that came within 200 ms of the previous response.
+        new_watches: Watch requests that began a watch.
+        continued_watches: Watch requests that came within 200 ms of the previous response.
         snapshots: Responses with the complete list.
         entries: Entries in all responses.
         bytes_in: Bytes of the HTTP requests, without the overhead of lower layers.
@@ -39,8 +39,8 @@
     """
 
     requests: int = 0
-    watches: int = 0
-    continued: int = 0
+    new_watches: int = 0
+    continued_watches: int = 0
     snapshots: int = 0
     entries: int = 0
     bytes_in: int = 0
@@ -53,5 +53,5 @@
         return self._combine(other, -1)
 
     def _combine(self, other: RequestCounts, sign: int) -> RequestCounts:
-        names = [each.name for each in fields(self)]
+        names = [field.name for field in fields(self)]
         return RequestCounts(**{name: getattr(self, name) + sign * getattr(other, name) for name in names})
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -17,7 +17,7 @@
 
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
-REMOVABLE_FRACTION_DIVISOR = 20
+MAX_UNAVAILABLE_DIVISOR = 20
 """At most one in this many entries is missing from the list at any time."""
 
 Change = tuple[EndpointEntry, ...]
@@ -43,21 +43,21 @@
     """The state of `single_changes`: which entries are in service, restarting, draining or removed."""
 
     def __init__(
-        self, entries: Iterable[EndpointEntry], source: random.Random, now_ms: Callable[[], float]
+        self, entries: Iterable[EndpointEntry], rng: random.Random, now_ms: Callable[[], float]
     ) -> None:
-        self._source = source
+        self._rng = rng
         self._now_ms = now_ms
         self._in_service = {entry["name"]: entry for entry in entries}
         self._used_names = set(self._in_service)
-        length = len(self._in_service)
-        self._min_length = length - max(length // REMOVABLE_FRACTION_DIVISOR, 1)
+        entry_count = len(self._in_service)
+        self._min_in_service = entry_count - max(entry_count // MAX_UNAVAILABLE_DIVISOR, 1)
         self._restarting: list[EndpointEntry] = []
         self._draining: list[EndpointEntry] = []
         self._removed: list[EndpointEntry] = []
 
     def next_change(self) -> EndpointEntry:
         """Draw the next change and return the changed entry."""
-        kind = self._source.choice(self._possible_kinds())
+        kind = self._rng.choice(self._possible_kinds())
         match kind:
             case _ChangeKind.RESTART:
                 return self._drain(self._restarting)
@@ -66,14 +66,14 @@
             case _ChangeKind.REMOVE:
                 return self._remove()
             case _ChangeKind.RETURN:
-                return self._return()
+                return self._return_to_service()
             case _ChangeKind.REPLACE:
                 return self._replace()
 
     def _possible_kinds(self) -> list[_ChangeKind]:
         """Return the kinds of change that are possible now, in a fixed order: the draw depends on it."""
         kinds = []
-        if len(self._in_service) > self._min_length:
+        if len(self._in_service) > self._min_in_service:
             kinds += [_ChangeKind.RESTART, _ChangeKind.DRAIN]
         if self._restarting:
             kinds.append(_ChangeKind.RETURN)
@@ -84,18 +84,18 @@
         return kinds
 
     def _drain(self, destination: list[EndpointEntry]) -> EndpointEntry:
-        entry = self._in_service.pop(self._source.choice(list(self._in_service)))
+        entry = self._in_service.pop(self._rng.choice(list(self._in_service)))
         entry = entry | {"status": DRAINING}
         destination.append(entry)
         return entry
 
     def _remove(self) -> EndpointEntry:
-        entry = self._draining.pop(self._source.randrange(len(self._draining)))
+        entry = self._draining.pop(self._rng.randrange(len(self._draining)))
         entry = entry | {"status": REMOVED}
         self._removed.append(entry)
         return entry
 
-    def _return(self) -> EndpointEntry:
+    def _return_to_service(self) -> EndpointEntry:
         return self._put_in_service(self._restarting.pop(0))
 
     def _replace(self) -> EndpointEntry:
@@ -109,7 +109,7 @@
 
     def _new_name(self) -> str:
         """Draw a name that no entry has had before."""
-        while (name := f"s-{self._source.getrandbits(32):08x}") in self._used_names:
+        while (name := f"s-{self._rng.getrandbits(32):08x}") in self._used_names:
             pass
         self._used_names.add(name)
         return name
@@ -121,7 +121,7 @@
     """Yield an endless sequence of changes of one entry each.
 
     Servers restart, or drain and are removed and replaced by new ones. At most one in
-    `REMOVABLE_FRACTION_DIVISOR` entries is missing from the list at any time.
+    `MAX_UNAVAILABLE_DIVISOR` entries is missing from the list at any time.
 
     Args:
         entries: The list at the start.
@@ -133,21 +133,23 @@
         yield (churn.next_change(),)
 
 
-def restarts(
-    entries: Iterable[EndpointEntry], step: int, seed: int, now_ms: Callable[[], float]
+def rolling_restart(
+    entries: Iterable[EndpointEntry], batch_size: int, seed: int, now_ms: Callable[[], float]
 ) -> Iterator[Change]:
-    """Yield a rolling restart of all entries, `step` at a time: each batch drains, then returns to service.
+    """Yield a rolling restart of all entries, `batch_size` at a time.
+
+    Each batch drains, then returns to service.
 
     Args:
         entries: The list at the start.
-        step: How many entries restart at the same time.
+        batch_size: How many entries restart at the same time.
         seed: The order is drawn from it.
         now_ms: Returns Unix time in milliseconds, for `since_ms`.
     """
     order = list(entries)
     random.Random(seed).shuffle(order)
-    for i in range(0, len(order), step):
-        batch = order[i : i + step]
+    for i in range(0, len(order), batch_size):
+        batch = order[i : i + batch_size]
         yield tuple([entry | {"status": DRAINING} for entry in batch])
         since_ms = int(now_ms())
         yield tuple([entry | {"status": IN_SERVICE, "since_ms": since_ms} for entry in batch])
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -112,7 +112,7 @@
     def _publish(self) -> int:
         self.changed_at.append(self._clock())
         for agent in self.agents.values():
-            agent.respond_to_open()
+            agent.respond_to_open_requests()
         self.written_at.append(self._clock())
         return self.version
 
@@ -126,7 +126,7 @@
             agent = Agent(number, address, groups, self._history, self._clock, self._on_watch)
             self.agents[number] = agent
             agent.listen()
-            agent.set_state(self._state_of(agent))
+            agent.set_state(self._effective_state(agent))
         return agent.address
 
     def counts(self) -> RequestCounts:
@@ -141,15 +141,15 @@
         key = _agent_key(agent) if agent is not None else group
         self._states[key] = state
         for each in self.agents.values():
-            each.set_state(self._state_of(each))
+            each.set_state(self._effective_state(each))
 
-    def _state_of(self, agent: Agent) -> AgentState:
+    def _effective_state(self, agent: Agent) -> AgentState:
         """Return the most severe mode and the maximum delay of all states that apply to an agent."""
         keys: tuple[Hashable, ...] = (_agent_key(agent.number), ALL_AGENTS, *agent.groups)
         states = [self._states[key] for key in keys if key in self._states]
         modes = {state.mode for state in states}
-        worst = next((mode for mode in _MODES_BY_SEVERITY if mode in modes), AgentMode.UP)
-        return AgentState(worst, max((state.delay_ms for state in states), default=0.0))
+        most_severe = next((mode for mode in _MODES_BY_SEVERITY if mode in modes), AgentMode.UP)
+        return AgentState(most_severe, max((state.delay_ms for state in states), default=0.0))
 
 
 def _agent_key(number: int) -> Hashable:
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -42,10 +42,10 @@
 
 def request_ids(seed: int) -> Iterator[str]:
     """Yield unique ids of 16 hex digits in the format of the PROTOCOL page."""
-    first = random.Random(seed).getrandbits(32)
+    prefix = random.Random(seed).getrandbits(32)
     number = 0
     while True:
-        yield f"{first:08x}{number:08x}"
+        yield f"{prefix:08x}{number:08x}"
         number += 1
 
 
@@ -72,7 +72,7 @@
     """One connection of a client, with one request at a time.
 
     Attributes:
-        has_received: Whether any byte has been received since the last request.
+        has_received_data: Whether any byte has been received since the last request.
         is_closed: Whether the connection has ended.
         may_reuse: Whether the connection can carry another request.
     """
@@ -81,10 +81,10 @@
         self._on_closed = on_closed
         self._clock = clock
         self._transport: asyncio.Transport | None = None
-        self._response: asyncio.Future[HttpResponse] | None = None
+        self._response_future: asyncio.Future[HttpResponse] | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._body: list[bytes] = []
-        self.has_received = False
+        self.has_received_data = False
         self.is_closed = False
         self.may_reuse = True
 
@@ -98,11 +98,11 @@
         self.may_reuse = self._parser.should_keep_alive()
         response = HttpResponse(self._parser.get_status_code(), b"".join(self._body), self._clock())
         self._body = []
-        if self._response is not None and not self._response.done():
-            self._response.set_result(response)
+        if self._response_future is not None and not self._response_future.done():
+            self._response_future.set_result(response)
 
     def data_received(self, data: bytes) -> None:
-        self.has_received = True
+        self.has_received_data = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -111,16 +111,16 @@
     def connection_lost(self, _exc: Exception | None) -> None:
         self.is_closed = True
         self._on_closed(self)
-        if self._response is not None and not self._response.done():
-            self._response.set_exception(ConnectionLostError())
+        if self._response_future is not None and not self._response_future.done():
+            self._response_future.set_exception(ConnectionLostError())
 
     async def send(self, request: bytes) -> HttpResponse:
         if self._transport is None:
             raise NotConnectedError
-        self._response = asyncio.get_running_loop().create_future()
-        self.has_received = False
+        self._response_future = asyncio.get_running_loop().create_future()
+        self.has_received_data = False
         self._transport.write(request)
-        return await self._response
+        return await self._response_future
 
     def close(self) -> None:
         self.is_closed = True
@@ -162,7 +162,7 @@
             connection = self._idle.pop()
             with suppress(ConnectionError):
                 return await self._send_on(connection, request)
-            if connection.has_received:
+            if connection.has_received_data:
                 raise ConnectionLostError
         return await self._send_on(await self._open(), request)
 
@@ -170,7 +170,7 @@
         self.opened_connections += 1
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
-            lambda: _ClientConnection(self._forget, self._clock), *self._address
+            lambda: _ClientConnection(self._remove_idle, self._clock), *self._address
         )
         return connection
 
@@ -186,7 +186,7 @@
             connection.close()
         return response
 
-    def _forget(self, connection: _ClientConnection) -> None:
+    def _remove_idle(self, connection: _ClientConnection) -> None:
         if connection in self._idle:
             self._idle.remove(connection)
 
--- a/testbed/load/arrivals.py
+++ b/testbed/load/arrivals.py
@@ -9,15 +9,15 @@
     from collections.abc import Iterator
 
 
-def arrival_times(rate_per_s: float, span_s: float, source: random.Random) -> Iterator[float]:
+def arrival_times(rate_per_s: float, duration_s: float, rng: random.Random) -> Iterator[float]:
     """Yield the arrival times of a Poisson process, in seconds from the start of a span.
 
     Args:
         rate_per_s: The mean rate.
-        span_s: The length of the span; all arrivals lie within it, ascending.
-        source: The source of the exponentially distributed gaps, one more than there are arrivals.
+        duration_s: The length of the span; all arrivals lie within it, ascending.
+        rng: The source of the exponentially distributed gaps, one more than there are arrivals.
     """
-    time_s = source.expovariate(rate_per_s)
-    while time_s < span_s:
+    time_s = rng.expovariate(rate_per_s)
+    while time_s < duration_s:
         yield time_s
-        time_s += source.expovariate(rate_per_s)
+        time_s += rng.expovariate(rate_per_s)
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -71,15 +71,15 @@
     served_latencies: Latencies = field(default_factory=Latencies)
     lateness: Latencies = field(default_factory=Latencies)
 
-    def invalid_reasons(self, name: str, late_ms: float) -> list[str]:
-        """Return why the results are invalid: the 99th percentile of lateness exceeds `late_ms`."""
-        lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
-        if lateness_ms <= late_ms:
+    def invalid_reasons(self, name: str, max_lateness_ms: float) -> list[str]:
+        """Return why the results are invalid: the 99th percentile of lateness exceeds `max_lateness_ms`."""
+        p99_lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
+        if p99_lateness_ms <= max_lateness_ms:
             return []
-        return [f"{name}: 1 send in 100 was {lateness_ms:.3f} ms late or more"]
+        return [f"{name}: 1 send in 100 was {p99_lateness_ms:.3f} ms late or more"]
 
 
-class _PlannedRequest(NamedTuple):
+class _ScheduledRequest(NamedTuple):
     """A request of a schedule, ordered by its time in seconds from the start."""
 
     time_s: float
@@ -87,11 +87,13 @@
     client_index: int
 
 
-def _plan(stream: Stream, stream_index: int, seconds: float, seed: int) -> list[_PlannedRequest]:
+def _draw_schedule(
+    stream: Stream, stream_index: int, duration_s: float, seed: int
+) -> list[_ScheduledRequest]:
     """Draw the schedule of a stream: first all times, then the client of each request."""
-    source = random.Random(f"{seed}/{stream.name}")
-    times = list(arrival_times(stream.rate_per_s, seconds, source))
-    return [_PlannedRequest(at, stream_index, source.randrange(len(stream.clients))) for at in times]
+    rng = random.Random(f"{seed}/{stream.name}")
+    times = list(arrival_times(stream.rate_per_s, duration_s, rng))
+    return [_ScheduledRequest(time_s, stream_index, rng.randrange(len(stream.clients))) for time_s in times]
 
 
 class _LoadRun:
@@ -101,24 +103,26 @@
         self._streams = streams
         self._clock = clock
         self._request_ids = request_ids(seed)
-        self._open: set[asyncio.Task[None]] = set()
-        self._start = 0.0
+        self._open_requests: set[asyncio.Task[None]] = set()
+        self._start_s = 0.0
         self.reports = {
             stream.name: StreamReport(opened_connections=-stream.opened_connections) for stream in streams
         }
 
-    async def send_requests(self, schedule: Iterator[_PlannedRequest], start: float, sleep: Sleep) -> None:
-        """Send each request at its scheduled time after `start`, without waiting for responses."""
-        self._start = start
-        for planned in schedule:
-            scheduled_s = start + planned.time_s
+    async def send_requests(
+        self, schedule: Iterator[_ScheduledRequest], start_s: float, sleep: Sleep
+    ) -> None:
+        """Send each request at its scheduled time after `start_s`, without waiting for responses."""
+        self._start_s = start_s
+        for request in schedule:
+            scheduled_s = start_s + request.time_s
             while (remaining_s := scheduled_s - self._clock()) > 0:
                 await sleep(remaining_s)
-            stream = self._streams[planned.stream_index]
-            client = stream.clients[planned.client_index]
+            stream = self._streams[request.stream_index]
+            client = stream.clients[request.client_index]
             task = asyncio.ensure_future(self._send(stream, client, scheduled_s))
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
+            self._open_requests.add(task)
+            task.add_done_callback(self._open_requests.discard)
 
     async def _send(self, stream: Stream, client: Client, scheduled_s: float) -> None:
         report = self.reports[stream.name]
@@ -130,19 +134,19 @@
         if response.status == 200:
             report.served_latencies.record(response.received_at - scheduled_s)
         else:
-            report.unserved_at_s.append(scheduled_s - self._start)
+            report.unserved_at_s.append(scheduled_s - self._start_s)
 
     async def finish(self) -> None:
         """Wait for the open requests and complete the reports."""
-        if self._open:
-            await asyncio.wait(self._open)
+        if self._open_requests:
+            await asyncio.wait(self._open_requests)
         for stream in self._streams:
             self.reports[stream.name].opened_connections += stream.opened_connections
 
 
 async def run_streams(
     streams: Sequence[Stream],
-    seconds: float,
+    duration_s: float,
     seed: int,
     clock: Clock = time.perf_counter,
     sleep: Sleep | None = None,
@@ -151,7 +155,7 @@
 
     Args:
         streams: The streams, with different names.
-        seconds: The length of the schedule.
+        duration_s: The length of the schedule.
         seed: The seed of all random numbers.
         clock: The clock, which has to be that of the streams' clients.
         sleep: Sleeps on that clock; by default with a `KernelTimer`.
@@ -160,9 +164,9 @@
         A report for each stream, by name.
     """
     run = _LoadRun(streams, clock, seed)
-    plans = [_plan(stream, index, seconds, seed) for index, stream in enumerate(streams)]
-    start = clock()
+    schedules = [_draw_schedule(stream, index, duration_s, seed) for index, stream in enumerate(streams)]
+    start_s = clock()
     with closing(KernelTimer()) as timer:
-        await run.send_requests(heapq.merge(*plans), start, sleep or timer.sleep)
+        await run.send_requests(heapq.merge(*schedules), start_s, sleep or timer.sleep)
     await run.finish()
     return run.reports
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -18,7 +18,7 @@
 LAG_INTERVAL_S = 0.01
 """The interval of the timer by which the lag of an event loop is measured."""
 
-_NANOSECONDS = 1e9
+_NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
 
     The resolution of psutil is 10 ms, which is as much as an idle balancer uses in some seconds.
     """
-    tasks = Path(f"/proc/{pid}/task").iterdir()
-    return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / _NANOSECONDS
+    threads = Path(f"/proc/{pid}/task").iterdir()
+    return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / _NS_PER_S
 
 
 def measure_usage(pids: Iterable[int]) -> ResourceUsage:
@@ -71,10 +71,10 @@
         """Return the fraction of core time that was not idle; steal time counts as busy."""
         start, now = self._start, psutil.cpu_times()
         # Guest time is part of user time and would count twice.
-        names = [name for name in now._fields if not name.startswith("guest")]
-        spans = {name: getattr(now, name) - getattr(start, name) for name in names}
-        total = sum(spans.values())
-        return 1 - (spans["idle"] + spans.get("iowait", 0.0)) / total if total > 0 else 0.0
+        field_names = [name for name in now._fields if not name.startswith("guest")]
+        elapsed = {name: getattr(now, name) - getattr(start, name) for name in field_names}
+        total = sum(elapsed.values())
+        return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalid_reasons(self, phase: str) -> list[str]:
         """Return why the results of a phase are invalid: the cores were saturated. Empty if they were not."""
@@ -95,14 +95,14 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._lags: list[float] = []
-        self._deadline = loop.time()
+        self._due_at = loop.time()
         self._tick()
 
     def _tick(self) -> None:
         now = self._loop.time()
-        self._lags.append(now - self._deadline)
-        self._deadline = now + LAG_INTERVAL_S
-        self._timer = self._loop.call_at(self._deadline, self._tick)
+        self._lags.append(now - self._due_at)
+        self._due_at = now + LAG_INTERVAL_S
+        self._timer = self._loop.call_at(self._due_at, self._tick)
 
     def take(self) -> Lag:
         """Return the lag since the last call, or zeros if the timer has not fired since then."""
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -67,5 +67,5 @@
     health_checks: int = 0
 
     def __add__(self, other: UpstreamCounts) -> UpstreamCounts:
-        names = [each.name for each in fields(self)]
+        names = [field.name for field in fields(self)]
         return UpstreamCounts(**{name: getattr(self, name) + getattr(other, name) for name in names})
--- a/testbed/upstream/connection.py
+++ b/testbed/upstream/connection.py
@@ -16,7 +16,7 @@
     from testbed.http.client import Clock
 
 HEALTH_PATH = "/healthz"
-_REASONS = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
+_REASON_PHRASES = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
 _MS_PER_UNIT = {"m": 1.0, "u": 0.001}
 _LINGER_ZERO = struct.pack("ii", 1, 0)
 """The value of SO_LINGER with which closing a socket sends a reset."""
@@ -55,7 +55,7 @@
         """Treat a request according to the upstream's behaviour."""
 
 
-def read_deadline_ms(text: str) -> float:
+def parse_deadline_ms(text: str) -> float:
     """Parse the value of `X-Deadline` (a number and a unit) to milliseconds; return 0 if it is empty."""
     return float(text[:-1]) * _MS_PER_UNIT[text[-1]] if text else 0.0
 
@@ -65,10 +65,10 @@
 
     def __init__(self, upstream: RequestHandler) -> None:
         self._upstream = upstream
-        self._reader = RequestParser(self._on_request)
+        self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None  # handles the open request
-        self._was_reset_here = False
+        self._reset_by_upstream = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register with the upstream."""
@@ -79,7 +79,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse the data; a malformed request resets the connection."""
         try:
-            self._reader.feed(data)
+            self._parser.feed(data)
         except MalformedRequestError:
             self.reset()
 
@@ -87,7 +87,7 @@
         """Unregister from the upstream and cancel the open request, which counts as abandoned."""
         self._upstream.connections.discard(self)
         if self._task is not None:
-            self._upstream.counts.abandoned += not self._was_reset_here
+            self._upstream.counts.abandoned += not self._reset_by_upstream
             self._task.cancel()
 
     def _on_request(self, request: HttpRequest) -> None:
@@ -101,16 +101,16 @@
             upstream.counts.overlapping += 1
             self.reset()
         else:
-            received = self._received(request)
+            received = self._received_request(request)
             self._task = asyncio.ensure_future(upstream.handle(received, self))
             self._task.add_done_callback(self._on_handled)
 
-    def _received(self, request: HttpRequest) -> ReceivedRequest:
+    def _received_request(self, request: HttpRequest) -> ReceivedRequest:
         headers = request.headers
         return ReceivedRequest(
             headers.get("x-class", ""),
             headers["x-request-id"],
-            read_deadline_ms(headers.get("x-deadline", "")),
+            parse_deadline_ms(headers.get("x-deadline", "")),
             headers.get("idempotency-key", ""),
             request.body,
             self._upstream.clock(),
@@ -131,14 +131,14 @@
         """Respond to the open request."""
         if self._transport is None:
             raise NotConnectedError
-        lines = [f"HTTP/1.1 {status} {_REASONS[status]}", f"Content-Length: {len(body)}", *headers]
+        lines = [f"HTTP/1.1 {status} {_REASON_PHRASES[status]}", f"Content-Length: {len(body)}", *headers]
         self._transport.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     def reset(self) -> None:
         """Reset the connection, as the kernel does when the process is killed."""
         if self._transport is None:
             raise NotConnectedError
-        self._was_reset_here = True
+        self._reset_by_upstream = True
         transport_socket = self._transport.get_extra_info("socket")
         transport_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
         self._transport.abort()
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -35,15 +35,15 @@
 
     async def start(self, count: int, first_octet: int = FIRST_OCTET) -> list[Upstream]:
         """Start and return `count` more upstreams, each on its own host from 127.`first_octet`.0.1 on."""
-        first = len(self.upstreams)
-        for number in range(first, first + count):
-            source = random.Random(f"{self._seed}/{number}")
-            upstream = Upstream(loopback_host(number, first_octet), source, self._clock)
+        first_number = len(self.upstreams)
+        for number in range(first_number, first_number + count):
+            rng = random.Random(f"{self._seed}/{number}")
+            upstream = Upstream(loopback_host(number, first_octet), rng, self._clock)
             await upstream.listen()
             self.upstreams.append(upstream)
-        return self.upstreams[first:]
+        return self.upstreams[first_number:]
 
-    def total(self) -> UpstreamCounts:
+    def counts(self) -> UpstreamCounts:
         """Return the sum of the upstreams' counts."""
         total = UpstreamCounts()
         for upstream in self.upstreams:
@@ -88,5 +88,5 @@
     for upstream in await group.start(count, first_octet):
         upstream.behaviour = Behaviour(service_ms=service_ms)
     pipe.send([upstream.address for upstream in group.upstreams])
-    await serve_pipe(pipe, group.total)
+    await serve_pipe(pipe, group.counts)
     group.close()
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -26,11 +26,13 @@
 """Sends a request to the next tier with a timeout in milliseconds, and returns the response status."""
 
 
-def forward_through(client: Client, ids: Iterator[str]) -> Forward:
+def forward_through(client: Client, request_ids: Iterator[str]) -> Forward:
     """Return a function that sends a request to the next tier through a client, under a new id."""
 
     async def forward(request: ReceivedRequest, remaining_ms: float) -> int:
-        message = compose_request(request.class_name, next(ids), remaining_ms, request.key, request.body)
+        message = compose_request(
+            request.class_name, next(request_ids), remaining_ms, request.key, request.body
+        )
         return (await client.send(message, remaining_ms / 1000)).status
 
     return forward
@@ -49,9 +51,9 @@
         connections: The open connections.
     """
 
-    def __init__(self, host: str, source: random.Random, clock: Clock) -> None:
+    def __init__(self, host: str, rng: random.Random, clock: Clock) -> None:
         self._listener: asyncio.Server | None = None
-        self._source = source
+        self._rng = rng
         self.address: Address = (host, 0)
         self.clock = clock
         self.behaviour = Behaviour()
@@ -103,21 +105,23 @@
             self.counts.hung += 1
             await asyncio.get_running_loop().create_future()  # until the balancer closes the connection
         else:
-            await self._work(request, connection, behaviour.service_ms, serves=mode is UpstreamMode.SERVE)
+            await self._serve_or_fail(
+                request, connection, behaviour.service_ms, succeeds=mode is UpstreamMode.SERVE
+            )
 
     def _draw_mode(self, behaviour: Behaviour) -> UpstreamMode:
         """Draw the mode for a request: that of the behaviour with probability `fraction`, else `SERVE`."""
-        if behaviour.fraction < 1 and self._source.random() >= behaviour.fraction:
+        if behaviour.fraction < 1 and self._rng.random() >= behaviour.fraction:
             return UpstreamMode.SERVE
         return behaviour.mode
 
-    async def _work(
-        self, request: ReceivedRequest, connection: UpstreamConnection, service_ms: float, *, serves: bool
+    async def _serve_or_fail(
+        self, request: ReceivedRequest, connection: UpstreamConnection, service_ms: float, *, succeeds: bool
     ) -> None:
         """Wait for the service time, then respond 200 or 500."""
         if service_ms > 0:
             await asyncio.sleep(service_ms / 1000)
-        if serves and await self._next_tier_serves(request):
+        if succeeds and await self._next_tier_serves(request):
             self.counts.served += 1
             connection.respond(200, b"served")
         else:
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -29,11 +29,9 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-async def test_hollow_balancers_apply_changes_through_the_real_watch(
-    discovery: Discovery, *, pushed: bool
-) -> None:
-    applied: list[list[int]] = [[], []]
-    first = discovery.replace_entries(endpoint_entries(20))
+async def test_pushed_and_polled_lists_are_applied(discovery: Discovery, *, pushed: bool) -> None:
+    applied_versions: list[list[int]] = [[], []]
+    first_version = discovery.replace_entries(endpoint_entries(20))
     settings = balancer_settings(balancers=2, pushed=pushed)
     hollows = []
     for i in range(2):
@@ -41,15 +39,15 @@
         hollow = HollowBalancer(
             read_configuration(text, ignore_warning),
             asyncio.get_running_loop(),
-            partial(lambda versions, version, at_s: versions.append(version), applied[i]),
+            partial(lambda versions, version, at_s: versions.append(version), applied_versions[i]),
         )
         hollow.start()
         hollows.append(hollow)
-    await wait_until_acknowledged(discovery, first)
+    await wait_until_acknowledged(discovery, first_version)
     draining = endpoint_entries(20)[3] | {"status": "terminating"}
-    second = discovery.apply_changes([draining])
-    await wait_until_acknowledged(discovery, second)
-    assert applied == [[0, first, second]] * 2
+    second_version = discovery.apply_changes([draining])
+    await wait_until_acknowledged(discovery, second_version)
+    assert applied_versions == [[0, first_version, second_version]] * 2
     assert discovery.counts().snapshots == 2
     for hollow in hollows:
         assert len(hollow.proxy.balancer.ready_endpoints) == 19
@@ -59,14 +57,14 @@
             await asyncio.open_connection(*hollow.proxy.listener.address)
 
 
-async def test_a_hollow_balancer_carries_out_timers_and_polls_again(
+async def test_poll_is_repeated_after_a_timeout(
     discovery: Discovery, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("loadbalancer.policy.poll_backoff.INITIAL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.05)
 
-    applied: list[int] = []
-    first = discovery.replace_entries(three_entries())
+    applied_versions: list[int] = []
+    first_version = discovery.replace_entries(three_entries())
     address = discovery.agent_address(0)
     discovery.set_state(AgentState(AgentMode.UNRESPONSIVE))
     text = configuration_text(
@@ -75,16 +73,16 @@
     HollowBalancer(
         read_configuration(text, ignore_warning),
         asyncio.get_running_loop(),
-        lambda version, at_s: applied.append(version),
+        lambda version, at_s: applied_versions.append(version),
     ).start()
     # The first request times out; a timer starts the next one.
     await wait_until(lambda: discovery.counts().requests == 2, "the balancer has polled again")
     discovery.set_state(AgentState())
-    await wait_until(lambda: first in applied, "the balancer has applied the list")
+    await wait_until(lambda: first_version in applied_versions, "the balancer has applied the list")
 
 
-async def test_a_process_of_hollow_balancers_reports_when_changes_were_applied(discovery: Discovery) -> None:
-    first = discovery.replace_entries(three_entries())
+async def test_process_reports_when_lists_were_applied(discovery: Discovery) -> None:
+    first_version = discovery.replace_entries(three_entries())
     texts = {
         i: configuration_text(
             f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], balancer_settings(balancers=3), seed=i
@@ -92,16 +90,16 @@
         for i in range(3)
     }
     process = HollowProcess(texts)
-    await wait_until_acknowledged(discovery, first)
-    began = process.report()
-    assert sorted(began.balancer_numbers) == [0, 0, 1, 1, 2, 2]
-    assert set(began.versions) == {0, first}
-    second = discovery.apply_changes([three_entries()[1] | {"weight": 2.0}])
-    await wait_until_acknowledged(discovery, second)
-    last = process.stop()
-    assert sorted(last.balancer_numbers) == [0, 1, 2]
-    assert set(last.versions) == {second}
-    assert all(discovery.changed_at[second] <= at_s for at_s in last.applied_at_s)
-    assert last.max_lag_s >= last.p99_lag_s >= 0
+    await wait_until_acknowledged(discovery, first_version)
+    first_report = process.report()
+    assert sorted(first_report.balancer_numbers) == [0, 0, 1, 1, 2, 2]
+    assert set(first_report.versions) == {0, first_version}
+    second_version = discovery.apply_changes([three_entries()[1] | {"weight": 2.0}])
+    await wait_until_acknowledged(discovery, second_version)
+    last_report = process.stop()
+    assert sorted(last_report.balancer_numbers) == [0, 1, 2]
+    assert set(last_report.versions) == {second_version}
+    assert all(discovery.changed_at[second_version] <= at_s for at_s in last_report.applied_at_s)
+    assert last_report.max_lag_s >= last_report.p99_lag_s >= 0
     await discovery.stop()
     assert not psutil.pid_exists(process.pid)
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -23,13 +23,11 @@
     return text.replace('"listen": "127.0.0.1:0"', f'"listen": "{real.free_address(host)}"')
 
 
-def names_in(folder: Path) -> list[str]:
+def file_names(folder: Path) -> list[str]:
     return [path.name for path in folder.iterdir()]
 
 
-async def test_a_real_balancer_is_started_reached_and_stopped_by_id(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_balancer_starts_and_stops(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
     balancer = await RealBalancer.start(configuration_on("127.81.0.1"), real.SOURCE_TREE_COMMAND)
@@ -38,27 +36,25 @@
         assert psutil.Process(balancer.pid).cmdline()[-2:] == ["-m", "loadbalancer"]
         assert psutil.Process(balancer.pid).ppid() == os.getpid()
         assert balancer.address[0] == "127.81.0.1"
-        assert names_in(tmp_path)
+        assert file_names(tmp_path)
     finally:
         status = await balancer.stop()
     assert status == 0
     assert not psutil.pid_exists(balancer.pid)
-    assert names_in(tmp_path) == []
+    assert file_names(tmp_path) == []
 
 
-async def test_the_error_of_a_balancer_that_exits_at_once_quotes_its_log(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_error_of_an_early_exit_quotes_the_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
     balancer = await RealBalancer.start(configuration_on("127.81.0.2"), "echo no licence >&2; exit 7")
     with pytest.raises(BalancerExitedError, match="ended with 7: no licence"):
         await balancer.wait_until_ready(10.0)
     assert await balancer.stop() == 7
-    assert names_in(tmp_path) == []
+    assert file_names(tmp_path) == []
 
 
-async def test_a_balancer_that_ignores_sigterm_is_killed(
+async def test_balancer_that_ignores_sigterm_is_killed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -13,7 +13,7 @@
 from tests.support.waiting import wait_until
 from tests.testbed.support.endpoint_entries import three_entries
 
-Known = dict[str, EndpointEntry]
+EntriesByName = dict[str, EndpointEntry]
 
 
 class WatchClient:
@@ -30,30 +30,36 @@
         self.writer.close()
 
     def send(self, query: str = "", path: str = "/v1/servers") -> int:
-        message = f"GET {path}{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode()
-        self.writer.write(message)
-        return len(message)
+        request = f"GET {path}{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode()
+        self.writer.write(request)
+        return len(request)
 
     async def request(self, query: str = "", path: str = "/v1/servers") -> ReceivedMessage:
         self.send(query, path)
         return await read_message(self.reader)
 
-    async def request_list(self, query: str = "") -> tuple[int, bool, Known]:
+    async def request_list(self, query: str = "") -> tuple[int, bool, EntriesByName]:
         return read_list(await self.request(query))
 
 
-def read_list(response: ReceivedMessage) -> tuple[int, bool, Known]:
+def read_list(response: ReceivedMessage) -> tuple[int, bool, EntriesByName]:
     assert response.start_line.split(" ")[1] == "200"
     content = json.loads(response.body)
-    return content["index"], content["snapshot"], {e["name"]: e for e in content["endpoints"]}
+    return content["index"], content["snapshot"], {entry["name"]: entry for entry in content["endpoints"]}
 
 
-async def test_discovery_sends_a_snapshot_and_then_the_changes(discovery: Discovery) -> None:
+async def test_snapshot_is_followed_by_deltas(discovery: Discovery) -> None:
     await discovery.start()
     first = discovery.replace_entries(three_entries())
     async with WatchClient(discovery.agent_address(0)) as watcher:
-        assert await watcher.request_list() == (first, True, {e["name"]: e for e in three_entries()})
-        draining, removed = (three_entries()[0] | {"status": s} for s in ("terminating", "terminated"))
+        assert await watcher.request_list() == (
+            first,
+            True,
+            {entry["name"]: entry for entry in three_entries()},
+        )
+        draining, removed = (
+            three_entries()[0] | {"status": status} for status in ("terminating", "terminated")
+        )
         weighted = three_entries()[1] | {"weight": 2.0}
         discovery.apply_changes([draining])
         second = discovery.apply_changes([weighted])
@@ -80,20 +86,20 @@
         assert await watcher.request_list(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
 
 
-async def test_discovery_forgets_old_changes_and_then_sends_a_snapshot(
+async def test_forgotten_changes_are_replaced_by_a_snapshot(
     discovery: Discovery, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("testbed.discovery.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
 
     first = discovery.replace_entries(three_entries())
-    second, third = (discovery.apply_changes([e | {"weight": 2.0}]) for e in three_entries()[:2])
+    second, third = (discovery.apply_changes([entry | {"weight": 2.0}]) for entry in three_entries()[:2])
     assert json.loads(discovery.list_response(first).body)["snapshot"]
     newer = json.loads(discovery.list_response(second).body)
     assert (newer["index"], newer["snapshot"]) == (third, False)
-    assert [e["name"] for e in newer["endpoints"]] == ["s1"]
+    assert [entry["name"] for entry in newer["endpoints"]] == ["s1"]
 
 
-async def test_a_watch_ends_with_a_change_or_with_its_wait(discovery: Discovery) -> None:
+async def test_watch_ends_on_change_or_timeout(discovery: Discovery) -> None:
     await discovery.start()
     version = discovery.replace_entries(three_entries())
     async with WatchClient(discovery.agent_address(0)) as watcher:
@@ -113,7 +119,7 @@
             assert (await watcher.request(query, path)).start_line.split(" ")[1] == status
 
 
-async def test_a_watch_continues_if_the_next_request_comes_within_200_ms() -> None:
+async def test_next_request_within_200_ms_continues_the_watch() -> None:
     now = [10.0]
 
     discovery = Discovery(lambda: now[0])
@@ -124,36 +130,38 @@
             now[0] += interval_s
             await watcher.request_list(f"?after={version}")
             counts = discovery.counts()
-            assert (counts.watches, counts.continued) == expected
+            assert (counts.new_watches, counts.continued_watches) == expected
     await discovery.stop()
 
 
 async def test_discovery_counts_requests_and_responses() -> None:
-    seen: list[tuple[int, int]] = []
+    watch_requests: list[tuple[int, int]] = []
 
-    discovery = Discovery(on_watch=lambda agent, after, at: seen.append((agent, after)))
+    discovery = Discovery(
+        on_watch=lambda agent, known_version, time_s: watch_requests.append((agent, known_version))
+    )
     version = discovery.replace_entries(three_entries())
-    sent = got = 0
+    sent_bytes = received_bytes = 0
     async with (
         WatchClient(discovery.agent_address(0)) as one,
         WatchClient(discovery.agent_address(7)) as other,
     ):
         for watcher, query in ((one, ""), (one, f"?after={version}"), (other, "")):
-            sent += watcher.send(query)
+            sent_bytes += watcher.send(query)
             head = await watcher.reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
-            got += len(head) + len(await watcher.reader.readexactly(length))
+            received_bytes += len(head) + len(await watcher.reader.readexactly(length))
         counts = discovery.counts()
         assert (counts.requests, counts.snapshots, counts.entries) == (3, 2, 6)
-        assert (counts.bytes_in, counts.bytes_out) == (sent, got)
+        assert (counts.bytes_in, counts.bytes_out) == (sent_bytes, received_bytes)
         assert discovery.agents[7].counts.requests == 1
         assert discovery.agents[0].acknowledged_version == version
-        assert seen == [(0, version)]
+        assert watch_requests == [(0, version)]
         assert counts - counts == RequestCounts()
     await discovery.stop()
 
 
-async def test_an_unresponsive_group_of_agents_responds_once_it_is_up_again(discovery: Discovery) -> None:
+async def test_unresponsive_group_responds_once_it_is_up(discovery: Discovery) -> None:
     await discovery.start("127.32.0.9")
     version = discovery.replace_entries(three_entries())
     healthy, unresponsive = (
@@ -179,7 +187,7 @@
             assert read_list(await read_message(other.reader))[0] == version
 
 
-async def test_one_agent_goes_down_and_all_responses_are_delayed(discovery: Discovery) -> None:
+async def test_agent_is_down_and_responses_are_delayed(discovery: Discovery) -> None:
     version = discovery.replace_entries(three_entries())
     up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
     discovery.set_state(AgentState(), group="r1")
@@ -203,7 +211,7 @@
         await asyncio.open_connection(*up)
 
 
-async def test_an_agent_goes_down_before_its_loop_accepts(discovery: Discovery) -> None:
+async def test_agent_goes_down_before_it_accepts(discovery: Discovery) -> None:
     address = discovery.agent_address(0)
     discovery.set_state(AgentState(AgentMode.DOWN), agent=0)
     with pytest.raises(ConnectionError):
--- a/tests/testbed/load/test_kernel_timer.py
+++ b/tests/testbed/load/test_kernel_timer.py
@@ -5,10 +5,10 @@
 from testbed.load.kernel_timer import KernelTimer
 
 
-async def test_a_timer_fires_no_sooner_than_set_and_again_each_time() -> None:
+async def test_timer_never_fires_early() -> None:
     timer = KernelTimer()
     for seconds in (0.003, 0.0, 0.002, -1.0):
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         await timer.sleep(seconds)
-        assert time.perf_counter() - began_s >= seconds
+        assert time.perf_counter() - start_s >= seconds
     timer.close()
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -19,34 +19,34 @@
     from testbed.upstream.connection import ReceivedRequest
 
 
-async def test_a_server_that_stalls_delays_no_send(upstreams: UpstreamGroup) -> None:
+async def test_stalled_server_delays_no_send(upstreams: UpstreamGroup) -> None:
     (upstream,) = await upstreams.start(1, first_octet=82)
-    planned = len(list(arrival_times(4_000.0, 0.01, random.Random("7/calls"))))
-    assert planned > 20
-    all_came = asyncio.Event()
+    request_count = len(list(arrival_times(4_000.0, 0.01, random.Random("7/calls"))))
+    assert request_count > 20
+    all_received = asyncio.Event()
 
     async def stall(request: ReceivedRequest, remaining_ms: float) -> int:
-        if upstream.counts.requests == planned:
-            all_came.set()
-        await all_came.wait()
+        if upstream.counts.requests == request_count:
+            all_received.set()
+        await all_received.wait()
         return 200
 
     upstream.forward = stall  # no response is sent before the last request has been received
     stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
     report = (await run_streams([stream], 0.01, seed=7))["calls"]
-    assert report.sent == report.opened_connections == planned
-    assert report.statuses == {200: planned}
+    assert report.sent == report.opened_connections == request_count
+    assert report.statuses == {200: request_count}
     assert report.unserved_at_s == []
     await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL))
     report = (await run_streams([stream], 0.01, seed=7))["calls"]
-    assert report.statuses == {500: planned}
+    assert report.statuses == {500: request_count}
     assert report.served_latencies.count == 0
     assert sorted(report.unserved_at_s) == pytest.approx(
         list(arrival_times(4_000.0, 0.01, random.Random("7/calls")))
     )
 
 
-async def test_latency_is_measured_from_the_scheduled_time_and_a_late_load_is_invalid() -> None:
+async def test_late_load_counts_in_latency_and_is_invalid() -> None:
     async def report_with(stall: float) -> StreamReport:
         clock = SteppingClock(stall=stall)
         upstreams = UpstreamGroup(seed=1)
@@ -57,13 +57,16 @@
         return report
 
     scheduled_s = list(arrival_times(20.0, 1.0, random.Random("3/calls")))
-    late = await report_with(3.0)  # the first sleep takes 3 s too long
-    assert late.served_latencies.count == late.sent == len(scheduled_s)
-    max_ms, min_ms = late.served_latencies.quantile_ms(1.0), late.served_latencies.quantile_ms(0.0)
+    late_report = await report_with(3.0)  # the first sleep takes 3 s too long
+    assert late_report.served_latencies.count == late_report.sent == len(scheduled_s)
+    max_ms, min_ms = (
+        late_report.served_latencies.quantile_ms(1.0),
+        late_report.served_latencies.quantile_ms(0.0),
+    )
     assert max_ms == pytest.approx(3_000, rel=0.01)
     assert min_ms == pytest.approx((3.0 + scheduled_s[0] - scheduled_s[-1]) * 1000, rel=0.01)
-    assert late.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
-    (reason,) = late.invalid_reasons("direct", late_ms=1.0)
+    assert late_report.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
+    (reason,) = late_report.invalid_reasons("direct", max_lateness_ms=1.0)
     assert reason.startswith("direct: ")
     assert "late" in reason
-    assert (await report_with(0.0)).invalid_reasons("direct", late_ms=1.0) == []
+    assert (await report_with(0.0)).invalid_reasons("direct", max_lateness_ms=1.0) == []
--- a/tests/testbed/measurement/test_latency.py
+++ b/tests/testbed/measurement/test_latency.py
@@ -5,14 +5,14 @@
 from testbed.measurement.latency import Latencies, compare_latencies
 
 
-def test_added_time_is_given_by_quantiles_and_over_the_direct_median() -> None:
+def test_added_time_by_quantile_and_over_the_direct_median() -> None:
     direct, through = Latencies(), Latencies()
-    for number in range(1, 1_001):
-        direct.record(number / 1e6)
-        through.record(3 * number / 1e6)
-    figures = compare_latencies(direct, through)
-    assert figures["added_50_ms"] == pytest.approx(1.0, rel=0.01)
-    assert figures["added_99_ms"] == pytest.approx(1.98, rel=0.01)
-    assert figures["over_median_99_ms"] == pytest.approx(2.97 - 0.5, rel=0.01)
+    for latency_us in range(1, 1_001):
+        direct.record(latency_us / 1e6)
+        through.record(3 * latency_us / 1e6)
+    columns = compare_latencies(direct, through)
+    assert columns["added_50_ms"] == pytest.approx(1.0, rel=0.01)
+    assert columns["added_99_ms"] == pytest.approx(1.98, rel=0.01)
+    assert columns["over_median_99_ms"] == pytest.approx(2.97 - 0.5, rel=0.01)
     with pytest.raises(ValueError, match="no latencies"):
         Latencies().quantile_ms(0.5)
--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -13,7 +13,7 @@
 from testbed.measurement.resource_usage import CoreMonitor, LoopLagMonitor, measure_usage, processor_time_s
 
 
-def test_the_meter_counts_a_childs_processor_time_and_descriptors() -> None:
+def test_usage_sums_processor_time_memory_and_descriptors() -> None:
     work = "while time.process_time() < 0.15: pass"
     opened = "kept = [open('/dev/null') for _ in range(20)]"
     code = "\n".join(("import sys, time", opened, work, "print(1, flush=True)", "sys.stdin.read()"))
@@ -21,56 +21,56 @@
     assert child.stdout is not None
     assert child.stdin is not None
     child.stdout.readline()
-    one = measure_usage([child.pid])
-    assert 0.14 <= one.processor_s < 5
-    assert 20 < one.descriptors < 60
-    assert one.resident_bytes > 1 << 20
-    own = processor_time_s(os.getpid())
-    both = measure_usage([child.pid, os.getpid()])
-    assert both.descriptors > one.descriptors
-    assert both.processor_s >= one.processor_s + own
+    child_usage = measure_usage([child.pid])
+    assert 0.14 <= child_usage.processor_s < 5
+    assert 20 < child_usage.descriptors < 60
+    assert child_usage.resident_bytes > 1 << 20
+    own_processor_s = processor_time_s(os.getpid())
+    total_usage = measure_usage([child.pid, os.getpid()])
+    assert total_usage.descriptors > child_usage.descriptors
+    assert total_usage.processor_s >= child_usage.processor_s + own_processor_s
     child.stdin.close()
     child.wait()
     child.stdout.close()
     with pytest.raises(psutil.NoSuchProcess):
         measure_usage([child.pid])
-    assert own > 0
+    assert own_processor_s > 0
 
 
 def test_saturated_cores_invalidate_results(monkeypatch: pytest.MonkeyPatch) -> None:
     readings: list[Any] = []
 
-    def read(user: float, idle: float, steal: float, guest: float) -> None:
+    def add_reading(user: float, idle: float, steal: float, guest: float) -> None:
         names = {"user": user, "idle": idle, "iowait": 0.0, "steal": steal, "guest": guest}
         readings.append(SimpleNamespace(_fields=tuple(names), **names))
 
     monkeypatch.setattr(psutil, "cpu_times", lambda: readings.pop(0))
-    read(100.0, 100.0, 0.0, 100.0)
-    read(150.0, 150.0, 0.0, 150.0)
+    add_reading(100.0, 100.0, 0.0, 100.0)
+    add_reading(150.0, 150.0, 0.0, 150.0)
     assert CoreMonitor().busy_fraction() == pytest.approx(0.5)
-    read(100.0, 100.0, 0.0, 100.0)
-    read(180.0, 105.0, 15.0, 180.0)
+    add_reading(100.0, 100.0, 0.0, 100.0)
+    add_reading(180.0, 105.0, 15.0, 180.0)
     assert CoreMonitor().invalid_reasons("rest") == ["rest: the cores were 95% busy"]
-    read(0.0, 0.0, 0.0, 0.0)
-    read(0.0, 0.0, 0.0, 0.0)
+    add_reading(0.0, 0.0, 0.0, 0.0)
+    add_reading(0.0, 0.0, 0.0, 0.0)
     assert CoreMonitor().invalid_reasons("rest") == []
 
 
-def test_loop_lag_is_how_late_a_timer_runs() -> None:
+def test_loop_lag_is_the_lateness_of_a_timer() -> None:
     calls: list[tuple[float, Callable[[], None]]] = []
     loop: Any = SimpleNamespace(now=0.0, time=lambda: loop.now)
 
-    def call_at(at: float, callback: Callable[[], None]) -> Any:
-        calls.append((at, callback))
+    def call_at(due_at: float, callback: Callable[[], None]) -> Any:
+        calls.append((due_at, callback))
         return SimpleNamespace(cancel=calls.clear)
 
     loop.call_at = call_at
-    lag = LoopLagMonitor(loop)
-    for late in (0.0, 0.0, 0.25, 0.0):
-        at, callback = calls.pop()
-        loop.now = at + late
+    lag_monitor = LoopLagMonitor(loop)
+    for lag_s in (0.0, 0.0, 0.25, 0.0):
+        due_at, callback = calls.pop()
+        loop.now = due_at + lag_s
         callback()
-    assert lag.take() == pytest.approx((0.0, 0.25), abs=1e-9)
-    assert lag.take() == (0.0, 0.0)
-    lag.stop()
+    assert lag_monitor.take() == pytest.approx((0.0, 0.25), abs=1e-9)
+    assert lag_monitor.take() == (0.0, 0.0)
+    lag_monitor.stop()
     assert calls == []
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("mode", "status", "health", "counted"),
+    ("mode", "status", "health_status", "changed_counts"),
     [
         (UpstreamMode.SERVE, 200, 200, {"served": 1}),
         (UpstreamMode.FAIL, 500, 200, {"failed": 1}),
@@ -35,8 +35,12 @@
         ),
     ],
 )
-async def test_an_upstream_behaves_according_to_its_mode(
-    upstreams: UpstreamGroup, mode: UpstreamMode, status: int, health: int, counted: dict[str, int]
+async def test_each_mode_responds_and_counts(
+    upstreams: UpstreamGroup,
+    mode: UpstreamMode,
+    status: int,
+    health_status: int,
+    changed_counts: dict[str, int],
 ) -> None:
     (upstream,) = await upstreams.start(1, first_octet=82)
     assert upstream.address[0] == "127.82.0.1"
@@ -45,19 +49,25 @@
     client = Client(upstream.address)
     assert await send_request(client, timeout_ms) == status
     health_check = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
-    assert (await client.send(health_check, timeout_ms / 1000)).status == health
+    assert (await client.send(health_check, timeout_ms / 1000)).status == health_status
     # A request that fails on a reused connection is sent again; one that is reset on a new connection is not.
-    expected = {"requests": 1, "health_checks": 1, "reset": 0, "abandoned": 0, "overlapping": 0} | counted
-    expected["reset"] = int(mode is UpstreamMode.RESET)
+    expected_counts = {
+        "requests": 1,
+        "health_checks": 1,
+        "reset": 0,
+        "abandoned": 0,
+        "overlapping": 0,
+    } | changed_counts
+    expected_counts["reset"] = int(mode is UpstreamMode.RESET)
     if mode in (UpstreamMode.HANG, UpstreamMode.RESET):
         await wait_until(lambda: not upstream.connections, "the upstream has no connection")
-    assert {name: getattr(upstream.counts, name) for name in expected} == expected
+    assert {name: getattr(upstream.counts, name) for name in expected_counts} == expected_counts
     await upstream.set_behaviour(Behaviour())
     assert await send_request(client) == 200  # at the same address
     assert (await client.send(b"GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)).status == 404
 
 
-async def test_a_rejected_request_is_marked_as_never_run(upstreams: UpstreamGroup) -> None:
+async def test_rejected_request_is_marked_as_not_run(upstreams: UpstreamGroup) -> None:
     (upstream,) = await upstreams.start(1, first_octet=82)
     await upstream.set_behaviour(Behaviour(UpstreamMode.REJECT))
     reader, writer = await asyncio.open_connection(*upstream.address)
@@ -68,7 +78,7 @@
     writer.close()
 
 
-async def test_a_fraction_of_the_requests_fails_as_drawn_from_the_seed() -> None:
+async def test_fraction_of_requests_fails_according_to_seed() -> None:
     async def statuses_with(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, first_octet=82)
@@ -84,7 +94,7 @@
     assert await statuses_with(1) == first != await statuses_with(2)
 
 
-async def test_a_chain_of_three_passes_the_time_that_remains_under_new_ids() -> None:
+async def test_chain_passes_on_remaining_time_under_new_ids() -> None:
     clock = SteppingClock(step=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
     chain = await upstreams.start(3, first_octet=82)
@@ -92,8 +102,8 @@
     for number, upstream in enumerate(chain):
         upstream.on_request = received.append
         if number < 2:
-            ids = request_ids(seed=10 + number)
-            upstream.forward = forward_through(Client(chain[number + 1].address), ids)
+            next_tier_ids = request_ids(seed=10 + number)
+            upstream.forward = forward_through(Client(chain[number + 1].address), next_tier_ids)
     client = Client(chain[0].address)
     assert await send_request(client, 4_000.0, key="k1") == 200
     # The clock advances by 0.1 s between the arrival of a request and the request to the next tier.
@@ -108,7 +118,7 @@
     upstreams.close()
 
 
-async def test_an_abandoned_request_is_cancelled_down_the_chain(upstreams: UpstreamGroup) -> None:
+async def test_abandoned_request_is_cancelled_at_the_next_tier(upstreams: UpstreamGroup) -> None:
     top, bottom = await upstreams.start(2, first_octet=82)
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
@@ -119,7 +129,7 @@
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
 
-async def test_upstreams_in_a_process_of_their_own_serve_count_and_end() -> None:
+async def test_upstream_process_serves_counts_and_ends() -> None:
     process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
     try:
         assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
