--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -104,6 +104,6 @@
         decayed_ms = self._max_client_timeout_ms[request_class.name] * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS)
         max_timeout_ms = max(remaining_ms, decayed_ms)
         self._max_client_timeout_ms[request_class.name] = max_timeout_ms
-        passed_ms = request_class.deadline_ms - remaining_ms
+        elapsed_ms = request_class.deadline_ms - remaining_ms
         is_retry = remaining_ms < FULL_TIMEOUT_FRACTION * max_timeout_ms
-        return is_retry and passed_ms > request_class.latency_objective_ms
+        return is_retry and elapsed_ms > request_class.latency_objective_ms
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -13,7 +13,7 @@
 # Wait after which an unanswered attempt counts as lost in full, in expected service times of its request (the
 # mean of its class times its expected work). Before that, an attempt counts in proportion to the wait, since
 # a short wait is hardly evidence.
-FULL_LOSS_SERVICE_TIMES = 2.0
+FULL_FAILURE_SERVICE_TIMES = 2.0
 # Outcomes after which the connection can be used again. This group and the two below are tuples: a look-up in
 # a set would call `Enum.__hash__`, which is a Python function.
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
@@ -55,7 +55,7 @@
             now: The current time.
             is_shedding: Whether load is being shed.
         """
-        endpoint.catch_up(now)
+        endpoint.advance_to(now)
         endpoint.in_flight += 1
         self._in_flight += 1
         has_capacity = self._in_flight <= max(
@@ -71,7 +71,7 @@
         timeout to the time that attempts spent at the endpoint, and no served work.
         """
         endpoint, class_name = attempt.endpoint, request.request_class.name
-        endpoint.catch_up(now)
+        endpoint.advance_to(now)
         endpoint.last_used_at = now if outcome in REUSABLE_CONNECTION_OUTCOMES else math.inf
         if outcome in LIVENESS_EVIDENCE_OUTCOMES:
             self._idle_limit.record(attempt.idle_ms, is_unresponsive=outcome is not Outcome.SUCCEEDED)
@@ -82,33 +82,33 @@
         if outcome is Outcome.SUCCEEDED:
             self._record_success(attempt, request, now)
         elif outcome not in NO_EVIDENCE_OUTCOMES:
-            endpoint.busy_ms += max(attempt.ends_at - now, 0.0)
+            endpoint.busy_ms += max(attempt.times_out_at - now, 0.0)
             if outcome is Outcome.TIMED_OUT:
-                self._record_loss(attempt, request, now)
+                self._record_missing_response(attempt, request, now)
             else:
-                endpoint.record_outcome(class_name, served=0.0, lost=1.0)
+                endpoint.record_outcome(class_name, succeeded=0.0, failed=1.0)
         endpoint.in_flight -= 1
         self._in_flight -= 1
 
     def record_abandoned(self, attempt: Attempt, request: Request, now: float) -> None:
         """Record that another attempt brought the response while this one was still unanswered."""
         self._idle_limit.record(attempt.idle_ms, is_unresponsive=True)
-        self._record_loss(attempt, request, now)
+        self._record_missing_response(attempt, request, now)
 
-    def _record_loss(self, attempt: Attempt, request: Request, now: float) -> None:
+    def _record_missing_response(self, attempt: Attempt, request: Request, now: float) -> None:
         """Count an unanswered attempt as lost, in proportion to how long the request waited for it.
 
-        The amount is the wait over FULL_LOSS_SERVICE_TIMES expected service times, and at most 1.
+        The amount is the wait over FULL_FAILURE_SERVICE_TIMES expected service times, and at most 1.
         """
         class_name = request.request_class.name
         mean_ms = self._service_times.mean_ms(class_name)
-        full_loss_ms = FULL_LOSS_SERVICE_TIMES * request.expected_work * mean_ms
-        lost = min((now - attempt.sent_at) / full_loss_ms, 1.0)
-        attempt.endpoint.record_outcome(class_name, served=0.0, lost=lost)
+        full_failure_ms = FULL_FAILURE_SERVICE_TIMES * request.expected_work * mean_ms
+        failed = min((now - attempt.started_at) / full_failure_ms, 1.0)
+        attempt.endpoint.record_outcome(class_name, succeeded=0.0, failed=failed)
 
     def _record_success(self, attempt: Attempt, request: Request, now: float) -> None:
         class_name, expected_work = request.request_class.name, request.expected_work
-        elapsed_ms, service_times = now - attempt.sent_at, self._service_times
+        elapsed_ms, service_times = now - attempt.started_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
         # May sum the available capacity, which brings the evidence of every endpoint up to date and reads its
@@ -118,4 +118,4 @@
         )
         service_times.record(class_name, elapsed_ms)
         attempt.endpoint.served_work += request.work
-        attempt.endpoint.record_outcome(class_name, served=1.0, lost=0.0)
+        attempt.endpoint.record_outcome(class_name, succeeded=1.0, failed=0.0)
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -47,7 +47,7 @@
         if now - self._updated_at >= UPDATE_INTERVAL_MS:
             ready = self._endpoints.ready
             for endpoint in ready:
-                endpoint.catch_up(now)
+                endpoint.advance_to(now)
             self.reachable = [e for e in ready if e.connect_failures <= 1] or ready
             healthy = [e for e in self.reachable if not is_outlier(e)]
             self.weight = sum(e.weight * self._warmup.fraction(e, now) for e in healthy) or 1.0
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -48,7 +48,7 @@
 # Time in milliseconds after a shed request during which the balancer counts as shedding load. Until it ends,
 # further shed requests are not logged, and no attempt counts toward the baseline service time. No other value
 # is on record.
-SHEDDING_MEMORY_MS = 6_000.0
+SHEDDING_HOLD_TIME_MS = 6_000.0
 
 
 class LoadBalancer:
@@ -111,13 +111,13 @@
             case AttemptFinished():
                 self._finish_attempt(event, now)
             case RequestReceived():
-                self._receive(event, now)
+                self._receive_request(event, now)
             case TimerFired():
-                self._fire_timer(event.timer, now)
+                self._handle_timer(event.timer, now)
             case EndpointListUpdate():
                 self._update_endpoints(event, now)
             case ClientDisconnected():
-                self._disconnect_client(event.request_id)
+                self._handle_disconnect(event.request_id)
             case ResponseStarted():
                 self._requests.find(event).is_streaming = True
         return self._actions
@@ -133,7 +133,7 @@
         self._available.invalidate(now)
         self._slow_start.invalidate()
 
-    def _receive(self, event: RequestReceived, now: float) -> None:
+    def _receive_request(self, event: RequestReceived, now: float) -> None:
         request = self._requests.add(event, now)
         request.work = self._cost_hints.relative_work(event.cost_hint_ms)
         self._arrivals.record(now)
@@ -146,7 +146,7 @@
         """Respond to a request that gets no attempt; log the reason if no request was shed recently."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
-        self._shedding_until = now + SHEDDING_MEMORY_MS
+        self._shedding_until = now + SHEDDING_HOLD_TIME_MS
         self._respond_with_failure(request)
 
     def _start_attempt(self, request: Request, now: float) -> bool:
@@ -155,7 +155,7 @@
         self._actions += actions
         return bool(actions)
 
-    def _fire_timer(self, timer: Timer, now: float) -> None:
+    def _handle_timer(self, timer: Timer, now: float) -> None:
         match timer:
             case EndpointListTimer():
                 self._actions.append(WatchEndpoints())
@@ -195,7 +195,7 @@
     def _start_retry(self, request: Request, now: float) -> bool:
         """Start a retry if its budget has a token; return whether it has started."""
         budget = self._retry_budgets.budget_for(request)
-        if not budget.allows() or request.is_streaming or not self._start_attempt(request, now):
+        if not budget.has_token() or request.is_streaming or not self._start_attempt(request, now):
             return False
         budget.spend()
         return True
@@ -211,7 +211,7 @@
                 CancelAttempt(request.id, i) for i, attempt in enumerate(request.attempts) if attempt.is_open
             )
 
-    def _disconnect_client(self, request_id: int) -> None:
+    def _handle_disconnect(self, request_id: int) -> None:
         if request := self._requests.get(request_id):
             request.is_response_pending = False
             self._cancel_open_attempts(request)
--- a/loadbalancer/policy/balancer_count.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -38,17 +38,19 @@
         self._baseline_weight = 0.0
         self.estimate = float(settings.balancers)
 
-    def update(self, weight: float, updated_at: float, now: float) -> None:
+    def update(self, weight: float, previous_update_at: float, now: float) -> None:
         """Estimate the number again.
 
         Args:
             weight: The weight of the endpoints that can take requests, without their warm-up fractions.
-            updated_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint list has
+            previous_update_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint list has
                 changed since; minus infinity before the first sum.
             now: The current time.
         """
-        decayed = self._baseline_weight * math.exp((updated_at - now) / BASELINE_TIME_CONSTANT_MS)
-        self._baseline_weight = max(weight, decayed)
+        decayed_weight = self._baseline_weight * math.exp(
+            (previous_update_at - now) / BASELINE_TIME_CONSTANT_MS
+        )
+        self._baseline_weight = max(weight, decayed_weight)
         weight_ratio = weight / (self._baseline_weight or 1.0)
         long_term_ms = self._arrivals.long_term_interarrival_ms or 1.0
         interarrival_ratio = self._arrivals.short_term_interarrival_ms / long_term_ms
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -7,7 +7,11 @@
 
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.endpoint_set import EndpointSet
-from loadbalancer.policy.endpoint_stats import EVIDENCE_TIME_CONSTANT_MS, UPDATE_INTERVAL_MS, EndpointStats
+from loadbalancer.policy.endpoint_stats import (
+    EVIDENCE_TIME_CONSTANT_MS,
+    EVIDENCE_UPDATE_INTERVAL_MS,
+    EndpointStats,
+)
 
 # Attempts, at least, that each endpoint of the subset gets, on average, within one time constant of its
 # evidence: more than the pseudo-observations, so that the evidence outweighs the prior.
@@ -39,7 +43,7 @@
 
     Attributes:
         median: Capacity per unit of weight, in work per ms; 0 until an endpoint has evidence.
-        served_per_ms: The mean rate of work that a warm endpoint of the subset serves for this replica.
+        served_work_per_ms: The mean rate of work that a warm endpoint of the subset serves for this replica.
         time_constant_ms: The time constant by which evidence on capacity decays.
     """
 
@@ -49,7 +53,7 @@
         self._arrivals = arrivals
         self._median_at = -math.inf
         self.median = 0.0
-        self.served_per_ms = 0.0
+        self.served_work_per_ms = 0.0
         self.time_constant_ms = EVIDENCE_TIME_CONSTANT_MS
 
     def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
@@ -60,8 +64,8 @@
         estimates = []
         is_any_warming_up = now < self._warmup.active_until
         for endpoint in endpoints:
-            if now - endpoint.updated_at >= UPDATE_INTERVAL_MS:
-                endpoint.catch_up(now)
+            if now - endpoint.updated_at >= EVIDENCE_UPDATE_INTERVAL_MS:
+                endpoint.advance_to(now)
             prior = median * endpoint.weight
             pseudo_busy_ms = PSEUDO_OBSERVATIONS / prior
             estimate = (endpoint.served_work + PSEUDO_OBSERVATIONS) / (endpoint.busy_ms + pseudo_busy_ms)
@@ -83,15 +87,17 @@
 
     def _update(self, now: float) -> None:
         ready, subset = self._endpoints.ready, self._endpoints.subset
-        known = sorted(
+        capacities_per_weight = sorted(
             e.served_work / (e.busy_ms * e.weight)
             for e in ready
             if e.served_work > MIN_SERVED_WORK and e.busy_ms > 0
         )
-        self.median = known[len(known) // 2] if known else self.median
+        self.median = (
+            capacities_per_weight[len(capacities_per_weight) // 2] if capacities_per_weight else self.median
+        )
         # A sum that decays with the time constant T settles at T times its rate.
-        if warm := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
-            self.served_per_ms = sum(warm) / len(warm) / self.time_constant_ms
+        if warm_served_work := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
+            self.served_work_per_ms = sum(warm_served_work) / len(warm_served_work) / self.time_constant_ms
         # Guards against evidence that decays between two attempts: one of hundreds of replicas makes few.
         interval_ms = self._arrivals.short_term_interarrival_ms
         wanted_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -66,7 +66,7 @@
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.warmup = WarmupRamp(settings)
-        self._replicas = settings.balancers
+        self._balancers = settings.balancers
         self._random = random
         self.by_name: dict[str, EndpointStats] = {}
         self.ready: list[EndpointStats] = []
@@ -76,23 +76,23 @@
         """Apply a snapshot of the endpoint list, or a change to it."""
         if event.kind is not EndpointListKind.DELTA:
             # An endpoint that is missing from a snapshot has been removed.
-            for known in self.by_name.values():
-                known.is_ready = False
+            for endpoint in self.by_name.values():
+                endpoint.is_ready = False
         for entry in event.endpoints:
             self._update_entry(entry, now)
         self.by_name = {name: e for name, e in self.by_name.items() if e.is_ready or e.in_flight}
         self.ready = [e for e in self.by_name.values() if e.is_ready]
         self.warmup.update(self.ready)
-        wanted = math.ceil(len(self.ready) * BALANCERS_PER_ENDPOINT / self._replicas)
-        self.subset = sorted(self.ready, key=lambda e: e.rank)[: max(MIN_SUBSET_SIZE, wanted)]
+        size = math.ceil(len(self.ready) * BALANCERS_PER_ENDPOINT / self._balancers)
+        self.subset = sorted(self.ready, key=lambda e: e.subset_rank)[: max(MIN_SUBSET_SIZE, size)]
 
     def _update_entry(self, entry: Endpoint, now: float) -> None:
         endpoint = self.by_name.get(entry.name)
         if endpoint is None:
-            rank = self._random.random()
+            subset_rank = self._random.random()
             # The decimals after the sixth do not depend on the first six, which order the ranks.
-            slow_start_rank = rank * 1e6 % 1.0
-            endpoint = self.by_name[entry.name] = EndpointStats(entry, now, rank, slow_start_rank)
+            slow_start_rank = subset_rank * 1e6 % 1.0
+            endpoint = self.by_name[entry.name] = EndpointStats(entry, now, subset_rank, slow_start_rank)
         if entry.started_at_ms > endpoint.entry.started_at_ms:
             endpoint.reset(now)
         endpoint.entry = entry
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -1,7 +1,7 @@
 """The evidence on one endpoint: work served, time spent there, and attempts lost by class.
 
 All of it decays exponentially. The amounts are kept as of `updated_at` and brought to the present by
-`EndpointStats.catch_up`, which each reader calls before it reads.
+`EndpointStats.advance_to`, which each reader calls before it reads.
 """
 
 import math
@@ -14,10 +14,10 @@
 # enough that an ejected endpoint is selected again within seconds.
 EVIDENCE_TIME_CONSTANT_MS = 6_000.0
 # Age, in ms, at which a reader brings the evidence up to date; small against the time constant.
-UPDATE_INTERVAL_MS = 20.0
+EVIDENCE_UPDATE_INTERVAL_MS = 20.0
 # Upper bound of the lost attempts, and of the failed connects, that are remembered: it limits how long an
 # endpoint that failed many attempts stays ejected.
-MAX_LOST_ATTEMPTS = 4.0
+MAX_FAILED_ATTEMPTS = 4.0
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -27,7 +27,7 @@
     Attributes:
         entry: Its entry in the endpoint list.
         updated_at: The time up to which the evidence is decayed.
-        rank: Random, from 0 to 1; the endpoints with the lowest ranks are this replica's subset.
+        subset_rank: Random, from 0 to 1; the endpoints with the lowest ranks are this replica's subset.
         slow_start_rank: Random, from 0 to 1; the replicas with the lowest ones select the endpoint while it
             is in slow start.
         is_ready: Whether it takes requests, by the endpoint list.
@@ -45,7 +45,7 @@
 
     entry: Endpoint
     updated_at: float
-    rank: float
+    subset_rank: float
     slow_start_rank: float
     is_ready: bool = False
     weight: float = 1.0
@@ -63,7 +63,7 @@
         self.served_work, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.outcomes, self.connect_failures = {}, 0.0
 
-    def catch_up(self, now: float) -> None:
+    def advance_to(self, now: float) -> None:
         """Bring the evidence up to date: decay all amounts, and add the time of attempts in flight.
 
         An attempt in flight adds its time as it passes, so an endpoint that does not respond loses capacity
@@ -74,21 +74,21 @@
         self.busy_ms = self.busy_ms * decay + self.in_flight * (now - self.updated_at)
         decay = math.exp((self.updated_at - now) / EVIDENCE_TIME_CONSTANT_MS)
         self.outcomes = {
-            name: (served * decay, lost * decay) for name, (served, lost) in self.outcomes.items()
+            name: (succeeded * decay, failed * decay) for name, (succeeded, failed) in self.outcomes.items()
         }
         self.connect_failures *= decay
         self.updated_at = now
 
-    def record_outcome(self, class_name: str, served: float, lost: float) -> None:
+    def record_outcome(self, class_name: str, succeeded: float, failed: float) -> None:
         """Count an attempt of a class as served, or the given fraction of it as lost.
 
-        Above MAX_LOST_ATTEMPTS both amounts are scaled down together, which keeps the fraction lost.
+        Above MAX_FAILED_ATTEMPTS both amounts are scaled down together, which keeps the fraction lost.
         """
-        old_served, old_lost = self.outcomes.get(class_name, (0.0, 0.0))
-        served, lost = old_served + served, old_lost + lost
-        scale = min(MAX_LOST_ATTEMPTS / lost, 1.0) if lost else 1.0
-        self.outcomes[class_name] = served * scale, lost * scale
+        old_succeeded, old_failed = self.outcomes.get(class_name, (0.0, 0.0))
+        succeeded, failed = old_succeeded + succeeded, old_failed + failed
+        scale = min(MAX_FAILED_ATTEMPTS / failed, 1.0) if failed else 1.0
+        self.outcomes[class_name] = succeeded * scale, failed * scale
 
     def record_connect_failure(self) -> None:
         """Count a connect that failed."""
-        self.connect_failures = min(self.connect_failures + 1, MAX_LOST_ATTEMPTS)
+        self.connect_failures = min(self.connect_failures + 1, MAX_FAILED_ATTEMPTS)
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -32,9 +32,9 @@
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return []
         latest_arrival = now + self._settings.tick_ms + self._settings.connect_timeout_ms
-        if latest_arrival >= first.sent_at + request_class.idempotency_window_ms:
+        if latest_arrival >= first.started_at + request_class.idempotency_window_ms:
             return []
-        ready = [e for e in self._endpoints.ready if e.entry.started_at_ms <= first.sent_at]
+        ready = [e for e in self._endpoints.ready if e.entry.started_at_ms <= first.started_at]
         if request_class.idempotency_scope is IdempotencyScope.ALL:
             return ready
         entry = first.endpoint.entry
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -107,14 +107,14 @@
         Assumes that clients spread evenly over the replicas; a replica with more than its part of them
         sheds load too early.
         """
-        per_capacity = (
+        max_per_capacity = (
             MIN_IN_FLIGHT_PER_CAPACITY
             + (MAX_IN_FLIGHT_PER_CAPACITY - MIN_IN_FLIGHT_PER_CAPACITY) * importance
         )
-        limit = per_capacity * capacity
-        replicas = self._available.balancer_count.estimate
-        all_in_flight = in_flight + self._mean_in_flight * (replicas - 1)
-        return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / replicas)
+        limit = max_per_capacity * capacity
+        balancers = self._available.balancer_count.estimate
+        all_in_flight = in_flight + self._mean_in_flight * (balancers - 1)
+        return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
 
     def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
         """Return whether attempts take too many times their baseline service time.
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -19,8 +19,8 @@
 
     endpoint: EndpointStats
     idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or not known
-    sent_at: float  # when it started
-    ends_at: float  # when it times out
+    started_at: float  # when it started
+    times_out_at: float  # when it times out
     is_baseline: bool  # whether it started without load, so that its duration counts toward the baseline
     is_open: bool = True  # whether it is in flight
     may_have_run: bool = True  # whether it may have had an effect; false once its outcome excludes that
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -55,7 +55,7 @@
         """Add the tokens for a request that a successful attempt has answered."""
         self._tokens = min(self._max_tokens, self._tokens + self._tokens_per_response)
 
-    def allows(self) -> bool:
+    def has_token(self) -> bool:
         """Return whether a token is left for one more attempt."""
         return self._tokens >= 1
 
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -15,7 +15,7 @@
 
 # Endpoints drawn for an attempt, at most. The published rule needs two; more cost little here, since each
 # further draw is made only while every endpoint drawn so far has an attempt of this balancer in flight.
-MAX_SAMPLES = 4
+MAX_DRAWS = 4
 
 
 class EndpointSelector:
@@ -48,7 +48,7 @@
         """
         median = self._capacity.current_median(now)
         eligible = self._idempotency.eligible(request, now)
-        eligible = self._slow_start.with_capacity(eligible, now, is_first_attempt=not request.attempts)
+        eligible = self._slow_start.within_limits(eligible, now, is_first_attempt=not request.attempts)
         if request.attempts:
             attempted = [a.endpoint for a in request.attempts]
             eligible = [e for e in eligible if e not in attempted] or eligible
@@ -68,12 +68,12 @@
         always that of the largest, and many balancers with few requests each would all select it. The draw,
         which is proportional to capacity, decides instead.
         """
-        local = list(accumulate(_weigh_by_zone(eligible, capacities, self._own_zone)))
-        overall = list(accumulate(capacities))
+        zone_sums = list(accumulate(_weigh_by_zone(eligible, capacities, self._own_zone)))
+        capacity_sums = list(accumulate(capacities))
         random = self._random.random
         best, selected = (math.inf, 0.0, 0.0), eligible[-1]
-        for sample in range(MAX_SAMPLES):
-            sums = overall if sample else local
+        for draw in range(MAX_DRAWS):
+            sums = capacity_sums if draw else zone_sums
             i = min(bisect(sums, random() * sums[-1]), len(eligible) - 1)
             endpoint, capacity = eligible[i], capacities[i]
             load = ((endpoint.in_flight + 1) / capacity, -capacity, random())
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -59,21 +59,21 @@
         """Recompute the estimates at the next call, after a change of the endpoint list."""
         self._updated_at = -math.inf
 
-    def with_capacity(
+    def within_limits(
         self, endpoints: list[EndpointStats], now: float, *, is_first_attempt: bool
     ) -> list[EndpointStats]:
         """Return the endpoints that may get one more attempt: warm ones, and warming ones within limits."""
         if now >= self._warmup.active_until:
             return endpoints
         self._update(now)
-        return [e for e in endpoints if self._has_capacity(e, now, is_first_attempt=is_first_attempt)]
+        return [e for e in endpoints if self._is_within_limits(e, now, is_first_attempt=is_first_attempt)]
 
     def record_start(self, endpoint: EndpointStats, now: float) -> None:
         """Count an attempt that has started, if its endpoint is warming up."""
         if now < self._warmup.active_until and self._warmup.fraction(endpoint, now) < 1:
             endpoint.recent_starts.append(now)
 
-    def _has_capacity(self, endpoint: EndpointStats, now: float, *, is_first_attempt: bool) -> bool:
+    def _is_within_limits(self, endpoint: EndpointStats, now: float, *, is_first_attempt: bool) -> bool:
         """Return whether an endpoint may get one more attempt of this balancer in the present window.
 
         Rank rule: the balancer calls a warming endpoint only if the random rank that it drew for it is at
@@ -99,7 +99,7 @@
         while starts and starts[0] < now - self._window_ms:
             starts.popleft()
         budget = SAFETY_FRACTION * self._overload_factor * fraction
-        budget = budget * self._capacity.served_per_ms * self._window_ms
+        budget = budget * self._capacity.served_work_per_ms * self._window_ms
         return len(starts) + 1 <= max(1.0, budget)
 
     def _max_mean_starts(self, weight: float) -> float:
@@ -121,8 +121,8 @@
             return 1.0
         allowed = self._overload_factor * weight * self._warm_rate_per_ms * self._window_ms
         limit = allowed + 2 * math.sqrt(allowed) + 2
-        root = math.sqrt(Z_SCORE**2 / 4 + limit) - Z_SCORE / 2
-        return float(root**2) / self._balancers_per_endpoint
+        sqrt_mean = math.sqrt(Z_SCORE**2 / 4 + limit) - Z_SCORE / 2
+        return float(sqrt_mean**2) / self._balancers_per_endpoint
 
     def _update(self, now: float) -> None:
         """Recompute the warm rate and the unrestricted fraction if they are older than the interval.
@@ -145,9 +145,11 @@
             self._balancer_count.estimate * len(subset) / len(self._endpoints.ready), 1.0
         )
         age_ms = now - arrivals.started_at
-        missing_evidence = math.exp(-age_ms / capacity.time_constant_ms) if capacity.served_per_ms else 1.0
+        missing_evidence = (
+            math.exp(-age_ms / capacity.time_constant_ms) if capacity.served_work_per_ms else 1.0
+        )
         arrival_rate = missing_evidence * arrivals.long_term_rate_per_ms(now)
-        own_rate = capacity.served_per_ms * len(subset) + arrival_rate
+        own_rate = capacity.served_work_per_ms * len(subset) + arrival_rate
         rate = own_rate / sum(e.weight for e in subset) * self._balancers_per_endpoint
         self._warm_rate_per_ms = max(rate, capacity.median)
         self._unrestricted_fraction = self._compute_unrestricted_fraction(now)
@@ -166,21 +168,23 @@
         Guards against warming endpoints that get the load of removed warm ones, or of a burst. Outliers
         count neither as warm nor as warming: they get no requests.
         """
-        warm = warming = max_mean_starts = 0.0
+        warm_weight = warming_weight = max_mean_starts = 0.0
         subset = self._endpoints.subset
         for endpoint in subset:
             if is_outlier(endpoint):
                 continue
             fraction = self._warmup.fraction(endpoint, now)
             if fraction < 1:
-                warming += endpoint.weight * fraction
+                warming_weight += endpoint.weight * fraction
                 max_mean_starts += self._max_mean_starts(endpoint.weight * fraction)
             else:
-                warm += endpoint.weight
+                warm_weight += endpoint.weight
         requests = self._arrivals.short_term_rate_per_ms(now) * self._window_ms
-        required = requests * warming / max_mean_starts if max_mean_starts else math.inf  # R V / M
-        if warm + warming >= required:
+        required_weight = (
+            requests * warming_weight / max_mean_starts if max_mean_starts else math.inf
+        )  # R V / M
+        if warm_weight + warming_weight >= required_weight:
             return 1.0
-        if warm:
-            return warm / (required - warming)
-        return float(1.0 - (1.0 - warming / required) ** (1 / len(subset)))
+        if warm_weight:
+            return warm_weight / (required_weight - warming_weight)
+        return float(1.0 - (1.0 - warming_weight / required_weight) ** (1 / len(subset)))
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -101,7 +101,7 @@
         now += hint_ms * 2
         recorder.record_end(attempt, Outcome.SUCCEEDED, request, now)
     mean_ms = (20 * 3 + 200) / 4
-    endpoint.catch_up(now)
+    endpoint.advance_to(now)
     assert endpoint.served_work / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
