--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: shed load by priority weight, tenant quota and lateness.
+"""Admission control: decides which requests to shed by priority weight, tenant quota and lateness.
 
 docs/POLICY.md has the formulas and the reasons for the constants.
 """
@@ -8,26 +8,35 @@
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.settings import RequestClass, Settings
 
-# Exponent of the relative priority weight. With an exponent of 1, a class of an eighth of the largest weight
-# was shed like requests over quota; with 1/2, one class was still served less than each class must be.
 PRIORITY_EXPONENT = 1 / 3
-# A request counts as a client retry if its remaining time is below this fraction of the longest one seen for
-# its class: the client's first attempt has used up the rest.
+"""Exponent of the relative priority weight.
+
+With an exponent of 1, a class with an eighth of the largest weight is shed like requests over quota. With
+1/2, one class still falls short of the share that each class must be served.
+"""
 FULL_TIMEOUT_FRACTION = 0.9
-# Time constant, in requests of the class, by which the longest remaining time seen decays exponentially. It
-# lets the figure follow clients that shorten their timeouts.
+"""Fraction of the longest remaining time seen for a class below which a request counts as a client retry.
+
+The client's first attempt has used up the rest.
+"""
 MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS
-# Bucket size as time, in ms: the quota of this span may be used at once. A bucket that grew with the
-# square root of the number of replicas made no difference.
+"""Time constant of the exponential decay of the longest remaining time seen, in requests of the class.
+
+Without the decay, the maximum would not follow clients that shorten their timeouts.
+"""
 QUOTA_BURST_MS = 2_000.0
+"""Bucket size as a time span, in ms: a tenant may use its quota for this span at once.
+
+A bucket that grows with the square root of the number of balancers has no advantage.
+"""
 
 
 class Quotas:
-    """Token buckets by tenant, one token a request, for this replica's part of the tenant's quota.
+    """One token bucket per tenant for this balancer's part of the quota; each request costs one token.
 
-    Assumes that a tenant's requests spread evenly over the replicas. A tenant whose quota is below
-    1 / QUOTA_BURST_MS (0.5 requests a second) for each replica always counts as over quota, since its bucket
-    cannot hold a complete token.
+    Assumes that a tenant's requests spread evenly over the balancers. A tenant whose quota per balancer is
+    below 1 / QUOTA_BURST_MS (0.5 requests per second) always counts as over quota, since its bucket cannot
+    hold a whole token.
     """
 
     def __init__(self, settings: Settings, balancer_count: BalancerCountEstimator) -> None:
@@ -37,7 +46,7 @@
         self._updated_at: dict[str, float] = {}
 
     def is_over_quota(self, tenant: str | None, now: float) -> bool:
-        """Return whether the tenant's bucket has no token; never for a tenant without a quota."""
+        """Return whether the tenant's bucket has no token left; always false without a quota."""
         rate = self._per_ms.get(tenant or "")
         if rate is None or tenant is None:
             return False
@@ -49,13 +58,13 @@
         return self._tokens[tenant] < 1
 
     def spend(self, tenant: str | None) -> None:
-        """Take the token of a request that was admitted within the quota."""
+        """Take the token for a request that was admitted within the quota."""
         if tenant in self._tokens:
             self._tokens[tenant] -= 1
 
 
 class AdmissionControl:
-    """Admits requests or sheds them: the more important a request, the higher the load at which it is shed.
+    """Admits or sheds requests: the more important a request, the higher the load at which it is shed.
 
     The importance, from 0 to 1, is the relative priority weight of the class to the power of
     PRIORITY_EXPONENT, times `over_quota_weight` for a request over quota, times the class's `late_value`
@@ -75,7 +84,7 @@
     ) -> bool:
         """Return whether to admit a request that arrives now.
 
-        Behind the first tier every request is admitted: work done for it in the tiers before would be lost.
+        Tiers behind the first one admit every request: shedding it would waste the work of the earlier tiers.
         """
         if not self._is_first_tier:
             return True
@@ -86,20 +95,18 @@
             importance *= request_class.late_value
         if self._overload.is_overloaded(importance, now):
             return False
-        # Guards against requests counted twice: a shed request spends no token, since its client may retry.
+        # A shed request spends no token: its client may retry, and the request would be charged twice.
         if not is_over_quota:
             self._quotas.spend(tenant)
         return True
 
     def _is_late_client_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
-        """Return whether a client retries a request whose latency objective has passed.
-
-        The client's first attempt is estimated to have started `deadline_ms - remaining_ms` ago. A request
-        that arrives with nearly the longest remaining time seen for its class counts as a first attempt,
-        however short that time is.
+        """Return whether a request is a client retry and its latency objective has already passed.
 
-        Guards against first attempts that count as late retries: some clients give each attempt only a
-        fraction of the deadline, so that a short remaining time does not mean that the rest has passed.
+        The client's first attempt is estimated to have started `deadline_ms - remaining_ms` ago. However, a
+        request whose remaining time is close to the longest one seen for its class counts as a first attempt:
+        some clients give each attempt only a fraction of the deadline, so a short remaining time alone does
+        not show that the rest has passed.
         """
         decayed_ms = self._max_client_timeout_ms[request_class.name] * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS)
         max_timeout_ms = max(remaining_ms, decayed_ms)
--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -1,26 +1,27 @@
-"""The rate at which requests arrive at this replica, in the short and in the long term."""
+"""The arrival rate of requests at this balancer, in the short and in the long term."""
 
 import math
 
 from loadbalancer.settings import Settings
 
-# Requests over which the interarrival time is averaged. Short term: a change shows within seconds at tens
-# of requests a second. Long term: the baseline, which a burst of tens of requests hardly moves.
 SHORT_TERM_REQUESTS = 30
+"""Number of requests in the short-term mean: at tens of requests per second it changes within seconds."""
 LONG_TERM_REQUESTS = 1_000
+"""Number of requests in the long-term mean, the baseline: a burst of tens of requests hardly changes it."""
 
 
 class ArrivalRate:
     """Estimates the mean interarrival time of requests, and from it their rate.
 
-    The first N intervals give an arithmetic mean; after that, each one enters an exponential moving average
-    with the weight 1/N. N is SHORT_TERM_REQUESTS or LONG_TERM_REQUESTS.
+    The mean of the first N intervals is arithmetic; after that it is an exponential moving average in which
+    each new interval has the weight 1/N. N is SHORT_TERM_REQUESTS or LONG_TERM_REQUESTS.
 
     Attributes:
         started_at: When the first endpoint list arrived; infinity before that.
-        short_term_interarrival_ms: Mean interval over the last SHORT_TERM_REQUESTS; 0 before the second
-            request.
-        long_term_interarrival_ms: Mean interval over the last LONG_TERM_REQUESTS.
+        short_term_interarrival_ms: Mean interval over the last SHORT_TERM_REQUESTS requests; 0 before the
+            second request.
+        long_term_interarrival_ms: Mean interval over the last LONG_TERM_REQUESTS requests; 0 before the
+            second request.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -33,7 +34,7 @@
         self.long_term_interarrival_ms = 0.0
 
     def start(self, now: float) -> None:
-        """Record that an endpoint list arrived; only the first one counts."""
+        """Record that an endpoint list has arrived; only the first call has an effect."""
         self.started_at = min(self.started_at, now)
 
     def record(self, now: float) -> None:
@@ -52,21 +53,20 @@
         self._last_at = now
 
     def short_term_rate_per_ms(self, now: float) -> float:
-        """Return the requests per millisecond over the last SHORT_TERM_REQUESTS."""
+        """Return the mean rate over the last SHORT_TERM_REQUESTS requests."""
         return self._rate_per_ms(self.short_term_interarrival_ms, SHORT_TERM_REQUESTS, now)
 
     def long_term_rate_per_ms(self, now: float) -> float:
-        """Return the requests per millisecond over the last LONG_TERM_REQUESTS."""
+        """Return the mean rate over the last LONG_TERM_REQUESTS requests."""
         return self._rate_per_ms(self.long_term_interarrival_ms, LONG_TERM_REQUESTS, now)
 
     def _rate_per_ms(self, interarrival_ms: float, requests: int, now: float) -> float:
         """Return the inverse of a mean interarrival time over the given number of requests.
 
-        With fewer requests than that, the rate is their number over the time since the start plus one
-        slow-start window; the window keeps a rate taken in the first moments low. Otherwise the clock's
-        resolution over the number of requests is added to the mean interarrival time.
-
-        Guards against an infinite rate: the mean is 0 if all the requests arrive in one tick of the clock.
+        If fewer requests have arrived, the rate is their number divided by the time since the start plus one
+        slow-start window; the window keeps the rate low right after the start. Otherwise the mean
+        interarrival time is increased by the clock's resolution over the number of requests, since it is 0 if
+        all requests arrive within one clock tick.
         """
         if self._count >= requests:
             return 1.0 / (interarrival_ms + self._tick_ms / requests)
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -10,21 +10,26 @@
 from loadbalancer.policy.request import Attempt, Request
 from loadbalancer.policy.service_times import ServiceTimes
 
-# Wait after which an unanswered attempt counts as lost in full, in expected service times of its request (the
-# mean of its class times its expected work). Before that, an attempt counts in proportion to the wait, since
-# a short wait is hardly evidence.
 FULL_FAILURE_SERVICE_TIMES = 2.0
-# Outcomes after which the connection can be used again. This group and the two below are tuples: a look-up in
-# a set would call `Enum.__hash__`, which is a Python function.
+"""Duration after which an attempt without a response counts as a whole failure, in expected service times.
+
+The expected service time of a request is the mean of its class times its expected work. A shorter attempt
+counts as a fraction of a failure, in proportion to its duration: a short wait is weak evidence.
+"""
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
-# Outcomes that show whether an idle connection was alive.
+"""Outcomes after which the connection can be reused.
+
+These outcomes, and those of the two constants below, are tuples: a look-up in a set would call
+`Enum.__hash__`, which is a Python function.
+"""
 LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
-# Outcomes that are no evidence on the endpoint: the attempt was ended by this replica.
+"""Outcomes that show whether an idle connection was alive."""
 NO_EVIDENCE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)
+"""Outcomes that say nothing about the endpoint, since this balancer ended the attempt."""
 
 
 class AttemptRecorder:
-    """Writes the evidence on endpoints, service times, sustainable concurrency and idle connections."""
+    """Updates the evidence on endpoints, service times, sustainable concurrency and idle connections."""
 
     def __init__(
         self,
@@ -44,16 +49,16 @@
     ) -> Attempt:
         """Record the start of an attempt and return it.
 
-        An attempt counts toward the baseline service time if the replica has at most one attempt in flight
-        per unit of its part of the available capacity, and sheds no load: during an overload service times
-        are inflated, however little of the load comes from this replica.
+        An attempt counts toward the baseline service time if the balancer has at most one attempt in flight
+        per unit of its part of the available capacity and is not shedding load: during an overload, service
+        times are inflated however little of the load comes from this balancer.
 
         Args:
-            endpoint: Where the attempt goes.
-            idle_ms: How long its connection has been idle; 0 if new, in use or not known.
-            timeout_ms: How long it may take.
+            endpoint: The endpoint that the attempt is sent to.
+            idle_ms: How long its connection has been idle; 0 if it is new, in use or unknown.
+            timeout_ms: The time until the attempt times out.
             now: The current time.
-            is_shedding: Whether load is being shed.
+            is_shedding: Whether the balancer is shedding load.
         """
         endpoint.advance_to(now)
         endpoint.in_flight += 1
@@ -67,8 +72,8 @@
     def record_end(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
         """Record the end of an attempt.
 
-        Guards against endpoints that fail quickly and so look fast: a failed attempt adds the rest of its
-        timeout to the time that attempts spent at the endpoint, and no served work.
+        A failed attempt adds no served work, and its whole timeout to the busy time of the endpoint.
+        Otherwise an endpoint that fails quickly would look fast.
         """
         endpoint, class_name = attempt.endpoint, request.request_class.name
         endpoint.advance_to(now)
@@ -91,14 +96,15 @@
         self._in_flight -= 1
 
     def record_abandoned(self, attempt: Attempt, request: Request, now: float) -> None:
-        """Record that another attempt brought the response while this one was still unanswered."""
+        """Record that the request has finished while this attempt has no response yet."""
         self._idle_limit.record(attempt.idle_ms, is_unresponsive=True)
         self._record_missing_response(attempt, request, now)
 
     def _record_missing_response(self, attempt: Attempt, request: Request, now: float) -> None:
-        """Count an unanswered attempt as lost, in proportion to how long the request waited for it.
+        """Count an attempt without a response as a failure, or as a fraction of one.
 
-        The amount is the wait over FULL_FAILURE_SERVICE_TIMES expected service times, and at most 1.
+        The fraction is the attempt's duration divided by FULL_FAILURE_SERVICE_TIMES expected service times,
+        and at most 1.
         """
         class_name = request.request_class.name
         mean_ms = self._service_times.mean_ms(class_name)
@@ -111,8 +117,8 @@
         elapsed_ms, service_times = now - attempt.started_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
-        # May sum the available capacity, which brings the evidence of every endpoint up to date and reads its
-        # outcomes. The attempt is added to the evidence after that.
+        # This call may recompute the available capacity, which advances the evidence of every endpoint and
+        # reads its outcomes. Therefore the attempt is added to the evidence afterwards.
         self._sustainable_concurrency.record_completion(
             expected_work * service_times.baseline_ms(class_name), now
         )
--- a/loadbalancer/policy/attempt_starter.py
+++ b/loadbalancer/policy/attempt_starter.py
@@ -1,4 +1,4 @@
-"""The start of attempts: endpoint, connection and hedge timer."""
+"""Starts attempts: selects the endpoint, replaces idle connections and sets the hedge timer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts within the limits on their number and time."""
+    """Starts attempts within the limits on their number and on the remaining time."""
 
     def __init__(
         self,
@@ -40,15 +40,15 @@
     def start(self, request: Request, now: float, *, is_shedding: bool) -> list[Action]:
         """Start the next attempt of a request, and return the actions for it.
 
-        The list is empty if no time, no attempt or no eligible endpoint is left. An attempt on a connection
-        that may be dead begins with `CloseIdleConnections`: the first one if the connection has been idle for
-        the learned limit, a retry or hedged attempt on any idle connection. Connections count as idle only
-        while this balancer has no attempt in flight at their endpoint.
+        The list is empty if no time, no attempt or no eligible endpoint is left. `CloseIdleConnections`
+        precedes an attempt whose connection may be dead: a first attempt if the connection has been idle for
+        the learned limit, a retry or hedged attempt if it has been idle at all. Connections count as idle
+        only while this balancer has no attempt in flight at their endpoint.
 
         Args:
             request: The request.
             now: The time of the event, in milliseconds.
-            is_shedding: Whether load is shed, so that the attempt's duration is no baseline.
+            is_shedding: Whether the balancer is shedding load.
         """
         timeout_ms = request.expires_at - now
         if timeout_ms <= self._tick_ms or len(request.attempts) >= self._max_attempts:
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -10,24 +10,28 @@
 if TYPE_CHECKING:
     from loadbalancer.policy.endpoint_stats import EndpointStats
 
-# Age, in ms, at which the sum is taken again: long enough to cost little at hundreds of requests a second,
-# short against the second in which overload builds up.
 UPDATE_INTERVAL_MS = 100.0
+"""Age, in ms, at which the sum is recomputed.
+
+This costs little at hundreds of requests per second, and is short compared with the second in which an
+overload builds up.
+"""
 
 
 class AvailableCapacity:
-    """Sums the weight of the endpoints that can take requests; the replica estimate follows each sum.
+    """Sums the weight of the endpoints that can take requests, and updates the balancer count with each sum.
 
     An endpoint in slow start counts with its weight times its warm-up fraction, an outlier not at all.
     Weights are relative: the endpoint list gives an ordinary endpoint the weight 1.
 
-    Guards against limits that count capacity which is not there: requests meant for lost or warming
-    endpoints would all go to the others.
+    If limits counted the capacity of unreachable or warming endpoints in full, the requests admitted for them
+    would all go to the other endpoints.
 
     Attributes:
-        balancer_count: The estimate of the replica count.
+        balancer_count: The estimated number of balancers.
         weight: The last sum; 1 if no endpoint can take requests, so that no limit derived from it is 0.
-        reachable: The ready endpoints whose connects succeed; all ready ones if connects fail at each.
+        reachable: The ready endpoints that accept connections; all ready ones if connects fail at all of
+            them.
     """
 
     def __init__(self, endpoints: EndpointSet, balancer_count: BalancerCountEstimator) -> None:
@@ -39,11 +43,11 @@
         self.reachable: list[EndpointStats] = []
 
     def invalidate(self, now: float) -> None:
-        """Have the next call of `update` take the sum again: the endpoint list has changed."""
+        """Make the next call of `update` recompute the sum, after a change of the endpoint list."""
         self._updated_at = min(self._updated_at, now - UPDATE_INTERVAL_MS)
 
     def update(self, now: float) -> float:
-        """Return the sum, taken again if the last one is older than UPDATE_INTERVAL_MS."""
+        """Return the sum, recomputed if it is at least UPDATE_INTERVAL_MS old."""
         if now - self._updated_at >= UPDATE_INTERVAL_MS:
             ready = self._endpoints.ready
             for endpoint in ready:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,7 +1,7 @@
 """The policy of one balancer instance; the events that it takes are in loadbalancer/events.py.
 
-A request is shed or gets a first attempt. Each attempt that finishes brings the final response, a retry or a
-final failure. docs/POLICY.md explains the mechanisms.
+A request that is not shed gets a first attempt. When an attempt finishes, the client has its response, a
+retry starts, or the request fails. docs/POLICY.md explains the mechanisms.
 """
 
 import math
@@ -45,16 +45,17 @@
 from loadbalancer.settings import Settings
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
-# Time in milliseconds after a shed request during which the balancer counts as shedding load. Until it ends,
-# further shed requests are not logged, and no attempt counts toward the baseline service time. No other value
-# is on record.
 SHEDDING_HOLD_TIME_MS = 6_000.0
+"""How long the balancer counts as shedding load after it has shed a request, in milliseconds.
+
+During this time further shed requests are not logged, and no attempt counts toward the baseline service time.
+"""
 
 
 class LoadBalancer:
     """The policy of one balancer instance.
 
-    Its host passes it events in the order in which they happen, and carries out the actions that it returns.
+    The host passes it events in the order in which they happen, and carries out the actions that it returns.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -90,21 +91,21 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests have no final response yet, or attempts in flight."""
+        """The number of requests that have no final response yet or still have attempts in flight."""
         return len(self._requests)
 
     @property
     def ready_endpoints(self) -> list[str]:
-        """The names of the endpoints that accept requests by the endpoint list."""
+        """The names of the endpoints that the endpoint list marks as ready."""
         return [endpoint.entry.name for endpoint in self._endpoints.ready]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Handle an event at time `now`, in milliseconds, and return the actions that follow, in order.
+        """Handle an event at time `now`, in milliseconds, and return the resulting actions in order.
 
         Raises:
-            DuplicateRequestError: A request arrived under the id of an open one.
-            UnknownClassError: A request is of a class that the settings don't define.
-            UnknownRequestError: An attempt finished, or its response started, that was never made.
+            DuplicateRequestError: A request has the id of an open one.
+            UnknownClassError: A request has a class that the settings don't define.
+            UnknownRequestError: An event refers to an attempt that was never started.
         """
         self._actions, self._initial_actions = self._initial_actions, []
         match event:
@@ -143,14 +144,14 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Respond to a request that gets no attempt; log the reason if no request was shed recently."""
+        """Reject a request without an attempt; log the reason unless load was already being shed."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_HOLD_TIME_MS
         self._respond_with_failure(request)
 
     def _start_attempt(self, request: Request, now: float) -> bool:
-        """Start the next attempt of a request if it may have one; return whether it has started."""
+        """Start the next attempt of a request if one is allowed; return whether it has started."""
         actions = self._attempt_starter.start(request, now, is_shedding=now <= self._shedding_until)
         self._actions += actions
         return bool(actions)
@@ -160,7 +161,7 @@
             case EndpointListTimer():
                 self._actions.append(WatchEndpoints())
             case HedgeTimer(request_id):
-                # Overload suspends hedging as soon as requests of the lowest importance would be shed.
+                # Hedging is suspended as soon as requests of the lowest importance would be shed.
                 request = self._requests.get(request_id)
                 if request and self._hedging.allows(request) and not self._overload.is_overloaded(0.0, now):
                     self._start_retry(request, now)
@@ -180,9 +181,9 @@
         self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
-        """Close a request that needs no response any more.
+        """Finish a request that needs no further response.
 
-        Its attempts that are still in flight count as lost, and are cancelled if the settings allow it.
+        Attempts still in flight are recorded as abandoned and, if the settings allow it, cancelled.
         """
         if request.is_response_pending and outcome is Outcome.SUCCEEDED:
             self._retry_budgets.earn()
@@ -193,7 +194,7 @@
         self._cancel_open_attempts(request)
 
     def _start_retry(self, request: Request, now: float) -> bool:
-        """Start a retry if its budget has a token; return whether it has started."""
+        """Start a retry or hedged attempt if its budget has a token; return whether it has started."""
         budget = self._retry_budgets.budget_for(request)
         if not budget.has_token() or request.is_streaming or not self._start_attempt(request, now):
             return False
--- a/loadbalancer/policy/balancer_count.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -1,35 +1,37 @@
-"""The number of balancer replicas that serve this tier, this one included."""
+"""The number of balancers that serve this tier, this one included."""
 
 import math
 
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.settings import Settings
 
-# Time constant, in ms, by which the baseline weight decays after a loss of endpoints. For about this long a
-# loss counts as one; after that the endpoints that are left are the new baseline.
 BASELINE_TIME_CONSTANT_MS = 20_000.0
+"""Time constant, in ms, by which the baseline weight decays after a loss of endpoints.
+
+After about this long, the remaining endpoints have become the new baseline.
+"""
 
 
 class BalancerCountEstimator:
-    """Estimates how many replicas serve requests, which no message reports.
+    """Estimates how many balancers serve requests, since no message reports their number.
 
-    Replicas and endpoints of a zone fail together, and the requests of the lost replicas come to the others.
-    So the estimate is the configured number, times the larger of two ratios (at most 1):
+    The balancers and endpoints of a zone fail together, and the requests of the failed balancers move to the
+    others. So the estimate is the configured number times the larger of two ratios, which is capped at 1:
 
         weight ratio        = weight of the healthy endpoints / its baseline
         interarrival ratio  = short-term / long-term mean interarrival time
 
-    Both must fall for the estimate to fall. Assumes that zones have replicas in proportion to endpoints and
-    that clients spread over the replicas that are left.
-
-    Before the second request the interarrival ratio is 0.
+    The estimate decreases only if both ratios do. One alone is no evidence: shorter interarrival times may be
+    a burst, and endpoints may be removed without any balancer. Before the second request the interarrival
+    ratio is 0. Assumes that the zones have balancers in proportion to their endpoints, and that clients
+    spread evenly over the remaining balancers.
 
-    Guards against capacity and quotas that go unused: when a zone is lost, its replicas no longer use their
-    part, and each replica that is left must use more than its configured part. A fall of one ratio alone is
-    no evidence: more requests may be a burst, and endpoints may be removed without any replica.
+    With the configured number alone, capacity and quotas would go unused after the loss of a zone: its
+    balancers no longer use their part, and each remaining one must use more than its configured part.
 
     Attributes:
-        estimate: The estimated number of replicas, this one included; at least 1, not necessarily an integer.
+        estimate: The estimated number of balancers, this one included; at least 1, not necessarily an
+            integer.
     """
 
     def __init__(self, settings: Settings, arrivals: ArrivalRate) -> None:
@@ -39,12 +41,12 @@
         self.estimate = float(settings.balancers)
 
     def update(self, weight: float, previous_update_at: float, now: float) -> None:
-        """Estimate the number again.
+        """Update the estimate.
 
         Args:
-            weight: The weight of the endpoints that can take requests, without their warm-up fractions.
-            previous_update_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint list has
-                changed since; minus infinity before the first sum.
+            weight: The total weight of the healthy endpoints, regardless of their warm-up fractions.
+            previous_update_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint
+                list has changed since; minus infinity before the first sum.
             now: The current time.
         """
         decayed_weight = self._baseline_weight * math.exp(
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -1,4 +1,4 @@
-"""The learned capacity of each endpoint, in work per millisecond of attempt time.
+"""The learned capacity of each endpoint, in work per millisecond of busy time.
 
 docs/POLICY.md has the formula, its source and the reasons for the constants.
 """
@@ -13,37 +13,42 @@
     EndpointStats,
 )
 
-# Attempts, at least, that each endpoint of the subset gets, on average, within one time constant of its
-# evidence: more than the pseudo-observations, so that the evidence outweighs the prior.
 MIN_ATTEMPTS_PER_TIME_CONSTANT = 4.0
-# Upper bound of that time constant, in ms: an endpoint that has recovered must show it within a minute.
+"""Mean number of attempts per endpoint of the subset for which the time constant is lengthened if necessary.
+
+It exceeds PSEUDO_OBSERVATIONS, so that the evidence of one time constant outweighs the prior.
+"""
 MAX_CAPACITY_TIME_CONSTANT_MS = 20_000.0
-# Pseudo-observations: attempts at the prior's rate that are added to the evidence of each endpoint. With
-# two, one slow response at an endpoint with little evidence does not ruin its estimate.
+"""Upper bound of the time constant, in ms: the recovery of an endpoint must show within a minute."""
 PSEUDO_OBSERVATIONS = 2.0
-# Work, in mean attempts, that an endpoint must have served recently for its estimate to enter the median.
+"""Number of attempts at the prior's rate that are added to the evidence on each endpoint.
+
+With two, a single slow response at an endpoint with little evidence does not distort its estimate much.
+"""
 MIN_SERVED_WORK = 0.5
-# Age, in ms, at which the median is taken again; sorting all endpoints for each request costs too much.
+"""Work, in mean requests, that an endpoint must have served recently to be included in the median."""
 MEDIAN_INTERVAL_MS = 500.0
+"""Age, in ms, at which the median is recomputed; sorting all endpoints for each request costs too much."""
 
 
 class CapacityEstimator:
-    """Estimates each endpoint's capacity, shrunk toward a prior where there is little evidence.
+    """Estimates the capacity of each endpoint, shrunk toward a prior where there is little evidence.
 
         prior    = median * weight
         capacity = (served_work + k) / (busy_ms + k / prior),  k = PSEUDO_OBSERVATIONS
 
-    `served_work` is the work that the endpoint served and `busy_ms` the time that attempts spent there, those
-    of this replica only; both decay exponentially. Their quotient is work per millisecond of attempt time: by
-    Little's law the throughput of these attempts over their mean number in flight. `median` is the median of
+    `served_work` is the work that the endpoint has served for this balancer, and `busy_ms` the total time
+    that this balancer's attempts have spent there; both decay exponentially. By Little's law their quotient
+    is the throughput of these attempts divided by their mean number in flight. `median` is the median of
     served_work / (busy_ms * weight) over the endpoints with evidence.
 
-    Guards against estimates from too little evidence: one of hundreds of replicas calls an endpoint too
-    seldom to learn its capacity from its own attempts alone.
+    The prior is needed since one of hundreds of balancers calls an endpoint too rarely to learn its capacity
+    from its own attempts alone.
 
     Attributes:
-        median: Capacity per unit of weight, in work per ms; 0 until an endpoint has evidence.
-        served_work_per_ms: The mean rate of work that a warm endpoint of the subset serves for this replica.
+        median: Capacity per unit of weight, in work per ms; 0 until there is evidence on an endpoint.
+        served_work_per_ms: The mean rate of the work that a warm endpoint of the subset serves for this
+            balancer.
         time_constant_ms: The time constant by which evidence on capacity decays.
     """
 
@@ -75,10 +80,10 @@
         return estimates
 
     def current_median(self, now: float) -> float:
-        """Return the median, taken again if older than MEDIAN_INTERVAL_MS; 1 until there is evidence.
+        """Return the median, recomputed if it is at least MEDIAN_INTERVAL_MS old; 1 until there is evidence.
 
-        Until then all endpoints are drawn by their weight alone, so any positive value serves. If all the
-        evidence has decayed, the last median stays.
+        Without evidence all endpoints are selected by their weight alone, so any positive value will do. When
+        all evidence has decayed, the last median is kept.
         """
         if now - self._median_at >= MEDIAN_INTERVAL_MS:
             self._median_at = now
@@ -95,10 +100,11 @@
         self.median = (
             capacities_per_weight[len(capacities_per_weight) // 2] if capacities_per_weight else self.median
         )
-        # A sum that decays with the time constant T settles at T times its rate.
+        # A sum that decays with the time constant T converges to T times the rate at which it is added to.
         if warm_served_work := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_work_per_ms = sum(warm_served_work) / len(warm_served_work) / self.time_constant_ms
-        # Guards against evidence that decays between two attempts: one of hundreds of replicas makes few.
+        # One of hundreds of balancers starts few attempts: a short time constant would let the evidence decay
+        # between two of them.
         interval_ms = self._arrivals.short_term_interarrival_ms
         wanted_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
         bounded_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, wanted_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, the subset of them that this replica uses, and their warm-up fractions."""
+"""The endpoints of the list, the subset of them that this balancer uses, and their warm-up fractions."""
 
 import math
 from random import Random
@@ -8,21 +8,25 @@
 from loadbalancer.policy.endpoint_stats import EndpointStats
 from loadbalancer.settings import Settings
 
-# Smallest number of endpoints in the subset: the loss of a few must leave a choice.
 MIN_SUBSET_SIZE = 12
-# Mean number of replicas whose subsets an endpoint is in. The number is close to a Poisson count, so its
-# standard deviation over the endpoints is sqrt(30), less than a fifth of the mean.
+"""Minimum number of endpoints in the subset: after the loss of a few, there must still be a choice."""
 BALANCERS_PER_ENDPOINT = 30
+"""Mean number of balancers whose subsets contain a given endpoint.
+
+The number is close to a Poisson count, so its standard deviation over the endpoints is sqrt(30), less than a
+fifth of the mean.
+"""
 
 
 class WarmupRamp:
-    """Computes the warm-up fraction of an endpoint: the fraction of its full capacity that it has.
+    """Computes the warm-up fraction of an endpoint: its present capacity as a fraction of its full capacity.
 
-    With i the initial fraction, a the age of the process and T the slow-start time, the fraction is
-    1 - (1 - i) (1 - a / T), a linear ramp from i at the start to 1 at the age T. Both i and T are settings.
+    With the initial fraction i, the age a of the process and the slow-start time T, the fraction is
+    1 - (1 - i) (1 - a / T): a linear ramp from i at the start of the process to 1 at the age T. Both i and T
+    are settings.
 
     Attributes:
-        active_until: The time from which on all listed endpoints are warm, in milliseconds.
+        active_until: The time after which all listed endpoints are warm, in milliseconds.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -36,7 +40,7 @@
         self.active_until = newest + self._duration_ms
 
     def fraction(self, endpoint: EndpointStats, now: float) -> float:
-        """Return the warm-up fraction of an endpoint: 1 if it is warm, or its start is unknown."""
+        """Return the warm-up fraction of an endpoint: 1 if it is warm or its start time is unknown."""
         started_at = endpoint.entry.started_at_ms
         age = now - started_at
         if started_at <= 0 or age >= self._duration_ms:
@@ -45,23 +49,23 @@
 
 
 class EndpointSet:
-    """The known endpoints: those of the list, and removed ones that have attempts in flight.
+    """The known endpoints: those of the list, and removed ones that still have attempts in flight.
 
     The subset holds the ready endpoints with the lowest ranks, as many as
 
-        max(MIN_SUBSET_SIZE, ready endpoints * BALANCERS_PER_ENDPOINT / replicas)
+        max(MIN_SUBSET_SIZE, ready endpoints * BALANCERS_PER_ENDPOINT / balancers)
 
-    Each replica draws a rank for each endpoint once, so a subset is random but stable: a new endpoint
+    Each balancer draws a rank for each endpoint once, so a subset is random but stable: a new endpoint
     displaces at most one of its members.
 
-    Guards against many replicas that each call every endpoint, all of them too seldom to learn its capacity
-    or to use a connection twice.
+    Without subsets, each of many balancers would call every endpoint too rarely to learn its capacity or to
+    reuse a connection.
 
     Attributes:
         warmup: The warm-up ramp of the endpoints in slow start.
         by_name: All known endpoints.
-        ready: Those that take requests, by the endpoint list.
-        subset: Those of the ready ones that this replica sends requests to.
+        ready: Those that the endpoint list marks as ready.
+        subset: The ready ones that this balancer sends requests to.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -73,7 +77,7 @@
         self.subset: list[EndpointStats] = []
 
     def update(self, event: EndpointListUpdate, now: float) -> None:
-        """Apply a snapshot of the endpoint list, or a change to it."""
+        """Apply a snapshot or a delta of the endpoint list."""
         if event.kind is not EndpointListKind.DELTA:
             # An endpoint that is missing from a snapshot has been removed.
             for endpoint in self.by_name.values():
@@ -90,12 +94,13 @@
         endpoint = self.by_name.get(entry.name)
         if endpoint is None:
             subset_rank = self._random.random()
-            # The decimals after the sixth do not depend on the first six, which order the ranks.
+            # The two ranks are independent: the digits from the seventh decimal on do not depend on the first
+            # six, which determine the order of the subset ranks.
             slow_start_rank = subset_rank * 1e6 % 1.0
             endpoint = self.by_name[entry.name] = EndpointStats(entry, now, subset_rank, slow_start_rank)
         if entry.started_at_ms > endpoint.entry.started_at_ms:
             endpoint.reset(now)
         endpoint.entry = entry
         endpoint.is_ready = entry.state is EndpointState.READY
-        # The endpoint list does not rule out weights that are no positive finite number.
+        # The endpoint list may contain weights that are not positive and finite.
         endpoint.weight = entry.weight if 0 < entry.weight < math.inf else 1.0
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -1,7 +1,7 @@
-"""The evidence on one endpoint: work served, time spent there, and attempts lost by class.
+"""The evidence on one endpoint: work served, busy time, and succeeded and failed attempts by class.
 
-All of it decays exponentially. The amounts are kept as of `updated_at` and brought to the present by
-`EndpointStats.advance_to`, which each reader calls before it reads.
+All of it decays exponentially. The values are as of `updated_at`; callers advance them to the present with
+`EndpointStats.advance_to` before they read them.
 """
 
 import math
@@ -10,37 +10,42 @@
 
 from loadbalancer.endpoints import Endpoint
 
-# Time constant, in ms, by which evidence decays: long enough to hold a few attempts at an endpoint, short
-# enough that an ejected endpoint is selected again within seconds.
 EVIDENCE_TIME_CONSTANT_MS = 6_000.0
-# Age, in ms, at which a reader brings the evidence up to date; small against the time constant.
+"""Time constant, in ms, by which evidence decays.
+
+It is long enough to cover a few attempts at an endpoint, and short enough that an ejected endpoint is
+selected again within seconds.
+"""
 EVIDENCE_UPDATE_INTERVAL_MS = 20.0
-# Upper bound of the lost attempts, and of the failed connects, that are remembered: it limits how long an
-# endpoint that failed many attempts stays ejected.
+"""Age, in ms, at which evidence is advanced before it is read; small compared with the time constant."""
 MAX_FAILED_ATTEMPTS = 4.0
+"""Upper bound of the count of failed attempts, and of that of failed connects.
+
+It limits how long an endpoint stays ejected after many failures.
+"""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class EndpointStats:
-    """One endpoint of the list, this replica's attempts there, and the evidence from them.
+    """One endpoint of the list, this balancer's attempts there, and the evidence from them.
 
     Attributes:
         entry: Its entry in the endpoint list.
-        updated_at: The time up to which the evidence is decayed.
-        subset_rank: Random, from 0 to 1; the endpoints with the lowest ranks are this replica's subset.
-        slow_start_rank: Random, from 0 to 1; the replicas with the lowest ones select the endpoint while it
-            is in slow start.
-        is_ready: Whether it takes requests, by the endpoint list.
-        weight: Its relative capacity, by the endpoint list.
-        in_flight: Attempts of this replica that are in flight there.
-        served_work: Work served, in mean attempts; decays.
-        busy_ms: Time that attempts spent there, summed over the attempts, those in flight included; decays.
+        updated_at: The time that the evidence has been advanced to.
+        subset_rank: Random, from 0 to 1; the endpoints with the lowest ranks form this balancer's subset.
+        slow_start_rank: Random, from 0 to 1; while the endpoint is in slow start, it is selected only by the
+            balancers that have drawn the lowest ranks for it.
+        is_ready: Whether the endpoint list marks it as ready.
+        weight: Its relative capacity according to the endpoint list.
+        in_flight: The number of this balancer's attempts in flight there.
+        served_work: Work served, in mean requests; decays.
+        busy_ms: Total time that attempts have spent there, including those in flight; decays.
         capacity_time_constant_ms: The time constant by which `served_work` and `busy_ms` decay.
-        outcomes: By class, the attempts served and the attempts lost; both decay.
-        connect_failures: Failed connects since an attempt last reached it; decays.
-        last_used_at: When the last attempt ended, if it left its connection in working order; infinity
-            otherwise, and before the first attempt.
-        recent_starts: Start times of attempts while it is in slow start.
+        outcomes: The numbers of succeeded and of failed attempts by class; both decay.
+        connect_failures: The number of failed connects since an attempt last reached it; decays.
+        last_used_at: When the last attempt ended, if its connection can be reused; otherwise, and before the
+            first attempt, infinity.
+        recent_starts: The start times of attempts during its slow start.
     """
 
     entry: Endpoint
@@ -59,15 +64,15 @@
     recent_starts: deque[float] = field(default_factory=deque)
 
     def reset(self, now: float) -> None:
-        """Drop the evidence: a new process runs under this name."""
+        """Discard the evidence: a new process has taken over this name."""
         self.served_work, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.outcomes, self.connect_failures = {}, 0.0
 
     def advance_to(self, now: float) -> None:
-        """Bring the evidence up to date: decay all amounts, and add the time of attempts in flight.
+        """Advance the evidence to the present: decay all values, and add the time of attempts in flight.
 
-        An attempt in flight adds its time as it passes, so an endpoint that does not respond loses capacity
-        before its first attempt times out.
+        Attempts in flight add to the busy time continuously, so the estimated capacity of an unresponsive
+        endpoint falls before the first attempt times out.
         """
         decay = math.exp((self.updated_at - now) / self.capacity_time_constant_ms)
         self.served_work *= decay
@@ -80,9 +85,10 @@
         self.updated_at = now
 
     def record_outcome(self, class_name: str, succeeded: float, failed: float) -> None:
-        """Count an attempt of a class as served, or the given fraction of it as lost.
+        """Add to the succeeded and failed attempts of a class.
 
-        Above MAX_FAILED_ATTEMPTS both amounts are scaled down together, which keeps the fraction lost.
+        If the failed attempts exceed MAX_FAILED_ATTEMPTS, both counts are scaled down together, which
+        preserves their ratio.
         """
         old_succeeded, old_failed = self.outcomes.get(class_name, (0.0, 0.0))
         succeeded, failed = old_succeeded + succeeded, old_failed + failed
@@ -90,5 +96,5 @@
         self.outcomes[class_name] = succeeded * scale, failed * scale
 
     def record_connect_failure(self) -> None:
-        """Count a connect that failed."""
+        """Count a failed connect."""
         self.connect_failures = min(self.connect_failures + 1, MAX_FAILED_ATTEMPTS)
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""The idempotency rules: which endpoints may get a further attempt of a request."""
+"""The idempotency rules: which endpoints may get another attempt of a request."""
 
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EndpointStats
@@ -7,7 +7,7 @@
 
 
 class IdempotencyRules:
-    """Limits the endpoints for the next attempt to those at which no effect of a request can double."""
+    """Limits the next attempt to endpoints where the request cannot take effect a second time."""
 
     def __init__(self, settings: Settings, endpoints: EndpointSet) -> None:
         self._settings = settings
@@ -16,14 +16,14 @@
     def eligible(self, request: Request, now: float) -> list[EndpointStats]:
         """Return the endpoints that may get the next attempt of a request.
 
-        That is the balancer's subset if no attempt may have run or the class is safe to repeat, and none if
-        the class is not idempotent. For a class with idempotency keys it is the endpoints that know the key
-        of the first attempt that may have run: those in the key's scope, within its window.
+        If no attempt may have run, or the class is safe to repeat, these are the balancer's subset. If the
+        class is not idempotent, there are none. For a class with idempotency keys, they are the endpoints
+        that know the key since the first attempt that may have run: those in the key's scope, within its
+        window.
 
-        Guards against a retry that arrives after the window: the retry may be sent only after a connect, so
-        the window must last for more than the clock's resolution plus the connect timeout from now.
-        Guards against an endpoint that has restarted since the first attempt, and so may have forgotten the
-        key.
+        A retry must not arrive after the window. It may have to wait for a connect, so the window must stay
+        open for longer than the clock's resolution plus the connect timeout. Endpoints that have restarted
+        since the first attempt are excluded, since they may have forgotten the key.
         """
         request_class = request.request_class
         first = next((a for a in request.attempts if a.may_have_run), None)
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,39 +1,45 @@
-"""The idle time after which connections are found dead, learned from the attempts on idle connections."""
+"""The idle time from which on connections are dead, learned from attempts on idle connections."""
 
 import math
 from bisect import bisect_left
 from collections import deque
 
-# Number of the latest attempts on idle connections that the limit is learned from: after a change of the
-# true limit, the old evidence has been replaced after 40 such attempts.
 MAX_SAMPLES = 40
-# Attempts without a response, at least, that show that connections are dead from an idle time on: a single
-# one may be the endpoint's fault.
+"""Number of the latest attempts on idle connections that the limit is learned from.
+
+After a change of the true limit, 40 such attempts replace the old evidence.
+"""
 MIN_UNRESPONSIVE = 2.0
-# Fraction of the attempts at that idle time or a longer one, at least, that got no response. It is less than
-# 1 since other attempts keep some connections alive, which have then been idle for less than estimated.
+"""Minimum number of attempts without a response from which the limit is inferred.
+
+A single one may be the fault of the endpoint.
+"""
 MIN_UNRESPONSIVE_FRACTION = 0.6
+"""Minimum fraction of attempts without a response among those on connections idle for the limit or longer.
+
+It is less than 1 because other attempts keep some connections alive, which have then been idle for less time
+than estimated.
+"""
 
 
 class IdleConnectionLimit:
     """Learns the idle time from which on connections are dead.
 
-    Guards against connections that a middlebox or the endpoint has dropped without a packet: each attempt on
-    one costs its full timeout. The cost: where attempts get no response for another reason, connections that
-    work are closed, and attempts pay for a new connect.
+    A middlebox or the endpoint may drop an idle connection without sending a packet, and each attempt on such
+    a connection takes its full timeout. The drawback is that, where attempts get no response for another
+    reason, working connections are closed and attempts have to connect anew.
     """
 
     def __init__(self) -> None:
-        # Idle time of an attempt's connection in milliseconds, and whether the attempt got no response.
+        # For each attempt: the idle time of its connection in milliseconds, and whether it got no response.
         self._samples: deque[tuple[float, bool]] = deque(maxlen=MAX_SAMPLES)
         self.limit_ms = math.inf  # the shortest idle time at which connections are found dead
 
     def record(self, idle_ms: float, *, is_unresponsive: bool) -> None:
-        """Count an attempt on a connection that had been idle, and learn the limit again.
+        """Record an attempt on a connection that had been idle, and update the limit.
 
-        The limit is the shortest idle time t of an attempt without a response such that, of the attempts with
-        an idle time of t or more, at least `MIN_UNRESPONSIVE` and `MIN_UNRESPONSIVE_FRACTION` got no
-        response.
+        The limit is the shortest idle time t of an attempt without a response for which, among the attempts
+        with an idle time of at least t, both `MIN_UNRESPONSIVE` and `MIN_UNRESPONSIVE_FRACTION` are reached.
 
         Args:
             idle_ms: How long the connection had been idle; 0 if it was new or in use, which is no evidence.
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -1,4 +1,4 @@
-"""Overload detection: compare the attempts in flight with capacity and with what completions sustain.
+"""Overload detection: compares the attempts in flight with capacity and with the sustainable concurrency.
 
 docs/POLICY.md derives both limits and has the reasons for the constants.
 """
@@ -7,56 +7,74 @@
 
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
-# Limit on the attempts in flight of all replicas per unit of available capacity, for importance 0 and 1.
-# At 6 and 11, or 8 and 12, endpoints became slow and stayed so for tens of seconds; lower pairs served less.
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
+"""Limit for importance 0 on the attempts in flight of all balancers, per unit of available capacity."""
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
-# Limit on the latency inflation (mean latency over baseline service time), for importance 0 and 1.
-# Both 0.8 to 1.2 and 1.0 to 2.6 served less while the tier behind the endpoints was overloaded.
+"""The same limit for importance 1.
+
+With limits of 6 and 11, or 8 and 12, endpoints become slow and stay slow for tens of seconds. With lower
+limits, fewer requests are served.
+"""
 MIN_LATENCY_INFLATION = 1.0
+"""Limit for importance 0 on the latency inflation: mean latency divided by baseline service time."""
 MAX_LATENCY_INFLATION = 1.8
-# Standard deviations of a Poisson count above its limit at which the count is a burst, not a random peak.
+"""The same limit for importance 1.
+
+With limits of 0.8 and 1.2, or 1.0 and 2.6, fewer requests are served while the tier behind the endpoints is
+overloaded.
+"""
 BURST_Z_SCORE = 1.0
-# Attempts: fewer in flight are never a burst. One of hundreds of replicas has a limit of less than one
-# attempt, for which the normal approximation of a Poisson count does not hold.
+"""Standard deviations above the limit at which a Poisson count is a burst rather than a random peak."""
 MIN_BURST_ATTEMPTS = 8
-# Attempts per unit of available capacity, over all replicas, that count as sustainable without evidence:
-# an estimate that has decayed to zero must not stop the requests that would renew it.
+"""Minimum number of attempts in flight that can count as a burst.
+
+One of hundreds of balancers has a limit of less than one attempt, where the normal approximation of a Poisson
+count does not hold.
+"""
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
-# Time constant, in ms, of the means over attempts: longer than a request takes, shorter than the time in
-# which an overload makes endpoints slow.
+"""Attempts of all balancers per unit of available capacity that are sustainable even without evidence.
+
+An estimate that has decayed to zero must not keep out the requests that would renew it.
+"""
 AVERAGING_TIME_CONSTANT_MS = 1_000.0
-# Fraction of the largest sustainable concurrency that the estimate starts from, before the first completion:
-# with a limit of 8 attempts per unit of capacity, two attempts for each unit.
+"""Time constant, in ms, of the means over attempts.
+
+It is longer than a request takes, and shorter than the time in which an overload makes endpoints slow.
+"""
 INITIAL_SUSTAINABLE_FRACTION = 0.25
+"""Initial sustainable concurrency, before the first completion, as a fraction of its upper limit.
+
+With a limit of 8 attempts per unit of capacity, it is two attempts per unit.
+"""
 
 
 class SustainableConcurrency:
-    """Estimates how many attempts of this replica the endpoints, and all behind them, can sustain.
+    """Estimates how many attempts of this balancer the endpoints and the tiers behind them can sustain.
 
     By Little's law that is the completion rate times the service time without load. Each completed attempt
-    adds its baseline service time over the time constant T, and the sum decays exponentially:
+    adds its baseline service time divided by the time constant T, and the sum decays exponentially:
 
         concurrency(t) = sum over completions i of baseline_ms[i] / T * exp(-(t - t[i]) / T)
 
-    The attempts in flight divided by this estimate are the latency inflation: how many times its baseline
-    service time an attempt takes. Assumes that a completed attempt cost its baseline service time.
+    The attempts in flight divided by this estimate are the latency inflation: the latency of an attempt as a
+    multiple of its baseline service time. Assumes that the work of a completed attempt took its baseline
+    service time.
 
-    Guards against overload behind the endpoints: a tier that only they call shows neither in the endpoint
-    list nor in the limit by the endpoints' capacity.
+    The estimate detects an overload behind the endpoints. Neither the endpoint list nor the limit by endpoint
+    capacity covers the tiers there.
     """
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
-        # Finite from the start: an infinite estimate would decay to NaN, which limits nothing.
+        # Must be finite: an infinite estimate would decay to NaN, and comparisons with NaN are always false.
         self._concurrency = 0.0
         self._updated_at = -math.inf
 
     def estimate(self, now: float) -> float:
-        """Return the concurrency in attempts, at most this replica's part of the largest capacity limit.
+        """Return the concurrency in attempts, at most this balancer's part of the limit for importance 1.
 
-        Guards against replicas that start together: a replica without evidence begins at a fraction of the
-        limit, since all of them would otherwise fill it before the first responses show the load.
+        A balancer without evidence begins at a fraction of the limit. Otherwise balancers that start together
+        would use all of it before the first responses show the load.
         """
         limit = (
             MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.balancer_count.estimate
@@ -70,28 +88,28 @@
         return self._concurrency
 
     def record_completion(self, baseline_ms: float, now: float) -> None:
-        """Count an attempt that succeeded, by its service time without load."""
+        """Count a successful attempt, given its service time without load."""
         self._concurrency = self.estimate(now) + baseline_ms / AVERAGING_TIME_CONSTANT_MS
 
 
 class OverloadDetector:
     """Compares the attempts in flight with two limits: endpoint capacity and sustainable concurrency.
 
-    Guards against overload of any cause (more requests, fewer endpoints, slower endpoints) before endpoints
-    slow down. Latency alone shows it too late, and where the work of requests varies widely latency is high
-    without any overload.
+    This detects an overload of any cause (more requests, fewer endpoints, slower endpoints) before the
+    endpoints slow down. Latency alone shows an overload too late, and where the work of requests varies
+    widely, latency is high without any overload.
     """
 
     def __init__(self, available: AvailableCapacity) -> None:
         self._available = available
         self.sustainable_concurrency = SustainableConcurrency(available)
-        self._mean_in_flight = 0.0  # of this replica's attempts; an exponentially decaying mean
+        self._mean_in_flight = 0.0  # exponential moving average of this balancer's attempts in flight
         self._updated_at = 0.0
 
     def is_overloaded(self, importance: float, now: float) -> bool:
-        """Return whether work of this importance, from 0 (least) to 1 (most), is to be shed."""
+        """Return whether to shed requests of an importance, from 0 (lowest) to 1 (highest)."""
         capacity = self._available.update(now)
-        # Attempts at draining or unreachable endpoints put no load on those that can take requests.
+        # Attempts at draining or unreachable endpoints are no load on those that can take requests.
         in_flight = sum(e.in_flight for e in self._available.reachable)
         self._update_mean(in_flight, now)
         return self._exceeds_capacity(in_flight, importance, capacity) or self._exceeds_sustainable(
@@ -99,13 +117,13 @@
         )
 
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
-        """Return whether all replicas together have more attempts in flight than the endpoints can hold.
+        """Return whether all balancers together have more attempts in flight than endpoint capacity allows.
 
-        Each other replica is estimated to have this one's mean. The momentary count is one random sample: the
-        others do not have the same peak at the same time. A burst that all replicas get has not reached the
-        mean yet, so a count above the Poisson bound of this replica's part of the limit is an overload.
-        Assumes that clients spread evenly over the replicas; a replica with more than its part of them
-        sheds load too early.
+        Each other balancer is estimated to have this one's mean, not its current count: a random peak does
+        not occur at all balancers at once. A burst that arrives at all of them is not in the mean yet, so a
+        count above the Poisson bound of this balancer's part of the limit counts as an overload as well.
+        Assumes that clients spread evenly over the balancers; one that has more than its part of them sheds
+        load too early.
         """
         max_per_capacity = (
             MIN_IN_FLIGHT_PER_CAPACITY
@@ -117,11 +135,11 @@
         return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
 
     def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
-        """Return whether attempts take too many times their baseline service time.
+        """Return whether the latency inflation is too high for an importance.
 
-        The momentary count and the mean must both exceed the limit: a count above it alone may be a random
-        peak, a mean above it alone belongs to attempts that have ended. A count above the Poisson bound of
-        the limit is an overload by itself, as for the limit by capacity.
+        Both the current count and the mean must reach the limit: the count alone may be a random peak, and
+        the mean alone may stem from attempts that have ended. As with the capacity limit, a count above the
+        Poisson bound of the limit is sufficient by itself.
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
@@ -138,8 +156,8 @@
 
 
 def _exceeds_poisson_bound(count: int, mean: float) -> bool:
-    """Return whether a count is too high for a Poisson variable of this mean.
+    """Return whether a count is too high for a Poisson variable with this mean.
 
-    The standard deviation of a Poisson count is the square root of its mean.
+    The standard deviation of a Poisson variable is the square root of its mean.
     """
     return count >= max(mean + BURST_Z_SCORE * math.sqrt(mean), MIN_BURST_ATTEMPTS)
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff of the polls of the endpoint list while discovery can't be reached."""
+"""Exponential backoff for polls of the endpoint list while discovery can't be reached."""
 
 import math
 from random import Random
@@ -7,22 +7,31 @@
 from loadbalancer.settings import Settings
 from loadbalancer.timers import EndpointListTimer
 
-# Time from the first poll that fails to the next one, in milliseconds; doubles with each further failure. The
-# first failure often comes later than this after the last poll; then MIN_DELAY_MS sets the delay.
 INITIAL_BACKOFF_MS = 500.0
-# Longest time between two polls, in milliseconds; 3 s with jitter. The operators allow 6 s from discovery's
-# return until the balancers have its list.
+"""Time from the first failed poll to the next poll, in milliseconds; doubles with each further failure.
+
+If a poll takes longer than this to fail, MIN_DELAY_MS determines the delay.
+"""
 MAX_BACKOFF_MS = 2_000.0
-# Shortest time from a failure to the next poll, in milliseconds: a poll that took longer than the backoff to
-# fail is repeated soon, since an update that a broken watch missed must arrive within 2 s of its timeout.
+"""Maximum time between two polls, in milliseconds; 3 s with jitter.
+
+The operators allow 6 s from the return of discovery until the balancers have its list.
+"""
 MIN_DELAY_MS = 250.0
-# Number of doublings after which the exponent no longer grows: 2 to the power of all failures of a long
-# outage overflows a float.
+"""Minimum time from a failure to the next poll, in milliseconds.
+
+A poll that took longer than the backoff to fail is repeated soon: an update that a broken watch missed must
+arrive within 2 s of the watch's timeout.
+"""
 MAX_DOUBLINGS = 9
+"""Number of doublings after which the exponent stops growing.
+
+In a long outage, 2 to the power of the number of failures would overflow a float.
+"""
 
 
 class PollBackoff:
-    """Schedules the polls of the endpoint list while discovery can't be reached, and logs the outage."""
+    """Schedules polls of the endpoint list while discovery can't be reached, and logs the outage."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._settings = settings
@@ -31,14 +40,14 @@
         self._next_poll_at = -math.inf
 
     def record_success(self) -> list[Action]:
-        """Reset the backoff after an update from discovery; log the end of an outage once."""
+        """Reset the backoff after an update from discovery; log the end of an outage."""
         if not self._failures:
             return []
         self._failures = 0
         return [LogMessage("endpoint list is reachable again")]
 
     def record_failure(self, now: float) -> list[Action]:
-        """Set the timer of the next poll after a failed one; log the start of an outage once."""
+        """Set the timer for the next poll after a failed one; log the start of an outage."""
         actions: list[Action] = []
         if not self._failures:
             actions.append(LogMessage("endpoint list is unreachable; keeping the last one"))
@@ -49,9 +58,8 @@
         """Count a failed poll and return the time of the next one.
 
         The backoff is the time from poll to poll, not from failure to poll: a poll that was slow to fail has
-        spent part of it already. A random factor between 0.5 and 1.5 spreads the balancers' polls.
-
-        Guards against all balancers polling discovery at the same time when it returns.
+        used up part of it. A random factor between 0.5 and 1.5 keeps the balancers from all polling discovery
+        at the same time when it returns.
         """
         max_backoff_ms = min(MAX_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
         backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_backoff_ms)
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -18,12 +18,12 @@
     """One attempt of a request. Times are in milliseconds on the clock of the events."""
 
     endpoint: EndpointStats
-    idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or not known
-    started_at: float  # when it started
+    idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or unknown
+    started_at: float
     times_out_at: float  # when it times out
-    is_baseline: bool  # whether it started without load, so that its duration counts toward the baseline
+    is_baseline: bool  # whether it started without load and so counts toward the baseline service time
     is_open: bool = True  # whether it is in flight
-    may_have_run: bool = True  # whether it may have had an effect; false once its outcome excludes that
+    may_have_run: bool = True  # whether it may have had an effect; false once its outcome rules that out
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -32,15 +32,15 @@
 
     id: int
     request_class: RequestClass
-    expires_at: float  # when a response loses its value for the client, in milliseconds
-    work: float = 1.0  # its work as a multiple of the mean request's, by its cost hint; 1 without one
+    expires_at: float  # when a response becomes worthless to the client, in milliseconds
+    work: float = 1.0  # its cost hint relative to the mean of all hints; 1 without a hint
     attempts: list[Attempt] = field(default_factory=list)  # in the order of their start
     is_response_pending: bool = True  # whether the client still waits for the final response
-    is_streaming: bool = False  # whether a streaming response has begun, so that no attempt may follow
+    is_streaming: bool = False  # whether a streaming response has begun; no further attempt may start then
 
     @property
     def expected_work(self) -> float:
-        """The work to expect of the request, in mean requests; at least 1, even if its cost hint is lower."""
+        """The expected work in units of the mean request; at least 1, even if the cost hint is lower."""
         return max(self.work, 1.0)
 
     def has_open_attempt(self) -> bool:
@@ -48,7 +48,7 @@
         return any(a.is_open for a in self.attempts)
 
     def needs_attempt(self) -> bool:
-        """Return whether the client waits for a response and no attempt is in flight to bring it."""
+        """Return whether the client is still waiting for a response and no attempt is in flight."""
         return self.is_response_pending and not self.has_open_attempt()
 
     def may_have_run(self) -> bool:
@@ -69,11 +69,11 @@
     def add(self, event: RequestReceived, now: float) -> Request:
         """Add a request that has arrived, and return it.
 
-        It expires with its deadline. In a class without a late value it expires with the latency objective,
-        if that comes first: a later response has no value.
+        It expires at its deadline or, in a class whose late responses have no value, at its latency objective
+        if that is earlier.
 
         Raises:
-            DuplicateRequestError: A request of this id is open.
+            DuplicateRequestError: A request with this id is open.
             UnknownClassError: The settings define no class of this name.
         """
         if event.request_id in self._requests:
@@ -88,11 +88,11 @@
         return request
 
     def get(self, request_id: int) -> Request | None:
-        """Return an open request; None if it has finished."""
+        """Return an open request, or None if it has finished."""
         return self._requests.get(request_id)
 
     def find(self, event: AttemptFinished | ResponseStarted) -> Request:
-        """Return the request of an attempt's event.
+        """Return the request that an event of one of its attempts refers to.
 
         Raises:
             UnknownRequestError: The request is not open, or has no such attempt.
@@ -103,6 +103,6 @@
         return request
 
     def remove_if_finished(self, request: Request) -> None:
-        """Remove a request that has its response and no attempt in flight."""
+        """Remove a request that needs no response and has no attempt in flight."""
         if not request.is_response_pending and not request.has_open_attempt():
             self._requests.pop(request.id, None)
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -1,7 +1,7 @@
 """Retries by this balancer and by the client: retry budgets, hedging, and responses to failed requests.
 
-A retry repeats a request of which an attempt may have been processed. A transparent retry repeats a request
-of which no attempt was processed: its connection failed, or the endpoint rejected it unprocessed.
+A retry repeats a request that an endpoint may have processed. A transparent retry repeats a request that no
+endpoint has processed, because the connection failed or the endpoint rejected it.
 """
 
 from __future__ import annotations
@@ -15,35 +15,40 @@
     from loadbalancer.policy.request import Request
     from loadbalancer.policy.service_times import ServiceTimes
 
-# Tokens that a response earns; a retry takes one, so retries stay within a fifth of the responses.
 RETRY_TOKENS_PER_RESPONSE = 0.2
-# Tokens at the start: few, since balancers that restart during an outage must not feed it.
+"""Tokens that a response adds; a retry takes one, so that retries are at most a fifth of the responses."""
 RETRY_INITIAL_TOKENS = 2.0
-# Tokens saved at most: a short series of failures is retried, an outage is not.
+"""Tokens at the start; few, since balancers that restart during an outage must not add to its load."""
 RETRY_MAX_TOKENS = 10.0
-# Tokens for transparent retries. A response earns two: if a lost zone takes half of the endpoints, the mean
-# is one transparent retry for each response, and random variation may double it.
+"""Size of the bucket: enough to retry a short series of failures, not those of an outage."""
 TRANSPARENT_RETRY_TOKENS_PER_RESPONSE = 2.0
-# Tokens at the start: a full bucket, since a balancer may start while a zone is lost, and an attempt that is
-# not processed costs the endpoints little.
+"""Tokens for transparent retries that a response adds.
+
+If half of the endpoints are lost with a zone, there is on average one transparent retry per response, and
+random variation may double that.
+"""
 TRANSPARENT_RETRY_INITIAL_TOKENS = 20.0
-# Tokens saved at most: those of ten responses.
+"""Tokens at the start: a full bucket.
+
+A balancer may start while a zone is down, and an attempt that is not processed costs the endpoints little.
+"""
 TRANSPARENT_RETRY_MAX_TOKENS = 20.0
-# Delay of the hedged attempt, in mean service times of the class. A request of typical work has its response
-# by then.
+"""Size of the bucket: the tokens of ten responses."""
 HEDGE_DELAY_SERVICE_TIMES = 4.0
-# Upper bound of that delay, as a fraction of the attempt's timeout: the hedged attempt has the other half.
+"""Delay of the hedged attempt, in mean service times of the class; most requests have a response by then."""
 MAX_HEDGE_DELAY_FRACTION = 0.5
+"""Upper bound of that delay, as a fraction of the attempt's timeout; the hedged attempt has the rest."""
 
 
 class RetryBudget:
-    """A token bucket for retries that only responses fill.
-
-    Guards against retries that multiply over the tiers: a failure at the end of a path reaches the balancers
-    of every tier on it. If arriving requests earned tokens, each tier would add its fraction to the retries
-    of the tier above, which arrive like other requests. A response passes each tier once: over d tiers the
-    retries are at most d times what one response earns, for each response, plus the saved tokens of each
-    balancer. The cost: where most attempts fail at random, fewer retries are made than would succeed.
+    """A token bucket for retries that only responses refill.
+
+    This keeps retries from multiplying over the tiers. A failure in the last tier reaches the balancers of
+    every tier before it. If arriving requests added tokens, each tier would add its fraction to the retries
+    of the tier before it, since these arrive like other requests. A response, however, passes each tier once:
+    over d tiers, there are at most d times the tokens per response in retries for each response, plus the
+    tokens in the bucket of each balancer. The drawback is that fewer retries are made than would succeed
+    where most attempts fail at random.
     """
 
     def __init__(self, tokens_per_response: float, initial_tokens: float, max_tokens: float) -> None:
@@ -52,20 +57,20 @@
         self._max_tokens = max_tokens
 
     def earn(self) -> None:
-        """Add the tokens for a request that a successful attempt has answered."""
+        """Add the tokens for the successful response to a request."""
         self._tokens = min(self._max_tokens, self._tokens + self._tokens_per_response)
 
     def has_token(self) -> bool:
-        """Return whether a token is left for one more attempt."""
+        """Return whether there is a token for one more attempt."""
         return self._tokens >= 1
 
     def spend(self) -> None:
-        """Take the token for an attempt that has started."""
+        """Take one token for an attempt that has started."""
         self._tokens -= 1
 
 
 class RetryBudgets:
-    """The budget for retries and that for transparent retries."""
+    """The budgets for retries and for transparent retries."""
 
     def __init__(self) -> None:
         self._retries = RetryBudget(RETRY_TOKENS_PER_RESPONSE, RETRY_INITIAL_TOKENS, RETRY_MAX_TOKENS)
@@ -76,20 +81,20 @@
         )
 
     def budget_for(self, request: Request) -> RetryBudget:
-        """Return the budget that the next attempt of a request takes its token from."""
+        """Return the budget that pays for the next attempt of a request."""
         return self._retries if request.may_have_run() else self._transparent_retries
 
     def earn(self) -> None:
-        """Add to both budgets the tokens for a request that a successful attempt has answered."""
+        """Add the tokens for the successful response to a request to both budgets."""
         self._retries.earn()
         self._transparent_retries.earn()
 
 
 class Hedging:
-    """Decides when a hedged attempt may follow a first attempt without a response.
+    """Decides when a hedged attempt may start if the first attempt has no response yet.
 
-    Guards against endpoints that hang or have become slow, and against dropped connections. Hedged attempts
-    add load: each takes a token of the retry budget, and overload suspends hedging.
+    Hedging covers endpoints that hang or have become slow, and dropped connections. Since hedged attempts add
+    load, each one takes a token of the retry budget, and hedging is suspended during an overload.
     """
 
     def __init__(self, settings: Settings, service_times: ServiceTimes) -> None:
@@ -101,8 +106,8 @@
         """Return the hedging delay after the start of the next attempt; None if no hedged attempt may follow.
 
         The delay is `HEDGE_DELAY_SERVICE_TIMES` mean service times of the class, times the expected work of
-        the request, and at most `MAX_HEDGE_DELAY_FRACTION` of the timeout. Where no hedged attempt may
-        follow, the first attempt keeps its full timeout: to cut it short would lose the work done so far.
+        the request, and at most `MAX_HEDGE_DELAY_FRACTION` of the timeout. Without hedging, the first attempt
+        keeps its full timeout: a shorter one would waste the work done so far.
         """
         request_class = request.request_class
         is_idempotent = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
@@ -113,12 +118,12 @@
         return min(delay_ms, MAX_HEDGE_DELAY_FRACTION * timeout_ms)
 
     def allows(self, request: Request) -> bool:
-        """Return whether a request still waits for its first attempt, so that a hedged one may start."""
+        """Return whether a request is still waiting for its first attempt, so that a hedged one may start."""
         return self._is_enabled and request.is_response_pending and len(request.attempts) == 1
 
 
 class FailureResponses:
-    """Decides the final response to a request that no endpoint has served."""
+    """Determines the final response to a request that no endpoint has served."""
 
     def __init__(self, settings: Settings, service_times: ServiceTimes) -> None:
         self._max_retry_after_ms = settings.max_retry_after_ms
@@ -127,8 +132,8 @@
     def response_to(self, request: Request) -> RejectRequest | FailRequest:
         """Return a rejection if the client may safely repeat the request, else a failure.
 
-        The `Retry-After` of a rejection is the mean service time of the class, within the maximum of the
-        settings: most attempts that are in flight now have finished by then.
+        The `Retry-After` of a rejection is the mean service time of the class, limited by the settings: most
+        attempts now in flight will have finished by then.
         """
         if request.request_class.idempotency is Idempotency.SAFE or not request.may_have_run():
             service_time_ms = self._service_times.mean_ms(request.request_class.name)
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection of the endpoint for an attempt: a draw weighted by capacity, then the lowest load."""
+"""Endpoint selection: draws a few endpoints weighted by capacity and takes the one with the lowest load."""
 
 import math
 from bisect import bisect
@@ -13,17 +13,20 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-# Endpoints drawn for an attempt, at most. The published rule needs two; more cost little here, since each
-# further draw is made only while every endpoint drawn so far has an attempt of this balancer in flight.
 MAX_DRAWS = 4
+"""Maximum number of endpoints drawn for an attempt.
+
+The published algorithm needs two. More cost little, since drawing continues only while every endpoint drawn
+so far has an attempt of this balancer in flight.
+"""
 
 
 class EndpointSelector:
     """Selects the endpoint for an attempt among the eligible ones.
 
-    The rule is that of Berenbrink et al., "Balls into non-uniform bins", Algorithm 1: draw endpoints with
-    probability proportional to capacity, and take the one with the lowest load after the placement,
-    (attempts in flight + 1) / capacity, on a tie the one with the larger capacity.
+    The algorithm is Algorithm 1 of Berenbrink et al., "Balls into non-uniform bins": it draws endpoints with
+    probability proportional to capacity and takes the one that has the lowest load after the placement,
+    (attempts in flight + 1) / capacity. A tie goes to the larger capacity.
     """
 
     def __init__(
@@ -43,8 +46,9 @@
     def select(self, request: Request, now: float) -> EndpointStats | None:
         """Return the endpoint for the next attempt of a request; None if no endpoint is eligible.
 
-        Eligible are the endpoints that the idempotency rules and slow start allow, without those that the
-        request has been sent to before (unless no other is left) and without the outliers for its class.
+        The eligible endpoints are those that the idempotency rules and slow start allow, except the outliers
+        for the class. Endpoints that the request has been sent to before are eligible only if there are no
+        others.
         """
         median = self._capacity.current_median(now)
         eligible = self._idempotency.eligible(request, now)
@@ -60,13 +64,13 @@
     def _draw(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
         """Draw endpoints by capacity and return the one with the lowest load.
 
-        Only the first draw prefers the own zone. Guards against overloading the own zone while other zones
-        have endpoints without load.
+        Only the first draw prefers the balancer's own zone, which would otherwise be overloaded while
+        endpoints of other zones are idle.
 
-        Drawing ends at the first endpoint that has no attempt of this balancer in flight. Guards against
-        overloading the largest endpoint: among several endpoints without attempts the lowest load 1/c is
-        always that of the largest, and many balancers with few requests each would all select it. The draw,
-        which is proportional to capacity, decides instead.
+        Drawing ends at the first endpoint without an attempt of this balancer in flight. Among several such
+        endpoints the largest always has the lowest load, 1 / capacity, so many balancers with few requests
+        each would all select it and overload it. The draw, which is proportional to capacity, decides
+        instead.
         """
         zone_sums = list(accumulate(_weigh_by_zone(eligible, capacities, self._own_zone)))
         capacity_sums = list(accumulate(capacities))
@@ -85,12 +89,12 @@
 
 
 def _weigh_by_zone(endpoints: list[EndpointStats], capacities: list[float], own_zone: str) -> list[float]:
-    """Return the weights of the first draw, which keep requests in the own zone as far as it has capacity.
+    """Return the weights of the first draw, which keep requests in the own zone up to its capacity.
 
-    With the balancers spread evenly over the zones, each zone has to serve the mean of the zones' capacities.
-    A zone below the mean keeps the requests for its capacity and spills the others to the zones above the
-    mean, in proportion to what they have above it. A zone above the mean spills nothing. The weights are the
-    capacities if the own zone is unknown, has no endpoint, or is the only one.
+    With balancers spread evenly over the zones, each zone has to serve the mean of the zones' capacities. A
+    zone below the mean keeps as many requests as its capacity allows; the others spill over to the zones
+    above the mean, in proportion to their excess over it. A zone above the mean keeps all its requests. The
+    weights are the capacities if the own zone is unknown, has no endpoint, or is the only one.
     """
     zones: dict[str, float] = {}
     for endpoint, capacity in zip(endpoints, capacities, strict=True):
@@ -100,7 +104,7 @@
         return capacities
     mean = sum(zones.values()) / len(zones)
     excess = {zone: max(capacity - mean, 0.0) for zone, capacity in zones.items()}
-    total_excess = sum(excess.values())  # 0 if the zones are alike, but for rounding
+    total_excess = sum(excess.values())  # 0 if all zones have the same capacity, apart from rounding
     spill = max(mean - zones[own_zone], 0.0) / total_excess if total_excess else 0.0
     factors = {
         zone: (min(capacity, mean) if zone == own_zone else spill * excess[zone]) / capacity
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: a limit on the requests that all balancers together send to an endpoint that is warming up.
+"""Slow start: limits the requests that all balancers together send to an endpoint that is warming up.
 
 An endpoint fails if it gets too much work within one window while it warms up. No balancer sees the requests
-of the others, so each estimates what all of them send and keeps its own part small enough that the sum stays
-within the limit. The derivation of the formulas is in docs/POLICY.md, "Slow start over all balancers".
+of the others, so each one estimates what all of them send and keeps its own part small enough that the sum
+stays within the limit. docs/POLICY.md derives the formulas in "Slow start over all balancers".
 """
 
 import math
@@ -15,22 +15,27 @@
 from loadbalancer.policy.outlier_detection import is_outlier
 from loadbalancer.settings import Settings
 
-# Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean that the settings allow it.
-# The other half is a margin for requests of more than mean work and for balancers that get more requests than
-# others.
 SAFETY_FRACTION = 0.5
-# z-score of the upper bound of a Poisson count. 5 is wide since requests differ in work, which spreads the
-# work in a window wider than the number of requests alone.
+"""Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean that the settings allow it.
+
+The other half is a margin for requests with more than mean work and for balancers that get more requests than
+others.
+"""
 Z_SCORE = 5.0
-# Interval, in milliseconds, at which the estimates are recomputed. It saves processor time only.
+"""z-score of the upper bound of a Poisson count.
+
+It is as large as 5 because requests differ in work, so the work in a window varies more than the number of
+requests does.
+"""
 UPDATE_INTERVAL_MS = 100.0
+"""Interval, in milliseconds, at which the estimates are recomputed; it only saves processor time."""
 
 
 class SlowStart:
     """Limits the attempts at warming endpoints so that the sum over all balancers stays within the settings.
 
-    Two limits apply to each attempt. The rank rule lets only a fraction of the balancers call a warming
-    endpoint. The budget limits how many attempts one of these balancers starts there within a window.
+    Two limits apply to each attempt. The rank rule allows only a fraction of the balancers to call a warming
+    endpoint. The budget limits how many attempts each of these balancers starts there within a window.
     """
 
     def __init__(
@@ -50,13 +55,13 @@
         self._capacity = capacity
         self._updated_at = -math.inf
         self._balancers_per_endpoint = 1.0
-        # Requests per millisecond, of all balancers together, for each unit of warm weight.
+        # Requests per millisecond, from all balancers together, per unit of warm weight.
         self._warm_rate_per_ms = 0.0
-        # Fraction of the balancers that may select warming endpoints like warm ones.
+        # Fraction of the balancers that may select warming endpoints as freely as warm ones.
         self._unrestricted_fraction = 1.0
 
     def invalidate(self) -> None:
-        """Recompute the estimates at the next call, after a change of the endpoint list."""
+        """Make the next call recompute the estimates, after a change of the endpoint list."""
         self._updated_at = -math.inf
 
     def within_limits(
@@ -69,24 +74,24 @@
         return [e for e in endpoints if self._is_within_limits(e, now, is_first_attempt=is_first_attempt)]
 
     def record_start(self, endpoint: EndpointStats, now: float) -> None:
-        """Count an attempt that has started, if its endpoint is warming up."""
+        """Record the start of an attempt if its endpoint is warming up."""
         if now < self._warmup.active_until and self._warmup.fraction(endpoint, now) < 1:
             endpoint.recent_starts.append(now)
 
     def _is_within_limits(self, endpoint: EndpointStats, now: float, *, is_first_attempt: bool) -> bool:
-        """Return whether an endpoint may get one more attempt of this balancer in the present window.
+        """Return whether an endpoint may get one more attempt of this balancer in the current window.
 
-        Rank rule: the balancer calls a warming endpoint only if the random rank that it drew for it is at
-        most the larger of the unrestricted fraction and `_max_mean_starts`. The rank stays the same over all
-        windows: a new draw in each window would be one more chance to exceed the limit.
+        Rank rule: the balancer calls a warming endpoint only if the random rank that it has drawn for the
+        endpoint is at most the larger of the unrestricted fraction and `_max_mean_starts`. The rank is the
+        same in all windows, since a new draw in each window would be another chance to exceed the limit.
 
         Budget: `SAFETY_FRACTION` x overload factor x warm-up fraction x the balancer's own rate at a warm
-        endpoint x window. Summed over all balancers that is `SAFETY_FRACTION` of the mean that the settings
-        allow a warming endpoint of average weight. One attempt a window is always within the budget; the
-        rank rule limits the sum of these.
+        endpoint x window. Summed over all balancers, that is `SAFETY_FRACTION` of the mean that the settings
+        allow a warming endpoint of average weight. One attempt per window is always within the budget; the
+        rank rule limits the sum of these attempts.
 
-        Retries and hedged attempts are not among the arrivals from which the unrestricted fraction is
-        computed. While that fraction is below 1, the rank rule allows them by `_max_mean_starts` alone.
+        The unrestricted fraction is computed from arriving requests, which do not include retries and hedged
+        attempts. While it is below 1, only `_max_mean_starts` determines whether the rank rule allows these.
         """
         fraction = self._warmup.fraction(endpoint, now)
         if fraction >= 1:
@@ -103,16 +108,16 @@
         return len(starts) + 1 <= max(1.0, budget)
 
     def _max_mean_starts(self, weight: float) -> float:
-        """Return the mean number of attempts that one balancer may start in a window at an endpoint.
+        """Return the mean number of attempts that one balancer may start at an endpoint in a window.
 
         The settings allow an endpoint a mean of N = overload factor x `weight` x warm rate x window. The
-        endpoint fails above the limit N + 2 sqrt(N) + 2 in a single window, which allows for the variation of
-        a Poisson count. The starts of many independent balancers are a Poisson count: with mean m its upper
-        bound is m + z sqrt(m). The largest m whose bound stays within the limit solves
-        m + z sqrt(m) = limit: sqrt(m) = sqrt(z^2/4 + limit) - z/2. Each of the balancers that call the
-        endpoint gets an equal part of m.
+        endpoint fails if a single window exceeds the limit N + 2 sqrt(N) + 2, which allows for the variation
+        of a Poisson count. The starts of many independent balancers are a Poisson count; with the mean m, its
+        upper bound is m + z sqrt(m). The largest m whose bound is within the limit solves
+        m + z sqrt(m) = limit, which gives sqrt(m) = sqrt(z^2/4 + limit) - z/2. The balancers that call the
+        endpoint share m equally.
 
-        One attempt of each of two balancers never exceeds the limit, which is at least 2.
+        If there are at most two of them, one attempt of each never exceeds the limit, which is at least 2.
 
         Args:
             weight: The weight of the endpoint times its warm-up fraction.
@@ -127,14 +132,14 @@
     def _update(self, now: float) -> None:
         """Recompute the warm rate and the unrestricted fraction if they are older than the interval.
 
-        The warm rate assumes that all balancers send alike: it is this balancer's rate for each unit of
-        weight, times the balancers that call an endpoint. The balancer's rate is what its warm endpoints
-        serve; as long as too little time has passed for that evidence, the arrivals stand in for the missing
-        fraction of it, spread evenly over the subset. The lower bound is the median capacity: the rate of an
+        The warm rate assumes that all balancers send alike: it is this balancer's rate per unit of weight,
+        times the number of balancers that call an endpoint. The balancer's rate is what its warm endpoints
+        serve. While too little time has passed for full evidence on that, the arrival rate, spread evenly
+        over the subset, replaces the missing fraction. The lower bound is the median capacity: the rate of an
         endpoint that always has one attempt in flight.
 
-        Guards against balancers that each get few requests, and against restarted ones without evidence:
-        both would take an endpoint's capacity for nearly 0 and send it nothing.
+        Without the arrival rate and the lower bound, balancers with few requests, or without evidence after a
+        restart, would estimate the capacity of an endpoint as nearly 0 and send it nothing.
         """
         subset = self._endpoints.subset
         if now - self._updated_at < UPDATE_INTERVAL_MS or not subset:
@@ -155,18 +160,18 @@
         self._unrestricted_fraction = self._compute_unrestricted_fraction(now)
 
     def _compute_unrestricted_fraction(self, now: float) -> float:
-        """Return the fraction of the balancers that may select warming endpoints like warm ones.
-
-        With W the weight of the warm endpoints of the subset, V that of the warming ones (each times its
-        warm-up fraction), R this balancer's requests in a window and M the sum of the limits
-        `_max_mean_starts`, unrestricted balancers send R V / (W + V) requests to warming endpoints. That is
-        within M if W + V >= R V / M. Otherwise a fraction u of the balancers calls each warming endpoint,
-        with u R V / (W + u V) = M, and the warm endpoints take the rest. Without warm endpoints, a balancer
-        sends all its requests to those of the n endpoints of the subset that it may call, if there is one,
-        with R (1 - (1 - u)^n) = M.
-
-        Guards against warming endpoints that get the load of removed warm ones, or of a burst. Outliers
-        count neither as warm nor as warming: they get no requests.
+        """Return the fraction of the balancers that may select warming endpoints as freely as warm ones.
+
+        Let W be the weight of the warm endpoints of the subset, V that of the warming ones (each times its
+        warm-up fraction), R this balancer's requests in a window, and M the sum of the limits
+        `_max_mean_starts`. An unrestricted balancer sends R V / (W + V) requests to warming endpoints, which
+        is within M if W + V >= R V / M. Otherwise only a fraction u of the balancers calls each warming
+        endpoint, and the warm endpoints get the rest: u solves u R V / (W + u V) = M. Without warm endpoints,
+        a balancer sends all its requests to those of the n endpoints of the subset that it may call, if there
+        are any, and u solves R (1 - (1 - u)^n) = M.
+
+        The restriction keeps warming endpoints from getting the load of removed warm ones, or that of a
+        burst. Outliers count neither as warm nor as warming, since they get no requests.
         """
         warm_weight = warming_weight = max_mean_starts = 0.0
         subset = self._endpoints.subset
