--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -20,16 +20,16 @@
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 
 READ = RequestClass("read", 1_000, 3_000, Idempotency.SAFE)
-ORDER = RequestClass("order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
-ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
-ZONAL = RequestClass("zonal", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
+CELL_ORDER = RequestClass("order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
+GLOBAL_ORDER = RequestClass("anywhere", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
+ZONE_ORDER = RequestClass("zonal", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
 # A window means nothing for a class that must not run twice, but settings may give one.
 PAY = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, idempotency_window_ms=2_000)
-CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
+CLASSES = (READ, CELL_ORDER, GLOBAL_ORDER, ZONE_ORDER, PAY)
 
 
-def settings(**changes: Any) -> Settings:
-    base: dict[str, Any] = {
+def make_settings(**changes: Any) -> Settings:
+    defaults: dict[str, Any] = {
         "classes": CLASSES,
         "max_attempts": 4,
         "may_cancel": True,
@@ -38,7 +38,7 @@
         "slow_start_initial_fraction": 0.2,
         "slow_start_overload_factor": 3.0,
     }
-    return Settings(**(base | changes))
+    return Settings(**(defaults | changes))
 
 
 def endpoint_list(count: int, **changes: Any) -> tuple[Endpoint, ...]:
@@ -56,7 +56,7 @@
     """
 
     def __init__(self, endpoints: int = 4, seed: int = 1, **changes: Any) -> None:
-        self.balancer = LoadBalancer(settings(**changes), seed)
+        self.balancer = LoadBalancer(make_settings(**changes), seed)
         self.now = 1_000.0
         self.actions: list[Action] = []
         self._last_request_id = 0
@@ -73,12 +73,14 @@
         return self.handle(EndpointListUpdate(kind, endpoints))
 
     def request(
-        self, request_class: RequestClass = READ, remaining_ms: float = 3_000, **more: Any
+        self, request_class: RequestClass = READ, remaining_ms: float = 3_000, **fields: Any
     ) -> tuple[int, list[Action]]:
         """Have a request arrive; return its number and the actions that follow."""
         self._last_request_id += 1
         request_id = self._last_request_id
-        return request_id, self.handle(RequestReceived(request_id, request_class.name, remaining_ms, **more))
+        return request_id, self.handle(
+            RequestReceived(request_id, request_class.name, remaining_ms, **fields)
+        )
 
     def finish(self, request_id: int, attempt_index: int, endpoint: str, outcome: Outcome) -> list[Action]:
         """Have an attempt end; a success is the final response."""
@@ -103,7 +105,7 @@
     return started_attempts(actions)[0].endpoint
 
 
-def of_type(actions: list[Action], *types: type) -> list[Action]:
+def actions_of_type(actions: list[Action], *types: type) -> list[Action]:
     return [action for action in actions if isinstance(action, types)]
 
 
@@ -112,23 +114,23 @@
     return Counter(harness.serve(duration_ms=20.0) for _ in range(rounds))
 
 
-def serve_many(harness: PolicyHarness, times: dict[str, float], rounds: int = 400) -> None:
+def serve_many(harness: PolicyHarness, durations_ms: dict[str, float], rounds: int = 400) -> None:
     """Serve requests one at a time, each in the time that its endpoint takes."""
     for _ in range(rounds):
-        harness.serve(duration_ms=times)
+        harness.serve(duration_ms=durations_ms)
 
 
-def settled(harness: PolicyHarness) -> PolicyHarness:
+def after_startup(harness: PolicyHarness) -> PolicyHarness:
     """Serve many requests quickly, so that the limits of the balancer's start no longer apply."""
     for _ in range(400):
         harness.serve(duration_ms=0.1)
     return harness
 
 
-def settled_without_baseline(harness: PolicyHarness, in_flight: int = 2) -> PolicyHarness:
-    """Do what `settled` does while other requests are in flight, which keeps the initial baseline."""
+def after_startup_without_baseline(harness: PolicyHarness, in_flight: int = 2) -> PolicyHarness:
+    """Do what `after_startup` does while other requests are in flight, which keeps the initial baseline."""
     others = [harness.request() for _ in range(in_flight)]
-    settled(harness)
+    after_startup(harness)
     for request_id, actions in others:
         harness.handle(ClientDisconnected(request_id))
         harness.finish(request_id, 0, first_endpoint(actions), Outcome.CANCELLED)
@@ -140,8 +142,8 @@
 ) -> list[tuple[int, str]]:
     """Send requests at once until one is shed; return the admitted ones with their endpoints."""
     in_flight: list[tuple[int, str]] = []
-    while sends := started_attempts(harness.request(request_class, tenant=tenant)[1]):
-        in_flight.append((sends[0].request_id, sends[0].endpoint))
+    while attempts := started_attempts(harness.request(request_class, tenant=tenant)[1]):
+        in_flight.append((attempts[0].request_id, attempts[0].endpoint))
         assert len(in_flight) < 1_000
     return in_flight
 
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -51,7 +51,7 @@
     is_disconnected: bool = False
 
     @property
-    def is_settled(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the client has its final response or has disconnected."""
         return self.response is not None or self.is_disconnected
 
@@ -122,7 +122,7 @@
         initial = self._settings.slow_start_initial_fraction
         return initial + (1 - initial) * age_ms / self._settings.slow_start_ms
 
-    def forget_process(self, name: str) -> None:
+    def reset_endpoint(self, name: str) -> None:
         """Forget the attempts at an endpoint that restarted: they are no load on the new process."""
         self._starts_ms[name] = []
 
@@ -145,7 +145,7 @@
             return False
         attempt.is_in_flight = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        if outcome is Outcome.SUCCEEDED and not request.is_settled:
+        if outcome is Outcome.SUCCEEDED and not request.is_complete:
             self._respond(request, FinalResponse.SERVED, now)
         return True
 
@@ -175,5 +175,5 @@
     def check_overdue(self, now: float) -> None:
         """Check that no request has been left without a response."""
         for request_id, request in self.requests.items():
-            is_overdue = not request.is_settled and now > request.deadline_ms + GRACE_MS
+            is_overdue = not request.is_complete and now > request.deadline_ms + GRACE_MS
             assert not is_overdue, f"request {request_id} was lost"
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -35,7 +35,7 @@
 WORK = {"small": 0.75, "large": 2.0}  # in requests of mean work, with the fraction of large ones below
 LARGE_FRACTION = 0.2
 START_MS = 100_000.0
-FAILURE_MS = 2.0  # how long an endpoint that does not serve takes to say so
+FAILURE_DURATION_MS = 2.0  # how long an endpoint that does not serve takes to say so
 
 
 @dataclass
@@ -70,7 +70,7 @@
     def restart(self) -> None:
         """Forget everything, the open requests included; the endpoint list is sent again."""
         self.policy = LoadBalancer(self._simulation.settings, self._simulation.random.getrandbits(40))
-        self._open: dict[int, SimulatedRequest] = {}
+        self._open_requests: dict[int, SimulatedRequest] = {}
         self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
 
     def schedule_next_request(self) -> None:
@@ -86,7 +86,7 @@
         request_class = LARGE if self._simulation.random.random() < LARGE_FRACTION else SMALL
         self._simulation.requests += 1
         request_id = self._simulation.requests
-        self._open[request_id] = SimulatedRequest(request_class)
+        self._open_requests[request_id] = SimulatedRequest(request_class)
         self.handle(RequestReceived(request_id, request_class.name, request_class.deadline_ms))
 
     def _perform(self, action: Action) -> None:
@@ -97,7 +97,7 @@
                 self._schedule_event(at_ms, TimerFired(timer))
             case RejectRequest(request_id) | FailRequest(request_id):
                 self._simulation.rejected += 1
-                del self._open[request_id]
+                del self._open_requests[request_id]
 
     def _schedule_event(self, at_ms: float, event: Event) -> None:
         self._clock.schedule(at_ms, partial(self._handle_if_current, self.policy), event)
@@ -111,20 +111,20 @@
         self.handle(event)
 
     def _start_attempt(self, action: StartAttempt) -> None:
-        request = self._open[action.request_id]
+        request = self._open_requests[action.request_id]
         attempt_index = request.attempts
         request.attempts += 1
         work = WORK[request.request_class.name]
-        duration_ms, outcome = self._simulation.attempt(action.endpoint, work, action.timeout_ms)
+        duration_ms, outcome = self._simulation.receive_attempt(action.endpoint, work, action.timeout_ms)
         event = AttemptFinished(action.request_id, attempt_index, action.endpoint, outcome)
         self._schedule_event(self._clock.now + duration_ms, event)
 
     def _finish_attempt(self, event: AttemptFinished) -> AttemptFinished:
         """Close the request of an attempt that succeeded, and say whether it is closed."""
         request_id, outcome = event.request_id, event.outcome
-        if outcome is Outcome.SUCCEEDED and self._open.pop(request_id, None) is not None:
+        if outcome is Outcome.SUCCEEDED and self._open_requests.pop(request_id, None) is not None:
             self._simulation.served += 1
-        is_request_complete = request_id not in self._open
+        is_request_complete = request_id not in self._open_requests
         return AttemptFinished(request_id, event.attempt_index, event.endpoint, outcome, is_request_complete)
 
 
@@ -144,7 +144,7 @@
         tenth: A tenth of the endpoints.
         requests: How many requests have been received, and of these served and rejected.
         warming_attempts: The number of attempts at warming endpoints.
-        worst_excess: The largest excess of work in any window over its limit, in units of the slack that is
+        max_excess: The largest excess of work in any window over its limit, in units of the slack that is
             left to chance: above 1 an endpoint has been overloaded.
     """
 
@@ -167,9 +167,9 @@
         self.endpoints = {f"s{i}": SimulatedEndpoint() for i in range(endpoints)}
         self.tenth = max(endpoints // 10, 1)
         self.requests, self.served, self.rejected, self.warming_attempts = 0, 0, 0, 0
-        self.worst_excess = -math.inf
+        self.max_excess = -math.inf
         self._rate_per_s = rate_per_s
-        self._added = 0
+        self._added_endpoints = 0
         self.balancers = [SimulatedBalancer(self, 0.0) for _ in range(balancers)]
         self._spread_requests(load * endpoints * rate_per_s / 1_000, skewed=skewed)
         for balancer in self.balancers:
@@ -186,14 +186,14 @@
     # ---- changes --------------------------------------------------------------------------------
 
     def add_endpoints(self, count: int) -> None:
-        names = [f"n{self._added + i}" for i in range(count)]
-        self._added += count
+        names = [f"n{self._added_endpoints + i}" for i in range(count)]
+        self._added_endpoints += count
         self._start_processes(names)
 
     def remove_endpoints(self, names: list[str]) -> None:
         for name in names:
             self.endpoints[name].is_ready = False
-        self._announce(names)
+        self._send_update(names)
 
     def restart_endpoints(self, names: list[str]) -> None:
         """The same names, as new processes."""
@@ -201,9 +201,9 @@
 
     def replace_endpoints(self, steps: int, interval_ms: float) -> None:
         """In each step a tenth of the endpoints goes and as many new ones come; the oldest go first."""
-        old = list(self.endpoints)
+        old_names = list(self.endpoints)
         for step in range(steps):
-            self.remove_endpoints(old[step * self.tenth : (step + 1) * self.tenth])
+            self.remove_endpoints(old_names[step * self.tenth : (step + 1) * self.tenth])
             self.add_endpoints(self.tenth)
             self.run(interval_ms)
 
@@ -222,9 +222,9 @@
     def _start_processes(self, names: list[str]) -> None:
         for name in names:
             self.endpoints[name] = SimulatedEndpoint(self.clock.now)
-        self._announce(names)
+        self._send_update(names)
 
-    def _announce(self, names: list[str]) -> None:
+    def _send_update(self, names: list[str]) -> None:
         """Send all balancers the present entries of some endpoints."""
         update = EndpointListUpdate(EndpointListKind.DELTA, tuple(map(self._entry, names)))
         for balancer in self.balancers:
@@ -240,7 +240,7 @@
 
     # ---- attempts -------------------------------------------------------------------------------
 
-    def attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
+    def receive_attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
         """An attempt arrives at an endpoint now: how long it will take, and how it will end."""
         endpoint = self.endpoints[name]
         assert endpoint.is_ready, "sent to an endpoint that has been removed"
@@ -248,7 +248,7 @@
         if capacity < 1:
             self._count_warming_attempt(endpoint, work, capacity)
         if endpoint.outcome is not Outcome.SUCCEEDED:
-            return FAILURE_MS, endpoint.outcome
+            return FAILURE_DURATION_MS, endpoint.outcome
         now = self.clock.now
         endpoint.idle_at_ms = max(endpoint.idle_at_ms, now) + 1_000 / self._rate_per_s * work / capacity
         duration_ms = endpoint.idle_at_ms - now
@@ -274,4 +274,4 @@
         factor = self.settings.slow_start_overload_factor
         limit = factor * capacity * self._rate_per_s * window_ms / 1_000
         slack = 2 * math.sqrt(limit) + 2
-        self.worst_excess = max(self.worst_excess, (endpoint.work_in_window - limit) / slack)
+        self.max_excess = max(self.max_excess, (endpoint.work_in_window - limit) / slack)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -14,12 +14,12 @@
     PAY,
     READ,
     PolicyHarness,
+    after_startup,
+    after_startup_without_baseline,
     apply_load,
     endpoint_list,
     first_endpoint,
     send_until_shed,
-    settled,
-    settled_without_baseline,
     started_attempts,
 )
 
@@ -41,9 +41,9 @@
     return admitted
 
 
-def test_a_burst_is_shed_before_endpoints_are_overloaded_and_admitted_as_requests_finish() -> None:
+def test_a_burst_above_the_limit_is_shed() -> None:
     """A limit on a mean over seconds admitted complete bursts, and overloaded endpoints stay slow."""
-    harness = settled(PolicyHarness(4, balancers=2))
+    harness = after_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
     assert 10 <= len(in_flight) <= 20, "eight for each of four endpoints, half of them for the other balancer"
     logs = [a for a in harness.actions if isinstance(a, LogMessage) and "shedding" in a.text]
@@ -55,9 +55,9 @@
 
 
 @pytest.mark.parametrize("duration_ms", [50.0, 950.0])
-def test_large_requests_are_no_overload_while_few_are_in_flight(duration_ms: float) -> None:
+def test_a_few_large_requests_are_no_overload(duration_ms: float) -> None:
     """A limit on latency shed half of the important requests while endpoints were half idle."""
-    harness = settled_without_baseline(PolicyHarness(4, balancers=2))
+    harness = after_startup_without_baseline(PolicyHarness(4, balancers=2))
     in_flight: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = harness.request()
@@ -76,7 +76,7 @@
     assert count_admitted(harness, 50.0, READ, 40) == 40
 
 
-def test_shedding_ends_within_seconds_of_the_overload() -> None:
+def test_shedding_ends_soon_after_the_overload() -> None:
     """A limit that rose with each response stayed low: it admitted few requests, so responses were few."""
     harness = PolicyHarness(8)
     apply_load(harness, 950.0, (READ, None))
@@ -89,7 +89,7 @@
     assert count_admitted(PolicyHarness(2, tier=1), 950.0, READ, 100) == 100
 
 
-def test_one_of_many_balancers_may_have_more_than_two_requests_in_flight() -> None:
+def test_the_limit_of_one_of_many_balancers_has_a_minimum() -> None:
     """With hundreds of balancers, each one's part of the limit is less than one request."""
     harness = PolicyHarness(8, balancers=400)
     assert all(started_attempts(harness.request()[1]) for _ in range(8))
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
-def test_the_limit_on_requests_in_flight_does_not_grow_with_the_number_of_balancers(balancers: int) -> None:
+def test_the_total_limit_is_independent_of_the_balancer_count(balancers: int) -> None:
     """A minimum of eight for each balancer added up to 11 for each endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
@@ -125,9 +125,7 @@
 
 
 @pytest.mark.parametrize(("change", "limit"), [({}, 48), ({"started_at_ms": 1_000.0}, 29)])
-def test_warming_endpoints_raise_the_limit_by_what_they_can_serve_only(
-    change: dict[str, float], limit: int
-) -> None:
+def test_warming_endpoints_raise_the_limit_in_part(change: dict[str, float], limit: int) -> None:
     """Counted in full, warming endpoints raised the limit for requests that went to overloaded warm ones."""
     harness = PolicyHarness(6)
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, **change)[3:])
@@ -135,9 +133,9 @@
     assert len(send_until_shed(harness)) == 0
 
 
-def test_endpoints_that_fail_all_requests_do_not_raise_the_limit() -> None:
+def test_unreachable_endpoints_do_not_raise_the_limit() -> None:
     """Until the list showed the loss of a zone, requests admitted for its endpoints went to the others."""
-    harness = settled(PolicyHarness(6, max_attempts=1))
+    harness = after_startup(PolicyHarness(6, max_attempts=1))
     in_flight = send_until_shed(harness)
     for request, endpoint in in_flight:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
@@ -145,12 +143,12 @@
         request, actions = harness.request()
         endpoint = first_endpoint(actions)
         harness.now += 20
-        lost = endpoint in ("s0", "s1", "s2")
-        harness.finish(request, 0, endpoint, Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED)
+        is_unreachable = endpoint in ("s0", "s1", "s2")
+        harness.finish(request, 0, endpoint, Outcome.CONNECT_FAILED if is_unreachable else Outcome.SUCCEEDED)
     assert len(send_until_shed(harness)) < 0.6 * len(in_flight)
 
 
-def test_requests_at_draining_endpoints_do_not_count_against_the_limit() -> None:
+def test_attempts_at_draining_endpoints_are_not_counted() -> None:
     """During a rollout, requests in flight at draining endpoints used up the limit of the others."""
     harness = PolicyHarness(6)
     endpoints = [first_endpoint(harness.request()[1]) for _ in range(24)]
@@ -161,7 +159,7 @@
     )
 
 
-def test_the_limit_holds_where_all_endpoints_fail() -> None:
+def test_the_limit_holds_when_all_endpoints_fail() -> None:
     """With no endpoint eligible nothing was counted against the limit: all requests were admitted."""
     harness = PolicyHarness(4)
     for _ in range(60):
@@ -171,7 +169,7 @@
     assert 0 < len(send_until_shed(harness)) <= 9
 
 
-def test_a_random_peak_at_one_of_many_balancers_is_no_overload() -> None:
+def test_a_random_peak_is_no_overload() -> None:
     """A twelfth of the requests within quota was rejected for a momentary peak at one of seven balancers."""
     harness = PolicyHarness(10, balancers=7)
     for _ in range(50):
@@ -180,7 +178,7 @@
 
 
 @pytest.mark.parametrize(("limit", "expected"), [(0.0, 0.0), (10.0, 10.0), (2_000.0, 40.0)])
-def test_a_rejection_gives_retry_after_where_the_settings_allow(limit: float, expected: float) -> None:
+def test_retry_after_is_limited_by_the_settings(limit: float, expected: float) -> None:
     harness = PolicyHarness(4, max_retry_after_ms=limit)
     for _ in range(500):
         harness.serve(duration_ms=40.0)
@@ -190,9 +188,7 @@
 
 
 @pytest.mark.parametrize(("duration_ms", "all_admitted"), [(150.0, True), (1_500.0, False)])
-def test_overload_behind_the_endpoints_shows_in_response_times(
-    duration_ms: float, *, all_admitted: bool
-) -> None:
+def test_overload_behind_the_endpoints_sheds_load(duration_ms: float, *, all_admitted: bool) -> None:
     """The limit by capacity counts the endpoints alone: it let the tier behind them become overloaded."""
     harness = PolicyHarness(60, balancers=6)
     harness.now = 1_700_000_000_000.0  # Unix time, as in service: the first estimates must survive rounding
@@ -202,7 +198,7 @@
     assert admitted > 200
 
 
-def test_the_baseline_service_time_is_learned_at_idle_endpoints() -> None:
+def test_the_baseline_is_learned_at_idle_endpoints() -> None:
     """Large requests at idle endpoints are no overload, even if they take most of their latency objective."""
     harness = PolicyHarness(60, balancers=6)
     for _ in range(20):
@@ -210,7 +206,7 @@
     assert apply_load(harness, 900.0, (READ, None), rounds=600)["read"] > 540, "but for the first second"
 
 
-def test_balancers_that_start_together_do_not_fill_the_limit_before_the_first_responses() -> None:
+def test_a_new_balancer_starts_below_the_limit() -> None:
     """Each admitted all requests of its first second, which overloaded the tier behind the endpoints."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -10,9 +10,9 @@
     PAY,
     READ,
     PolicyHarness,
+    after_startup,
     apply_load,
     send_until_shed,
-    settled,
     started_attempts,
 )
 
@@ -42,7 +42,7 @@
     assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "kept free by the lower priority"
 
 
-def test_a_class_of_low_priority_weight_is_not_shed_like_requests_over_quota() -> None:
+def test_low_priority_is_not_shed_like_over_quota() -> None:
     """An eighth of the largest weight gave it almost the limit of weight zero: a third of it was rejected."""
     low, high = (
         replace(request_class, priority_weight=weight)
@@ -50,22 +50,22 @@
     )
     admitted = {
         request_class: len(
-            send_until_shed(settled(PolicyHarness(4, classes=(READ, low, high))), request_class)
+            send_until_shed(after_startup(PolicyHarness(4, classes=(READ, low, high))), request_class)
         )
         for request_class in (low, high)
     }
     assert 0.7 * admitted[high] < admitted[low] < admitted[high]
 
 
-def test_a_tenant_over_its_quota_is_shed_before_the_others() -> None:
+def test_a_tenant_over_quota_is_shed_first() -> None:
     harness = PolicyHarness(4, tenants=(Tenant("big", 0.1), Tenant("small", 500.0)), over_quota_weight=0.1)
     admitted = apply_load(harness, 600.0, (READ, "big"), (READ, "small"))
     assert admitted["small"] > 1.5 * admitted["big"] > 0
 
 
-def test_a_rejected_request_does_not_use_up_quota() -> None:
+def test_a_rejected_request_spends_no_quota() -> None:
     """Clients retry rejected requests: one that was shed in an overload spent two tokens of the quota."""
-    harness = settled(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
+    harness = after_startup(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     in_flight = send_until_shed(harness)
     for _ in range(20):
         assert not started_attempts(harness.request(tenant="small")[1])
@@ -76,7 +76,7 @@
     )
 
 
-def test_a_late_client_retry_is_shed_before_requests_still_in_time() -> None:
+def test_a_late_client_retry_is_shed_first() -> None:
     """Client retries past the latency objective, which have no value, ranked as high as first attempts."""
     harness = PolicyHarness(4)
     assert started_attempts(harness.request(remaining_ms=1_900)[1]), "nothing else asks for the capacity"
@@ -88,7 +88,7 @@
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
 
-def test_a_first_request_with_a_fraction_of_the_deadline_is_no_late_retry() -> None:
+def test_a_short_client_timeout_is_no_late_retry() -> None:
     """Each first attempt of clients that wait for six tenths of the deadline was taken for a late retry."""
     admitted = {}
     for remaining in (1_800.0, 3_000.0):
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -23,8 +23,8 @@
     PolicyHarness,
     endpoint_list,
     first_endpoint,
+    make_settings,
     serve_many,
-    settings,
     started_attempts,
 )
 
@@ -35,7 +35,7 @@
 TIMEOUT_MS = 1_000.0  # the latency objective of PAY, whose late responses have no value
 
 
-def test_one_slow_response_does_not_ruin_a_capacity_estimate() -> None:
+def test_one_slow_response_hardly_changes_an_estimate() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 100)
     request, actions = harness.request()
@@ -46,7 +46,7 @@
     assert counts[slow] > 10
 
 
-def test_an_unresponsive_endpoint_loses_capacity_before_its_first_timeout() -> None:
+def test_an_unresponsive_endpoint_loses_capacity_before_a_timeout() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 100)
     first = first_endpoint(harness.request()[1])
@@ -57,17 +57,17 @@
 
 def recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
     """Build the attempt recorder of a balancer that knows one endpoint, and the evidence on it."""
-    configured = settings()
-    endpoints = EndpointSet(configured, Random(1))
+    settings = make_settings()
+    endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
-    available = AvailableCapacity(endpoints, BalancerCountEstimator(configured, ArrivalRate(configured)))
+    available = AvailableCapacity(endpoints, BalancerCountEstimator(settings, ArrivalRate(settings)))
     recorder = AttemptRecorder(
-        ServiceTimes(configured), SustainableConcurrency(available), IdleConnectionLimit(), available
+        ServiceTimes(settings), SustainableConcurrency(available), IdleConnectionLimit(), available
     )
     return recorder, endpoints.by_name["s0"]
 
 
-def test_a_failed_attempt_counts_its_full_timeout_as_busy_time() -> None:
+def test_a_failed_attempt_adds_its_timeout_to_busy_time() -> None:
     """A fast failure must not look like a fast response, nor like a request in flight."""
     recorder, endpoint = recorder_and_endpoint()
     attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
@@ -78,7 +78,7 @@
     assert endpoint.served_work == 0
 
 
-def test_a_fast_failure_takes_requests_from_an_endpoint() -> None:
+def test_a_fast_failing_endpoint_gets_fewer_requests() -> None:
     """A fast failure counted as a fast response draws half of the requests to the endpoint that fails."""
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 20)
@@ -91,7 +91,7 @@
     assert counts[failed] <= 10, "1,200 of the 1,400 ms that attempts spent anywhere were spent there"
 
 
-def test_large_requests_by_their_cost_hint_do_not_make_an_endpoint_look_slow() -> None:
+def test_large_cost_hints_do_not_lower_capacity() -> None:
     """Heavy-tailed work that counted as one request each made capacity estimates fluctuate."""
     recorder, endpoint = recorder_and_endpoint()
     cost_hints, now = CostHints(), START_MS
@@ -105,7 +105,7 @@
     assert endpoint.served_work / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
-def test_evidence_on_an_endpoint_lasts_until_its_next_request_at_a_low_rate() -> None:
+def test_evidence_lasts_longer_at_a_low_request_rate() -> None:
     """With a time constant of 6 s, one of hundreds of balancers drew slow endpoints as often as fast ones."""
     harness = PolicyHarness(12)
     slow = "s3"
--- a/tests/policy/test_deploy_file.py
+++ b/tests/policy/test_deploy_file.py
@@ -9,7 +9,7 @@
 MODULES = sorted((ROOT / "loadbalancer" / "policy").glob("*.py"))
 
 
-def test_the_first_line_of_the_policy_names_the_module_of_its_events() -> None:
+def test_the_entry_module_names_the_events_module() -> None:
     """A reader begins there, and has to find the interface."""
     first_line = (ROOT / "loadbalancer/policy/balancer.py").read_text(encoding="utf-8").splitlines()[0]
     assert "loadbalancer/events.py" in first_line
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -9,11 +9,11 @@
 from loadbalancer.events import EndpointListKind, EndpointListUpdate, RequestReceived, TimerFired
 from loadbalancer.policy.balancer import LoadBalancer
 from loadbalancer.settings import Settings
-from tests.policy.helpers import READ, PolicyHarness, of_type
+from tests.policy.helpers import READ, PolicyHarness, actions_of_type
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_endpoints_that_drain_or_are_removed_get_no_requests(state: EndpointState) -> None:
+def test_draining_and_removed_endpoints_get_no_requests(state: EndpointState) -> None:
     harness = PolicyHarness(2)
     harness.update_endpoints(Endpoint("s0", state), kind=EndpointListKind.DELTA)
     assert {harness.serve() for _ in range(30)} == {"s1"}
@@ -25,14 +25,14 @@
     assert {harness.serve() for _ in range(30)} == {"s1"}
 
 
-def test_the_endpoint_list_is_polled_at_once_and_after_failures_with_jitter() -> None:
+def test_polls_start_at_once_and_repeat_with_jitter() -> None:
     firing_times = set()
     for seed in range(4):
         harness = PolicyHarness(2, seed=seed, polls_discovery=True)
-        assert of_type(harness.actions, WatchEndpoints) == [WatchEndpoints()]
+        assert actions_of_type(harness.actions, WatchEndpoints) == [WatchEndpoints()]
         actions = harness.handle(EndpointListUpdate(EndpointListKind.FAILED))
         assert any(isinstance(a, LogMessage) for a in actions)
-        timer = of_type(actions, SetTimer)[0]
+        timer = actions_of_type(actions, SetTimer)[0]
         assert isinstance(timer, SetTimer)
         assert timer.at_ms < harness.now + 5_000
         firing_times.add(timer.at_ms)
@@ -44,6 +44,6 @@
         assert not any(isinstance(a, LogMessage) for a in actions)
 
 
-def test_a_balancer_needs_no_endpoint_list_to_start() -> None:
+def test_a_balancer_starts_without_an_endpoint_list() -> None:
     balancer = LoadBalancer(Settings(classes=(READ,), polls_discovery=True), 1)
     assert WatchEndpoints() in balancer.handle(RequestReceived(1, "read", 500), 0.0)
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -20,7 +20,7 @@
     TimerFired,
 )
 from loadbalancer.timers import HedgeTimer
-from tests.policy.helpers import PAY, PolicyHarness, first_endpoint, of_type, started_attempts
+from tests.policy.helpers import PAY, PolicyHarness, actions_of_type, first_endpoint, started_attempts
 
 
 def test_without_endpoints_a_request_is_rejected_at_once() -> None:
@@ -43,12 +43,12 @@
     harness = PolicyHarness(2)
     request, actions = harness.request(PAY, remaining_ms=300)
     harness.now += 300
-    assert of_type(harness.finish(request, 0, first_endpoint(actions), Outcome.TIMED_OUT), FailRequest) == [
-        FailRequest(request)
-    ]
+    assert actions_of_type(
+        harness.finish(request, 0, first_endpoint(actions), Outcome.TIMED_OUT), FailRequest
+    ) == [FailRequest(request)]
 
 
-def test_late_events_are_ignored_and_impossible_ones_raise() -> None:
+def test_late_events_are_ignored_and_invalid_ones_raise() -> None:
     harness = PolicyHarness(2)
     assert harness.handle(ClientDisconnected(99)) == []
     assert harness.handle(TimerFired(HedgeTimer(99))) == []
@@ -71,7 +71,7 @@
     assert (unknown_class.value.request_id, unknown_class.value.class_name) == (12345, "nosuch")
 
 
-def test_all_errors_of_the_policy_have_one_base_and_are_value_errors() -> None:
+def test_policy_errors_share_their_base_classes() -> None:
     for error in (DuplicateRequestError, UnknownClassError, UnknownRequestError):
         assert issubclass(error, LoadBalancerError)
         assert issubclass(error, ValueError)
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -10,12 +10,12 @@
 from loadbalancer.events import Outcome, TimerFired
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 from tests.policy.helpers import (
-    ORDER,
+    CELL_ORDER,
     PAY,
     READ,
     PolicyHarness,
+    actions_of_type,
     first_endpoint,
-    of_type,
     serve_many,
     started_attempts,
 )
@@ -25,14 +25,12 @@
 
 
 @pytest.mark.parametrize("tier", [0, 1])
-@pytest.mark.parametrize("request_class", [READ, ORDER])
-def test_an_unresponsive_endpoint_costs_an_idempotent_request_one_hedged_attempt(
-    request_class: RequestClass, tier: int
-) -> None:
+@pytest.mark.parametrize("request_class", [READ, CELL_ORDER])
+def test_an_unresponsive_endpoint_triggers_one_hedged_attempt(request_class: RequestClass, tier: int) -> None:
     harness = PolicyHarness(4, tier=tier)
     serve_many(harness, dict.fromkeys(("s0", "s1", "s2", "s3"), 50.0), 50)
     request, actions = harness.request(request_class)
-    first, timer = started_attempts(actions)[0], of_type(actions, SetTimer)[0]
+    first, timer = started_attempts(actions)[0], actions_of_type(actions, SetTimer)[0]
     assert first.timeout_ms == pytest.approx(1_000)
     assert isinstance(timer, SetTimer)
     assert timer.at_ms < harness.now + 501
@@ -49,10 +47,10 @@
     assert CancelAttempt(request, 0) in harness.finish(request, 1, hedged.endpoint, Outcome.SUCCEEDED)
 
 
-def test_no_hedged_attempt_where_a_request_must_not_run_twice_or_hedging_is_off() -> None:
-    assert not of_type(PolicyHarness(4).request(PAY)[1], SetTimer)
+def test_hedging_needs_idempotency_and_permission() -> None:
+    assert not actions_of_type(PolicyHarness(4).request(PAY)[1], SetTimer)
     actions = PolicyHarness(4, may_hedge=False).request(READ)[1]
-    assert not of_type(actions, SetTimer)
+    assert not actions_of_type(actions, SetTimer)
     assert started_attempts(actions)[0].timeout_ms == pytest.approx(1_000), (
         "cut short, the work done so far is lost"
     )
@@ -72,7 +70,7 @@
     assert not started_attempts(harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED))
 
 
-def test_a_request_never_has_two_attempts_in_flight_unless_hedging_is_allowed() -> None:
+def test_without_hedging_a_timer_starts_no_attempt() -> None:
     harness = PolicyHarness(4, may_hedge=False)
     request, _ = harness.request()
     for timer in (HedgeTimer(request), EndpointListTimer(), HedgeTimer(99)):
@@ -80,7 +78,7 @@
         assert started_attempts(harness.handle(TimerFired(timer))) == []
 
 
-def test_a_large_request_by_its_cost_hint_is_hedged_later() -> None:
+def test_a_larger_cost_hint_delays_hedging() -> None:
     harness = PolicyHarness(4)
     for _ in range(60):
         request, actions = harness.request(cost_hint_ms=10.0)
@@ -88,7 +86,7 @@
         harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
 
     def hedge_delay_ms(hint: float) -> float:
-        timer = of_type(harness.request(cost_hint_ms=hint)[1], SetTimer)[0]
+        timer = actions_of_type(harness.request(cost_hint_ms=hint)[1], SetTimer)[0]
         assert isinstance(timer, SetTimer)
         return timer.at_ms - harness.now
 
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -10,10 +10,17 @@
 from loadbalancer.endpoints import Endpoint
 from loadbalancer.events import EndpointListKind, Outcome
 from loadbalancer.settings import RequestClass
-from tests.policy.helpers import ANYWHERE, ORDER, PAY, PolicyHarness, first_endpoint, started_attempts
+from tests.policy.helpers import (
+    CELL_ORDER,
+    GLOBAL_ORDER,
+    PAY,
+    PolicyHarness,
+    first_endpoint,
+    started_attempts,
+)
 
 
-def test_a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() -> None:
+def test_a_non_idempotent_request_is_retried_only_if_unprocessed() -> None:
     harness = PolicyHarness(4)
     request, actions = harness.request(PAY)
     retries = started_attempts(harness.finish(request, 0, first_endpoint(actions), Outcome.REJECTED))
@@ -24,7 +31,7 @@
 def test_a_keyed_retry_stays_in_its_cell_and_window() -> None:
     harness = PolicyHarness(6)
     for _ in range(20):
-        request, actions = harness.request(ORDER)
+        request, actions = harness.request(CELL_ORDER)
         if not started_attempts(actions):
             continue  # errors shed load
         first = first_endpoint(actions)
@@ -33,19 +40,20 @@
             assert int(retries[0].endpoint[1]) // 2 == int(first[1]) // 2
         harness.now += 100
     harness = PolicyHarness(
-        6, classes=(RequestClass("order", 5_000, 9_000, ORDER.idempotency, ORDER.idempotency_scope, 2_000),)
+        6,
+        classes=(
+            RequestClass("order", 5_000, 9_000, CELL_ORDER.idempotency, CELL_ORDER.idempotency_scope, 2_000),
+        ),
     )
-    request, actions = harness.request(ORDER, remaining_ms=9_000)
+    request, actions = harness.request(CELL_ORDER, remaining_ms=9_000)
     harness.now += 2_000
     assert harness.finish(request, 0, first_endpoint(actions), Outcome.ERROR) == [FailRequest(request)]
 
 
 @pytest.mark.parametrize(("after_ms", "retries"), [(1_600.0, 1), (1_750.0, 0)])
-def test_a_keyed_retry_is_not_made_where_its_connection_may_come_up_too_late(
-    after_ms: float, retries: int
-) -> None:
+def test_the_connect_timeout_shortens_the_retry_window(after_ms: float, retries: int) -> None:
     """A connect of up to 300 ms began inside the window of 2,000 ms, and the retry arrived after it."""
-    order = replace(ANYWHERE, latency_objective_ms=5_000, deadline_ms=9_000)
+    order = replace(GLOBAL_ORDER, latency_objective_ms=5_000, deadline_ms=9_000)
     harness = PolicyHarness(6, classes=(order,), connect_timeout_ms=300.0)
     request, actions = harness.request(order, remaining_ms=9_000)
     harness.now += after_ms
@@ -54,9 +62,9 @@
     )
 
 
-def test_an_endpoint_that_has_restarted_since_gets_no_keyed_retry() -> None:
+def test_a_restarted_endpoint_gets_no_keyed_retry() -> None:
     harness = PolicyHarness(2, slow_start_ms=0)
-    request, actions = harness.request(ANYWHERE)
+    request, actions = harness.request(GLOBAL_ORDER)
     first = first_endpoint(actions)
     harness.now += 50
     other = "s1" if first == "s0" else "s0"
@@ -65,11 +73,11 @@
     assert [a.endpoint for a in retries] in ([], [first])
 
 
-def test_a_keyed_retry_stays_in_its_cell_even_outside_the_subset() -> None:
+def test_a_keyed_retry_stays_in_its_cell_outside_the_subset() -> None:
     harness = PolicyHarness(60, balancers=3_000)
     other_endpoints = 0
     for _ in range(60):
-        request, actions = harness.request(ORDER)
+        request, actions = harness.request(CELL_ORDER)
         if started_attempts(actions):
             first = int(first_endpoint(actions)[1:])
             retries = started_attempts(harness.finish(request, 0, first_endpoint(actions), Outcome.ERROR))
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -31,7 +31,7 @@
 )
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed.virtual_clock import VirtualClock
-from tests.policy.helpers import CLASSES, settings
+from tests.policy.helpers import CLASSES, make_settings
 from tests.policy.rule_checker import NEVER_RAN, FinalResponse, RuleChecker, TrackedRequest
 
 if TYPE_CHECKING:
@@ -50,17 +50,17 @@
     """Plays random events against one balancer; the checker judges each action as it comes."""
 
     def __init__(self, seed: int, **changes: object) -> None:
-        self.settings: Settings = settings(**({"tier": 1} | changes))
+        self.settings: Settings = make_settings(**({"tier": 1} | changes))
         self.responses: Counter[FinalResponse] = Counter()
         self.retries = 0
         self._random = random.Random(seed)
         self._clock = VirtualClock(START_MS)
         self._endpoints = {f"s{i}": Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 3) for i in range(6)}
         self._last_request_id = 0
-        self._lists_refilled = 0
+        self._refills = 0
         self._restart()
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         for _ in range(steps):
             self._clock.run_until(self._clock.now + self._random.expovariate(1 / MEAN_STEP_MS))
             self._checker.check_overdue(self._clock.now)
@@ -68,9 +68,9 @@
             if choice < 0.004:
                 self._restart()
             elif choice < 0.016:
-                self._change_an_endpoint()
+                self._change_endpoint()
             elif choice < 0.022:
-                self._shorten_or_refill_the_list()
+                self._shorten_or_refill_list()
             else:
                 self._receive_request()
 
@@ -111,15 +111,15 @@
         attempt_index = self._checker.start_attempt(request_id, name, now)
         self.retries += attempt_index > 0
         remaining_ms = self._checker.requests[request_id].deadline_ms - now
-        limit_ms = min(remaining_ms, timeout_ms) if timeout_ms > 0 else remaining_ms
-        duration_ms, outcome = self._draw_attempt(limit_ms)
+        max_duration_ms = min(remaining_ms, timeout_ms) if timeout_ms > 0 else remaining_ms
+        duration_ms, outcome = self._draw_attempt_result(max_duration_ms)
         self._schedule_attempt_end(now + duration_ms, request_id, attempt_index, outcome)
 
-    def _draw_attempt(self, limit_ms: float) -> tuple[float, Outcome]:
+    def _draw_attempt_result(self, max_duration_ms: float) -> tuple[float, Outcome]:
         duration_ms = self._random.expovariate(1 / MEAN_ATTEMPT_MS)
         choice = self._random.random()
-        if choice >= 0.9 or duration_ms >= limit_ms:
-            return limit_ms, Outcome.TIMED_OUT
+        if choice >= 0.9 or duration_ms >= max_duration_ms:
+            return max_duration_ms, Outcome.TIMED_OUT
         if choice < 0.6:
             return duration_ms, Outcome.SUCCEEDED
         return duration_ms, self._random.choice(NEVER_RAN if choice < 0.75 else MAY_HAVE_RUN)
@@ -135,8 +135,8 @@
         self._checker.requests[request_id] = TrackedRequest(request_class, now + remaining_ms)
         self._handle(RequestReceived(request_id, request_class.name, remaining_ms))
         if self._random.random() < 0.05:
-            leaves_at_ms = now + self._random.random() * remaining_ms
-            self._clock.schedule(leaves_at_ms, self._disconnect, request_id)
+            disconnects_at_ms = now + self._random.random() * remaining_ms
+            self._clock.schedule(disconnects_at_ms, self._disconnect, request_id)
 
     def _disconnect(self, request_id: int) -> None:
         request = self._checker.requests[request_id]
@@ -154,7 +154,7 @@
     def _finish_attempt(self, event: AttemptFinished) -> None:
         request_id, attempt_index = event.request_id, event.attempt_index
         if self._checker.finish_attempt(request_id, attempt_index, event.outcome, self._clock.now):
-            is_request_complete = self._checker.requests[request_id].is_settled
+            is_request_complete = self._checker.requests[request_id].is_complete
             self._handle(replace(event, is_request_complete=is_request_complete))
 
     def _fail_watch(self, _: None) -> None:
@@ -166,7 +166,7 @@
     def _endpoint_list(self, kind: EndpointListKind) -> EndpointListUpdate:
         return EndpointListUpdate(kind, tuple(self._endpoints.values()))
 
-    def _change_an_endpoint(self) -> None:
+    def _change_endpoint(self) -> None:
         name = self._random.choice(list(self._endpoints))
         old = self._endpoints[name]
         choice = self._random.random()
@@ -176,11 +176,11 @@
             new = replace(old, state=EndpointState.REMOVED)
         else:
             new = replace(old, state=EndpointState.READY, started_at_ms=self._clock.now)
-            self._checker.forget_process(name)
+            self._checker.reset_endpoint(name)
         self._endpoints[name] = new
         self._handle(EndpointListUpdate(EndpointListKind.DELTA, (new,)))
 
-    def _shorten_or_refill_the_list(self) -> None:
+    def _shorten_or_refill_list(self) -> None:
         if len(self._endpoints) > 3:
             del self._endpoints[self._random.choice(list(self._endpoints))]
         else:
@@ -188,10 +188,10 @@
         self._send_endpoint_list(None)
 
     def _add_endpoints(self, count: int) -> None:
-        self._lists_refilled += 1
-        first_cell = 100 * self._lists_refilled  # cells of their own
+        self._refills += 1
+        first_cell = 100 * self._refills  # cells of their own
         for i in range(count):
-            name = f"n{self._lists_refilled}-{i}"
+            name = f"n{self._refills}-{i}"
             self._endpoints[name] = Endpoint(name, zone=f"z{i % 2}", cell=first_cell + i // 2)
 
 
@@ -210,7 +210,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_the_rules_hold_under_random_events(variant: int, seed: int) -> None:
     workload = RandomWorkload(seed, **VARIANTS[variant])
-    workload.play(1_500)
+    workload.run(1_500)
     responses = workload.responses
     assert responses[FinalResponse.SERVED] > 60, "a run in which nothing is served checks nothing"
     assert responses[FinalResponse.FAILED] + responses[FinalResponse.REJECTED] > 20
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.actions import CloseIdleConnections
 from loadbalancer.events import Outcome
-from tests.policy.helpers import PAY, PolicyHarness, first_endpoint, of_type
+from tests.policy.helpers import PAY, PolicyHarness, actions_of_type, first_endpoint
 
 
 def closes_idle_connections(harness: PolicyHarness, interval_ms: float) -> bool:
@@ -13,10 +13,10 @@
     request, actions = harness.request(PAY)
     harness.now += 20
     harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
-    return bool(of_type(actions, CloseIdleConnections))
+    return bool(actions_of_type(actions, CloseIdleConnections))
 
 
-def test_connections_that_break_when_idle_are_closed_before_that() -> None:
+def test_the_idle_limit_is_learned_from_unanswered_attempts() -> None:
     """Connections dropped silently after a second without use cost each later attempt its full timeout."""
     harness = PolicyHarness(1, tier=1)  # nothing is shed there
     for _ in range(20):
@@ -26,7 +26,7 @@
         closes_idle_connections(harness, 10.0)
         harness.now += 1_500
         request, actions = harness.request(PAY)
-        assert not of_type(actions, CloseIdleConnections)
+        assert not actions_of_type(actions, CloseIdleConnections)
         harness.now += 1_000
         harness.finish(request, 0, "s0", Outcome.TIMED_OUT)
     closes_idle_connections(harness, 10.0)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -20,7 +20,7 @@
     return counts
 
 
-def test_a_fast_failing_endpoint_does_not_look_idle() -> None:
+def test_a_fast_failing_endpoint_does_not_attract_requests() -> None:
     assert count_while_s0_fails(PolicyHarness(2, tier=1), 60)["s0"] < 10
 
 
@@ -31,7 +31,7 @@
     assert counts["s0"] > 10
 
 
-def test_an_unreachable_endpoint_is_ejected_though_it_served_well_before() -> None:
+def test_past_successes_do_not_delay_an_ejection() -> None:
     """Endpoints of a lost zone got requests as long as their earlier successes outweighed the failures."""
     harness = PolicyHarness(5, seed=3)
     for _ in range(200):
@@ -42,11 +42,13 @@
         endpoint = first_endpoint(actions)
         counts[endpoint] += 1
         harness.now += 5
-        lost = endpoint in ("s0", "s1", "s2")
-        actions = harness.finish(request, 0, endpoint, Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED)
-        for send in started_attempts(actions):
+        is_unreachable = endpoint in ("s0", "s1", "s2")
+        actions = harness.finish(
+            request, 0, endpoint, Outcome.CONNECT_FAILED if is_unreachable else Outcome.SUCCEEDED
+        )
+        for attempt in started_attempts(actions):
             harness.handle(ClientDisconnected(request))
-            harness.finish(request, 1, send.endpoint, Outcome.CANCELLED)
+            harness.finish(request, 1, attempt.endpoint, Outcome.CANCELLED)
     assert counts["s0"] + counts["s1"] + counts["s2"] <= 8, (
         "more than half of the endpoints, yet each is certainly unreachable"
     )
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -9,10 +9,18 @@
 
 from loadbalancer.actions import SetTimer
 from loadbalancer.events import AttemptFinished, ClientDisconnected, Outcome, TimerFired
-from loadbalancer.policy import retry as policy
+from loadbalancer.policy import retry as retry_policy
 from loadbalancer.policy.overload import OverloadDetector
 from loadbalancer.settings import Idempotency, RequestClass
-from tests.policy.helpers import ANYWHERE, PAY, READ, PolicyHarness, first_endpoint, of_type, started_attempts
+from tests.policy.helpers import (
+    GLOBAL_ORDER,
+    PAY,
+    READ,
+    PolicyHarness,
+    actions_of_type,
+    first_endpoint,
+    started_attempts,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -21,12 +29,12 @@
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
 
 
-def inner_tier(seed: int = 1, *, may_hedge: bool = False) -> PolicyHarness:
+def inner_tier_harness(seed: int = 1, *, may_hedge: bool = False) -> PolicyHarness:
     """A balancer behind the first tier, where nothing is shed, with eight warm endpoints."""
     return PolicyHarness(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
 
 
-def play(
+def send_requests(
     harness: PolicyHarness,
     requests: int,
     outcomes: Iterator[Outcome],
@@ -38,106 +46,121 @@
     for _ in range(requests):
         harness.now += interval_ms
         request, actions = harness.request(request_class)
-        attempt = 0
-        while sends := started_attempts(actions):
+        attempts_made = 0
+        while started := started_attempts(actions):
             harness.now += 5
             outcome = next(outcomes)
-            actions = harness.finish(request, attempt, sends[0].endpoint, outcome)
+            actions = harness.finish(request, attempts_made, started[0].endpoint, outcome)
             responses += outcome is Outcome.SUCCEEDED
-            attempt += 1
-        retries += max(attempt - 1, 0)
+            attempts_made += 1
+        retries += max(attempts_made - 1, 0)
     return retries, responses
 
 
-def with_full_buckets(*, may_hedge: bool = False) -> PolicyHarness:
+def harness_with_full_buckets(*, may_hedge: bool = False) -> PolicyHarness:
     """A balancer with both token buckets full."""
-    harness = inner_tier(may_hedge=may_hedge)
-    play(harness, 100, repeat(Outcome.SUCCEEDED))
+    harness = inner_tier_harness(may_hedge=may_hedge)
+    send_requests(harness, 100, repeat(Outcome.SUCCEEDED))
     return harness
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_with_nothing_served_retries_end_with_the_saved_tokens(outcome: Outcome) -> None:
+def test_without_responses_retries_stop_when_tokens_run_out(outcome: Outcome) -> None:
     """Earned by arrivals they never ended: each tier added a fifth to what the tier above had added."""
-    assert play(with_full_buckets(), 300, repeat(outcome)) == (policy.RETRY_MAX_TOKENS, 0)
+    assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
+        retry_policy.RETRY_MAX_TOKENS,
+        0,
+    )
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
-def test_with_all_endpoints_unreachable_transparent_retries_end_with_the_saved_tokens(
+def test_transparent_retries_stop_when_tokens_run_out(
     outcome: Outcome,
 ) -> None:
     """They were free: each request made all the attempts that it may."""
-    assert play(with_full_buckets(), 300, repeat(outcome)) == (policy.TRANSPARENT_RETRY_MAX_TOKENS, 0)
+    assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
+        retry_policy.TRANSPARENT_RETRY_MAX_TOKENS,
+        0,
+    )
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN[:2])
-def test_two_unreachable_endpoints_of_three_cost_no_request(outcome: Outcome) -> None:
+def test_no_request_fails_with_two_of_three_endpoints_unreachable(outcome: Outcome) -> None:
     """With half of all connections refused, a budget by requests ran out before the successful attempt."""
-    harness = inner_tier()
-    assert play(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
+    harness = inner_tier_harness()
+    assert send_requests(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
 
 def test_one_failed_attempt_in_ten_is_always_retried() -> None:
-    harness = inner_tier()
-    assert play(harness, 900, cycle([Outcome.SUCCEEDED] * 9 + [Outcome.ERROR])) == (99, 900)
+    harness = inner_tier_harness()
+    assert send_requests(harness, 900, cycle([Outcome.SUCCEEDED] * 9 + [Outcome.ERROR])) == (99, 900)
 
 
-def test_retries_are_a_fifth_of_the_responses_where_more_fail() -> None:
+def test_retries_are_limited_to_a_fifth_of_the_responses() -> None:
     """Nine in ten fail: one response in ten attempts or so pays for a fifth of a retry."""
-    harness = inner_tier()
-    retries, responses = play(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
+    harness = inner_tier_harness()
+    retries, responses = send_requests(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert responses > 200
-    paid = policy.RETRY_INITIAL_TOKENS + responses * policy.RETRY_TOKENS_PER_RESPONSE
+    paid = retry_policy.RETRY_INITIAL_TOKENS + responses * retry_policy.RETRY_TOKENS_PER_RESPONSE
     assert paid - 1 <= retries <= paid
 
 
-def test_the_passing_of_time_earns_no_tokens() -> None:
-    harness = with_full_buckets()
-    assert play(harness, 60, repeat(Outcome.ERROR), interval_ms=10_000.0) == (policy.RETRY_MAX_TOKENS, 0)
+def test_time_adds_no_tokens() -> None:
+    harness = harness_with_full_buckets()
+    assert send_requests(harness, 60, repeat(Outcome.ERROR), interval_ms=10_000.0) == (
+        retry_policy.RETRY_MAX_TOKENS,
+        0,
+    )
 
 
 @pytest.mark.parametrize(
     ("outcome", "limit"),
     [
-        (Outcome.ERROR, policy.RETRY_INITIAL_TOKENS),
-        (Outcome.CONNECT_FAILED, policy.TRANSPARENT_RETRY_INITIAL_TOKENS),
+        (Outcome.ERROR, retry_policy.RETRY_INITIAL_TOKENS),
+        (Outcome.CONNECT_FAILED, retry_policy.TRANSPARENT_RETRY_INITIAL_TOKENS),
     ],
 )
-def test_a_new_balancer_has_few_tokens_in_an_outage(outcome: Outcome, limit: float) -> None:
+def test_a_new_balancer_has_only_the_initial_tokens(outcome: Outcome, limit: float) -> None:
     """Thirty balancers that restart during it add thirty times a few tokens, not a full bucket each."""
-    assert policy.RETRY_INITIAL_TOKENS < policy.RETRY_MAX_TOKENS / 2
-    assert sum(play(inner_tier(seed=seed), 50, repeat(outcome))[0] for seed in range(30)) == 30 * limit
+    assert retry_policy.RETRY_INITIAL_TOKENS < retry_policy.RETRY_MAX_TOKENS / 2
+    assert (
+        sum(send_requests(inner_tier_harness(seed=seed), 50, repeat(outcome))[0] for seed in range(30))
+        == 30 * limit
+    )
 
 
-def test_after_an_outage_five_responses_earn_a_retry_and_fifty_fill_the_bucket() -> None:
-    harness = with_full_buckets()
-    play(harness, 100, repeat(Outcome.ERROR))
-    assert play(harness, 4, repeat(Outcome.SUCCEEDED)) == (0, 4)
-    assert play(harness, 1, iter([Outcome.ERROR])) == (0, 0)
-    assert play(harness, 1, repeat(Outcome.SUCCEEDED)) == (0, 1)
-    assert play(harness, 1, iter([Outcome.ERROR, Outcome.SUCCEEDED])) == (1, 1)
-    play(harness, 50, repeat(Outcome.SUCCEEDED))
-    assert play(harness, 100, repeat(Outcome.ERROR)) == (policy.RETRY_MAX_TOKENS, 0)
+def test_responses_refill_the_bucket_after_an_outage() -> None:
+    harness = harness_with_full_buckets()
+    send_requests(harness, 100, repeat(Outcome.ERROR))
+    assert send_requests(harness, 4, repeat(Outcome.SUCCEEDED)) == (0, 4)
+    assert send_requests(harness, 1, iter([Outcome.ERROR])) == (0, 0)
+    assert send_requests(harness, 1, repeat(Outcome.SUCCEEDED)) == (0, 1)
+    assert send_requests(harness, 1, iter([Outcome.ERROR, Outcome.SUCCEEDED])) == (1, 1)
+    send_requests(harness, 50, repeat(Outcome.SUCCEEDED))
+    assert send_requests(harness, 100, repeat(Outcome.ERROR)) == (retry_policy.RETRY_MAX_TOKENS, 0)
 
 
-@pytest.mark.parametrize("request_class", [READ, ANYWHERE], ids=lambda c: c.name)
+@pytest.mark.parametrize("request_class", [READ, GLOBAL_ORDER], ids=lambda c: c.name)
 def test_an_idempotent_class_spends_retry_tokens(request_class: RequestClass) -> None:
-    assert play(with_full_buckets(), 100, repeat(Outcome.ERROR), request_class) == (
-        policy.RETRY_MAX_TOKENS,
+    assert send_requests(harness_with_full_buckets(), 100, repeat(Outcome.ERROR), request_class) == (
+        retry_policy.RETRY_MAX_TOKENS,
         0,
     )
-    assert play(with_full_buckets(), 100, repeat(Outcome.REJECTED), request_class) == (
-        policy.TRANSPARENT_RETRY_MAX_TOKENS,
+    assert send_requests(harness_with_full_buckets(), 100, repeat(Outcome.REJECTED), request_class) == (
+        retry_policy.TRANSPARENT_RETRY_MAX_TOKENS,
         0,
     )
 
 
-def test_a_class_that_is_not_idempotent_spends_transparent_retry_tokens_only() -> None:
+def test_a_non_idempotent_class_spends_no_retry_tokens() -> None:
     assert PAY.idempotency is Idempotency.NOT_IDEMPOTENT
-    harness = with_full_buckets()
-    assert play(harness, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
-    assert play(harness, 100, repeat(Outcome.REJECTED), PAY) == (policy.TRANSPARENT_RETRY_MAX_TOKENS, 0)
-    assert play(harness, 100, repeat(Outcome.ERROR), READ) == (policy.RETRY_MAX_TOKENS, 0), (
+    harness = harness_with_full_buckets()
+    assert send_requests(harness, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
+    assert send_requests(harness, 100, repeat(Outcome.REJECTED), PAY) == (
+        retry_policy.TRANSPARENT_RETRY_MAX_TOKENS,
+        0,
+    )
+    assert send_requests(harness, 100, repeat(Outcome.ERROR), READ) == (retry_policy.RETRY_MAX_TOKENS, 0), (
         "the retry tokens were not touched"
     )
 
@@ -148,7 +171,7 @@
     for _ in range(requests):
         request, actions = harness.request()
         first = first_endpoint(actions)
-        (timer,) = of_type(actions, SetTimer)
+        (timer,) = actions_of_type(actions, SetTimer)
         assert isinstance(timer, SetTimer)
         harness.now = timer.at_ms
         hedged = started_attempts(harness.handle(TimerFired(timer.timer)))
@@ -159,27 +182,27 @@
     return count
 
 
-def test_hedged_attempts_spend_retry_tokens_and_end_with_them(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness = with_full_buckets(may_hedge=True)
+def test_hedged_attempts_spend_retry_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = harness_with_full_buckets(may_hedge=True)
     # Overload holds hedged attempts back, too.
     monkeypatch.setattr(OverloadDetector, "is_overloaded", lambda _, importance, now: False)
-    assert count_hedged_attempts(harness, 40) == policy.RETRY_MAX_TOKENS
+    assert count_hedged_attempts(harness, 40) == retry_policy.RETRY_MAX_TOKENS
 
 
-def test_a_late_response_of_another_attempt_earns_no_token() -> None:
-    harness = inner_tier(may_hedge=True)
-    play(harness, 100, repeat(Outcome.ERROR))
+def test_a_response_after_a_disconnect_adds_no_token() -> None:
+    harness = inner_tier_harness(may_hedge=True)
+    send_requests(harness, 100, repeat(Outcome.ERROR))
     for _ in range(4):
-        play(harness, 1, repeat(Outcome.SUCCEEDED))
+        send_requests(harness, 1, repeat(Outcome.SUCCEEDED))
     request, actions = harness.request()
     first = first_endpoint(actions)
     harness.handle(ClientDisconnected(request))  # without a client no response is final
     harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, is_request_complete=True))
-    assert play(harness, 1, iter([Outcome.ERROR])) == (0, 0), "four responses pay for no retry"
+    assert send_requests(harness, 1, iter([Outcome.ERROR])) == (0, 0), "four responses pay for no retry"
 
 
-def test_the_final_response_comes_at_once_without_tokens() -> None:
-    harness = with_full_buckets()
-    play(harness, 100, repeat(Outcome.ERROR))
+def test_a_failure_without_tokens_is_answered_at_once() -> None:
+    harness = harness_with_full_buckets()
+    send_requests(harness, 100, repeat(Outcome.ERROR))
     request, actions = harness.request()
     assert len(harness.finish(request, 0, first_endpoint(actions), Outcome.ERROR)) == 1
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -25,8 +25,8 @@
     count_by_endpoint,
     endpoint_list,
     first_endpoint,
+    make_settings,
     serve_many,
-    settings,
 )
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     assert counts["s0"] > 1.7 * counts["s1"], "three to one by the first estimates, even in the end"
 
 
-def test_the_lowest_load_wins_and_busy_endpoints_are_passed_over() -> None:
+def test_busy_endpoints_are_avoided() -> None:
     harness = PolicyHarness(2)
     counts = Counter(first_endpoint(harness.request()[1]) for _ in range(8))
     assert abs(counts["s0"] - counts["s1"]) <= 4
@@ -61,7 +61,7 @@
     assert counts["s0"] >= counts["new"] > counts["s2"]
 
 
-def test_unknown_endpoints_are_drawn_by_weight_and_the_largest_is_not_overloaded() -> None:
+def test_endpoints_without_evidence_are_drawn_by_weight() -> None:
     """With many balancers no endpoint has a request of ours: the lowest 1/c of four draws was the largest."""
     counts: Counter[str] = Counter()
     for seed in range(1_000):
@@ -81,7 +81,7 @@
     assert {harness.serve() for _ in range(60)} == {"s0", "s1"}
 
 
-def test_one_of_many_balancers_uses_a_stable_subset_of_the_endpoints() -> None:
+def test_one_of_many_balancers_uses_a_stable_subset() -> None:
     """Requests spread over all endpoints are too few at each to learn it or to use a connection twice."""
     subsets = []
     for seed in range(40):
@@ -110,32 +110,32 @@
 class FixedCapacities(CapacityEstimator):
     """Capacities that are known, in place of learned ones."""
 
-    def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate, capacity: dict[str, float]) -> None:
+    def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate, capacities: dict[str, float]) -> None:
         super().__init__(endpoints, arrivals)
-        self._capacity = capacity
+        self._capacities = capacities
 
     def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
-        return [self._capacity[endpoint.entry.name] for endpoint in endpoints]
+        return [self._capacities[endpoint.entry.name] for endpoint in endpoints]
 
 
-def selector_with(
-    configured: Settings, endpoints: EndpointSet, capacity: dict[str, float]
+def make_selector(
+    settings: Settings, endpoints: EndpointSet, capacities: dict[str, float]
 ) -> EndpointSelector:
     """A selector over a set of endpoints whose capacities are known."""
-    arrivals = ArrivalRate(configured)
-    estimator = FixedCapacities(endpoints, arrivals, capacity)
+    arrivals = ArrivalRate(settings)
+    estimator = FixedCapacities(endpoints, arrivals, capacities)
     slow_start = SlowStart(
-        configured, endpoints, arrivals, BalancerCountEstimator(configured, arrivals), estimator
+        settings, endpoints, arrivals, BalancerCountEstimator(settings, arrivals), estimator
     )
-    idempotency = IdempotencyRules(configured, endpoints)
-    return EndpointSelector(configured, idempotency, slow_start, estimator, Random(1))
+    idempotency = IdempotencyRules(settings, endpoints)
+    return EndpointSelector(settings, idempotency, slow_start, estimator, Random(1))
 
 
-def test_ties_go_to_the_larger_capacity_and_samples_follow_capacity() -> None:
-    now, configured = 1_000.0, settings()
-    endpoints = EndpointSet(configured, Random(1))
+def test_a_tie_goes_to_the_larger_capacity() -> None:
+    now, settings = 1_000.0, make_settings()
+    endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(2)), now)
-    selector = selector_with(configured, endpoints, {"s0": 2.0, "s1": 1.0})
+    selector = make_selector(settings, endpoints, {"s0": 2.0, "s1": 1.0})
     # (3 + 1) / 2 ties with (1 + 1) / 1
     endpoints.by_name["s0"].in_flight = 3
     endpoints.by_name["s1"].in_flight = 1
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.errors import InvalidSettingsError
 from loadbalancer.settings import RequestClass, Tenant
-from tests.policy.helpers import READ, settings
+from tests.policy.helpers import READ, make_settings
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
 )
 def test_invalid_settings_name_their_field(change: dict[str, object], name: str) -> None:
     with pytest.raises(InvalidSettingsError, match=name) as invalid:
-        settings(**change)
+        make_settings(**change)
     assert invalid.value.field == name
     assert isinstance(invalid.value, ValueError), "callers that know no type of ours catch it, too"
     with pytest.raises(InvalidSettingsError, match="latency_objective_ms"):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,7 +1,7 @@
 """Warming endpoints under the load of all balancers together: many instances of the policy on one clock.
 
-`TIGHT` leaves a warming endpoint hardly more than what chance brings: 3 requests a window at its start.
-`ROOMY` leaves it 50.
+`TIGHT_LIMITS` leaves a warming endpoint hardly more than what chance brings: 3 requests a window at its
+start. `LOOSE_LIMITS` leaves it 50.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from loadbalancer.events import Outcome
 from tests.policy.slow_start_simulation import SlowStartSimulation
 
-ROOMY = {
+LOOSE_LIMITS = {
     "slow_start_ms": 8_900.0,
     "slow_start_initial_fraction": 0.31,
     "slow_start_overload_factor": 4.0,
     "slow_start_window_ms": 1_000.0,
 }
-TIGHT = {
+TIGHT_LIMITS = {
     "slow_start_ms": 20_000.0,
     "slow_start_initial_fraction": 0.1,
     "slow_start_overload_factor": 1.5,
@@ -27,173 +27,169 @@
 }
 RATE_PER_S = 40.0  # requests of mean work that a warm endpoint can serve
 LEARNING_MS = 8_000.0
-OBSERVED_MS = 5_000.0
+OBSERVATION_MS = 5_000.0
 
 
-def one_is_added(simulation: SlowStartSimulation) -> None:
+def add_one_endpoint(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.add_endpoints(1)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def a_tenth_is_added(simulation: SlowStartSimulation) -> None:
+def add_a_tenth(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.add_endpoints(simulation.tenth)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def a_tenth_is_added_during_a_burst(simulation: SlowStartSimulation) -> None:
+def add_a_tenth_during_a_burst(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.scale_request_rate(1.5)
     simulation.add_endpoints(simulation.tenth)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def half_are_replaced_in_steps(simulation: SlowStartSimulation) -> None:
+def replace_half_in_steps(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.replace_endpoints(steps=5, interval_ms=2_000.0)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def six_in_ten_are_replaced_within_seconds(simulation: SlowStartSimulation) -> None:
+def replace_six_tenths_quickly(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.replace_endpoints(steps=6, interval_ms=7_000.0 / 6)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def a_third_restarts(simulation: SlowStartSimulation) -> None:
+def restart_a_third(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     third = list(simulation.endpoints)[: len(simulation.endpoints) // 3]
     simulation.remove_endpoints(third)
     simulation.run(5_000.0)
     simulation.restart_endpoints(third)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def all_balancers_restart_as_a_tenth_is_added(simulation: SlowStartSimulation) -> None:
+def restart_balancers_and_add_a_tenth(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.restart_balancers()
     simulation.add_endpoints(simulation.tenth)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def all_endpoints_restart(simulation: SlowStartSimulation) -> None:
+def restart_all_endpoints(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.restart_endpoints(list(simulation.endpoints))
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def everything_restarts(simulation: SlowStartSimulation) -> None:
+def restart_everything(simulation: SlowStartSimulation) -> None:
     simulation.restart_endpoints(list(simulation.endpoints))
     simulation.restart_balancers()
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def half_of_the_warm_reject_requests(simulation: SlowStartSimulation) -> None:
+def make_half_reject(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.REJECTED)
     simulation.add_endpoints(simulation.tenth)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
-def half_of_the_warm_are_unreachable(simulation: SlowStartSimulation) -> None:
+def make_half_unreachable(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.CONNECT_FAILED)
     simulation.add_endpoints(simulation.tenth)
-    simulation.run(OBSERVED_MS)
+    simulation.run(OBSERVATION_MS)
 
 
 Scenario = Callable[[SlowStartSimulation], None]
 SCENARIOS: tuple[Scenario, ...] = (
-    one_is_added,
-    a_tenth_is_added,
-    a_tenth_is_added_during_a_burst,
-    half_are_replaced_in_steps,
-    six_in_ten_are_replaced_within_seconds,
-    a_third_restarts,
-    all_balancers_restart_as_a_tenth_is_added,
-    all_endpoints_restart,
-    everything_restarts,
-    half_of_the_warm_reject_requests,
-    half_of_the_warm_are_unreachable,
+    add_one_endpoint,
+    add_a_tenth,
+    add_a_tenth_during_a_burst,
+    replace_half_in_steps,
+    replace_six_tenths_quickly,
+    restart_a_third,
+    restart_balancers_and_add_a_tenth,
+    restart_all_endpoints,
+    restart_everything,
+    make_half_reject,
+    make_half_unreachable,
 )
 
 # Without a limit on warming endpoints, six balancers are enough to overload one here.
-OVERLOADED_BY_SIX_BALANCERS: tuple[Scenario, ...] = (
-    half_are_replaced_in_steps,
-    six_in_ten_are_replaced_within_seconds,
-    a_third_restarts,
-    half_of_the_warm_reject_requests,
-    half_of_the_warm_are_unreachable,
+SCENARIOS_FOR_SIX_BALANCERS: tuple[Scenario, ...] = (
+    replace_half_in_steps,
+    replace_six_tenths_quickly,
+    restart_a_third,
+    make_half_reject,
+    make_half_unreachable,
 )
 
 
 @pytest.mark.parametrize(
     ("balancers", "scenario"),
-    [(6, scenario) for scenario in OVERLOADED_BY_SIX_BALANCERS] + [(30, scenario) for scenario in SCENARIOS],
+    [(6, scenario) for scenario in SCENARIOS_FOR_SIX_BALANCERS] + [(30, scenario) for scenario in SCENARIOS],
 )
-def test_no_warming_endpoint_is_overloaded_by_all_balancers_together(
-    balancers: int, scenario: Scenario
-) -> None:
-    simulation = SlowStartSimulation(balancers, 12, RATE_PER_S, 0.9, 1, TIGHT, skewed=balancers == 30)
+def test_no_warming_endpoint_is_overloaded(balancers: int, scenario: Scenario) -> None:
+    simulation = SlowStartSimulation(balancers, 12, RATE_PER_S, 0.9, 1, TIGHT_LIMITS, skewed=balancers == 30)
     scenario(simulation)
     assert simulation.warming_attempts, "a run in which no warming endpoint is used checks nothing"
-    assert simulation.worst_excess <= 1
+    assert simulation.max_excess <= 1
 
 
 @pytest.mark.parametrize(
     ("balancers", "scenario"),
     [
-        (20, everything_restarts),
-        (30, everything_restarts),
-        (300, everything_restarts),
-        (300, all_endpoints_restart),
-        (300, half_of_the_warm_are_unreachable),
+        (20, restart_everything),
+        (30, restart_everything),
+        (300, restart_everything),
+        (300, restart_all_endpoints),
+        (300, make_half_unreachable),
     ],
 )
-def test_the_one_request_a_window_that_each_may_send_does_not_add_up(
-    balancers: int, scenario: Scenario
-) -> None:
+def test_minimum_budgets_of_many_balancers_stay_within_the_limit(balancers: int, scenario: Scenario) -> None:
     """Each balancer sent a warming endpoint one request a window: hundreds sent twice what it can handle."""
-    simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT)
+    simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
-    assert simulation.worst_excess <= 1
+    assert simulation.max_excess <= 1
 
 
 @pytest.mark.parametrize(
     ("balancers", "endpoints", "scenario", "min_attempts"),
     [
-        (6, 12, a_tenth_is_added, 60),
-        (300, 20, a_tenth_is_added, 120),
-        (300, 30, a_third_restarts, 600),
-        (30, 12, all_endpoints_restart, 800),
-        (30, 12, everything_restarts, 800),
+        (6, 12, add_a_tenth, 60),
+        (300, 20, add_a_tenth, 120),
+        (300, 30, restart_a_third, 600),
+        (30, 12, restart_all_endpoints, 800),
+        (30, 12, restart_everything, 800),
     ],
 )
 def test_warming_endpoints_with_spare_capacity_are_used(
     balancers: int, endpoints: int, scenario: Scenario, min_attempts: int
 ) -> None:
-    simulation = SlowStartSimulation(balancers, endpoints, RATE_PER_S, 0.9, 1, ROOMY)
+    simulation = SlowStartSimulation(balancers, endpoints, RATE_PER_S, 0.9, 1, LOOSE_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts >= min_attempts
-    assert simulation.worst_excess <= 1
+    assert simulation.max_excess <= 1
 
 
-@pytest.mark.parametrize("scenario", [one_is_added, a_third_restarts, all_endpoints_restart])
+@pytest.mark.parametrize("scenario", [add_one_endpoint, restart_a_third, restart_all_endpoints])
 @pytest.mark.parametrize("balancers", [30, 300])
 def test_light_traffic_reaches_warming_endpoints(scenario: Scenario, balancers: int) -> None:
     """Balancers that get one request in seconds reject hardly any, where the endpoints have capacity."""
-    simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.05, 1, ROOMY)
+    simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.05, 1, LOOSE_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
     assert simulation.rejected <= 0.02 * simulation.requests
-    assert simulation.worst_excess <= 1
+    assert simulation.max_excess <= 1
 
 
 def test_retries_count_against_the_limit_of_warming_endpoints() -> None:
     """Requests that warm endpoints rejected were retried: twelve in a window met one warming endpoint."""
-    simulation = SlowStartSimulation(300, 20, RATE_PER_S, 0.9, 22, TIGHT)
-    half_of_the_warm_reject_requests(simulation)
+    simulation = SlowStartSimulation(300, 20, RATE_PER_S, 0.9, 22, TIGHT_LIMITS)
+    make_half_reject(simulation)
     assert simulation.warming_attempts
-    assert simulation.worst_excess <= 1
+    assert simulation.max_excess <= 1
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -17,7 +17,7 @@
     assert counts["s0"] <= 2 < min(counts["s1"], counts["s2"], counts["s3"])
 
 
-def test_endpoints_that_are_all_warming_are_not_overloaded() -> None:
+def test_warming_endpoints_alone_are_not_overloaded() -> None:
     harness = PolicyHarness(2)
     harness.update_endpoints(*(Endpoint(f"s{i}", started_at_ms=harness.now) for i in range(2)))
     counts = Counter(s.endpoint for _ in range(50) for s in started_attempts(harness.request()[1]))
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -20,21 +20,21 @@
     return counts
 
 
-def test_requests_stay_in_the_own_zone_while_it_has_capacity_for_its_part() -> None:
+def test_requests_stay_in_a_zone_with_enough_capacity() -> None:
     assert count_by_zone({"a": 1.0, "b": 1.0, "c": 0.5}) == {"a": 600}
     assert count_by_zone({"a": 0.3, "b": 0.3, "c": 0.3}) == {"a": 600}
     third = 0.1 + 0.2  # its part of three such zones is off by rounding
     assert count_by_zone({"a": third, "b": 0.3, "c": third}).keys() <= {"a", "b", "c"}
 
 
-def test_a_zone_short_of_capacity_spills_to_zones_with_spare_capacity() -> None:
+def test_a_small_zone_spills_over_to_larger_zones() -> None:
     counts = count_by_zone({"a": 1.0, "b": 3.0, "c": 2.0})
     assert 240 < counts["a"] < 360, "it keeps half of what it gets: its part would be 2"
     assert counts["c"] == 0
     assert counts["b"] == 600 - counts["a"]
 
 
-def test_zone_preference_ends_as_soon_as_its_endpoints_have_requests_in_flight() -> None:
+def test_zone_preference_ends_with_requests_in_flight() -> None:
     """Endpoints of one zone got two or three times the requests of another, and stayed slow for long."""
     in_own_zone = []
     for endpoints in (1, 3):
@@ -51,7 +51,7 @@
     assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # drawn first, then chosen by load alone
 
 
-def test_a_loaded_own_zone_gives_way_to_the_other_zones() -> None:
+def test_a_loaded_zone_spills_over_to_the_other_zones() -> None:
     """One of two balancers sent nearly all to the one endpoint of its zone; two zones were idle."""
     # An inner tier sheds no load: all 16 requests are admitted at the balancer's start.
     harness = PolicyHarness(0, zone="a", balancers=2, may_hedge=False, tier=1)
@@ -61,5 +61,5 @@
     assert max(counts.values()) == counts["a"] < 12
 
 
-def test_a_balancer_whose_zone_has_no_endpoint_uses_all_the_others() -> None:
+def test_a_zone_without_endpoints_uses_all_other_zones() -> None:
     assert count_by_zone({"b": 1.0, "c": 1.0}).keys() == {"b", "c"}
