--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""Shared by the policy's tests: request classes, settings, and a harness around one balancer."""
+"""Helpers for the tests of the policy: request classes, settings, and a harness around one balancer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 CELL_ORDER = RequestClass("order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
 GLOBAL_ORDER = RequestClass("anywhere", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
 ZONE_ORDER = RequestClass("zonal", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
-# A window means nothing for a class that must not run twice, but settings may give one.
+# The window has no effect on a class that is not idempotent, but the settings may contain one.
 PAY = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, idempotency_window_ms=2_000)
 CLASSES = (READ, CELL_ORDER, GLOBAL_ORDER, ZONE_ORDER, PAY)
 
@@ -42,12 +42,12 @@
 
 
 def endpoint_list(count: int, **changes: Any) -> tuple[Endpoint, ...]:
-    """Return endpoints s0, s1, ...: alternating between two zones, two endpoints a cell."""
+    """Return the endpoints s0, s1 and so on, alternating between two zones, with two endpoints per cell."""
     return tuple(Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
 class PolicyHarness:
-    """A balancer with an endpoint list, a clock that the test sets, and numbered requests.
+    """A balancer with an endpoint list, a clock set by the test, and consecutive request ids.
 
     Attributes:
         balancer: The balancer under test.
@@ -75,7 +75,7 @@
     def request(
         self, request_class: RequestClass = READ, remaining_ms: float = 3_000, **fields: Any
     ) -> tuple[int, list[Action]]:
-        """Have a request arrive; return its number and the actions that follow."""
+        """Send a request; return its id and the resulting actions."""
         self._last_request_id += 1
         request_id = self._last_request_id
         return request_id, self.handle(
@@ -83,12 +83,12 @@
         )
 
     def finish(self, request_id: int, attempt_index: int, endpoint: str, outcome: Outcome) -> list[Action]:
-        """Have an attempt end; a success is the final response."""
+        """Finish an attempt; a success is the final response."""
         is_request_complete = outcome is Outcome.SUCCEEDED
         return self.handle(AttemptFinished(request_id, attempt_index, endpoint, outcome, is_request_complete))
 
     def serve(self, request_class: RequestClass = READ, duration_ms: float | dict[str, float] = 50.0) -> str:
-        """Serve one request; return its endpoint. The duration may differ by endpoint."""
+        """Serve one request and return its endpoint; the duration may depend on the endpoint."""
         request_id, actions = self.request(request_class)
         endpoint = first_endpoint(actions)
         self.now += duration_ms[endpoint] if isinstance(duration_ms, dict) else duration_ms
@@ -101,7 +101,7 @@
 
 
 def first_endpoint(actions: list[Action]) -> str:
-    """Return the endpoint of the first attempt that starts."""
+    """Return the endpoint of the first attempt that the actions start."""
     return started_attempts(actions)[0].endpoint
 
 
@@ -110,25 +110,25 @@
 
 
 def count_by_endpoint(harness: PolicyHarness, rounds: int) -> Counter[str]:
-    """Serve requests one at a time, each in the same time; count them by endpoint."""
+    """Serve requests one at a time, all with the same duration; count them by endpoint."""
     return Counter(harness.serve(duration_ms=20.0) for _ in range(rounds))
 
 
 def serve_many(harness: PolicyHarness, durations_ms: dict[str, float], rounds: int = 400) -> None:
-    """Serve requests one at a time, each in the time that its endpoint takes."""
+    """Serve requests one at a time, each with the duration of its endpoint."""
     for _ in range(rounds):
         harness.serve(duration_ms=durations_ms)
 
 
 def after_startup(harness: PolicyHarness) -> PolicyHarness:
-    """Serve many requests quickly, so that the limits of the balancer's start no longer apply."""
+    """Serve many short requests, so that the limits for a new balancer no longer apply."""
     for _ in range(400):
         harness.serve(duration_ms=0.1)
     return harness
 
 
 def after_startup_without_baseline(harness: PolicyHarness, in_flight: int = 2) -> PolicyHarness:
-    """Do what `after_startup` does while other requests are in flight, which keeps the initial baseline."""
+    """Do the same as `after_startup` with other requests in flight, which preserves the initial baseline."""
     others = [harness.request() for _ in range(in_flight)]
     after_startup(harness)
     for request_id, actions in others:
@@ -140,7 +140,7 @@
 def send_until_shed(
     harness: PolicyHarness, request_class: RequestClass = READ, tenant: str | None = None
 ) -> list[tuple[int, str]]:
-    """Send requests at once until one is shed; return the admitted ones with their endpoints."""
+    """Send requests at the same time until one is shed; return the ids and endpoints of the admitted ones."""
     in_flight: list[tuple[int, str]] = []
     while attempts := started_attempts(harness.request(request_class, tenant=tenant)[1]):
         in_flight.append((attempts[0].request_id, attempts[0].endpoint))
@@ -151,7 +151,7 @@
 def apply_load(
     harness: PolicyHarness, duration_ms: float, *requests: tuple[RequestClass, str | None], rounds: int = 200
 ) -> Counter[str]:
-    """Send rounds of these requests, one every 20 ms; count the admitted ones by tenant or class."""
+    """Send the requests in turn, one every 20 ms; count the admitted ones by tenant or class."""
     admitted: Counter[str] = Counter()
     in_flight: deque[tuple[float, int, str]] = deque()
     for _ in range(rounds):
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -1,8 +1,8 @@
-"""An independent checker of the rules for one balancer: it shares no code with the policy.
+"""An independent checker of the actions of one balancer; it shares no code with the policy.
 
-It knows the endpoint list, the requests and the attempts, and asserts at each action that the rules allow it:
-each request gets exactly one final response, in time; a request that may have run is repeated only where its
-class allows it; nothing goes to an endpoint that takes no requests; and a warming endpoint is not overloaded.
+It tracks the endpoint list, the requests and the attempts, and asserts at each action that the rules allow
+it: each request gets exactly one final response, in time; a request that may have run is repeated only where
+its class allows it; no attempt goes to an endpoint that is not ready; and no warming endpoint is overloaded.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 if TYPE_CHECKING:
     from collections import Counter
 
-GRACE_MS = 20.0  # a response may come this much after its deadline
+# Time after its deadline by which a request must have its response.
+GRACE_MS = 20.0
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -32,7 +33,7 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt, with its endpoint's entry as it was when the attempt started."""
+    """An attempt, with the entry of its endpoint at the start of the attempt."""
 
     endpoint: Endpoint
     started_at_ms: float
@@ -60,7 +61,7 @@
 
 
 class RuleChecker:
-    """Checks the actions of one balancer process; `responses` counts the final responses."""
+    """Checks the actions of one balancer process, and counts the final responses in `responses`."""
 
     def __init__(
         self, settings: Settings, endpoints: dict[str, Endpoint], responses: Counter[FinalResponse]
@@ -69,11 +70,11 @@
         self._settings = settings
         self._endpoints = endpoints
         self._responses = responses
-        self._starts_ms: dict[str, list[float]] = {}  # of the attempts at each endpoint
-        self._max_warm_starts = 0  # attempts that one warm endpoint got within one window
+        self._starts_ms: dict[str, list[float]] = {}  # start times of attempts by endpoint
+        self._max_warm_starts = 0  # most attempts that a warm endpoint got within one window
 
     def start_attempt(self, request_id: int, name: str, now: float) -> int:
-        """Check that an attempt may start now, record it and return its index."""
+        """Check that an attempt may start now; record it and return its index."""
         request = self.requests[request_id]
         endpoint = self._endpoints.get(name)
         assert request.response is None, "sent after the end"
@@ -104,7 +105,10 @@
                 assert attempt.endpoint.zone == endpoint.zone, "repeated outside the zone"
 
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
-        """Check that a warming endpoint gets one attempt a window, or its part of the busiest warm one's."""
+        """Check that a warming endpoint gets few attempts in a window.
+
+        It may get one, or its share of the most that a warm endpoint has got.
+        """
         starts_ms = self._starts_ms.setdefault(endpoint.name, [])
         recent = sum(start > now - self._settings.slow_start_window_ms for start in starts_ms)
         fraction = self._warmup_fraction(endpoint, now)
@@ -123,7 +127,7 @@
         return initial + (1 - initial) * age_ms / self._settings.slow_start_ms
 
     def reset_endpoint(self, name: str) -> None:
-        """Forget the attempts at an endpoint that restarted: they are no load on the new process."""
+        """Forget the attempts at an endpoint that has restarted: they are no load on the new process."""
         self._starts_ms[name] = []
 
     def cancel_attempt(self, request_id: int, attempt_index: int) -> bool:
@@ -134,10 +138,10 @@
         return attempts[attempt_index].is_in_flight
 
     def finish_attempt(self, request_id: int, attempt_index: int, outcome: Outcome, now: float) -> bool:
-        """Record the end of an attempt, and the response that a success brings.
+        """Record the end of an attempt and, if it succeeded, the final response.
 
         Returns:
-            Whether the attempt was still in flight; one that has ended before changes nothing.
+            Whether the attempt was still in flight; if not, nothing has changed.
         """
         request = self.requests[request_id]
         attempt = request.attempts[attempt_index]
@@ -150,7 +154,7 @@
         return True
 
     def reject(self, request_id: int, now: float) -> None:
-        """Check that the response may say that sending the request again is harmless."""
+        """Check that the client may safely repeat the request."""
         request = self.requests[request_id]
         request_class = request.request_class
         is_repeatable_anywhere = request_class.idempotency is Idempotency.SAFE or (
@@ -162,7 +166,7 @@
         self._respond(request, FinalResponse.REJECTED, now)
 
     def fail(self, request_id: int, now: float) -> None:
-        """Check that a request may be failed now."""
+        """Check that a failure may be the response to a request now."""
         self._respond(self.requests[request_id], FinalResponse.FAILED, now)
 
     def _respond(self, request: TrackedRequest, response: FinalResponse, now: float) -> None:
@@ -173,7 +177,7 @@
         self._responses[response] += 1
 
     def check_overdue(self, now: float) -> None:
-        """Check that no request has been left without a response."""
+        """Check that each request has its response in time."""
         for request_id, request in self.requests.items():
             is_overdue = not request.is_complete and now > request.deadline_ms + GRACE_MS
             assert not is_overdue, f"request {request_id} was lost"
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,9 +1,9 @@
-"""Many balancers on one virtual clock, and a count of what all of them send to each warming endpoint.
+"""A simulation of many balancers that measures the work all of them send to each warming endpoint.
 
-A seeded discrete-event simulation around the policy alone: no sockets and no waiting. The rule it checks: in
-the window that ends at any attempt, the work that arrives at a warming endpoint must stay within
-`slow_start_overload_factor` times what its present capacity can do in such a window. Work is counted in
-requests of mean work.
+It is a seeded discrete-event simulation of the policy on a virtual clock, without sockets and without
+waiting. It checks one rule: in the window that ends at any attempt, the work that arrives at a warming
+endpoint must not exceed `slow_start_overload_factor` times what its present capacity can do in such a window.
+Work is measured in requests of mean work.
 """
 
 from __future__ import annotations
@@ -32,22 +32,24 @@
 
 SMALL = RequestClass("small", 1_000, 3_000, Idempotency.SAFE)
 LARGE = RequestClass("large", 1_000, 3_000, Idempotency.SAFE)
-WORK = {"small": 0.75, "large": 2.0}  # in requests of mean work, with the fraction of large ones below
+# Work by class; with LARGE_FRACTION of large requests, the mean is 1.
+WORK = {"small": 0.75, "large": 2.0}
 LARGE_FRACTION = 0.2
 START_MS = 100_000.0
-FAILURE_DURATION_MS = 2.0  # how long an endpoint that does not serve takes to say so
+# How long an endpoint that does not serve requests takes to respond.
+FAILURE_DURATION_MS = 2.0
 
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint, and the work that has recently arrived at it."""
+    """An endpoint, with the work that has recently arrived there."""
 
-    started_at_ms: float = 0.0  # 0 is long ago
-    outcome: Outcome = Outcome.SUCCEEDED  # of every attempt, but for those that take too long
+    started_at_ms: float = 0.0  # 0 means long ago
+    outcome: Outcome = Outcome.SUCCEEDED  # of all attempts that do not time out
     is_ready: bool = True
     arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # in the last window: time and work
     work_in_window: float = 0.0
-    idle_at_ms: float = 0.0  # when it will have done all the work that it holds
+    idle_at_ms: float = 0.0  # when all its work will be done
 
 
 @dataclass
@@ -68,7 +70,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget everything, the open requests included; the endpoint list is sent again."""
+        """Discard all state, including the open requests, and send the endpoint list again."""
         self.policy = LoadBalancer(self._simulation.settings, self._simulation.random.getrandbits(40))
         self._open_requests: dict[int, SimulatedRequest] = {}
         self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
@@ -103,7 +105,7 @@
         self._clock.schedule(at_ms, partial(self._handle_if_current, self.policy), event)
 
     def _handle_if_current(self, policy: LoadBalancer, event: Event) -> None:
-        """Events of before a restart are lost with the process."""
+        """Handle an event unless the balancer has restarted since it was scheduled."""
         if policy is not self.policy:
             return
         if isinstance(event, AttemptFinished):
@@ -120,7 +122,7 @@
         self._schedule_event(self._clock.now + duration_ms, event)
 
     def _finish_attempt(self, event: AttemptFinished) -> AttemptFinished:
-        """Close the request of an attempt that succeeded, and say whether it is closed."""
+        """Close the request of a successful attempt; return the event with `is_request_complete` set."""
         request_id, outcome = event.request_id, event.outcome
         if outcome is Outcome.SUCCEEDED and self._open_requests.pop(request_id, None) is not None:
             self._simulation.served += 1
@@ -132,20 +134,20 @@
     """Balancers in front of endpoints, some of which are warming up.
 
     Args:
-        balancers: How many balancer instances.
-        endpoints: How many endpoints, all warm at the start.
-        rate_per_s: The requests of mean work a second that a warm endpoint can serve.
+        balancers: The number of balancers.
+        endpoints: The number of endpoints, all warm at the start.
+        rate_per_s: The capacity of a warm endpoint, in requests of mean work per second.
         load: The request rate as a fraction of the capacity of all endpoints, if they are warm.
-        seed: For all that is random.
+        seed: The seed of the random generator.
         slow_start: The slow-start settings.
-        skewed: Whether some balancers get eight times as many requests as others; else all get as many.
+        skewed: Whether some balancers get eight times as many requests as others; otherwise all get the same.
 
     Attributes:
-        tenth: A tenth of the endpoints.
-        requests: How many requests have been received, and of these served and rejected.
+        tenth: A tenth of the number of endpoints.
+        requests: The number of requests received; `served` and `rejected` count the final responses.
         warming_attempts: The number of attempts at warming endpoints.
-        max_excess: The largest excess of work in any window over its limit, in units of the slack that is
-            left to chance: above 1 an endpoint has been overloaded.
+        max_excess: The largest excess of the work in a window over its limit, relative to the tolerance for
+            random variation; above 1, an endpoint has been overloaded.
     """
 
     def __init__(
@@ -196,11 +198,11 @@
         self._send_update(names)
 
     def restart_endpoints(self, names: list[str]) -> None:
-        """The same names, as new processes."""
+        """Start new processes under the same names."""
         self._start_processes(names)
 
     def replace_endpoints(self, steps: int, interval_ms: float) -> None:
-        """In each step a tenth of the endpoints goes and as many new ones come; the oldest go first."""
+        """In each step, remove a tenth of the endpoints, the oldest first, and add as many new ones."""
         old_names = list(self.endpoints)
         for step in range(steps):
             self.remove_endpoints(old_names[step * self.tenth : (step + 1) * self.tenth])
@@ -225,7 +227,7 @@
         self._send_update(names)
 
     def _send_update(self, names: list[str]) -> None:
-        """Send all balancers the present entries of some endpoints."""
+        """Send the current entries of some endpoints to all balancers."""
         update = EndpointListUpdate(EndpointListKind.DELTA, tuple(map(self._entry, names)))
         for balancer in self.balancers:
             balancer.handle(update)
@@ -241,7 +243,7 @@
     # ---- attempts -------------------------------------------------------------------------------
 
     def receive_attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
-        """An attempt arrives at an endpoint now: how long it will take, and how it will end."""
+        """Process an attempt that arrives at an endpoint; return its duration and its outcome."""
         endpoint = self.endpoints[name]
         assert endpoint.is_ready, "sent to an endpoint that has been removed"
         capacity = self._warmup_fraction(endpoint)
@@ -257,7 +259,7 @@
         return duration_ms, Outcome.SUCCEEDED
 
     def _warmup_fraction(self, endpoint: SimulatedEndpoint) -> float:
-        """The fraction of its full capacity that an endpoint has now."""
+        """Return the present capacity of an endpoint as a fraction of its full capacity."""
         age_ms = self.clock.now - endpoint.started_at_ms
         if not endpoint.started_at_ms or age_ms >= self.settings.slow_start_ms:
             return 1.0
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Overload detection: load is shed before endpoints are overloaded, and only then."""
+"""Overload detection: load is shed before endpoints become overloaded, and not otherwise."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def count_admitted(
     harness: PolicyHarness, duration_ms: float, request_class: RequestClass, rounds: int = 40
 ) -> int:
-    """Send requests one after another, each served in the same time, and count those admitted."""
+    """Send requests one after another, all with the same duration, and count those admitted."""
     admitted = 0
     for _ in range(rounds):
         request, actions = harness.request(request_class)
@@ -42,7 +42,7 @@
 
 
 def test_a_burst_above_the_limit_is_shed() -> None:
-    """A limit on a mean over seconds admitted complete bursts, and overloaded endpoints stay slow."""
+    """A limit on a mean over seconds would admit whole bursts, and endpoints stay slow after an overload."""
     harness = after_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
     assert 10 <= len(in_flight) <= 20, "eight for each of four endpoints, half of them for the other balancer"
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("duration_ms", [50.0, 950.0])
 def test_a_few_large_requests_are_no_overload(duration_ms: float) -> None:
-    """A limit on latency shed half of the important requests while endpoints were half idle."""
+    """A limit on latency alone would shed half of the important requests while endpoints are half idle."""
     harness = after_startup_without_baseline(PolicyHarness(4, balancers=2))
     in_flight: deque[tuple[int, str]] = deque()
     for _ in range(200):
@@ -69,7 +69,7 @@
 
 
 def test_one_late_response_sheds_nothing() -> None:
-    """At light load a tenth was rejected: one late response raised mean latency above its limit for long."""
+    """After one late response, a limit on mean latency would shed a tenth of the requests at light load."""
     harness = PolicyHarness(4)
     count_admitted(harness, 50.0, READ, 20)
     count_admitted(harness, 1_000.0, READ, 1)
@@ -77,7 +77,7 @@
 
 
 def test_shedding_ends_soon_after_the_overload() -> None:
-    """A limit that rose with each response stayed low: it admitted few requests, so responses were few."""
+    """A limit that only responses raise would stay low, since few admitted requests give few responses."""
     harness = PolicyHarness(8)
     apply_load(harness, 950.0, (READ, None))
     harness.now += 4_000
@@ -90,15 +90,15 @@
 
 
 def test_the_limit_of_one_of_many_balancers_has_a_minimum() -> None:
-    """With hundreds of balancers, each one's part of the limit is less than one request."""
+    """With hundreds of balancers, the part of the limit of each is less than one request."""
     harness = PolicyHarness(8, balancers=400)
     assert all(started_attempts(harness.request()[1]) for _ in range(8))
 
 
 def mean_in_flight(harness: PolicyHarness, tenant: str, seconds: float) -> float:
-    """Mean number of requests of 600 ms in flight, in the second half of a run with endless demand."""
+    """Return the mean number of 600 ms requests in flight, in the second half of a run with excess demand."""
     for _ in range(20):
-        harness.serve(duration_ms=600.0)  # the baseline service time
+        harness.serve(duration_ms=600.0)  # sets the baseline service time
     in_flight: deque[tuple[float, int, str]] = deque()
     counts: list[int] = []
     end = harness.now + seconds * 1_000
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_the_total_limit_is_independent_of_the_balancer_count(balancers: int) -> None:
-    """A minimum of eight for each balancer added up to 11 for each endpoint after the loss of a zone."""
+    """A minimum of eight for each balancer would add up: to 11 per endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
         "four for each endpoint"
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize(("change", "limit"), [({}, 48), ({"started_at_ms": 1_000.0}, 29)])
 def test_warming_endpoints_raise_the_limit_in_part(change: dict[str, float], limit: int) -> None:
-    """Counted in full, warming endpoints raised the limit for requests that went to overloaded warm ones."""
+    """If warming endpoints counted in full, the requests admitted for them would overload the warm ones."""
     harness = PolicyHarness(6)
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, **change)[3:])
     assert len(send_until_shed(harness)) <= limit
@@ -134,7 +134,7 @@
 
 
 def test_unreachable_endpoints_do_not_raise_the_limit() -> None:
-    """Until the list showed the loss of a zone, requests admitted for its endpoints went to the others."""
+    """Until the list shows the loss of a zone, requests admitted for its endpoints would go to the others."""
     harness = after_startup(PolicyHarness(6, max_attempts=1))
     in_flight = send_until_shed(harness)
     for request, endpoint in in_flight:
@@ -149,7 +149,7 @@
 
 
 def test_attempts_at_draining_endpoints_are_not_counted() -> None:
-    """During a rollout, requests in flight at draining endpoints used up the limit of the others."""
+    """During a rollout, attempts at draining endpoints must not use up the limit of the others."""
     harness = PolicyHarness(6)
     endpoints = [first_endpoint(harness.request()[1]) for _ in range(24)]
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, state=EndpointState.DRAINING)[3:])
@@ -160,7 +160,7 @@
 
 
 def test_the_limit_holds_when_all_endpoints_fail() -> None:
-    """With no endpoint eligible nothing was counted against the limit: all requests were admitted."""
+    """Attempts must count against the limit even if no endpoint is eligible; otherwise all are admitted."""
     harness = PolicyHarness(4)
     for _ in range(60):
         request, actions = harness.request(PAY)
@@ -170,7 +170,7 @@
 
 
 def test_a_random_peak_is_no_overload() -> None:
-    """A twelfth of the requests within quota was rejected for a momentary peak at one of seven balancers."""
+    """If a momentary peak at one of seven balancers counted, a twelfth of requests in quota would be shed."""
     harness = PolicyHarness(10, balancers=7)
     for _ in range(50):
         harness.serve(duration_ms=40.0)
@@ -189,9 +189,9 @@
 
 @pytest.mark.parametrize(("duration_ms", "all_admitted"), [(150.0, True), (1_500.0, False)])
 def test_overload_behind_the_endpoints_sheds_load(duration_ms: float, *, all_admitted: bool) -> None:
-    """The limit by capacity counts the endpoints alone: it let the tier behind them become overloaded."""
+    """The capacity limit covers only the endpoints and would let the tier behind them become overloaded."""
     harness = PolicyHarness(60, balancers=6)
-    harness.now = 1_700_000_000_000.0  # Unix time, as in service: the first estimates must survive rounding
+    harness.now = 1_700_000_000_000.0  # Unix time: the first estimates must not suffer from rounding
     apply_load(harness, 150.0, (READ, None), rounds=300)
     admitted = apply_load(harness, duration_ms, (READ, None), rounds=600)["read"]
     assert (admitted == 600) is all_admitted, "75 of 80 in flight, at seven times their baseline service time"
@@ -199,7 +199,7 @@
 
 
 def test_the_baseline_is_learned_at_idle_endpoints() -> None:
-    """Large requests at idle endpoints are no overload, even if they take most of their latency objective."""
+    """Large requests at idle endpoints are no overload, even close to their latency objective."""
     harness = PolicyHarness(60, balancers=6)
     for _ in range(20):
         harness.serve(duration_ms=900.0)
@@ -207,7 +207,7 @@
 
 
 def test_a_new_balancer_starts_below_the_limit() -> None:
-    """Each admitted all requests of its first second, which overloaded the tier behind the endpoints."""
+    """Otherwise each new balancer admits all requests of its first second and overloads the tier behind."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
     assert 20 <= admitted <= 45, "the limit admits 80"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -1,4 +1,4 @@
-"""The order in which load is shed: low priority weights, tenants over quota, late client retries."""
+"""Which requests are shed first: low priority weights, tenants over quota, late client retries."""
 
 from __future__ import annotations
 
@@ -43,7 +43,10 @@
 
 
 def test_low_priority_is_not_shed_like_over_quota() -> None:
-    """An eighth of the largest weight gave it almost the limit of weight zero: a third of it was rejected."""
+    """Without an exponent, an eighth of the largest weight has almost the limit of weight zero.
+
+    A third of the requests of such a class would be shed.
+    """
     low, high = (
         replace(request_class, priority_weight=weight)
         for request_class, weight in ((LOW_PRIORITY, 1.0), (HIGH_PRIORITY, 8.0))
@@ -64,7 +67,7 @@
 
 
 def test_a_rejected_request_spends_no_quota() -> None:
-    """Clients retry rejected requests: one that was shed in an overload spent two tokens of the quota."""
+    """Clients retry rejected requests, which would then be charged to the quota twice."""
     harness = after_startup(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     in_flight = send_until_shed(harness)
     for _ in range(20):
@@ -77,7 +80,7 @@
 
 
 def test_a_late_client_retry_is_shed_first() -> None:
-    """Client retries past the latency objective, which have no value, ranked as high as first attempts."""
+    """Client retries past the latency objective have no value and rank below first attempts."""
     harness = PolicyHarness(4)
     assert started_attempts(harness.request(remaining_ms=1_900)[1]), "nothing else asks for the capacity"
     for request, endpoint in send_until_shed(harness)[:6]:
@@ -89,7 +92,7 @@
 
 
 def test_a_short_client_timeout_is_no_late_retry() -> None:
-    """Each first attempt of clients that wait for six tenths of the deadline was taken for a late retry."""
+    """First attempts of clients that wait for only six tenths of the deadline must not count as retries."""
     admitted = {}
     for remaining in (1_800.0, 3_000.0):
         harness, admitted[remaining] = PolicyHarness(4), 0
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -1,4 +1,4 @@
-"""The replica count is estimated from the endpoints that are left and the requests that arrive here."""
+"""The balancer count is estimated from the remaining endpoints and the arrival rate of requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def test_taking_over_a_lost_zone_lowers_the_balancer_count(
     remaining: int, interval_ms: float, *, takes_over: bool
 ) -> None:
-    """After the loss of a zone, three replicas of seven used only three sevenths of the capacity left."""
+    """Otherwise the three balancers left of seven would use only three sevenths of the remaining capacity."""
     harness = PolicyHarness(10, balancers=4)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:remaining])
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -1,4 +1,4 @@
-"""Capacity estimates of endpoints, and the evidence that they are made from."""
+"""Capacity estimates of endpoints, and the evidence that they are based on."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
     from loadbalancer.policy.endpoint_stats import EndpointStats
 
 START_MS = 1_000.0
-TIMEOUT_MS = 1_000.0  # the latency objective of PAY, whose late responses have no value
+# The latency objective of PAY, whose late responses have no value.
+TIMEOUT_MS = 1_000.0
 
 
 def test_one_slow_response_hardly_changes_an_estimate() -> None:
@@ -56,7 +57,7 @@
 
 
 def recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
-    """Build the attempt recorder of a balancer that knows one endpoint, and the evidence on it."""
+    """Return an attempt recorder with one known endpoint, and the evidence on that endpoint."""
     settings = make_settings()
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
@@ -68,7 +69,7 @@
 
 
 def test_a_failed_attempt_adds_its_timeout_to_busy_time() -> None:
-    """A fast failure must not look like a fast response, nor like a request in flight."""
+    """A fast failure must count neither as a fast response nor as an attempt still in flight."""
     recorder, endpoint = recorder_and_endpoint()
     attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
     assert endpoint.in_flight == 1
@@ -79,7 +80,7 @@
 
 
 def test_a_fast_failing_endpoint_gets_fewer_requests() -> None:
-    """A fast failure counted as a fast response draws half of the requests to the endpoint that fails."""
+    """If fast failures counted as fast responses, the failing endpoint would get half of the requests."""
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 20)
     request, actions = harness.request(PAY)
@@ -92,7 +93,7 @@
 
 
 def test_large_cost_hints_do_not_lower_capacity() -> None:
-    """Heavy-tailed work that counted as one request each made capacity estimates fluctuate."""
+    """If each request counted as the same work, heavy-tailed work would make the estimates fluctuate."""
     recorder, endpoint = recorder_and_endpoint()
     cost_hints, now = CostHints(), START_MS
     for request_id, hint_ms in enumerate((20.0, 20.0, 20.0, 200.0) * 50):
@@ -106,7 +107,10 @@
 
 
 def test_evidence_lasts_longer_at_a_low_request_rate() -> None:
-    """With a time constant of 6 s, one of hundreds of balancers drew slow endpoints as often as fast ones."""
+    """With a fixed time constant of 6 s, evidence would decay between two requests.
+
+    One of hundreds of balancers would select slow endpoints as often as fast ones.
+    """
     harness = PolicyHarness(12)
     slow = "s3"
     counts: Counter[str] = Counter()
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, and its polling."""
+"""Updates and polls of the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -1,4 +1,4 @@
-"""Each request gets its final response at once when nothing more can be done for it."""
+"""A request gets its final response as soon as no attempt can serve it any more."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedged attempts: when a second one starts while the first is in flight, and when none may."""
+"""Hedging: when a second attempt starts while the first one is in flight, and when it must not."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def test_without_hedging_an_attempt_keeps_its_full_timeout() -> None:
-    """Cut at four times the baseline, large requests were restarted elsewhere and lost there as well."""
+    """Cut to four times the baseline, large requests would time out at one endpoint after another."""
     harness = PolicyHarness(4, may_hedge=False)
     for _ in range(400):
         harness.serve(duration_ms=20.0)
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -33,7 +33,7 @@
     for _ in range(20):
         request, actions = harness.request(CELL_ORDER)
         if not started_attempts(actions):
-            continue  # errors shed load
+            continue  # shed, since the errors reduce the admitted load
         first = first_endpoint(actions)
         retries = started_attempts(harness.finish(request, 0, first, Outcome.ERROR))
         if retries:
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize(("after_ms", "retries"), [(1_600.0, 1), (1_750.0, 0)])
 def test_the_connect_timeout_shortens_the_retry_window(after_ms: float, retries: int) -> None:
-    """A connect of up to 300 ms began inside the window of 2,000 ms, and the retry arrived after it."""
+    """A retry that starts within the window of 2,000 ms may arrive up to 300 ms later, after the connect."""
     order = replace(GLOBAL_ORDER, latency_objective_ms=5_000, deadline_ms=9_000)
     harness = PolicyHarness(6, classes=(order,), connect_timeout_ms=300.0)
     request, actions = harness.request(order, remaining_ms=9_000)
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -1,4 +1,4 @@
-"""The rules hold under seeded random events: ordinary ones, odd ones, and restarts of the balancer."""
+"""The rules hold under seeded random events, including unusual ones and restarts of the balancer."""
 
 from __future__ import annotations
 
@@ -40,14 +40,16 @@
 START_MS = 50_000.0
 MEAN_STEP_MS = 15.0
 MEAN_ATTEMPT_MS = 80.0
-WATCH_DELAY_MS = 30.0  # from the opening of a watch to its first update, or to its failure
-TIMER_DELAY_MS = 0.01  # a timer never fires at the moment at which it is set
+# Time from the opening of a watch to its first update or its failure.
+WATCH_DELAY_MS = 30.0
+# A timer never fires at the time at which it is set.
+TIMER_DELAY_MS = 0.01
 REMAINING_MS = (0.0, 1.0, 40.0, 400.0, 2_500.0)
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN)
 
 
 class RandomWorkload:
-    """Plays random events against one balancer; the checker judges each action as it comes."""
+    """Sends random events to one balancer; the checker checks each action."""
 
     def __init__(self, seed: int, **changes: object) -> None:
         self.settings: Settings = make_settings(**({"tier": 1} | changes))
@@ -75,7 +77,7 @@
                 self._receive_request()
 
     def _restart(self) -> None:
-        """A new process of the balancer: requests, timers and attempts of the old one are lost."""
+        """Start a new balancer process: the requests, timers and attempts of the old one are lost."""
         self._clock = VirtualClock(self._clock.now)
         self._checker = RuleChecker(self.settings, self._endpoints, self.responses)
         self._balancer = LoadBalancer(self.settings, self._random.getrandbits(40))
@@ -189,7 +191,7 @@
 
     def _add_endpoints(self, count: int) -> None:
         self._refills += 1
-        first_cell = 100 * self._refills  # cells of their own
+        first_cell = 100 * self._refills  # the new endpoints are in new cells
         for i in range(count):
             name = f"n{self._refills}-{i}"
             self._endpoints[name] = Endpoint(name, zone=f"z{i % 2}", cell=first_cell + i // 2)
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""How long connections live when idle is learned, and they are closed before that."""
+"""The idle time after which connections are dead is learned, and such connections are closed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def closes_idle_connections(harness: PolicyHarness, interval_ms: float) -> bool:
-    """Serve a request after an idle time; return whether idle connections were closed before it."""
+    """Serve a request after an idle time; return whether idle connections were closed for it."""
     harness.now += interval_ms
     request, actions = harness.request(PAY)
     harness.now += 20
@@ -17,8 +17,8 @@
 
 
 def test_the_idle_limit_is_learned_from_unanswered_attempts() -> None:
-    """Connections dropped silently after a second without use cost each later attempt its full timeout."""
-    harness = PolicyHarness(1, tier=1)  # nothing is shed there
+    """If connections are silently dropped after a second idle, each later attempt takes its full timeout."""
+    harness = PolicyHarness(1, tier=1)  # inner tiers shed no load
     for _ in range(20):
         assert not closes_idle_connections(harness, 400.0)
     assert not closes_idle_connections(harness, 1_500.0)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail are ejected, and get requests again later."""
+"""Failing endpoints are ejected, and get requests again later."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def count_while_s0_fails(harness: PolicyHarness, rounds: int) -> Counter[str]:
-    """Count by endpoint the requests of a run in which s0 fails at once and the others serve."""
+    """Count requests by endpoint while s0 fails quickly and the others serve."""
     counts: Counter[str] = Counter()
     for _ in range(rounds):
         request, actions = harness.request(PAY)
@@ -25,14 +25,14 @@
 
 
 def test_an_endpoint_that_recovers_gets_requests_again() -> None:
-    harness = PolicyHarness(2, tier=1)  # nothing is shed there
+    harness = PolicyHarness(2, tier=1)  # inner tiers shed no load
     count_while_s0_fails(harness, 30)
     counts = Counter(harness.serve(duration_ms=20.0) for _ in range(1_500))
     assert counts["s0"] > 10
 
 
 def test_past_successes_do_not_delay_an_ejection() -> None:
-    """Endpoints of a lost zone got requests as long as their earlier successes outweighed the failures."""
+    """If earlier successes outweighed failed connects, endpoints of a lost zone would still get requests."""
     harness = PolicyHarness(5, seed=3)
     for _ in range(200):
         harness.serve(duration_ms=20.0)
--- a/tests/policy/test_poll_backoff.py
+++ b/tests/policy/test_poll_backoff.py
@@ -1,4 +1,4 @@
-"""The delay before discovery is polled again, after failures."""
+"""The delay before discovery is polled again after failures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loadbalancer.policy import poll_backoff
 from tests.policy.helpers import PolicyHarness, actions_of_type
 
-# Largest random factor of a retry delay.
+# Maximum random factor of a poll delay.
 MAX_DELAY_JITTER = 1.5
 
 
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -1,4 +1,4 @@
-"""Retries over a path of tiers, each endpoint with a balancer of its own: they add up, not multiply."""
+"""Over a chain of tiers in which each endpoint has its own balancer, retries add up but don't multiply."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from loadbalancer.policy import retry as retry_policy
 from testbed.runs.depth import run as depth
 
-ENDPOINTS = 6  # a tier; as many balancers before the first one, too
+# Endpoints per tier, and balancers before the first tier.
+ENDPOINTS = 6
 
 
 def measure_rows(faults: list[dict[str, Any]], **changes: Any) -> list[dict[str, Any]]:
-    """The rows of a depth run: one for each fault and depth, with 20 calls a second from outside."""
+    """Return the rows of a depth run, one per fault and depth, with 20 calls per second from clients."""
     defaults: dict[str, Any] = {
         "run": "depth",
         "about": "Small ones.",
@@ -33,14 +34,17 @@
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
 def test_saved_tokens_bound_the_retries_at_a_failed_tier(behaviour: str) -> None:
-    """Earned by arrivals, 28 tiers made 88 attempts for each admitted request, and 320 unprocessed ones."""
+    """If arrivals added tokens, retries would multiply over the tiers.
+
+    28 tiers would make 88 attempts for each admitted request, or 320 if they are not processed.
+    """
     for row in measure_rows([{"name": "lost", "behaviour": behaviour}]):
         assert row["served"] == 0
         assert row["calls"] > 150
         attempts = row["bottom_attempts_a_call"] * row["calls"]
         saved_tokens = retry_policy.RETRY_INITIAL_TOKENS * ENDPOINTS * row["depth"]
         if behaviour != "fails":
-            # Only the balancers right before the last tier make transparent retries.
+            # Only the balancers directly before the last tier make transparent retries.
             saved_tokens += retry_policy.TRANSPARENT_RETRY_INITIAL_TOKENS * ENDPOINTS
         assert 0.5 * row["calls"] < attempts <= row["calls"] + saved_tokens
 
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries are paid for by responses: over a path of tiers they add up and do not multiply."""
+"""Retries take tokens that responses add, so over a chain of tiers they add up but don't multiply."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def inner_tier_harness(seed: int = 1, *, may_hedge: bool = False) -> PolicyHarness:
-    """A balancer behind the first tier, where nothing is shed, with eight warm endpoints."""
+    """Return a balancer behind the first tier, where no load is shed, with eight warm endpoints."""
     return PolicyHarness(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
 
 
@@ -41,7 +41,7 @@
     request_class: RequestClass = READ,
     interval_ms: float = 0.0,
 ) -> tuple[int, int]:
-    """Play requests whose attempts end by the outcomes in turn; return how many retries and responses."""
+    """Send requests whose attempts end with the given outcomes in turn; count the retries and responses."""
     retries = responses = 0
     for _ in range(requests):
         harness.now += interval_ms
@@ -58,7 +58,7 @@
 
 
 def harness_with_full_buckets(*, may_hedge: bool = False) -> PolicyHarness:
-    """A balancer with both token buckets full."""
+    """Return a balancer whose token buckets are both full."""
     harness = inner_tier_harness(may_hedge=may_hedge)
     send_requests(harness, 100, repeat(Outcome.SUCCEEDED))
     return harness
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_without_responses_retries_stop_when_tokens_run_out(outcome: Outcome) -> None:
-    """Earned by arrivals they never ended: each tier added a fifth to what the tier above had added."""
+    """If arrivals added tokens, retries would never stop: each tier would add a fifth to the previous one."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.RETRY_MAX_TOKENS,
         0,
@@ -77,7 +77,7 @@
 def test_transparent_retries_stop_when_tokens_run_out(
     outcome: Outcome,
 ) -> None:
-    """They were free: each request made all the attempts that it may."""
+    """Without a budget, each request would use up its maximum number of attempts."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.TRANSPARENT_RETRY_MAX_TOKENS,
         0,
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("outcome", NEVER_RAN[:2])
 def test_no_request_fails_with_two_of_three_endpoints_unreachable(outcome: Outcome) -> None:
-    """With half of all connections refused, a budget by requests ran out before the successful attempt."""
+    """With half of the connections refused, a budget by requests would run out before an attempt succeeds."""
     harness = inner_tier_harness()
     assert send_requests(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
@@ -97,7 +97,7 @@
 
 
 def test_retries_are_limited_to_a_fifth_of_the_responses() -> None:
-    """Nine in ten fail: one response in ten attempts or so pays for a fifth of a retry."""
+    """If nine of ten attempts fail, about ten attempts bring one response, which adds a fifth of a token."""
     harness = inner_tier_harness()
     retries, responses = send_requests(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert responses > 200
@@ -121,7 +121,7 @@
     ],
 )
 def test_a_new_balancer_has_only_the_initial_tokens(outcome: Outcome, limit: float) -> None:
-    """Thirty balancers that restart during it add thirty times a few tokens, not a full bucket each."""
+    """Thirty balancers that restart during an outage add a few retries each, not a full bucket each."""
     assert retry_policy.RETRY_INITIAL_TOKENS < retry_policy.RETRY_MAX_TOKENS / 2
     assert (
         sum(send_requests(inner_tier_harness(seed=seed), 50, repeat(outcome))[0] for seed in range(30))
@@ -176,7 +176,7 @@
         harness.now = timer.at_ms
         hedged = started_attempts(harness.handle(TimerFired(timer.timer)))
         count += len(hedged)
-        harness.handle(ClientDisconnected(request))  # without a client no third attempt follows
+        harness.handle(ClientDisconnected(request))  # no third attempt follows after a disconnect
         for index, endpoint in enumerate([first, *(attempt.endpoint for attempt in hedged)]):
             harness.finish(request, index, endpoint, Outcome.CANCELLED)
     return count
@@ -184,7 +184,7 @@
 
 def test_hedged_attempts_spend_retry_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = harness_with_full_buckets(may_hedge=True)
-    # Overload holds hedged attempts back, too.
+    # Overload would suspend hedging as well.
     monkeypatch.setattr(OverloadDetector, "is_overloaded", lambda _, importance, now: False)
     assert count_hedged_attempts(harness, 40) == retry_policy.RETRY_MAX_TOKENS
 
@@ -196,7 +196,7 @@
         send_requests(harness, 1, repeat(Outcome.SUCCEEDED))
     request, actions = harness.request()
     first = first_endpoint(actions)
-    harness.handle(ClientDisconnected(request))  # without a client no response is final
+    harness.handle(ClientDisconnected(request))  # after a disconnect no response is final
     harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, is_request_complete=True))
     assert send_requests(harness, 1, iter([Outcome.ERROR])) == (0, 0), "four responses pay for no retry"
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to: capacity, load, weight and subset."""
+"""Endpoint selection by capacity, load, weight and subset."""
 
 from __future__ import annotations
 
@@ -62,7 +62,10 @@
 
 
 def test_endpoints_without_evidence_are_drawn_by_weight() -> None:
-    """With many balancers no endpoint has a request of ours: the lowest 1/c of four draws was the largest."""
+    """With many balancers, no endpoint has an attempt of this one in flight.
+
+    If four endpoints were always drawn, the largest of them would have the lowest load, 1 / capacity.
+    """
     counts: Counter[str] = Counter()
     for seed in range(1_000):
         harness = PolicyHarness(0, seed=seed)
@@ -82,7 +85,7 @@
 
 
 def test_one_of_many_balancers_uses_a_stable_subset() -> None:
-    """Requests spread over all endpoints are too few at each to learn it or to use a connection twice."""
+    """Spread over all endpoints, requests are too few at each to learn its capacity or reuse a connection."""
     subsets = []
     for seed in range(40):
         harness = PolicyHarness(60, seed=seed, balancers=300)
@@ -108,7 +111,7 @@
 
 
 class FixedCapacities(CapacityEstimator):
-    """Capacities that are known, in place of learned ones."""
+    """An estimator with given capacities."""
 
     def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate, capacities: dict[str, float]) -> None:
         super().__init__(endpoints, arrivals)
@@ -121,7 +124,7 @@
 def make_selector(
     settings: Settings, endpoints: EndpointSet, capacities: dict[str, float]
 ) -> EndpointSelector:
-    """A selector over a set of endpoints whose capacities are known."""
+    """Return a selector for endpoints with given capacities."""
     arrivals = ArrivalRate(settings)
     estimator = FixedCapacities(endpoints, arrivals, capacities)
     slow_start = SlowStart(
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -1,4 +1,4 @@
-"""The checks on settings."""
+"""Validation of the settings."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,7 +1,7 @@
-"""Warming endpoints under the load of all balancers together: many instances of the policy on one clock.
+"""Slow start under the load of all balancers together, simulated with many instances of the policy.
 
-`TIGHT_LIMITS` leaves a warming endpoint hardly more than what chance brings: 3 requests a window at its
-start. `LOOSE_LIMITS` leaves it 50.
+`TIGHT_LIMITS` allows an endpoint 3 requests per window at its start, hardly more than random variation.
+`LOOSE_LIMITS` allows it 50.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
     "slow_start_overload_factor": 1.5,
     "slow_start_window_ms": 500.0,
 }
-RATE_PER_S = 40.0  # requests of mean work that a warm endpoint can serve
+# Capacity of a warm endpoint, in requests of mean work per second.
+RATE_PER_S = 40.0
 LEARNING_MS = 8_000.0
 OBSERVATION_MS = 5_000.0
 
@@ -118,7 +119,7 @@
     make_half_unreachable,
 )
 
-# Without a limit on warming endpoints, six balancers are enough to overload one here.
+# Without slow-start limits, six balancers are enough to overload a warming endpoint in these scenarios.
 SCENARIOS_FOR_SIX_BALANCERS: tuple[Scenario, ...] = (
     replace_half_in_steps,
     replace_six_tenths_quickly,
@@ -150,7 +151,7 @@
     ],
 )
 def test_minimum_budgets_of_many_balancers_stay_within_the_limit(balancers: int, scenario: Scenario) -> None:
-    """Each balancer sent a warming endpoint one request a window: hundreds sent twice what it can handle."""
+    """If each of hundreds of balancers sent one request per window, an endpoint would get twice its limit."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
@@ -179,7 +180,7 @@
 @pytest.mark.parametrize("scenario", [add_one_endpoint, restart_a_third, restart_all_endpoints])
 @pytest.mark.parametrize("balancers", [30, 300])
 def test_light_traffic_reaches_warming_endpoints(scenario: Scenario, balancers: int) -> None:
-    """Balancers that get one request in seconds reject hardly any, where the endpoints have capacity."""
+    """Balancers that get one request in several seconds reject hardly any if the endpoints have capacity."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.05, 1, LOOSE_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
@@ -188,7 +189,7 @@
 
 
 def test_retries_count_against_the_limit_of_warming_endpoints() -> None:
-    """Requests that warm endpoints rejected were retried: twelve in a window met one warming endpoint."""
+    """If retries of rejected requests were not limited, a warming endpoint would get twelve in one window."""
     simulation = SlowStartSimulation(300, 20, RATE_PER_S, 0.9, 22, TIGHT_LIMITS)
     make_half_reject(simulation)
     assert simulation.warming_attempts
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -1,4 +1,4 @@
-"""What one balancer sends to warming endpoints."""
+"""The limits of one balancer on its requests to warming endpoints."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -1,4 +1,4 @@
-"""Requests stay in the own zone while it has capacity for its part."""
+"""Requests stay in the balancer's zone as long as it has enough capacity."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def count_by_zone(weights: dict[str, float]) -> Counter[str]:
-    """Count by zone the first requests of new balancers of zone `a`, with one endpoint a zone."""
+    """Count the first requests of new balancers in zone `a` by zone, with one endpoint per zone."""
     counts: Counter[str] = Counter()
     for seed in range(600):
         harness = PolicyHarness(0, seed=seed, zone="a")
@@ -23,7 +23,7 @@
 def test_requests_stay_in_a_zone_with_enough_capacity() -> None:
     assert count_by_zone({"a": 1.0, "b": 1.0, "c": 0.5}) == {"a": 600}
     assert count_by_zone({"a": 0.3, "b": 0.3, "c": 0.3}) == {"a": 600}
-    third = 0.1 + 0.2  # its part of three such zones is off by rounding
+    third = 0.1 + 0.2  # the mean of three such zones differs by rounding
     assert count_by_zone({"a": third, "b": 0.3, "c": third}).keys() <= {"a", "b", "c"}
 
 
@@ -35,7 +35,7 @@
 
 
 def test_zone_preference_ends_with_requests_in_flight() -> None:
-    """Endpoints of one zone got two or three times the requests of another, and stayed slow for long."""
+    """Otherwise the endpoints of one zone get two or three times the requests of another and stay slow."""
     in_own_zone = []
     for endpoints in (1, 3):
         in_own_zone.append(0)
@@ -47,13 +47,16 @@
             in_own_zone[-1] += sum(
                 first_endpoint(harness.request(PAY)[1])[0] == "a" for _ in range(2 * endpoints)
             )
-    assert in_own_zone[0] <= 45  # at most the first of two, and sometimes the second
-    assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # drawn first, then chosen by load alone
+    assert in_own_zone[0] <= 45  # at most the first of two requests, and sometimes the second
+    assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # drawn by zone first, then selected by load alone
 
 
 def test_a_loaded_zone_spills_over_to_the_other_zones() -> None:
-    """One of two balancers sent nearly all to the one endpoint of its zone; two zones were idle."""
-    # An inner tier sheds no load: all 16 requests are admitted at the balancer's start.
+    """One of two balancers must not send nearly all requests to the only endpoint of its zone.
+
+    Otherwise two of the four zones stay idle.
+    """
+    # Inner tiers shed no load, so a new balancer admits all 16 requests.
     harness = PolicyHarness(0, zone="a", balancers=2, may_hedge=False, tier=1)
     harness.update_endpoints(*(Endpoint(zone, zone=zone) for zone in "abcd"))
     counts = Counter(first_endpoint(harness.request(PAY)[1]) for _ in range(16))
