--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -20,9 +20,9 @@
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings
 
 READ = RequestClass("read", 1_000, 3_000, Idempotency.SAFE)
-CELL_ORDER = RequestClass("order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
-GLOBAL_ORDER = RequestClass("anywhere", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
-ZONE_ORDER = RequestClass("zonal", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
+CELL_ORDER = RequestClass("cell_order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
+GLOBAL_ORDER = RequestClass("global_order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
+ZONE_ORDER = RequestClass("zone_order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
 # The window has no effect on a class that is not idempotent, but the settings may contain one.
 PAY = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, idempotency_window_ms=2_000)
 CLASSES = (READ, CELL_ORDER, GLOBAL_ORDER, ZONE_ORDER, PAY)
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -77,14 +77,16 @@
         """Check that an attempt may start now; record it and return its index."""
         request = self.requests[request_id]
         endpoint = self._endpoints.get(name)
-        assert request.response is None, "sent after the end"
-        assert not request.is_disconnected, "sent after the end"
-        assert now <= request.deadline_ms, "sent after the deadline"
-        assert len(request.attempts) < self._settings.max_attempts, "more attempts than allowed"
-        assert endpoint is not None, "sent to what has been removed"
-        assert endpoint.state is EndpointState.READY, "sent to what drains or has been removed"
+        assert request.response is None, "attempt after the final response"
+        assert not request.is_disconnected, "attempt after the client disconnected"
+        assert now <= request.deadline_ms, "attempt after the deadline"
+        assert len(request.attempts) < self._settings.max_attempts, "more than max_attempts attempts"
+        assert endpoint is not None, "attempt at an unknown endpoint"
+        assert endpoint.state is EndpointState.READY, "attempt at a draining or removed endpoint"
         if not self._settings.may_hedge:
-            assert not any(attempt.is_in_flight for attempt in request.attempts), "two attempts in flight"
+            assert not any(attempt.is_in_flight for attempt in request.attempts), (
+                "two attempts in flight without hedging"
+            )
         self._check_repetition(request, endpoint, now)
         self._check_warmup(endpoint, now)
         request.attempts.append(TrackedAttempt(endpoint, now))
@@ -95,14 +97,14 @@
         earlier = request.attempts_that_may_have_run()
         if not earlier or request_class.idempotency is Idempotency.SAFE:
             return
-        assert request_class.idempotency is Idempotency.KEYED, "a request that is not idempotent sent twice"
+        assert request_class.idempotency is Idempotency.KEYED, "non-idempotent request repeated"
         window_ends_ms = earlier[0].started_at_ms + request_class.idempotency_window_ms
-        assert now < window_ends_ms, "repeated after the window"
+        assert now < window_ends_ms, "request repeated after the idempotency window"
         for attempt in earlier:
             if request_class.idempotency_scope is IdempotencyScope.CELL:
-                assert attempt.endpoint.cell == endpoint.cell, "repeated outside the cell"
+                assert attempt.endpoint.cell == endpoint.cell, "request repeated outside its cell"
             if request_class.idempotency_scope is IdempotencyScope.ZONE:
-                assert attempt.endpoint.zone == endpoint.zone, "repeated outside the zone"
+                assert attempt.endpoint.zone == endpoint.zone, "request repeated outside its zone"
 
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
         """Check that a warming endpoint gets few attempts in a window.
@@ -114,7 +116,9 @@
         fraction = self._warmup_fraction(endpoint, now)
         if fraction < 1:
             limit = max(1, self._settings.slow_start_overload_factor * fraction * self._max_warm_starts)
-            assert 1 + recent <= limit, f"overloaded while warming: {1 + recent} attempts, at most {limit}"
+            assert 1 + recent <= limit, (
+                f"warming endpoint overloaded: {1 + recent} attempts in a window, limit {limit}"
+            )
         else:
             self._max_warm_starts = max(self._max_warm_starts, recent)
         starts_ms.append(now)
@@ -134,7 +138,7 @@
         """Check that an attempt may be cancelled, and return whether it is still in flight."""
         assert self._settings.may_cancel
         attempts = self.requests[request_id].attempts
-        assert attempt_index < len(attempts), "cancelled an attempt never made"
+        assert attempt_index < len(attempts), "cancelled an attempt that was never started"
         return attempts[attempt_index].is_in_flight
 
     def finish_attempt(self, request_id: int, attempt_index: int, outcome: Outcome, now: float) -> bool:
@@ -162,7 +166,7 @@
             and request_class.idempotency_scope is IdempotencyScope.ALL
         )
         may_have_run = bool(request.attempts_that_may_have_run())
-        assert not may_have_run or is_repeatable_anywhere, "rejected what may have run"
+        assert not may_have_run or is_repeatable_anywhere, "rejected a request that may have run"
         self._respond(request, FinalResponse.REJECTED, now)
 
     def fail(self, request_id: int, now: float) -> None:
@@ -172,7 +176,7 @@
     def _respond(self, request: TrackedRequest, response: FinalResponse, now: float) -> None:
         assert request.response is None, "two final responses"
         if not request.is_disconnected:
-            assert now <= request.deadline_ms + GRACE_MS, "responded too late"
+            assert now <= request.deadline_ms + GRACE_MS, "response after the deadline"
         request.response = response
         self._responses[response] += 1
 
@@ -180,4 +184,4 @@
         """Check that each request has its response in time."""
         for request_id, request in self.requests.items():
             is_overdue = not request.is_complete and now > request.deadline_ms + GRACE_MS
-            assert not is_overdue, f"request {request_id} was lost"
+            assert not is_overdue, f"request {request_id} has no response"
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -245,7 +245,7 @@
     def receive_attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
         """Process an attempt that arrives at an endpoint; return its duration and its outcome."""
         endpoint = self.endpoints[name]
-        assert endpoint.is_ready, "sent to an endpoint that has been removed"
+        assert endpoint.is_ready, "attempt at a removed endpoint"
         capacity = self._warmup_fraction(endpoint)
         if capacity < 1:
             self._count_warming_attempt(endpoint, work, capacity)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -45,9 +45,9 @@
     """A limit on a mean over seconds would admit whole bursts, and endpoints stay slow after an overload."""
     harness = after_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
-    assert 10 <= len(in_flight) <= 20, "eight for each of four endpoints, half of them for the other balancer"
+    assert 10 <= len(in_flight) <= 20, "8 for each of 4 endpoints, shared by 2 balancers"
     logs = [a for a in harness.actions if isinstance(a, LogMessage) and "shedding" in a.text]
-    assert len(logs) == 1, "one line for all that is shed in succession"
+    assert len(logs) == 1, "one line for successive shed requests"
     harness.now += 50
     for request, endpoint in in_flight[:5]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
@@ -120,7 +120,7 @@
     """A minimum of eight for each balancer would add up: to 11 per endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
-        "four for each endpoint"
+        "4 for each endpoint"
     )
 
 
@@ -155,7 +155,7 @@
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, state=EndpointState.DRAINING)[3:])
     remaining = sum(endpoint in ("s0", "s1", "s2") for endpoint in endpoints)
     assert remaining + len(send_until_shed(harness)) == pytest.approx(24, abs=1), (
-        "eight for each endpoint that is left"
+        "8 for each remaining endpoint"
     )
 
 
@@ -194,7 +194,7 @@
     harness.now = 1_700_000_000_000.0  # Unix time: the first estimates must not suffer from rounding
     apply_load(harness, 150.0, (READ, None), rounds=300)
     admitted = apply_load(harness, duration_ms, (READ, None), rounds=600)["read"]
-    assert (admitted == 600) is all_admitted, "75 of 80 in flight, at seven times their baseline service time"
+    assert (admitted == 600) is all_admitted, "75 of 80 in flight, at 7 times their baseline service time"
     assert admitted > 200
 
 
@@ -203,11 +203,13 @@
     harness = PolicyHarness(60, balancers=6)
     for _ in range(20):
         harness.serve(duration_ms=900.0)
-    assert apply_load(harness, 900.0, (READ, None), rounds=600)["read"] > 540, "but for the first second"
+    assert apply_load(harness, 900.0, (READ, None), rounds=600)["read"] > 540, (
+        "all but those of the first second"
+    )
 
 
 def test_a_new_balancer_starts_below_the_limit() -> None:
     """Otherwise each new balancer admits all requests of its first second and overloads the tier behind."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
-    assert 20 <= admitted <= 45, "the limit admits 80"
+    assert 20 <= admitted <= 45, "the full limit is 80"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -39,7 +39,7 @@
     assert admitted["high"] > 1.5 * admitted["low"] > 0
     harness = PolicyHarness(4, classes=(LOW_PRIORITY, HIGH_PRIORITY))
     assert send_until_shed(harness, LOW_PRIORITY)
-    assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "kept free by the lower priority"
+    assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "capacity left by the lower priority"
 
 
 def test_low_priority_is_not_shed_like_over_quota() -> None:
@@ -75,18 +75,18 @@
     for request, endpoint in in_flight[:6]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
     assert len(send_until_shed(harness, tenant="small")) == 6, (
-        "all within its quota: a request over it would be shed here"
+        "all within quota; any request over it would be shed here"
     )
 
 
 def test_a_late_client_retry_is_shed_first() -> None:
     """Client retries past the latency objective have no value and rank below first attempts."""
     harness = PolicyHarness(4)
-    assert started_attempts(harness.request(remaining_ms=1_900)[1]), "nothing else asks for the capacity"
+    assert started_attempts(harness.request(remaining_ms=1_900)[1]), "there is no other load"
     for request, endpoint in send_until_shed(harness)[:6]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
     assert not started_attempts(harness.request(remaining_ms=1_900)[1]), (
-        "its client began 1,100 ms ago, with an objective of 1,000"
+        "its client started 1,100 ms ago, with a latency objective of 1,000 ms"
     )
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -28,7 +28,7 @@
     serve_at_interval(harness, interval_ms, 3)
     admitted_per_endpoint = len(send_until_shed(harness)) / remaining
     assert (admitted_per_endpoint > 4) if takes_over else (admitted_per_endpoint < 3), (
-        "of eight requests for each endpoint"
+        "of a limit of 8 for each endpoint"
     )
 
 
@@ -37,6 +37,4 @@
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:5])
     serve_at_interval(harness, 10.0, 3)
-    assert len(send_until_shed(harness, tenant="small")) > 20, (
-        "a fourth of its quota would have limited it to 15"
-    )
+    assert len(send_until_shed(harness, tenant="small")) > 20, "a quarter of the quota would allow only 15"
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -89,7 +89,7 @@
     harness.now += 5
     harness.finish(request, 0, failed, Outcome.ERROR)
     counts = Counter(harness.serve(duration_ms=1.0) for _ in range(40))
-    assert counts[failed] <= 10, "1,200 of the 1,400 ms that attempts spent anywhere were spent there"
+    assert counts[failed] <= 10, "1,200 of 1,400 ms of busy time are there"
 
 
 def test_large_cost_hints_do_not_lower_capacity() -> None:
@@ -119,4 +119,4 @@
         counts[
             harness.serve(duration_ms={f"s{i}": 1_500.0 if f"s{i}" == slow else 100.0 for i in range(12)})
         ] += 1
-    assert 0 < counts[slow] <= 6, "drawn evenly, a twelfth of 150 is 12"
+    assert 0 < counts[slow] <= 6, "an even distribution would give it 12 of 150"
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -29,7 +29,7 @@
         request, actions = harness.request()
         assert RejectRequest(request) in actions
         assert not started_attempts(actions)
-    assert len([a for a in harness.actions if isinstance(a, LogMessage)]) == 1, "one line for the whole time"
+    assert len([a for a in harness.actions if isinstance(a, LogMessage)]) == 1, "only one log line"
 
 
 def test_a_request_without_remaining_time_is_rejected_at_once() -> None:
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -38,11 +38,13 @@
     actions = harness.handle(TimerFired(timer.timer))
     hedged = started_attempts(actions)[0]
     assert hedged.endpoint != first.endpoint
-    assert actions.index(CloseIdleConnections(hedged.endpoint)) < actions.index(hedged), "on a new connection"
+    assert actions.index(CloseIdleConnections(hedged.endpoint)) < actions.index(hedged), (
+        "hedged attempts use a new connection"
+    )
     assert request_class is READ or int(hedged.endpoint[1]) // 2 == int(first.endpoint[1]) // 2, (
-        "inside its cell"
+        "must stay in the cell"
     )
-    assert not started_attempts(harness.handle(TimerFired(timer.timer))), "one hedged attempt, not more"
+    assert not started_attempts(harness.handle(TimerFired(timer.timer))), "at most one hedged attempt"
     harness.now += 40
     assert CancelAttempt(request, 0) in harness.finish(request, 1, hedged.endpoint, Outcome.SUCCEEDED)
 
@@ -52,7 +54,7 @@
     actions = PolicyHarness(4, may_hedge=False).request(READ)[1]
     assert not actions_of_type(actions, SetTimer)
     assert started_attempts(actions)[0].timeout_ms == pytest.approx(1_000), (
-        "cut short, the work done so far is lost"
+        "a shorter timeout would waste the work done so far"
     )
     assert started_attempts(PolicyHarness(4, max_attempts=1).request(READ)[1])[0].timeout_ms == pytest.approx(
         1_000
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -42,7 +42,9 @@
     harness = PolicyHarness(
         6,
         classes=(
-            RequestClass("order", 5_000, 9_000, CELL_ORDER.idempotency, CELL_ORDER.idempotency_scope, 2_000),
+            RequestClass(
+                "cell_order", 5_000, 9_000, CELL_ORDER.idempotency, CELL_ORDER.idempotency_scope, 2_000
+            ),
         ),
     )
     request, actions = harness.request(CELL_ORDER, remaining_ms=9_000)
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -214,7 +214,7 @@
     workload = RandomWorkload(seed, **VARIANTS[variant])
     workload.run(1_500)
     responses = workload.responses
-    assert responses[FinalResponse.SERVED] > 60, "a run in which nothing is served checks nothing"
+    assert responses[FinalResponse.SERVED] > 60, "too few requests served for a meaningful check"
     assert responses[FinalResponse.FAILED] + responses[FinalResponse.REJECTED] > 20
     if workload.settings.max_attempts > 1:
         assert workload.retries > 10
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -30,8 +30,10 @@
         harness.now += 1_000
         harness.finish(request, 0, "s0", Outcome.TIMED_OUT)
     closes_idle_connections(harness, 10.0)
-    assert closes_idle_connections(harness, 1_600.0), "idle as long as before the lost attempts"
-    assert not closes_idle_connections(harness, 400.0), "a shorter idle time is known to be safe"
+    assert closes_idle_connections(harness, 1_600.0), (
+        "idle for as long as before the attempts without a response"
+    )
+    assert not closes_idle_connections(harness, 400.0), "shorter idle times have proved safe"
     for _ in range(60):
         closes_idle_connections(harness, 400.0)
     assert not closes_idle_connections(harness, 1_600.0), "the evidence has been replaced"
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -50,7 +50,7 @@
             harness.handle(ClientDisconnected(request))
             harness.finish(request, 1, attempt.endpoint, Outcome.CANCELLED)
     assert counts["s0"] + counts["s1"] + counts["s2"] <= 8, (
-        "more than half of the endpoints, yet each is certainly unreachable"
+        "unreachable endpoints are ejected even if they are the majority"
     )
     harness.now += 20_000
-    assert "s0" in count_by_endpoint(harness, 50), "and gets requests again later"
+    assert "s0" in count_by_endpoint(harness, 50), "gets requests again later"
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -161,7 +161,7 @@
         0,
     )
     assert send_requests(harness, 100, repeat(Outcome.ERROR), READ) == (retry_policy.RETRY_MAX_TOKENS, 0), (
-        "the retry tokens were not touched"
+        "no retry tokens have been spent"
     )
 
 
@@ -198,7 +198,9 @@
     first = first_endpoint(actions)
     harness.handle(ClientDisconnected(request))  # after a disconnect no response is final
     harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, is_request_complete=True))
-    assert send_requests(harness, 1, iter([Outcome.ERROR])) == (0, 0), "four responses pay for no retry"
+    assert send_requests(harness, 1, iter([Outcome.ERROR])) == (0, 0), (
+        "four responses add less than one token"
+    )
 
 
 def test_a_failure_without_tokens_is_answered_at_once() -> None:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -44,7 +44,7 @@
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 10.0, "s1": 30.0})
     counts = Counter(harness.serve(duration_ms=10.0) for _ in range(200))
-    assert counts["s0"] > 1.7 * counts["s1"], "three to one by the first estimates, even in the end"
+    assert counts["s0"] > 1.7 * counts["s1"], "3 to 1 by the first estimates, approaching 1 to 1"
 
 
 def test_busy_endpoints_are_avoided() -> None:
@@ -92,12 +92,12 @@
         subsets.append({harness.serve() for _ in range(300)})
         harness.update_endpoints(Endpoint("s60"), kind=EndpointListKind.DELTA)
         assert len({harness.serve() for _ in range(100)} - subsets[-1]) <= 1, (
-            "a new entry replaces one of them at most"
+            "a new entry replaces at most one of them"
         )
     assert {len(subset) for subset in subsets} == {12}
-    assert len(set[str]().union(*subsets)) > 55, "each balancer has a subset of its own"
+    assert len(set[str]().union(*subsets)) > 55, "different balancers have different subsets"
     harness = PolicyHarness(20, balancers=10)
-    assert len({harness.serve() for _ in range(400)}) == 20, "few balancers use all the endpoints"
+    assert len({harness.serve() for _ in range(400)}) == 20, "with few balancers, each uses all endpoints"
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
@@ -145,5 +145,5 @@
     request = Request(1, READ, expires_at=now + 1_000)
     selected = [selector.select(request, now) for _ in range(2_000)]
     counts = Counter(endpoint.entry.name for endpoint in selected if endpoint)
-    assert counts["s0"] > 1_900, "s1 wins only if none of the four draws is s0: one in 81"
+    assert counts["s0"] > 1_900, "s1 is selected only if none of the four draws is s0: 1 in 81"
     assert counts["s1"] > 5
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -27,7 +27,7 @@
     with pytest.raises(InvalidSettingsError, match=name) as invalid:
         make_settings(**change)
     assert invalid.value.field == name
-    assert isinstance(invalid.value, ValueError), "callers that know no type of ours catch it, too"
+    assert isinstance(invalid.value, ValueError), "callers may catch the built-in type"
     with pytest.raises(InvalidSettingsError, match="latency_objective_ms"):
         RequestClass("x", 0, 10, READ.idempotency)
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -136,7 +136,7 @@
 def test_no_warming_endpoint_is_overloaded(balancers: int, scenario: Scenario) -> None:
     simulation = SlowStartSimulation(balancers, 12, RATE_PER_S, 0.9, 1, TIGHT_LIMITS, skewed=balancers == 30)
     scenario(simulation)
-    assert simulation.warming_attempts, "a run in which no warming endpoint is used checks nothing"
+    assert simulation.warming_attempts, "no warming endpoint was used"
     assert simulation.max_excess <= 1
 
 
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -29,7 +29,7 @@
 
 def test_a_small_zone_spills_over_to_larger_zones() -> None:
     counts = count_by_zone({"a": 1.0, "b": 3.0, "c": 2.0})
-    assert 240 < counts["a"] < 360, "it keeps half of what it gets: its part would be 2"
+    assert 240 < counts["a"] < 360, "its capacity is half of the mean of 2, so it keeps half"
     assert counts["c"] == 0
     assert counts["b"] == 600 - counts["a"]
 
