--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -12,7 +12,7 @@
 """Exponent of the relative priority weight.
 
 With an exponent of 1, a class with an eighth of the largest weight is shed like requests over quota. With
-1/2, one class still falls short of the share that each class must be served.
+1/2, one class is still served less than the minimum that every class must get.
 """
 FULL_TIMEOUT_FRACTION = 0.9
 """Fraction of the longest remaining time seen for a class below which a request counts as a client retry.
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -20,7 +20,7 @@
     endpoint: EndpointStats
     idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or unknown
     started_at: float
-    times_out_at: float  # when it times out
+    times_out_at: float
     is_baseline: bool  # whether it started without load and so counts toward the baseline service time
     is_open: bool = True  # whether it is in flight
     may_have_run: bool = True  # whether it may have had an effect; false once its outcome rules that out
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -45,10 +45,10 @@
 
     This keeps retries from multiplying over the tiers. A failure in the last tier reaches the balancers of
     every tier before it. If arriving requests added tokens, each tier would add its fraction to the retries
-    of the tier before it, since these arrive like other requests. A response, however, passes each tier once:
-    over d tiers, there are at most d times the tokens per response in retries for each response, plus the
-    tokens in the bucket of each balancer. The drawback is that fewer retries are made than would succeed
-    where most attempts fail at random.
+    of the tier before it, since these arrive like other requests. A response, however, passes each tier once.
+    So the retries in d tiers are at most d times the tokens per response for each response, plus the tokens
+    in the buckets of all balancers. The drawback is that fewer retries are made than would succeed where most
+    attempts fail at random.
     """
 
     def __init__(self, tokens_per_response: float, initial_tokens: float, max_tokens: float) -> None:
