--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -28,7 +28,7 @@
         self._tick_ms = settings.tick_ms
         self._window_ms = settings.slow_start_window_ms
         self._count = 0
-        self._last_at = 0.0
+        self._last_arrival_at = 0.0
         self.started_at = math.inf
         self.short_term_interarrival_ms = 0.0
         self.long_term_interarrival_ms = 0.0
@@ -40,7 +40,7 @@
     def record(self, now: float) -> None:
         """Count a request that arrives now."""
         if self._count:
-            interval_ms = now - self._last_at
+            interval_ms = now - self._last_arrival_at
             short_term_weight = min(self._count, SHORT_TERM_REQUESTS)
             long_term_weight = min(self._count, LONG_TERM_REQUESTS)
             self.short_term_interarrival_ms += (
@@ -50,7 +50,7 @@
                 interval_ms - self.long_term_interarrival_ms
             ) / long_term_weight
         self._count += 1
-        self._last_at = now
+        self._last_arrival_at = now
 
     def short_term_rate_per_ms(self, now: float) -> float:
         """Return the mean rate over the last SHORT_TERM_REQUESTS requests."""
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -56,7 +56,7 @@
         self._endpoints = endpoints
         self._warmup = endpoints.warmup
         self._arrivals = arrivals
-        self._median_at = -math.inf
+        self._median_updated_at = -math.inf
         self.median = 0.0
         self.served_work_per_ms = 0.0
         self.time_constant_ms = EVIDENCE_TIME_CONSTANT_MS
@@ -85,8 +85,8 @@
         Without evidence all endpoints are selected by their weight alone, so any positive value will do. When
         all evidence has decayed, the last median is kept.
         """
-        if now - self._median_at >= MEDIAN_INTERVAL_MS:
-            self._median_at = now
+        if now - self._median_updated_at >= MEDIAN_INTERVAL_MS:
+            self._median_updated_at = now
             self._update(now)
         return self.median or 1.0
 
@@ -106,8 +106,8 @@
         # One of hundreds of balancers starts few attempts: a short time constant would let the evidence decay
         # between two of them.
         interval_ms = self._arrivals.short_term_interarrival_ms
-        wanted_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
-        bounded_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, wanted_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
-        self.time_constant_ms = bounded_ms
+        required_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
+        time_constant_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, required_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
+        self.time_constant_ms = time_constant_ms
         for endpoint in ready:
-            endpoint.capacity_time_constant_ms = bounded_ms
+            endpoint.capacity_time_constant_ms = time_constant_ms
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -96,18 +96,18 @@
     above the mean, in proportion to their excess over it. A zone above the mean keeps all its requests. The
     weights are the capacities if the own zone is unknown, has no endpoint, or is the only one.
     """
-    zones: dict[str, float] = {}
+    zone_capacities: dict[str, float] = {}
     for endpoint, capacity in zip(endpoints, capacities, strict=True):
         zone = endpoint.entry.zone
-        zones[zone] = zones.get(zone, 0.0) + capacity
-    if not own_zone or own_zone not in zones or len(zones) < 2:
+        zone_capacities[zone] = zone_capacities.get(zone, 0.0) + capacity
+    if not own_zone or own_zone not in zone_capacities or len(zone_capacities) < 2:
         return capacities
-    mean = sum(zones.values()) / len(zones)
-    excess = {zone: max(capacity - mean, 0.0) for zone, capacity in zones.items()}
+    mean = sum(zone_capacities.values()) / len(zone_capacities)
+    excess = {zone: max(capacity - mean, 0.0) for zone, capacity in zone_capacities.items()}
     total_excess = sum(excess.values())  # 0 if all zones have the same capacity, apart from rounding
-    spill = max(mean - zones[own_zone], 0.0) / total_excess if total_excess else 0.0
+    spill_fraction = max(mean - zone_capacities[own_zone], 0.0) / total_excess if total_excess else 0.0
     factors = {
-        zone: (min(capacity, mean) if zone == own_zone else spill * excess[zone]) / capacity
-        for zone, capacity in zones.items()
+        zone: (min(capacity, mean) if zone == own_zone else spill_fraction * excess[zone]) / capacity
+        for zone, capacity in zone_capacities.items()
     }
     return [factors[e.entry.zone] * capacity for e, capacity in zip(endpoints, capacities, strict=True)]
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -124,8 +124,8 @@
         """
         if self._balancers_per_endpoint <= 2:
             return 1.0
-        allowed = self._overload_factor * weight * self._warm_rate_per_ms * self._window_ms
-        limit = allowed + 2 * math.sqrt(allowed) + 2
+        allowed_mean = self._overload_factor * weight * self._warm_rate_per_ms * self._window_ms
+        limit = allowed_mean + 2 * math.sqrt(allowed_mean) + 2
         sqrt_mean = math.sqrt(Z_SCORE**2 / 4 + limit) - Z_SCORE / 2
         return float(sqrt_mean**2) / self._balancers_per_endpoint
 
@@ -173,7 +173,7 @@
         The restriction keeps warming endpoints from getting the load of removed warm ones, or that of a
         burst. Outliers count neither as warm nor as warming, since they get no requests.
         """
-        warm_weight = warming_weight = max_mean_starts = 0.0
+        warm_weight = warming_weight = summed_limits = 0.0
         subset = self._endpoints.subset
         for endpoint in subset:
             if is_outlier(endpoint):
@@ -181,13 +181,11 @@
             fraction = self._warmup.fraction(endpoint, now)
             if fraction < 1:
                 warming_weight += endpoint.weight * fraction
-                max_mean_starts += self._max_mean_starts(endpoint.weight * fraction)
+                summed_limits += self._max_mean_starts(endpoint.weight * fraction)
             else:
                 warm_weight += endpoint.weight
         requests = self._arrivals.short_term_rate_per_ms(now) * self._window_ms
-        required_weight = (
-            requests * warming_weight / max_mean_starts if max_mean_starts else math.inf
-        )  # R V / M
+        required_weight = requests * warming_weight / summed_limits if summed_limits else math.inf  # R V / M
         if warm_weight + warming_weight >= required_weight:
             return 1.0
         if warm_weight:
