--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -209,7 +209,7 @@
 
 
 def test_a_new_balancer_starts_below_the_limit() -> None:
-    """Otherwise each new balancer admits all requests of its first second and overloads the tier behind."""
+    """If new balancers admitted all requests of their first second, they would overload the tier behind."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
     assert 20 <= admitted <= 45, "the full limit is 80"
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -21,7 +21,7 @@
 def test_taking_over_a_lost_zone_lowers_the_balancer_count(
     remaining: int, interval_ms: float, *, takes_over: bool
 ) -> None:
-    """Otherwise the three balancers left of seven would use only three sevenths of the remaining capacity."""
+    """With a fixed count, three balancers left of seven would use three sevenths of the capacity left."""
     harness = PolicyHarness(10, balancers=4)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:remaining])
--- a/tests/policy/test_deploy_file.py
+++ b/tests/policy/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""How the deploy file and the entry module present the policy."""
+"""What the deploy file and the entry module say about the modules of the policy."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -85,7 +85,7 @@
 
 
 def test_one_of_many_balancers_uses_a_stable_subset() -> None:
-    """Spread over all endpoints, requests are too few at each to learn its capacity or reuse a connection."""
+    """Spread over all endpoints, requests are too few at each to learn its capacity or reuse connections."""
     subsets = []
     for seed in range(40):
         harness = PolicyHarness(60, seed=seed, balancers=300)
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -35,7 +35,7 @@
 
 
 def test_zone_preference_ends_with_requests_in_flight() -> None:
-    """Otherwise the endpoints of one zone get two or three times the requests of another and stay slow."""
+    """Otherwise endpoints of one zone would get two or three times the requests of another, and stay slow."""
     in_own_zone = []
     for endpoints in (1, 3):
         in_own_zone.append(0)
