--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail are ejected, and get requests again later."""
+"""Failing endpoints are ejected, and get requests again later."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def count_while_s0_fails(harness: PolicyHarness, rounds: int) -> Counter[str]:
-    """Count by endpoint the requests of a run in which s0 fails at once and the others serve."""
+    """Count requests by endpoint while s0 fails quickly and the others serve."""
     counts: Counter[str] = Counter()
     for _ in range(rounds):
         request, actions = harness.request(PAY)
@@ -20,19 +20,19 @@
     return counts
 
 
-def test_a_fast_failing_endpoint_does_not_look_idle() -> None:
+def test_a_fast_failing_endpoint_does_not_attract_requests() -> None:
     assert count_while_s0_fails(PolicyHarness(2, tier=1), 60)["s0"] < 10
 
 
 def test_an_endpoint_that_recovers_gets_requests_again() -> None:
-    harness = PolicyHarness(2, tier=1)  # nothing is shed there
+    harness = PolicyHarness(2, tier=1)  # inner tiers shed no load
     count_while_s0_fails(harness, 30)
     counts = Counter(harness.serve(duration_ms=20.0) for _ in range(1_500))
     assert counts["s0"] > 10
 
 
-def test_an_unreachable_endpoint_is_ejected_though_it_served_well_before() -> None:
-    """Endpoints of a lost zone got requests as long as their earlier successes outweighed the failures."""
+def test_past_successes_do_not_delay_an_ejection() -> None:
+    """If earlier successes outweighed failed connects, endpoints of a lost zone would still get requests."""
     harness = PolicyHarness(5, seed=3)
     for _ in range(200):
         harness.serve(duration_ms=20.0)
@@ -42,13 +42,15 @@
         endpoint = first_endpoint(actions)
         counts[endpoint] += 1
         harness.now += 5
-        lost = endpoint in ("s0", "s1", "s2")
-        actions = harness.finish(request, 0, endpoint, Outcome.CONNECT_FAILED if lost else Outcome.SUCCEEDED)
-        for send in started_attempts(actions):
+        is_unreachable = endpoint in ("s0", "s1", "s2")
+        actions = harness.finish(
+            request, 0, endpoint, Outcome.CONNECT_FAILED if is_unreachable else Outcome.SUCCEEDED
+        )
+        for attempt in started_attempts(actions):
             harness.handle(ClientDisconnected(request))
-            harness.finish(request, 1, send.endpoint, Outcome.CANCELLED)
+            harness.finish(request, 1, attempt.endpoint, Outcome.CANCELLED)
     assert counts["s0"] + counts["s1"] + counts["s2"] <= 8, (
-        "more than half of the endpoints, yet each is certainly unreachable"
+        "unreachable endpoints are ejected even if they are the majority"
     )
     harness.now += 20_000
-    assert "s0" in count_by_endpoint(harness, 50), "and gets requests again later"
+    assert "s0" in count_by_endpoint(harness, 50), "gets requests again later"
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -1,4 +1,4 @@
-"""The checks on settings."""
+"""Validation of the settings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from loadbalancer.errors import InvalidSettingsError
 from loadbalancer.settings import RequestClass, Tenant
-from tests.policy.helpers import READ, settings
+from tests.policy.helpers import READ, make_settings
 
 
 @pytest.mark.parametrize(
@@ -25,9 +25,9 @@
 )
 def test_invalid_settings_name_their_field(change: dict[str, object], name: str) -> None:
     with pytest.raises(InvalidSettingsError, match=name) as invalid:
-        settings(**change)
+        make_settings(**change)
     assert invalid.value.field == name
-    assert isinstance(invalid.value, ValueError), "callers that know no type of ours catch it, too"
+    assert isinstance(invalid.value, ValueError), "callers may catch the built-in type"
     with pytest.raises(InvalidSettingsError, match="latency_objective_ms"):
         RequestClass("x", 0, 10, READ.idempotency)
 
@@ -42,15 +42,13 @@
         ({"late_value": 1.5}, "late_value is 1.5: it must be between 0 and 1"),
     ],
 )
-def test_an_invalid_class_is_rejected_with_its_field_and_value(
-    change: dict[str, object], message: str
-) -> None:
+def test_an_invalid_class_is_rejected(change: dict[str, object], message: str) -> None:
     with pytest.raises(InvalidSettingsError) as invalid:
         replace(READ, **change)  # type: ignore[arg-type]
     assert str(invalid.value) == message
 
 
-def test_an_invalid_tenant_is_rejected_with_its_field_and_value() -> None:
+def test_an_invalid_tenant_is_rejected() -> None:
     with pytest.raises(InvalidSettingsError, match="quota_per_s is -1: it must not be negative"):
         Tenant("t", -1)
     with pytest.raises(InvalidSettingsError, match="name is '': it must not be empty"):
