--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -1,4 +1,4 @@
-"""Capacity estimates of endpoints, and the evidence that they are made from."""
+"""Capacity estimates of endpoints, and the evidence that they are based on."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     PolicyHarness,
     endpoint_list,
     first_endpoint,
+    make_settings,
     serve_many,
-    settings,
     started_attempts,
 )
 
@@ -32,10 +32,11 @@
     from loadbalancer.policy.endpoint_stats import EndpointStats
 
 START_MS = 1_000.0
-TIMEOUT_MS = 1_000.0  # the latency objective of PAY, whose late responses have no value
+# The latency objective of PAY, whose late responses have no value.
+TIMEOUT_MS = 1_000.0
 
 
-def test_one_slow_response_does_not_ruin_a_capacity_estimate() -> None:
+def test_one_slow_response_hardly_changes_an_estimate() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 100)
     request, actions = harness.request()
@@ -46,7 +47,7 @@
     assert counts[slow] > 10
 
 
-def test_an_unresponsive_endpoint_loses_capacity_before_its_first_timeout() -> None:
+def test_an_unresponsive_endpoint_loses_capacity_before_a_timeout() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 100)
     first = first_endpoint(harness.request()[1])
@@ -56,19 +57,19 @@
 
 
 def recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
-    """Build the attempt recorder of a balancer that knows one endpoint, and the evidence on it."""
-    configured = settings()
-    endpoints = EndpointSet(configured, Random(1))
+    """Return an attempt recorder with one known endpoint, and the evidence on that endpoint."""
+    settings = make_settings()
+    endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
-    available = AvailableCapacity(endpoints, BalancerCountEstimator(configured, ArrivalRate(configured)))
+    available = AvailableCapacity(endpoints, BalancerCountEstimator(settings, ArrivalRate(settings)))
     recorder = AttemptRecorder(
-        ServiceTimes(configured), SustainableConcurrency(available), IdleConnectionLimit(), available
+        ServiceTimes(settings), SustainableConcurrency(available), IdleConnectionLimit(), available
     )
     return recorder, endpoints.by_name["s0"]
 
 
-def test_a_failed_attempt_counts_its_full_timeout_as_busy_time() -> None:
-    """A fast failure must not look like a fast response, nor like a request in flight."""
+def test_a_failed_attempt_adds_its_timeout_to_busy_time() -> None:
+    """A fast failure must count neither as a fast response nor as an attempt still in flight."""
     recorder, endpoint = recorder_and_endpoint()
     attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
     assert endpoint.in_flight == 1
@@ -78,8 +79,8 @@
     assert endpoint.served_work == 0
 
 
-def test_a_fast_failure_takes_requests_from_an_endpoint() -> None:
-    """A fast failure counted as a fast response draws half of the requests to the endpoint that fails."""
+def test_a_fast_failing_endpoint_gets_fewer_requests() -> None:
+    """If fast failures counted as fast responses, the failing endpoint would get half of the requests."""
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 20)
     request, actions = harness.request(PAY)
@@ -88,11 +89,11 @@
     harness.now += 5
     harness.finish(request, 0, failed, Outcome.ERROR)
     counts = Counter(harness.serve(duration_ms=1.0) for _ in range(40))
-    assert counts[failed] <= 10, "1,200 of the 1,400 ms that attempts spent anywhere were spent there"
+    assert counts[failed] <= 10, "1,200 of 1,400 ms of busy time are there"
 
 
-def test_large_requests_by_their_cost_hint_do_not_make_an_endpoint_look_slow() -> None:
-    """Heavy-tailed work that counted as one request each made capacity estimates fluctuate."""
+def test_large_cost_hints_do_not_lower_capacity() -> None:
+    """If each request counted as the same work, heavy-tailed work would make the estimates fluctuate."""
     recorder, endpoint = recorder_and_endpoint()
     cost_hints, now = CostHints(), START_MS
     for request_id, hint_ms in enumerate((20.0, 20.0, 20.0, 200.0) * 50):
@@ -101,12 +102,15 @@
         now += hint_ms * 2
         recorder.record_end(attempt, Outcome.SUCCEEDED, request, now)
     mean_ms = (20 * 3 + 200) / 4
-    endpoint.catch_up(now)
+    endpoint.advance_to(now)
     assert endpoint.served_work / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
-def test_evidence_on_an_endpoint_lasts_until_its_next_request_at_a_low_rate() -> None:
-    """With a time constant of 6 s, one of hundreds of balancers drew slow endpoints as often as fast ones."""
+def test_evidence_lasts_longer_at_a_low_request_rate() -> None:
+    """With a fixed time constant of 6 s, evidence would decay between two requests.
+
+    One of hundreds of balancers would select slow endpoints as often as fast ones.
+    """
     harness = PolicyHarness(12)
     slow = "s3"
     counts: Counter[str] = Counter()
@@ -115,4 +119,4 @@
         counts[
             harness.serve(duration_ms={f"s{i}": 1_500.0 if f"s{i}" == slow else 100.0 for i in range(12)})
         ] += 1
-    assert 0 < counts[slow] <= 6, "drawn evenly, a twelfth of 150 is 12"
+    assert 0 < counts[slow] <= 6, "an even distribution would give it 12 of 150"
