--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/hollow.py
@@ -35,10 +35,10 @@
     ) -> None:
         self.proxy = Proxy(configuration, loop, self._report_applied)
         self._on_list_applied = on_list_applied
-        self.proxy.listener.close()  # bound and not listening yet, so that no client can connect
+        self.proxy.listener.close()  # closed before it listens, so that no client can connect
 
     def start(self) -> None:
-        """Apply the cached endpoint list and begin the watch, as a real balancer does."""
+        """Apply the cached endpoint list and start the watch, as a real balancer does."""
         self.proxy.start(accepts_clients=False)
 
     def _report_applied(self, endpoint_list: EndpointList) -> None:
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/hollow_process.py
@@ -1,4 +1,4 @@
-"""A child process of hollow balancers, which reports when each list was applied."""
+"""A child process that runs hollow balancers and reports when each of them applied a list."""
 
 from __future__ import annotations
 
@@ -25,11 +25,10 @@
 class HollowReport:
     """The lists that the balancers of one process applied since the previous report.
 
-    `balancer_numbers`, `versions` and `applied_at_s` are the columns of one table with a row for each applied
-    list.
+    `balancer_numbers`, `versions` and `applied_at_s` are parallel arrays with one element per applied list.
 
     Attributes:
-        balancer_numbers: The number of the balancer.
+        balancer_numbers: The number of the balancer that applied the list.
         versions: The version of the list.
         applied_at_s: When the list was applied, in seconds of the system's monotonic clock.
         p99_lag_s: The 99th percentile of the event loop's lag.
@@ -44,7 +43,7 @@
 
 
 class _AppliedList(NamedTuple):
-    """A list that a balancer applied."""
+    """A list that a balancer applied, as one element of each array of a report."""
 
     balancer_number: int
     version: int
@@ -52,19 +51,19 @@
 
 
 class HollowProcess:
-    """A child process of hollow balancers.
+    """A child process that runs hollow balancers.
 
     Attributes:
         pid: Its process id.
     """
 
     def __init__(self, configuration_texts: dict[int, str]) -> None:
-        """Start the process, with the configuration texts by balancer number."""
+        """Start the process with a balancer for each of the configuration texts, by balancer number."""
         self._child = ChildProcess(_run, configuration_texts)
         self.pid = self._child.pid
 
     def report(self) -> HollowReport:
-        """Return the report since the previous one; blocks until the child responds."""
+        """Return what was applied since the previous report; blocks until the child responds."""
         return cast("HollowReport", self._child.request("report"))
 
     def stop(self) -> HollowReport:
@@ -86,7 +85,7 @@
         self._applied_lists.append(_AppliedList(balancer_number, version, applied_at_s))
 
     def take_report(self, lag_monitor: LoopLagMonitor) -> HollowReport:
-        """Return the report since the previous one, with the lag of the event loop."""
+        """Return what was applied since the previous report, with the lag of the event loop."""
         applied_lists, self._applied_lists = self._applied_lists, []
         p99_lag_s, max_lag_s = lag_monitor.take()
         return HollowReport(
@@ -114,7 +113,7 @@
         configuration = read_configuration(text, _ignore_warning)
         HollowBalancer(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
-    gc.freeze()  # as the program does once it has started
+    gc.freeze()  # as a real balancer does after its start
     # Created after the balancers, so that their start does not count as lag.
     lag_monitor = LoopLagMonitor(loop)
     await serve_pipe(pipe, partial(recorder.take_report, lag_monitor))
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -1,4 +1,4 @@
-"""Real balancers as child processes: started with the deploy file's command, and polled until ready."""
+"""Runs real balancers as child processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 """The command that runs the balancer from this tree with the running Python interpreter."""
 
 MAX_RUNNING_BALANCERS = 150
-"""The limit on balancers that run at the same time: each uses about 40 MiB of memory."""
+"""The maximum number of balancers that run at the same time: each uses about 40 MiB of memory."""
 
 _HEALTH_CHECK_INTERVAL_S = 0.02
 _HEALTH_CHECK_TIMEOUT_S = 5.0
@@ -45,21 +45,21 @@
 
 
 class BalancerExitedError(BalancerProcessError):
-    """A balancer exited before it was ready; the text holds the end of its log."""
+    """A balancer exited before it was ready; the message quotes the end of its log."""
 
     def __init__(self, status: int, log: str) -> None:
         super().__init__(f"ended with {status}: {log[-_LOG_TAIL_CHARACTERS:]}")
 
 
 class BalancerNotReadyError(BalancerProcessError):
-    """A balancer was not ready in time; the text holds the end of its log."""
+    """A balancer was not ready in time; the message quotes the end of its log."""
 
     def __init__(self, timeout_s: float, log: str) -> None:
         super().__init__(f"not ready after {timeout_s} s: {log[-_LOG_TAIL_CHARACTERS:]}")
 
 
 def deploy_command() -> str:
-    """Return the deploy file's `run` command, which needs the result of its `build` command."""
+    """Return the `run` command of the deploy file, which requires that its `build` command has been run."""
     deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
 
@@ -72,7 +72,7 @@
 
 
 def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
-    """Write a balancer's configuration into a folder, and return the environment variables for it."""
+    """Write a balancer's configuration into a folder, and return the balancer's environment variables."""
     configuration_path, temporary_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
     temporary_folder.mkdir()
@@ -105,8 +105,8 @@
 
         Args:
             configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
-            command: A command for `/bin/sh -c` in the repository's root, which has to `exec` the program; by
-                default the deploy file's `run` command.
+            command: A command for `/bin/sh -c` in the repository's root, by default the deploy file's `run`
+                command. It has to `exec` the program, so that the process id and signals are the program's.
 
         Raises:
             TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers run already.
@@ -147,7 +147,7 @@
             await asyncio.sleep(_HEALTH_CHECK_INTERVAL_S)
 
     async def _health_status(self) -> int:
-        """Return the response status of one health check, or 0 without a response."""
+        """Send one health check and return the response status, or 0 if there is no response."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
--- a/testbed/discovery/__init__.py
+++ b/testbed/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for the discovery service: agents that serve the endpoint list."""
+"""A discovery service for tests and experiments: agents that serve the endpoint list."""
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -19,15 +19,15 @@
 
 LIST_PATH = "/v1/servers"
 MAX_WAIT_MS = 60_000
-"""The longest wait of a watch request."""
+"""The maximum `wait_ms` of a watch request."""
 
 CONTINUED_WATCH_S = 0.2
-"""A watch request within this time of the previous response, in seconds, continues that watch."""
+"""A watch request continues a watch if it comes within this time after a response, in seconds."""
 
 LISTEN_BACKLOG = 128
 
 WatchObserver = Callable[[int, int, float], None]
-"""Called with each watch request: the agent's number, the balancer's version, the time in seconds."""
+"""Called with each watch request: the agent's number, the balancer's known version, the time in seconds."""
 
 
 @dataclass(eq=False, slots=True)
@@ -96,7 +96,7 @@
 
     async def _start_server(self, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        if self._listener is not listener:  # it went down before it could accept
+        if self._listener is not listener:  # the agent went down before the server was started
             return
         server = await loop.create_server(lambda: AgentConnection(self), sock=listener)
         if self._listener is listener:
@@ -121,7 +121,7 @@
             task.cancel()
 
     def record_request(self, known_version: int) -> None:
-        """Count a request; one with `NO_VERSION` gets a snapshot at once and is not a watch."""
+        """Count a request; one with `NO_VERSION` gets a snapshot immediately and is not a watch."""
         now_s = self.clock()
         self.counts.requests += 1
         if known_version == NO_VERSION:
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListRequest:
-    """A request for the list: the balancer's version, and how long to wait for a newer one."""
+    """A request for the list: the version that the balancer knows, and how long to wait for a newer one."""
 
     known_version: int
     wait_ms: int
@@ -172,7 +172,7 @@
         self._agent = agent
         self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
-        self._known_version: int | None = None  # of the open request; None where there is none
+        self._known_version: int | None = None  # of the open request; None if there is none
         self._wait_has_ended = False  # of the open request
         self._wait_timer: asyncio.TimerHandle | None = None
         self._delay_timer: asyncio.TimerHandle | None = None
@@ -220,7 +220,7 @@
         self.respond_if_ready()
 
     def respond_if_ready(self) -> None:
-        """Respond to the open request if there is a newer version or its wait has ended.
+        """Respond to the open request if its version is outdated or its wait has ended.
 
         The response is sent after the agent's delay, and only if the agent is up at that time.
         """
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -29,9 +29,9 @@
     """Counts of the requests to agents and of their responses.
 
     Attributes:
-        requests: Valid requests, watches included.
-        new_watches: Watch requests that began a watch.
-        continued_watches: Watch requests that came within 200 ms of the previous response.
+        requests: Valid requests, including watch requests.
+        new_watches: Watch requests that started a watch.
+        continued_watches: Watch requests within 200 ms after the previous response, which continue its watch.
         snapshots: Responses with the complete list.
         entries: Entries in all responses.
         bytes_in: Bytes of the HTTP requests, without the overhead of lower layers.
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -18,7 +18,7 @@
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
 MAX_UNAVAILABLE_DIVISOR = 20
-"""At most one in this many entries is missing from the list at any time."""
+"""One in this many entries may be out of service at the same time, and at least one entry."""
 
 Change = tuple[EndpointEntry, ...]
 """Entries that change at the same time."""
@@ -120,12 +120,12 @@
 ) -> Iterator[Change]:
     """Yield an endless sequence of changes of one entry each.
 
-    Servers restart, or drain and are removed and replaced by new ones. At most one in
-    `MAX_UNAVAILABLE_DIVISOR` entries is missing from the list at any time.
+    Entries restart, or drain and are removed and replaced by new ones. `MAX_UNAVAILABLE_DIVISOR` limits how
+    many are restarting, draining or removed at the same time.
 
     Args:
         entries: The list at the start.
-        seed: All changes are drawn from it.
+        seed: The seed of all random choices.
         now_ms: Returns Unix time in milliseconds, for `since_ms`.
     """
     churn = _Churn(entries, random.Random(seed), now_ms)
@@ -143,7 +143,7 @@
     Args:
         entries: The list at the start.
         batch_size: How many entries restart at the same time.
-        seed: The order is drawn from it.
+        seed: The seed of the random order.
         now_ms: Returns Unix time in milliseconds, for `since_ms`.
     """
     order = list(entries)
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -1,4 +1,4 @@
-"""The versioned endpoint list of the discovery stand-in, and the bodies of its responses."""
+"""The versioned endpoint list of discovery, and the bodies of its responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """The version of a balancer that has no list yet."""
 
 MAX_REMEMBERED_CHANGES = 20_000
-"""The limit on remembered changes; a balancer whose version is older than these gets a snapshot."""
+"""The maximum number of remembered changes; a balancer whose version is older gets a snapshot."""
 
 REMOVED = "terminated"
 """The status of an entry that is no longer in the list."""
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListResponse:
-    """A response for one known version.
+    """The response to a balancer that knows a certain version.
 
     Attributes:
         body: The JSON text.
         entry_count: The number of entries in it.
-        is_snapshot: Whether the entries are the complete list; else they are those that changed.
+        is_snapshot: Whether the entries are the complete list; otherwise they are the changed ones.
     """
 
     body: bytes
@@ -48,7 +48,7 @@
         self._entries: dict[str, EndpointEntry] = {}
         self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, the latest change last
         self._oldest_version = 0  # all changes after this version are remembered
-        self._responses: dict[int, ListResponse] = {}  # of this version of the list, by known version
+        self._responses: dict[int, ListResponse] = {}  # for the current version, by known version
 
     @property
     def entries(self) -> list[EndpointEntry]:
@@ -63,7 +63,7 @@
         self._advance()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> None:
-        """Make one new version with changed, new and (with the status `terminated`) removed entries."""
+        """Create one new version with changed, new and (with the status `terminated`) removed entries."""
         for entry in entries:
             name = entry["name"]
             if entry["status"] == REMOVED:
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery (PROTOCOL page, "Discovery"): the endpoint list, and an agent for each balancer.
+"""A discovery service (PROTOCOL page, "Discovery"): the endpoint list, and an agent for each balancer.
 
 The state of an agent (up, unresponsive, down, delayed) is set for a single agent, for a group of agents, such
 as a zone or a region, or for all agents.
@@ -35,7 +35,7 @@
 
 
 class NotLoopbackError(TestbedError, ValueError):
-    """Agents were to listen on an address outside the loopback network."""
+    """The host for the agents is not in the loopback network."""
 
     def __init__(self, host: str) -> None:
         super().__init__(f"{host} is not a loopback address")
@@ -45,8 +45,8 @@
     """The endpoint list and its agents, on the running loop.
 
     Attributes:
-        changed_at: For each version, when it was made, in seconds of the clock.
-        written_at: For each version, when it had been written to the last of the open watches.
+        changed_at: For each version, when it was created, in seconds of the clock.
+        written_at: For each version, when it had been written to all open watches.
         agents: The agents by number.
     """
 
@@ -56,7 +56,7 @@
         """Start with an empty list.
 
         Args:
-            clock: Returns the time in seconds of changes and requests.
+            clock: Returns the time of changes and requests in seconds.
             on_watch: Called with each watch request.
         """
         self._clock = clock
--- a/testbed/http/__init__.py
+++ b/testbed/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP/1.1 client and the request reader of the testbed."""
+"""The HTTP/1.1 client and the request parser of the testbed."""
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client of one address, for requests in the format of the PROTOCOL page."""
+"""An HTTP/1.1 client for one address, for requests in the format of the PROTOCOL page."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
 
 
 class Client:
-    """A client of one address with persistent connections, which opens another when all are busy.
+    """A client for one address with persistent connections, which opens another when all are busy.
 
     Attributes:
         opened_connections: The connections that have been opened so far.
@@ -154,7 +154,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._send(request)
-        except OSError:  # TimeoutError is one
+        except OSError:  # includes TimeoutError
             return HttpResponse(NO_RESPONSE, b"", self._clock())
 
     async def _send(self, request: bytes) -> HttpResponse:
--- a/testbed/http/request_parser.py
+++ b/testbed/http/request_parser.py
@@ -56,10 +56,10 @@
         self._headers: dict[str, str] = {}
         self._body = b""
 
-    # ---- callbacks of the parser, which passes targets and bodies in parts ----------------------
+    # ---- callbacks of the parser, which passes targets and bodies in pieces ---------------------
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Discard the previous request."""
         self._reset()
 
     def on_url(self, part: bytes) -> None:
@@ -75,6 +75,6 @@
         self._body += part
 
     def on_message_complete(self) -> None:
-        """Pass the request on."""
+        """Pass on the complete request."""
         method = self._parser.get_method().decode("latin-1")
         self._on_request(HttpRequest(method, self._target.decode("latin-1"), self._headers, self._body))
--- a/testbed/load/arrivals.py
+++ b/testbed/load/arrivals.py
@@ -10,12 +10,12 @@
 
 
 def arrival_times(rate_per_s: float, duration_s: float, rng: random.Random) -> Iterator[float]:
-    """Yield the arrival times of a Poisson process, in seconds from the start of a span.
+    """Yield the arrival times of a Poisson process, in seconds from its start.
 
     Args:
         rate_per_s: The mean rate.
-        duration_s: The length of the span; all arrivals lie within it, ascending.
-        rng: The source of the exponentially distributed gaps, one more than there are arrivals.
+        duration_s: The duration; the times are ascending and less than it.
+        rng: Draws the exponentially distributed gaps, one more than there are arrivals.
     """
     time_s = rng.expovariate(rate_per_s)
     while time_s < duration_s:
--- a/testbed/load/kernel_timer.py
+++ b/testbed/load/kernel_timer.py
@@ -16,7 +16,7 @@
 MAX_WAKE_UP_S = 0.0002
 """The maximum time that a sleeping core needs to wake up, in seconds.
 
-The timer fires earlier by this time, and the rest of the sleep is spent polling the clock in the event loop.
+The timer is set to fire this much earlier, and the event loop polls the clock for the rest of the sleep.
 """
 
 
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -23,7 +23,7 @@
 from testbed.measurement.latency import Latencies
 
 Sleep = Callable[[float], Awaitable[None]]
-"""Sleeps for some seconds of the load's clock."""
+"""Sleeps for a number of seconds on the load's clock."""
 
 
 @dataclass(slots=True)
@@ -56,12 +56,12 @@
 
     Attributes:
         sent: Requests that were sent.
-        opened_connections: Connections that were opened for them.
+        opened_connections: Connections that were opened for these requests.
         statuses: Requests by response status; `NO_RESPONSE` where there was none.
         unserved_at_s: The scheduled times of requests without a 200 response, in seconds from the start, in
             the order in which the requests ended.
         served_latencies: Latencies of requests with a 200 response, from the scheduled time to the last byte.
-        lateness: Times from schedule to send.
+        lateness: Times from the scheduled time until the request was sent.
     """
 
     sent: int = 0
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -9,7 +9,7 @@
 from testbed.errors import TestbedError
 
 _MAX_US = 120_000_000
-"""The upper bound of recorded latencies, in microseconds: longer ones are recorded as this."""
+"""The upper bound of recorded latencies, in microseconds: longer ones are recorded as this value."""
 
 _SIGNIFICANT_DIGITS = 3
 _US_PER_S = 1e6
@@ -17,7 +17,7 @@
 
 
 class NoLatenciesError(TestbedError, ValueError):
-    """A quantile of no latencies was requested."""
+    """A quantile was requested before any latency was recorded."""
 
     def __init__(self) -> None:
         super().__init__("no latencies")
@@ -53,8 +53,8 @@
     """Columns of a result, all in milliseconds.
 
     `direct` and `through` are quantiles of requests direct to the upstreams and through the balancer. `added`
-    is the quantile through the balancer less the same quantile of direct requests; `over_median` is the
-    quantile through the balancer less the median of direct requests, and so attributes the tail to the
+    is the quantile through the balancer minus the same quantile of direct requests; `over_median` is the
+    quantile through the balancer minus the median of direct requests, which attributes the tail to the
     balancer.
     """
 
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -1,4 +1,4 @@
-"""The configured behaviour of a hollow upstream, and counts of its requests."""
+"""The configured behaviour of a stub upstream, and counts of its requests."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 
 class UpstreamMode(Enum):
-    """How an upstream treats requests."""
+    """How an upstream handles requests."""
 
     SERVE = "serve"
-    """Respond 200 with a body after the service time, and after the next tier if there is one."""
+    """Respond 200 with a body after the service time.
+
+    If there is a next tier, forward the request to it first, and respond 500 if its response is not 200.
+    """
     FAIL = "fail"
     """Respond 500 after the service time."""
     REJECT = "turn away"
-    """Respond 503 with `X-Not-Run: 1` at once, and 503 to health checks."""
+    """Respond 503 with `X-Not-Run: 1` immediately, and 503 to health checks."""
     HANG = "hang"
     """Do not respond, not even to health checks."""
     RESET = "reset"
-    """Reset the connection after the request's last byte."""
+    """Reset the connection when a request or a health check has been received completely."""
     REFUSE = "refuse"
-    """Close the listener and reset open connections."""
+    """Refuse connections: close the listener and reset open connections."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,8 +31,8 @@
     """The behaviour of an upstream.
 
     Attributes:
-        mode: How it treats requests.
-        fraction: The fraction (0 to 1) of the requests that the mode applies to; the others are served.
+        mode: How it handles requests.
+        fraction: The fraction of requests, from 0 to 1, that the mode applies to; the others are served.
         service_ms: The service time of a request in milliseconds.
     """
 
@@ -44,14 +47,14 @@
 
     Attributes:
         connections: Connections that were opened.
-        requests: Requests that were received completely, without health checks.
+        requests: Requests that were received completely, excluding health checks.
         served: Requests that got a 200.
         failed: Requests that got a 500.
         rejected: Requests that got a 503.
-        hung: Requests that get no response.
+        hung: Requests that were left without a response.
         reset: Requests whose connection was reset.
         abandoned: Requests whose connection the balancer closed before the response, including hung ones.
-        overlapping: Requests on a connection that had one open, which the protocol does not allow.
+        overlapping: Requests received while another was open on the connection, which the protocol forbids.
         health_checks: Health checks.
     """
 
--- a/testbed/upstream/connection.py
+++ b/testbed/upstream/connection.py
@@ -1,4 +1,4 @@
-"""A balancer's connection to a hollow upstream."""
+"""A balancer's connection to a stub upstream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _REASON_PHRASES = {200: "OK", 404: "Not Found", 500: "Internal Server Error", 503: "Service Unavailable"}
 _MS_PER_UNIT = {"m": 1.0, "u": 0.001}
 _LINGER_ZERO = struct.pack("ii", 1, 0)
-"""The value of SO_LINGER with which closing a socket sends a reset."""
+"""The SO_LINGER value that makes closing a socket send a reset."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     clock: Clock
 
     async def handle(self, request: ReceivedRequest, connection: UpstreamConnection) -> None:
-        """Treat a request according to the upstream's behaviour."""
+        """Handle a request according to the upstream's behaviour."""
 
 
 def parse_deadline_ms(text: str) -> float:
@@ -84,7 +84,10 @@
             self.reset()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Unregister from the upstream and cancel the open request, which counts as abandoned."""
+        """Unregister from the upstream and cancel the open request.
+
+        The request counts as abandoned unless the upstream itself reset the connection.
+        """
         self._upstream.connections.discard(self)
         if self._task is not None:
             self._upstream.counts.abandoned += not self._reset_by_upstream
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -1,4 +1,4 @@
-"""Many hollow upstreams, each at a loopback address of its own, in this process or in a child process."""
+"""Groups of stub upstreams, each on its own loopback address, in this process or in a child process."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from testbed.http.client import Clock
 
 FIRST_OCTET = 72
-"""By default, upstreams listen on hosts from 127.72.0.1 on."""
+"""By default, upstreams listen on the hosts from 127.72.0.1 upwards."""
 
 
 class UpstreamGroup:
-    """Hollow upstreams in this process, whose random numbers are drawn from one seed.
+    """Stub upstreams in this process, whose random numbers are derived from one seed.
 
     Attributes:
         upstreams: The upstreams in the order of their start.
@@ -34,7 +34,7 @@
         self.upstreams: list[Upstream] = []
 
     async def start(self, count: int, first_octet: int = FIRST_OCTET) -> list[Upstream]:
-        """Start and return `count` more upstreams, each on its own host from 127.`first_octet`.0.1 on."""
+        """Start and return `count` more upstreams, each on its own host from 127.`first_octet`.0.1."""
         first_number = len(self.upstreams)
         for number in range(first_number, first_number + count):
             rng = random.Random(f"{self._seed}/{number}")
@@ -57,7 +57,7 @@
 
 
 class UpstreamProcess:
-    """Hollow upstreams in a child process, so that they do not delay the event loop of the load.
+    """Stub upstreams in a child process, so that they do not delay the event loop of the load.
 
     Attributes:
         pid: The child's process id.
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -1,6 +1,6 @@
-"""A hollow upstream: an HTTP server that does no work (PROTOCOL page).
+"""A stub upstream: an HTTP server that does no work (PROTOCOL page).
 
-It treats requests according to its behaviour, counts them, and may send a request to the next tier for each.
+It handles requests according to its behaviour, counts them, and may forward them to the next tier.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 NOT_RUN_HEADERS = ("X-Not-Run: 1",)
 
 Forward = Callable[[ReceivedRequest, float], Awaitable[int]]
-"""Sends a request to the next tier with a timeout in milliseconds, and returns the response status."""
+"""Forwards a request to the next tier with a timeout in milliseconds, and returns the response status."""
 
 
 def forward_through(client: Client, request_ids: Iterator[str]) -> Forward:
-    """Return a function that sends a request to the next tier through a client, under a new id."""
+    """Return a function that forwards a request to the next tier through a client, under a new id."""
 
     async def forward(request: ReceivedRequest, remaining_ms: float) -> int:
         message = compose_request(
@@ -39,13 +39,13 @@
 
 
 class Upstream:
-    """One hollow upstream.
+    """One stub upstream.
 
     Attributes:
         address: Where it listens.
         clock: Returns the time in seconds.
-        behaviour: How it treats requests.
-        forward: Sends a request to the next tier; None in the last tier.
+        behaviour: How it handles requests.
+        forward: Forwards a request to the next tier; None in the last tier.
         on_request: Called with each received request.
         counts: Counts of its connections and requests.
         connections: The open connections.
@@ -89,7 +89,7 @@
             connection.reset()
 
     async def handle(self, request: ReceivedRequest, connection: UpstreamConnection) -> None:
-        """Treat a request according to the behaviour."""
+        """Handle a request according to the behaviour."""
         behaviour = self.behaviour
         self.counts.requests += 1
         if self.on_request is not None:
@@ -118,7 +118,7 @@
     async def _serve_or_fail(
         self, request: ReceivedRequest, connection: UpstreamConnection, service_ms: float, *, succeeds: bool
     ) -> None:
-        """Wait for the service time, then respond 200 or 500."""
+        """Wait for the service time, then respond 200, or 500 if the request or the next tier fails."""
         if service_ms > 0:
             await asyncio.sleep(service_ms / 1000)
         if succeeds and await self._next_tier_serves(request):
@@ -129,7 +129,7 @@
             connection.respond(500)
 
     async def _next_tier_serves(self, request: ReceivedRequest) -> bool:
-        """Send a request to the next tier in the remaining time; return True if there is no next tier."""
+        """Return whether the next tier serves the request in the remaining time; True if there is none."""
         if self.forward is None:
             return True
         remaining_ms = request.deadline_ms - (self.clock() - request.received_at) * 1000
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery stand-in: the list, its watches and its agents."""
+"""The testbed's discovery service: the list, its watches and its agents."""
 
 import asyncio
 import json
--- a/tests/testbed/http/test_client.py
+++ b/tests/testbed/http/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the testbed's load."""
+"""The testbed's HTTP client."""
 
 import asyncio
 
--- a/tests/testbed/load/test_kernel_timer.py
+++ b/tests/testbed/load/test_kernel_timer.py
@@ -1,4 +1,4 @@
-"""The precise timer of the load."""
+"""The kernel timer that the load sleeps on."""
 
 import time
 
--- a/tests/testbed/measurement/test_latency.py
+++ b/tests/testbed/measurement/test_latency.py
@@ -1,4 +1,4 @@
-"""Latencies as histograms."""
+"""Latency histograms and the time that a balancer adds."""
 
 import pytest
 
--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -1,4 +1,4 @@
-"""The meter of processes, cores and event loops."""
+"""Resource usage of processes, utilization of cores and lag of event loops."""
 
 import os
 import subprocess
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -1,4 +1,4 @@
-"""The testbed's hollow upstreams."""
+"""The testbed's stub upstreams."""
 
 from __future__ import annotations
 
