--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -111,7 +111,7 @@
                 command. It has to `exec` the program, so that the process id and signals are the program's.
 
         Raises:
-            TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers run already.
+            TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers are running already.
         """
         if len(_running_pids) >= MAX_RUNNING_BALANCERS:
             raise TooManyBalancersError
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -81,7 +81,7 @@
             connection.respond_if_ready()
 
     def listen(self) -> None:
-        """Start to listen. The system chooses the port the first time; later calls use the same port."""
+        """Start listening. The first call lets the system choose the port; later calls use the same port."""
         # The kernel queues connections as soon as the socket listens; the loop accepts them later.
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -115,7 +115,7 @@
             connection.reset()
 
     def stop(self) -> None:
-        """Close, and cancel the tasks that start listeners."""
+        """Close, and cancel the tasks that start servers."""
         self.close()
         for task in list(self._server_tasks):
             task.cancel()
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -7,7 +7,7 @@
 
 
 class AgentMode(enum.Enum):
-    """How an agent treats connections and requests."""
+    """How an agent handles connections and requests."""
 
     UP = "up"
     UNRESPONSIVE = "unresponsive"
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -82,7 +82,7 @@
         self._responses.clear()
 
     def response_after(self, known_version: int) -> ListResponse:
-        """Return the response for a balancer that knows a version, or `NO_VERSION`."""
+        """Return the response to a balancer with a known version, or with `NO_VERSION`."""
         response = self._responses.get(known_version)
         if response is None:
             response = self._responses[known_version] = self._build_response(known_version)
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -106,7 +106,7 @@
         return self._publish()
 
     def list_response(self, known_version: int) -> ListResponse:
-        """Return the response for a balancer that knows a version, or `NO_VERSION`."""
+        """Return the response to a balancer with a known version, or with `NO_VERSION`."""
         return self._history.response_after(known_version)
 
     def _publish(self) -> int:
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -155,7 +155,7 @@
 
     Args:
         streams: The streams, with different names.
-        duration_s: The length of the schedule.
+        duration_s: The duration of the schedule in seconds.
         seed: The seed of all random numbers.
         clock: The clock, which has to be that of the streams' clients.
         sleep: Sleeps on that clock; by default with a `KernelTimer`.
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -71,7 +71,7 @@
             await self.listen()
 
     async def listen(self) -> None:
-        """Start to listen. The system chooses the port the first time; later calls use the same port."""
+        """Start listening. The first call lets the system choose the port; later calls use the same port."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self.address)
