--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -52,7 +52,10 @@
 def compose_request(
     class_name: str, request_id: str, deadline_ms: float, key: str = "", body: bytes = b""
 ) -> bytes:
-    """Return a request in the format of the PROTOCOL page: POST with an idempotency key or a body, else GET."""
+    """Return a request in the format of the PROTOCOL page.
+
+    Its method is POST if it has an idempotency key or a body, else GET.
+    """
     has_body = bool(key or body)
     lines = [
         f"{'POST' if has_body else 'GET'} /{class_name}/x HTTP/1.1",
