--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -41,7 +41,7 @@
     """`MAX_RUNNING_BALANCERS` balancers are running already."""
 
     def __init__(self) -> None:
-        super().__init__(f"cannot start a balancer: {MAX_RUNNING_BALANCERS} are running already")
+        super().__init__(f"{MAX_RUNNING_BALANCERS} balancers are already running")
 
 
 class BalancerExitedError(BalancerProcessError):
