--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -33,7 +33,7 @@
     applied_versions: list[list[int]] = [[], []]
     first_version = discovery.replace_entries(endpoint_entries(20))
     settings = balancer_settings(balancers=2, pushed=pushed)
-    hollows = []
+    hollow_balancers = []
     for i in range(2):
         text = configuration_text(f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i)
         hollow = HollowBalancer(
@@ -42,14 +42,14 @@
             partial(lambda versions, version, at_s: versions.append(version), applied_versions[i]),
         )
         hollow.start()
-        hollows.append(hollow)
+        hollow_balancers.append(hollow)
     await wait_until_acknowledged(discovery, first_version)
     draining = endpoint_entries(20)[3] | {"status": "terminating"}
     second_version = discovery.apply_changes([draining])
     await wait_until_acknowledged(discovery, second_version)
     assert applied_versions == [[0, first_version, second_version]] * 2
     assert discovery.counts().snapshots == 2
-    for hollow in hollows:
+    for hollow in hollow_balancers:
         assert len(hollow.proxy.balancer.ready_endpoints) == 19
         assert len(hollow.proxy.upstream_pools.endpoint_names) == 20
         assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -143,10 +143,14 @@
     version = discovery.replace_entries(three_entries())
     sent_bytes = received_bytes = 0
     async with (
-        WatchClient(discovery.agent_address(0)) as one,
-        WatchClient(discovery.agent_address(7)) as other,
+        WatchClient(discovery.agent_address(0)) as first_watcher,
+        WatchClient(discovery.agent_address(7)) as second_watcher,
     ):
-        for watcher, query in ((one, ""), (one, f"?after={version}"), (other, "")):
+        for watcher, query in (
+            (first_watcher, ""),
+            (first_watcher, f"?after={version}"),
+            (second_watcher, ""),
+        ):
             sent_bytes += watcher.send(query)
             head = await watcher.reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
@@ -170,38 +174,38 @@
     )
     assert healthy[0] != unresponsive[0]
     assert discovery.agent_address(0) == healthy
-    async with WatchClient(healthy) as one, WatchClient(unresponsive) as other:
-        for watcher in (one, other):
+    async with WatchClient(healthy) as first_watcher, WatchClient(unresponsive) as second_watcher:
+        for watcher in (first_watcher, second_watcher):
             watcher.send(f"?after={version}&wait_ms=60000")
         await wait_until(lambda: discovery.counts().requests == 2, "two requests have been received")
         discovery.set_state(AgentState(AgentMode.UNRESPONSIVE), group="r1")
         version = discovery.apply_changes([three_entries()[0] | {"weight": 2.0}])
-        assert read_list(await read_message(one.reader))[0] == version
+        assert read_list(await read_message(first_watcher.reader))[0] == version
         assert discovery.agents[1].written_version == -1
-        async with WatchClient(unresponsive) as third:  # it still accepts connections
-            third.send()
+        async with WatchClient(unresponsive) as third_watcher:  # it still accepts connections
+            third_watcher.send()
             await wait_until(lambda: discovery.counts().requests == 3, "the third request has been received")
             assert discovery.agents[1].written_version == -1
             discovery.set_state(AgentState(), group="r1")
-            assert read_list(await read_message(third.reader))[1]
-            assert read_list(await read_message(other.reader))[0] == version
+            assert read_list(await read_message(third_watcher.reader))[1]
+            assert read_list(await read_message(second_watcher.reader))[0] == version
 
 
 async def test_agent_is_down_and_responses_are_delayed(discovery: Discovery) -> None:
     version = discovery.replace_entries(three_entries())
     up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
     discovery.set_state(AgentState(), group="r1")
-    async with WatchClient(up) as one, WatchClient(down) as other:
-        assert (await one.request_list())[0] == (await other.request_list())[0] == version
+    async with WatchClient(up) as first_watcher, WatchClient(down) as second_watcher:
+        assert (await first_watcher.request_list())[0] == (await second_watcher.request_list())[0] == version
         discovery.set_state(AgentState(AgentMode.DOWN), agent=1)
         discovery.set_state(AgentState(delay_ms=50.0))
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-            await other.request_list()
+            await second_watcher.request_list()
         with pytest.raises(ConnectionError):
             await asyncio.open_connection(*down)
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
-        assert (await one.request_list())[0] == version
+        assert (await first_watcher.request_list())[0] == version
         assert loop.time() >= sent_at + 0.045  # the loop's timers round to milliseconds
         discovery.set_state(AgentState(), agent=1)
     async with WatchClient(down) as again:
--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -14,9 +14,9 @@
 
 
 def test_usage_sums_processor_time_memory_and_descriptors() -> None:
-    work = "while time.process_time() < 0.15: pass"
-    opened = "kept = [open('/dev/null') for _ in range(20)]"
-    code = "\n".join(("import sys, time", opened, work, "print(1, flush=True)", "sys.stdin.read()"))
+    busy_loop = "while time.process_time() < 0.15: pass"
+    open_files = "kept = [open('/dev/null') for _ in range(20)]"
+    code = "\n".join(("import sys, time", open_files, busy_loop, "print(1, flush=True)", "sys.stdin.read()"))
     child = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert child.stdout is not None
     assert child.stdin is not None
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -122,9 +122,9 @@
     top, bottom = await upstreams.start(2, first_octet=82)
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
-    call = asyncio.ensure_future(send_request(Client(top.address)))
+    task = asyncio.ensure_future(send_request(Client(top.address)))
     await wait_until(lambda: bottom.counts.hung, "the last tier holds the request")
-    call.cancel()
+    task.cancel()
     await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
