--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -29,7 +29,7 @@
     from tests.support.proxy_harness import ProxyHarness
 
 
-async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
+async def test_disconnect_during_policy_delay_prevents_connect(
     start_proxy: StartProxy,
 ) -> None:
     """The policy starts the attempt from a timer, before the event loop has read the disconnect."""
@@ -37,7 +37,7 @@
     harness = await start_proxy(upstream)
     client = harness.connect_socket()
 
-    def hold(event: Event, now: float) -> list[Action]:
+    def delay_attempt(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [SetTimer(now, HedgeTimer(event.request_id))]
         if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
@@ -45,24 +45,24 @@
             return [StartAttempt(event.timer.request_id, "s0", 1_000.0)]
         return []
 
-    replace_policy(harness, hold)
+    replace_policy(harness, delay_attempt)
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
     await until_idle(harness)
     assert not upstream.connections
 
 
-async def test_not_retried_when_the_client_disconnects_while_the_retry_connects(
+async def test_disconnect_while_retry_connects_prevents_retry(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The client disconnects as the connection of the retry is established."""
 
-    async def by_class(received: ReceivedMessage, writer: Any) -> None:
+    async def respond_by_class(received: ReceivedMessage, writer: Any) -> None:
         is_rejected = received.headers["x-class"] == "pay"
         writer.write(response(503, b"", "X-Not-Run: 1") if is_rejected else response())
 
-    upstreams = Upstream(by_class), Upstream(by_class)
+    upstreams = Upstream(respond_by_class), Upstream(respond_by_class)
     harness = await start_proxy(*upstreams)
     while not all(upstream.received for upstream in upstreams):
         assert status(await harness.send_request()) == 200
@@ -74,30 +74,32 @@
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
     await until_idle(harness)
     assert status(await harness.send_request()) == 200  # all that was in flight has arrived
-    received = [one.headers["x-class"] for upstream in upstreams for one in upstream.received]
+    received = [request.headers["x-class"] for upstream in upstreams for request in upstream.received]
     assert received.count("pay") == 1
 
 
-async def test_pipelined_request_is_not_sent_when_the_client_disconnects_before_it(
+async def test_disconnect_before_pipelined_request_prevents_attempt(
     start_proxy: StartProxy,
 ) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     client = harness.connect_socket()
-    arrived = list[int]()
+    arrived_ids = list[int]()
 
-    def disconnect_at_the_second(event: RequestReceived) -> None:
-        arrived.append(event.request_id)
-        if len(arrived) == 2:
+    def disconnect_at_second_request(event: RequestReceived) -> None:
+        arrived_ids.append(event.request_id)
+        if len(arrived_ids) == 2:
             pass_reuse_delay(harness)
             client.close()
 
-    before_event(harness, RequestReceived, disconnect_at_the_second)
+    before_event(harness, RequestReceived, disconnect_at_second_request)
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
-    await wait_until(lambda: len(arrived) >= 2, "the policy has got both requests", state=lambda: arrived)
+    await wait_until(
+        lambda: len(arrived_ids) >= 2, "the policy has got both requests", state=lambda: arrived_ids
+    )
     await until_idle(harness)
     assert status(await harness.send_request()) == 200  # all that was in flight has arrived
-    assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
+    assert [request.headers["x-request-id"] for request in upstream.received].count("2") == 0
 
 
 async def client_with_unread_response(harness: ProxyHarness) -> socket.socket:
@@ -114,19 +116,19 @@
     return client
 
 
-async def test_pipelined_request_is_processed_once_the_response_before_it_is_read(
+async def test_pipelined_request_starts_once_previous_response_is_read(
     start_proxy: StartProxy,
 ) -> None:
     """Guards against a pipelined request that waits for further bytes after the response is sent."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
-    client, got = await client_with_unread_response(harness), b""
-    while not got.endswith(b"the second"):
-        got += await asyncio.get_running_loop().sock_recv(client, 65_536)
+    client, received_bytes = await client_with_unread_response(harness), b""
+    while not received_bytes.endswith(b"the second"):
+        received_bytes += await asyncio.get_running_loop().sock_recv(client, 65_536)
     client.close()
 
 
-async def test_pipelined_request_is_not_sent_when_the_client_disconnects_behind_an_unread_response(
+async def test_disconnect_behind_unread_response_drops_pipelined_request(
     start_proxy: StartProxy,
 ) -> None:
     """Guards against sending it once the client has read the response, although the disconnect was read."""
@@ -142,10 +144,10 @@
         pass
     client.close()
     assert status(await harness.send_request()) == 200  # all that was in flight has arrived
-    assert [one.headers["x-request-id"] for one in upstream.received].count("2") == 0
+    assert [request.headers["x-request-id"] for request in upstream.received].count("2") == 0
 
 
-async def test_disconnect_is_noticed_while_reading_is_paused(start_proxy: StartProxy) -> None:
+async def test_disconnect_is_detected_while_reading_is_paused(start_proxy: StartProxy) -> None:
     """Guards against a socket that is not polled while reading is paused."""
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream, tier=1)
@@ -162,7 +164,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-async def test_not_sent_when_the_client_disconnects_while_an_upstream_connection_opens(
+async def test_disconnect_while_connecting_prevents_attempt(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """Guards against sending it where attempts must not be cancelled."""
@@ -181,7 +183,7 @@
     assert len(upstream.received) == 1
 
 
-async def test_connection_is_reused_when_the_client_disconnects_as_it_is_established(
+async def test_disconnect_as_connect_completes_keeps_connection(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -200,31 +202,31 @@
     assert upstream.connections == 1, "the connection carries the next request"
 
 
-async def test_not_retried_after_a_disconnect_where_attempts_must_not_be_cancelled(
+async def test_disconnect_prevents_retry_of_uncancellable_attempt(
     start_proxy: StartProxy,
 ) -> None:
     """The first attempt stays in progress, and its failure causes no retry."""
 
-    async def fail_later(received: ReceivedMessage, writer: Any) -> None:
-        failing.append(writer)
-        seen.set()
+    async def record_writer(received: ReceivedMessage, writer: Any) -> None:
+        writers.append(writer)
+        request_received.set()
 
-    failing, seen = list[Any](), asyncio.Event()
-    upstreams = Upstream(fail_later), Upstream(fail_later)
+    writers, request_received = list[Any](), asyncio.Event()
+    upstreams = Upstream(record_writer), Upstream(record_writer)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
     disconnected = asyncio.Event()
     before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
-    await seen.wait()
+    await request_received.wait()
     client.close()
     await disconnected.wait()
-    failing[0].write(response(503, b"", "X-Not-Run: 1"))
+    writers[0].write(response(503, b"", "X-Not-Run: 1"))
     await until_idle(harness)
     assert sum(len(upstream.received) for upstream in upstreams) == 1
 
 
-async def test_hedged_request_that_is_still_connecting_is_not_sent_after_the_response(
+async def test_hedged_request_still_connecting_is_not_sent_after_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -243,5 +245,5 @@
     other = await harness.client()
     other.send(deadline="400m")
     await other.read_response()  # all that was in flight has arrived
-    received = [one.headers["x-request-id"] for upstream in upstreams for one in upstream.received]
+    received = [request.headers["x-request-id"] for upstream in upstreams for request in upstream.received]
     assert received.count(first.received[0].headers["x-request-id"]) == 1
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -35,47 +35,47 @@
     monkeypatch.setattr(timeouts, "IDLE_TIMEOUT_UNDER_PRESSURE_S", timeout_s)
 
 
-def before_each_expiry_check(
+def before_each_timeout_check(
     monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
 ) -> None:
     """Call a function with each connection and the time before the connection is checked for timeouts."""
     close_if_timed_out = ClientConnection.close_if_timed_out
 
-    def act_then_expire(
+    def act_then_check(
         connection: ClientConnection, now: float, request_timeout_s: float, idle_timeout_s: float
     ) -> bool:
         act(connection, now)
         return close_if_timed_out(connection, now, request_timeout_s, idle_timeout_s)
 
-    monkeypatch.setattr(ClientConnection, "close_if_timed_out", act_then_expire)
+    monkeypatch.setattr(ClientConnection, "close_if_timed_out", act_then_check)
 
 
-def is_past_request_timeout(connection: ClientConnection, now: float) -> bool:
+def has_request_timed_out(connection: ClientConnection, now: float) -> bool:
     return now - connection.request_started_at >= timeouts.REQUEST_TIMEOUT_S
 
 
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Delay the transport of each accepted connection until the returned event is set."""
-    may_set_up = asyncio.Event()
+    setup_allowed = asyncio.Event()
     set_up = ConnectionTable.set_up
 
-    async def set_up_later(
+    async def delayed_set_up(
         connections: ConnectionTable, connection: ClientConnection, accepted: socket.socket
     ) -> None:
-        await may_set_up.wait()
+        await setup_allowed.wait()
         await set_up(connections, connection, accepted)
 
-    monkeypatch.setattr(ConnectionTable, "set_up", set_up_later)
-    return may_set_up
+    monkeypatch.setattr(ConnectionTable, "set_up", delayed_set_up)
+    return setup_allowed
 
 
-def send_at_once(client: socket.socket, data: bytes) -> None:
+def send_without_event_loop(client: socket.socket, data: bytes) -> None:
     """Send on a socket that belongs to a transport, without the event loop."""
     with socket.socket(fileno=os.dup(client.fileno())) as duplicate:
         duplicate.sendall(data)
 
 
-async def test_a_connection_that_is_not_set_up_at_the_end_of_the_shutdown_gets_a_response(
+async def test_connection_not_set_up_by_end_of_shutdown_gets_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -85,27 +85,27 @@
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
 
     harness = await start_proxy(Upstream())
-    may_set_up = delay_connection_setup(monkeypatch)
+    setup_allowed = delay_connection_setup(monkeypatch)
     listener = harness.proxy.listener
     client = harness.connect_socket()
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: listener.connections, "the client is accepted")
     abort_open_requests = harness.proxy.abort_open_requests
 
-    def abort_then_be_busy() -> None:
+    def abort_then_block_loop() -> None:
         abort_open_requests()
-        may_set_up.set()
+        setup_allowed.set()
         busy_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
         asyncio.get_running_loop().call_soon(time.sleep, busy_s)
 
-    monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_be_busy)
+    monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_block_loop)
     await listener.shut_down()
     client.settimeout(0.0)  # the process has ended: nothing more can arrive
     assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
     assert client.recv(1) == b""
 
 
-async def test_invalid_and_slow_clients_get_their_errors_as_soon_as_the_loop_runs_again(
+async def test_error_responses_are_sent_once_loop_runs_again(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -113,7 +113,7 @@
     set_request_timeout(monkeypatch, 0.2, sweep_interval_s=0.02)
 
     sweeps = set[float]()
-    before_each_expiry_check(monkeypatch, lambda _, now: sweeps.add(now))
+    before_each_timeout_check(monkeypatch, lambda _, now: sweeps.add(now))
     upstream = Upstream()
     harness = await start_proxy(upstream)
     await asyncio.sleep(0)  # the listener accepts and sweeps from now on
@@ -140,7 +140,7 @@
     assert not upstream.connections
 
 
-async def test_a_client_that_sends_single_bytes_to_a_busy_loop_times_out(
+async def test_client_sending_single_bytes_times_out(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -153,40 +153,40 @@
     client.sendall(b"GET /read?")
 
     def send_a_byte(connection: ClientConnection, now: float) -> None:
-        if is_past_request_timeout(connection, now) and not connection.discards_input:
+        if has_request_timed_out(connection, now) and not connection.discards_input:
             checks.append(now)
             client.send(b"x")
 
-    before_each_expiry_check(monkeypatch, send_a_byte)
+    before_each_timeout_check(monkeypatch, send_a_byte)
     client.settimeout(0.0)
     reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
     assert reply.startswith(b"HTTP/1.1 408 ")
     assert len(checks) <= 4
 
 
-async def test_the_rest_of_a_request_that_arrives_by_the_last_check_is_read(
+async def test_request_completed_before_last_timeout_check_is_served(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
-    rests = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
+    remainders = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
     harness = await start_proxy(Upstream())
     client = await harness.client()
     client.writer.write(request_bytes("/read", 1)[:-2])
     client_socket = client.writer.transport.get_extra_info("socket")
 
-    def send_the_rest(connection: ClientConnection, now: float) -> None:
-        if connection.is_awaiting_request() and is_past_request_timeout(connection, now) and rests:
-            send_at_once(client_socket, rests.pop())
+    def send_remainder(connection: ClientConnection, now: float) -> None:
+        if connection.is_awaiting_request() and has_request_timed_out(connection, now) and remainders:
+            send_without_event_loop(client_socket, remainders.pop())
 
-    before_each_expiry_check(monkeypatch, send_the_rest)
+    before_each_timeout_check(monkeypatch, send_remainder)
     assert status(await client.read_response()) == 200
     client.writer.write(request_bytes("/read", 2)[:-2])  # each request has a timeout of its own
     assert status(await client.read_response()) == 200
 
 
-async def test_no_connection_is_evicted_while_its_request_is_arriving(
+async def test_connection_with_arriving_request_is_not_evicted(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -199,7 +199,7 @@
     idle = await harness.client()
     idle.send()
     assert status(await idle.read_response()) == 200
-    may_set_up = delay_connection_setup(monkeypatch)
+    setup_allowed = delay_connection_setup(monkeypatch)
     accepted = harness.connect_socket()
     accepted.sendall(request_bytes("/read", 1))
     await wait_until(
@@ -211,11 +211,11 @@
     waiting = harness.connect_socket()
     waiting.sendall(request_bytes("/read", 2))
     # Evict before the event loop can read it.
-    send_at_once(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
+    send_without_event_loop(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
     set_timeouts_under_pressure(monkeypatch, 0.0)
     monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
     assert not listener.accept_pending()  # evicts connections
-    may_set_up.set()
+    setup_allowed.set()
     assert status(await idle.read_response()) == 200
     for client in (accepted, waiting):
         client.settimeout(0.0)
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -54,13 +54,13 @@
     client.close()
 
 
-def close_behind_bytes(client: socket.socket) -> None:
+def close_after_partial_request(client: socket.socket) -> None:
     client.send(b"GET /re")  # peeking at one byte does not show the disconnect after it
     client.close()
 
 
 WAYS_TO_DISCONNECT = pytest.mark.parametrize(
-    "disconnect", [close, half_close, reset_by_client, close_behind_bytes]
+    "disconnect", [close, half_close, reset_by_client, close_after_partial_request]
 )
 
 
@@ -71,7 +71,7 @@
 def for_first_request(script: Any) -> Any:
     """Apply a script to the request with the id 1; all others succeed."""
 
-    async def by_id(received: ReceivedMessage, writer: Any) -> None:
+    async def respond_by_id(received: ReceivedMessage, writer: Any) -> None:
         if received.headers["x-request-id"] != "1":
             writer.write(response())
         elif isinstance(script, bytes):
@@ -79,7 +79,7 @@
         else:
             await script(received, writer)
 
-    return by_id
+    return respond_by_id
 
 
 async def open_idle_connections(harness: ProxyHarness, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -90,23 +90,23 @@
     pass_reuse_delay(harness)
 
 
-def ids_of_attempts(harness: ProxyHarness) -> list[str]:
+def received_ids(harness: ProxyHarness) -> list[str]:
     """Return the id of each request that an upstream has received, in no particular order."""
     return [
         request.headers["x-request-id"] for upstream in harness.upstreams for request in upstream.received
     ]
 
 
-async def ids_received(harness: ProxyHarness) -> list[str]:
+async def final_received_ids(harness: ProxyHarness) -> list[str]:
     """Return the ids of the test's own requests that upstreams received, once all in flight have arrived."""
     pass_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
-    ids = ids_of_attempts(harness)
+    ids = received_ids(harness)
     return sorted(name for name in ids if len(name) < 8)
 
 
 @WAYS_TO_DISCONNECT
-async def test_not_sent_when_the_client_disconnects_before_its_connection_is_accepted(
+async def test_disconnect_before_accept_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The event loop is busy until the kernel holds connection, request and disconnect."""
@@ -117,11 +117,11 @@
     disconnect(client)
     await harness.send_request()  # its connection was opened later
     await until_disconnected(harness)
-    assert await ids_received(harness) == []
+    assert await final_received_ids(harness) == []
 
 
 @WAYS_TO_DISCONNECT
-async def test_not_sent_when_the_client_disconnects_while_the_policy_delays_the_request(
+async def test_disconnect_during_policy_delay_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The disconnect arrives while the event loop is busy, and is unread as the policy's timer fires."""
@@ -129,7 +129,7 @@
     await open_idle_connections(harness, monkeypatch)
     client, disconnected = harness.connect_socket(), asyncio.Event()
 
-    def hold(event: Event, now: float) -> list[Action]:
+    def delay_attempt(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [SetTimer(now, HedgeTimer(event.request_id))]
         if isinstance(event, TimerFired) and isinstance(event.timer, HedgeTimer):
@@ -139,17 +139,17 @@
             disconnected.set()
         return []
 
-    handle = replace_policy(harness, hold)
+    handle = replace_policy(harness, delay_attempt)
     client.sendall(request_bytes("/read", 1))
     await disconnected.wait()
     await until_idle(harness)
     replace_policy(harness, handle)
-    assert await ids_received(harness) == []
+    assert await final_received_ids(harness) == []
 
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize(
-    ("request_bytes", "script"),
+    ("raw_request", "script"),
     [
         (request_bytes("/pay", 1, b"debit"), NOT_RUN),
         (request_bytes("/read", 1), response(500)),
@@ -159,9 +159,9 @@
     ],
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
-async def test_not_retried_when_the_client_disconnects_as_its_attempt_fails(
+async def test_disconnect_as_attempt_fails_prevents_retry(
     start_proxy: StartProxy,
-    request_bytes: bytes,
+    raw_request: bytes,
     script: Any,
     disconnect: Disconnect,
     monkeypatch: pytest.MonkeyPatch,
@@ -169,21 +169,21 @@
     """The client disconnects as its first attempt fails, when a retry would be written immediately."""
     harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
     await open_idle_connections(harness, monkeypatch)
-    client, ends = harness.connect_socket(), list[AttemptFinished]()
+    client, finished_attempts = harness.connect_socket(), list[AttemptFinished]()
 
     def disconnect_once(event: AttemptFinished) -> None:
-        ends.append(event)
-        if len(ends) == 1:
+        finished_attempts.append(event)
+        if len(finished_attempts) == 1:
             disconnect(client)
 
     before_event(harness, AttemptFinished, disconnect_once)
-    client.sendall(request_bytes)
-    await wait_until(lambda: ends, "the client has disconnected")
+    client.sendall(raw_request)
+    await wait_until(lambda: finished_attempts, "the client has disconnected")
     await until_idle(harness)
-    assert await ids_received(harness) == ["1"]
+    assert await final_received_ids(harness) == ["1"]
 
 
-async def test_the_same_failures_are_retried_while_the_client_stays(
+async def test_failed_attempt_is_retried_while_client_is_connected(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Shows that in the test above only the disconnect prevents the retry."""
@@ -193,9 +193,9 @@
     client = harness.connect_socket()
     client.sendall(request_bytes("/read", 1))
     await wait_until(
-        lambda: ids_of_attempts(harness).count("1") >= 2,
+        lambda: received_ids(harness).count("1") >= 2,
         "the request is hedged",
-        state=lambda: ids_of_attempts(harness),
+        state=lambda: received_ids(harness),
     )
     client.close()
 
@@ -213,8 +213,10 @@
     return timers
 
 
-@pytest.mark.parametrize("disconnect", [None, close, half_close, reset_by_client, close_behind_bytes])
-async def test_hedged_request_is_sent_only_while_the_client_is_connected(
+@pytest.mark.parametrize(
+    "disconnect", [None, close, half_close, reset_by_client, close_after_partial_request]
+)
+async def test_hedged_request_is_sent_only_while_client_is_connected(
     start_proxy: StartProxy, disconnect: Disconnect | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The hedge timer fires before the event loop has read the disconnect."""
@@ -227,10 +229,10 @@
     if disconnect is not None:
         disconnect(client)
     harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
-    assert await ids_received(harness) == ["1"] * (1 if disconnect else 2)
+    assert await final_received_ids(harness) == ["1"] * (1 if disconnect else 2)
 
 
-async def test_no_hedged_request_after_a_disconnect_where_attempts_must_not_be_cancelled(
+async def test_disconnect_prevents_hedging_of_uncancellable_attempt(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -248,12 +250,12 @@
     await disconnected.wait()
     harness.proxy.dispatcher.dispatch(TimerFired(timers[0]))
     assert harness.proxy.open_requests, "the first attempt is still in progress"
-    assert await ids_received(harness) == ["1"]
+    assert await final_received_ids(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
 @pytest.mark.parametrize("may_cancel", [True, False])
-async def test_pipelined_requests_are_not_sent_after_a_disconnect(
+async def test_disconnect_drops_pipelined_requests(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """If the first attempt continues, its response must not start the next request."""
@@ -273,49 +275,49 @@
     for writer in upstream.writers:
         writer.write(response())
     await until_idle(harness)
-    assert await ids_received(harness) == ["1"]
+    assert await final_received_ids(harness) == ["1"]
 
 
 @WAYS_TO_DISCONNECT
-async def test_not_retried_after_a_disconnect_while_reading_is_paused(
+async def test_disconnect_while_reading_is_paused_prevents_retry(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The disconnect follows unread requests, and the sweep has not checked the connection."""
     monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
-    async def fail_later(received: ReceivedMessage, writer: Any) -> None:
-        failing.append(writer)
+    async def record_writer(received: ReceivedMessage, writer: Any) -> None:
+        writers.append(writer)
 
-    failing = list[Any]()
+    writers = list[Any]()
     harness = await start_proxy(
-        Upstream(for_first_request(fail_later)), Upstream(for_first_request(fail_later)), tier=1
+        Upstream(for_first_request(record_writer)), Upstream(for_first_request(record_writer)), tier=1
     )
     await open_idle_connections(harness, monkeypatch)
     client = harness.connect_socket()
     many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
     client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
     await wait_until(
-        lambda: failing and any(c.is_reading_paused for c in harness.proxy.listener.connections),
+        lambda: writers and any(c.is_reading_paused for c in harness.proxy.listener.connections),
         "an attempt is in progress and the balancer pauses reading",
-        state=lambda: failing,
+        state=lambda: writers,
     )
     before_event(harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
-    failing[0].write(response(500))
+    writers[0].write(response(500))
     await until_idle(harness)
     await until_disconnected(harness)
-    assert await ids_received(harness) == ["1"]
+    assert await final_received_ids(harness) == ["1"]
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-async def test_request_is_withdrawn_when_the_client_disconnects_while_its_body_is_written(
+async def test_disconnect_while_body_is_written_withdraws_request(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """The upstream does not get the last byte, so it does not process the request."""
-    made, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
+    connections, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
 
     def connect_with_small_buffer(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        made.append(connection)
+        connections.append(connection)
         connection_made(connection, transport)
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", connect_with_small_buffer)
@@ -334,14 +336,16 @@
         before_event(harness, ClientDisconnected, lambda event: disconnected.set())
         client.settimeout(0.0)
         await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
-        await wait_until(lambda: made and made[0].unsent_bytes, "a part of the body waits to be sent")
+        await wait_until(
+            lambda: connections and connections[0].unsent_bytes, "a part of the body waits to be sent"
+        )
         client.close()
         await disconnected.wait()
-        upstream, got = (await loop.sock_accept(listener))[0], b""
+        upstream, received_bytes = (await loop.sock_accept(listener))[0], b""
         with upstream:
-            while part := await loop.sock_recv(upstream, MAX_BODY_BYTES):
-                got += part
-        head, _, body = got.partition(b"\r\n\r\n")
+            while data := await loop.sock_recv(upstream, MAX_BODY_BYTES):
+                received_bytes += data
+        head, _, body = received_bytes.partition(b"\r\n\r\n")
         assert head.startswith(b"POST /pay ")
         assert len(body) < MAX_BODY_BYTES
         assert not harness.proxy.open_requests
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -21,7 +21,7 @@
     from tests.support.fixture_types import StartProxy
 
 
-async def test_connections_without_requests_are_evicted_for_a_client_with_a_request(
+async def test_connections_without_request_are_evicted(
     start_proxy: StartProxy,
 ) -> None:
     harness = await start_proxy(Upstream())
@@ -48,7 +48,7 @@
         assert status(await client.read_response()) == 200
 
 
-async def test_clients_beyond_the_limit_wait_until_an_idle_connection_is_evicted(
+async def test_waiting_clients_are_accepted_after_eviction(
     start_proxy: StartProxy,
 ) -> None:
     """Accepting is retried after connections have become idle, not only when one closes."""
@@ -64,13 +64,13 @@
     assert await first.reader.read() == b""
 
 
-async def test_accepting_goes_on_after_running_out_of_file_descriptors(tmp_path: Path) -> None:
+async def test_accepting_resumes_after_running_out_of_descriptors(tmp_path: Path) -> None:
     """With fewer descriptors than the configuration says, accepting fails for a time."""
     port = free_port()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
 
-    async def health() -> int:
+    async def check_health() -> int:
         client = await Client.of_program(port)
         client.writer.write(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
         health_status = status(await client.read_response())
@@ -78,10 +78,10 @@
         return health_status
 
     async with running_program(path, descriptor_limit=40) as process:
-        assert await health() == 200
+        assert await check_health() == 200
         clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(60)]
         for client in clients:
             client.close()
-        assert await health() == 200
+        assert await check_health() == 200
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -32,7 +32,7 @@
         ),
     ],
 )
-async def test_a_connection_without_a_complete_request_is_closed_after_the_timeout(
+async def test_connection_without_complete_request_times_out(
     start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients that send nothing or no complete request are disconnected within 3 s."""
@@ -47,7 +47,7 @@
     client.writer.close()
 
 
-async def test_time_in_the_accept_queue_counts(
+async def test_time_in_accept_queue_is_measured(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = await start_proxy(Upstream())
@@ -66,7 +66,7 @@
     assert ages.request_age_s >= 0.05
 
 
-async def test_an_idle_connection_is_closed_but_not_one_with_an_open_request(
+async def test_idle_timeout_spares_open_requests(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -39,7 +39,7 @@
             monkeypatch.setattr(graceful_shutdown, name, value)
 
 
-async def client_with_a_response(harness: ProxyHarness) -> Client:
+async def client_with_response(harness: ProxyHarness) -> Client:
     """Return a client whose first request has its response."""
     client = await harness.client()
     client.send()
@@ -47,7 +47,7 @@
     return client
 
 
-async def test_keep_alive_connections_are_served_until_the_keep_alive_time_has_passed(
+async def test_connections_are_kept_open_for_keep_alive_time(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against clients without any balancer while another one restarts."""
@@ -55,7 +55,7 @@
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
     listener.max_deadline_s = 120.0
-    client = await client_with_a_response(harness)
+    client = await client_with_response(harness)
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: listener.is_closed, "the listener is closed")
     for _ in range(2):
@@ -69,14 +69,14 @@
     await shutdown
 
 
-async def test_keep_alive_connections_are_closed_after_half_of_the_max_deadline(
+async def test_connections_close_after_half_of_max_deadline(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against losing requests: the platform kills the process soon after the maximum deadline."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
-    client = await client_with_a_response(harness)
+    client = await client_with_response(harness)
     harness.proxy.listener.max_deadline_s = 0.2
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert await client.reader.read() == b""  # closed without a reset
@@ -113,7 +113,7 @@
     await shutdown
 
 
-async def test_a_request_in_the_accept_queue_gets_a_response(
+async def test_request_in_accept_queue_gets_response(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client has sent the complete request before its connection is accepted."""
@@ -140,7 +140,7 @@
     await shutdown
 
 
-async def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
+async def test_accept_queue_is_emptied_at_connection_limit(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -167,7 +167,7 @@
     await shutdown
 
 
-async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once(start_proxy: StartProxy) -> None:
+async def test_request_after_abort_is_rejected(start_proxy: StartProxy) -> None:
     """The process ends before an upstream could respond."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
@@ -178,7 +178,7 @@
     assert not upstream.connections
 
 
-async def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
+async def test_open_requests_get_response_when_shutdown_ends(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -195,21 +195,21 @@
     assert outcomes(events) == [Outcome.CANCELLED]  # before the attempt's own timeout
 
 
-async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
+async def test_request_racing_with_idle_close_gets_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The request is unread in the kernel while the connection is evaluated as idle."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
-    client = await client_with_a_response(harness)
+    client = await client_with_response(harness)
     (connection,) = harness.proxy.listener.connections
     is_idle = connection.expiry.is_idle
-    has_crossed = asyncio.Event()
+    request_sent = asyncio.Event()
 
     def send_then_is_idle() -> bool:
-        if not has_crossed.is_set():
-            has_crossed.set()
+        if not request_sent.is_set():
+            request_sent.set()
             client.send()  # written at once, and not read before the result is used
         return is_idle()
 
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -19,7 +19,7 @@
     from tests.support.http_client import Client
 
 
-async def test_buffered_requests_are_bounded_and_their_memory_is_released(start_proxy: StartProxy) -> None:
+async def test_buffered_bytes_are_bounded_and_released(start_proxy: StartProxy) -> None:
     """Sixteen bodies read ahead on each connection would exceed a small memory limit."""
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
@@ -48,7 +48,7 @@
     )
 
 
-async def test_finished_requests_and_connections_leave_no_objects(
+async def test_finished_requests_and_connections_do_not_leak(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Objects are counted after many requests and connections: a leak grows with their number."""
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -19,7 +19,7 @@
     return b"X-Class: %b\r\nX-Request-Id: a1\r\nX-Deadline: %b\r\n" % (class_name, deadline)
 
 
-async def read_for_ever(client: Client) -> None:
+async def read_until_error(client: Client) -> None:
     while True:
         await client.reader.readexactly(1)
 
@@ -66,7 +66,7 @@
         ),
     ],
 )
-async def test_a_rejected_request_closes_the_connection_and_reaches_no_upstream(
+async def test_rejection_closes_connection_without_upstream(
     start_proxy: StartProxy, raw: bytes, expected_status: int
 ) -> None:
     upstream = Upstream()
@@ -96,7 +96,7 @@
         (b"GET /read HTTP/1.1\r\nX-Long: " + b"x" * 70_000 + b"\r\n\r\n", 431),
     ],
 )
-async def test_a_rejected_request_reaches_no_upstream(
+async def test_rejected_request_reaches_no_upstream(
     start_proxy: StartProxy, raw: bytes, expected_status: int
 ) -> None:
     upstream = Upstream()
@@ -108,7 +108,7 @@
     assert upstream.connections == 0
 
 
-async def test_input_after_a_rejection_is_neither_buffered_nor_parsed(start_proxy: StartProxy) -> None:
+async def test_input_after_rejection_is_discarded(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     client = await harness.client()
     client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
@@ -116,4 +116,4 @@
     assert status(await client.read_response()) == 413
     assert harness.proxy.listener.context.buffers.used_bytes == 0
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-        await read_for_ever(client)
+        await read_until_error(client)
