--- a/loadbalancer/network/client/__init__.py
+++ b/loadbalancer/network/client/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the clients: the listening socket, connections, and the requests on them."""
+"""The client side of the proxy: the listening socket, client connections and the requests on them."""
--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -1,4 +1,4 @@
-"""How long an accepted connection waited in the kernel's accept queue, from the TCP_INFO socket option."""
+"""Measures how long a connection waited in the kernel's accept queue, from the TCP_INFO socket option."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from typing import NamedTuple
 
 MAX_QUEUE_AGE_S = 60.0
-"""Longer ages are reported as this."""
+"""Upper bound of the reported ages."""
 
 MS_PER_S = 1000
 _TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv, in milliseconds before now
 
 
 class QueueAges(NamedTuple):
-    """How long a connection that is accepted now has been in the kernel's queue.
+    """How long a connection had been in the kernel's accept queue when it was accepted.
 
     Attributes:
-        connection_age_s: Since the client connected.
-        request_age_s: Since the last bytes arrived; 0 if none have.
+        connection_age_s: Time since the client connected.
+        request_age_s: Time since the last bytes arrived; 0 if none have.
     """
 
     connection_age_s: float
@@ -26,7 +26,7 @@
 
 
 def queue_ages(accepted: socket.socket) -> QueueAges:
-    """Return how long a new connection and its first bytes waited to be accepted, as the kernel reports it.
+    """Return how long a newly accepted connection and its first bytes waited, as reported by the kernel.
 
     Both ages are 0 where the kernel does not report them.
     """
@@ -36,7 +36,7 @@
         has_data = bool(accepted.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except BlockingIOError:
         has_data = False
-    except (AttributeError, OSError, struct.error):  # not on this system, or reset meanwhile
+    except (AttributeError, OSError, struct.error):  # TCP_INFO is not supported, or the connection was reset
         return QueueAges(0.0, 0.0)
     connection_age_s = min(ack_ms / MS_PER_S, MAX_QUEUE_AGE_S)
     request_age_s = min(data_ms / MS_PER_S, MAX_QUEUE_AGE_S) if has_data else 0.0
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: the callbacks of its transport, and its state."""
+"""A client connection: the asyncio protocol callbacks, and the connection's state."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection, put together from its transport, request reader, pipeline and expiry.
+    """A client connection, composed of its transport, request reader, pipeline and timeouts.
 
     Attributes:
-        expiry: Closes the connection if its client takes too long.
+        expiry: Closes the connection when it has exceeded a timeout.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         """Create a connection; both times are in seconds of the monotonic clock.
 
         Args:
-            context: What the connections of the listener share.
+            context: State and services shared by the connections of the listener.
             on_closed: Called once the connection is closed.
             connected_at: When the client connected, which is before the connection was accepted.
             first_request_received_at: When the first request reached the kernel, if that was before the
@@ -50,17 +50,17 @@
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """The transport of the event loop; None until the connection is set up."""
+        """The asyncio transport; None until the connection is set up."""
         return self._transport.asyncio_transport
 
     @property
     def idle_since(self) -> float:
-        """When the last response was written, or the client connected if none was yet."""
+        """When the last response was written, or when the client connected if there has been none."""
         return self._pipeline.idle_since
 
     @property
     def request_started_at(self) -> float:
-        """When the current request began to arrive, or the client connected if none has arrived yet."""
+        """When the current request began to arrive, or when the client connected if none has arrived yet."""
         return self._reader.arrival.started_at
 
     @property
@@ -75,11 +75,11 @@
 
     @property
     def is_lingering(self) -> bool:
-        """Whether the connection is closed on one side and ends after a time."""
+        """Whether one side of the connection is closed and a timer will abort it."""
         return self._transport.is_lingering
 
     def is_awaiting_request(self) -> bool:
-        """Return whether a request is awaited or has begun to arrive, and none is open."""
+        """Return whether no request is open, and the first request or the rest of a request is awaited."""
         return self.expiry.is_awaiting_request()
 
     def may_close(self) -> bool:
@@ -89,11 +89,11 @@
     # ---- callbacks of asyncio.Protocol ----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Use the transport; the event loop reads from it from now on."""
+        """Attach the transport, from which the event loop now reads."""
         self._transport.attach(cast("asyncio.Transport", transport))
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; input after a rejection is discarded, so that the client gets the response."""
+        """Parse the input; after a rejection discard it, so that no reset overtakes the response."""
         if self._transport.discards_input:
             self._transport.discard(data)
         else:
@@ -103,7 +103,8 @@
     def eof_received(self) -> None:
         """Treat a client that closes its sending side as disconnected.
 
-        The transport closes by itself once the client has read the last response.
+        asyncio closes the transport once its write buffer is empty; the timer aborts a connection whose
+        client does not read the response.
         """
         self._disconnect()
         self._transport.abort_after(timeouts.WRITE_STALL_TIMEOUT_S)
@@ -115,7 +116,7 @@
         self._on_closed(self)
 
     def resume_writing(self) -> None:
-        """Continue with the next request, since the client has read the response before it."""
+        """Handle the next request, since the previous response has left the write buffer."""
         self._pipeline.advance()
 
     def _disconnect(self) -> None:
@@ -126,9 +127,9 @@
     # ---- closing --------------------------------------------------------------------------------
 
     def close_if_timed_out(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
-        """Close the connection if its client takes too long; see `ConnectionExpiry.close_if_timed_out`."""
+        """Close the connection if it has exceeded a timeout; see `ConnectionExpiry.close_if_timed_out`."""
         return self.expiry.close_if_timed_out(now, request_timeout_s, idle_timeout_s)
 
     def close_gracefully(self) -> None:
-        """Close the balancer's side, and read and discard input for a moment; see `ClientTransport`."""
+        """Close the sending side and discard input for a short time; see `ClientTransport`."""
         self._transport.close_gracefully(timeouts.LINGER_TIMEOUT_S)
--- a/loadbalancer/network/client/connection_table.py
+++ b/loadbalancer/network/client/connection_table.py
@@ -17,13 +17,13 @@
 
 
 class ConnectionTable(Collection[ClientConnection]):
-    """The connections that are open, from their acceptance until they are closed."""
+    """The connections that have been accepted and are not closed."""
 
     def __init__(self, context: ConnectionContext, on_closed: Callable[[], None]) -> None:
         """Create an empty table.
 
         Args:
-            context: What the connections share.
+            context: State and services shared by the connections.
             on_closed: Called after a connection was closed and removed.
         """
         self._context = context
@@ -41,7 +41,7 @@
         return connection in self._connections
 
     def add(self, accepted: socket.socket) -> None:
-        """Add a connection for a socket that was just accepted, and start to set it up."""
+        """Add a connection for a newly accepted socket, and start to set it up."""
         accepted.settimeout(0.0)  # non-blocking
         now = time.monotonic()
         ages = queue_ages(accepted)
@@ -55,7 +55,7 @@
         task.add_done_callback(self._setup_tasks.discard)
 
     async def set_up(self, connection: ClientConnection, accepted: socket.socket) -> None:
-        """Give a connection the transport of its socket; from then on it is read."""
+        """Create the transport of a connection; from then on, the event loop reads its socket."""
         try:
             await self._context.loop.connect_accepted_socket(lambda: connection, accepted)
         except OSError:
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -1,4 +1,4 @@
-"""State and services that all client connections of a listener share."""
+"""State and services shared by all client connections of a listener."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class BufferAccount:
-    """Counts the bytes that are buffered for all clients together, against a limit.
+    """Counts the bytes buffered for all clients together, and compares them with a limit.
 
     Attributes:
-        used_bytes: The bytes that are buffered now.
+        used_bytes: The number of bytes buffered now.
         limit_bytes: The limit on `used_bytes`. Above it, the pipeline rejects the input of connections that
             buffer more than `GUARANTEED_BUFFER_BYTES`.
     """
@@ -27,7 +27,7 @@
         self.limit_bytes = limit_bytes
 
     def add(self, change_bytes: int) -> None:
-        """Add a number of bytes to those that are buffered; a negative one removes them."""
+        """Change the number of buffered bytes; a negative change reduces it."""
         self.used_bytes += change_bytes
 
     def is_exceeded(self) -> bool:
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ConnectionContext:
-    """The listener's state and services, as its connections see them.
+    """The state and services of a listener that its connections use.
 
     Attributes:
         loop: The event loop.
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -1,4 +1,4 @@
-"""Closes client connections that are slow or idle: at intervals, and sooner in favour of new connections."""
+"""Closes slow and idle client connections: periodically, and sooner while new connections wait."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     from loadbalancer.network.client.connection import ClientConnection
 
 EVICTION_DIVISOR = 4
-"""One eviction closes idle connections until it has closed 1/4 of all connections.
+"""An eviction closes idle connections until it has closed 1/4 of all connections.
 
-Connections whose request did not arrive in time are all closed. They count towards the 1/4, but are not
-limited by it.
+All connections whose request did not arrive in time are closed. They count towards the 1/4, but may
+exceed it.
 """
 
 
 class ConnectionEviction:
-    """Applies the time limits to all connections of a listener."""
+    """Applies the timeouts to all connections of a listener."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connections: Collection[ClientConnection]) -> None:
         self._loop = loop
@@ -31,9 +31,9 @@
         self._last_eviction_at = -math.inf
 
     def sweep(self) -> None:
-        """Close connections that are slow or idle for too long, now and from now on at intervals.
+        """Close connections that have exceeded a timeout, now and every `SWEEP_INTERVAL_S` from now on.
 
-        The time is counted from connecting, so that it includes the time in the kernel's queue.
+        The first timeout of a connection runs from connecting, so it includes the time in the accept queue.
         """
         self._loop.call_later(timeouts.SWEEP_INTERVAL_S, self.sweep)
         now = time.monotonic()
@@ -41,11 +41,12 @@
             connection.close_if_timed_out(now, timeouts.REQUEST_TIMEOUT_S, timeouts.KEEP_ALIVE_TIMEOUT_S)
 
     def evict(self) -> None:
-        """Close connections in favour of new ones, with shorter time limits than `sweep`.
+        """Close connections to make room for new ones, with shorter timeouts than `sweep`.
 
-        All connections whose request did not arrive in time are closed, then the longest idle ones. A
-        connection whose request is open is never closed. A call within `MIN_EVICTION_INTERVAL_S` of the last
-        eviction has no effect. Guards against floods of connections that bring no request.
+        All connections whose request did not arrive in time are closed, then the longest idle ones, so that
+        a flood of connections without requests cannot block new clients. A connection with an open request
+        is not closed, unless its client has stopped reading responses. A call within
+        `MIN_EVICTION_INTERVAL_S` of the last eviction has no effect.
         """
         now = time.monotonic()
         if now - self._last_eviction_at < timeouts.MIN_EVICTION_INTERVAL_S:
@@ -63,5 +64,5 @@
 
 
 def _eviction_order(connection: ClientConnection) -> tuple[bool, float]:
-    """Return the sort key: connections whose request has not arrived first, then the longest idle ones."""
+    """Return a sort key: connections without a complete request first, then the longest idle ones."""
     return not connection.is_awaiting_request(), connection.idle_since
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -1,4 +1,4 @@
-"""The expiry of one client connection: closes it when its client takes too long."""
+"""The timeouts of one client connection: closes the connection when it has exceeded one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ConnectionExpiry:
-    """Applies the time limits to one connection: for requests to arrive, idling, and unread responses."""
+    """Applies the timeouts to one connection: for the arrival of requests, idle time and unread responses."""
 
     def __init__(self, transport: ClientTransport, reader: RequestReader, pipeline: RequestPipeline) -> None:
         self._transport = transport
@@ -28,7 +28,7 @@
         return not self._pipeline.has_open_request() and not self._reader.arrival.is_arriving
 
     def is_awaiting_request(self) -> bool:
-        """Return whether a request is awaited or has begun to arrive, and none is open."""
+        """Return whether no request is open, and the first request or the rest of a request is awaited."""
         arrival = self._reader.arrival
         is_awaited = arrival.is_arriving or not arrival.has_received_request
         return is_awaited and not self._pipeline.has_open_request()
@@ -40,11 +40,11 @@
         return self._transport.discards_input or not self._transport.has_unread_bytes()
 
     def close_if_timed_out(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
-        """Close the connection if the client has kept it for too long without a complete request.
+        """Close the connection if it has been open for too long without a complete request.
 
-        Guards against clients that send nothing, never finish a request, or stay connected after one. A
-        request that has arrived but has not been read yet is not lost: the kernel is queried for unread
-        bytes first, and a request found there is read although its time is up.
+        This ends the connections of clients that send nothing, never finish a request, or stay connected
+        after one. A request that has arrived but has not been read is not lost: the kernel is queried for
+        unread bytes first, and a request found there is read although the timeout has passed.
 
         Args:
             now: Seconds of the monotonic clock.
@@ -52,12 +52,12 @@
             idle_timeout_s: How long the connection may stay idle.
 
         Returns:
-            Whether the connection was closed or its request rejected.
+            Whether the connection was closed, or its request rejected, because of one of these timeouts.
         """
         if not self._transport.is_open or self._transport.discards_input:
             return False
         if self._transport.is_reading_paused and self._transport.has_client_disconnected():
-            return False  # nothing else notices a disconnect while reading is paused
+            return False  # asyncio does not detect a disconnect while reading is paused
         if self.is_awaiting_request():
             return self._close_if_request_timed_out(now, request_timeout_s)
         if self.is_idle():
@@ -72,9 +72,9 @@
         started_at = self._reader.arrival.started_at
         if now - started_at < request_timeout_s:
             return False
-        # Guards against clients that send a byte at a time: while the loop is busy, each check would find an
-        # unread byte, and the connection would never expire. Unread bytes therefore no longer count once the
-        # loop has read input after the end of the grace period.
+        # A client that sends one byte at a time to a busy loop would have an unread byte at each check, and
+        # would never time out. Unread bytes therefore no longer count once the loop has read input after the
+        # end of the grace period.
         grace_ends_at = started_at + timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
         was_read_late = self._reader.last_received_at >= grace_ends_at
         if not was_read_late and self._transport.has_unread_bytes():
@@ -86,7 +86,7 @@
         return True
 
     def _abort_if_stalled(self, now: float) -> None:
-        """Abort if the client does not read its responses: the queued requests would never be handled."""
+        """Abort if the client does not read its responses, since queued requests would never be handled."""
         stalled_s = now - self._pipeline.idle_since
         if self._pipeline.has_waiting_request() and stalled_s > timeouts.WRITE_STALL_TIMEOUT_S:
             self._transport.abort()
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after SIGTERM: respond to the requests that still arrive, then close all connections."""
+"""Graceful shutdown after SIGTERM: respond to requests that still arrive, then close all connections."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
     from loadbalancer.network.client.context import ConnectionContext
 
 SHUTDOWN_MAX_DEADLINE_S = 3.0
-"""Limit on the longest deadline, from which the times of the shutdown are computed.
+"""Upper bound of the longest deadline as used to compute the times of the shutdown.
 
-The platform that runs the process waits no longer than this for responses, also where deadlines are longer.
+The platform that runs the process waits no longer than this for responses, even if deadlines are longer.
 """
 
 SHUTDOWN_ACCEPT_S = 0.5
-"""New connections are accepted for this time after SIGTERM, since some still arrive."""
+"""How long new connections are accepted after SIGTERM, since some still arrive."""
 
 SHUTDOWN_KEEP_ALIVE_S = 1.5
-"""Clients keep their connections for this time after SIGTERM: another balancer may not be back yet."""
+"""How long connections are kept open after SIGTERM, since another balancer may still be restarting."""
 
 SHUTDOWN_NEW_CONNECTION_GRACE_S = 0.1
-"""A connection that was opened is given this time for its first request to arrive."""
+"""How long a new connection is kept open for its first request to arrive."""
 
 SHUTDOWN_POLL_INTERVAL_S = 0.01
-"""Interval between two checks of the listening queue and of the connections."""
+"""Interval between checks of the accept queue and of the connections."""
 
 SHUTDOWN_FINAL_ITERATIONS = 5
-"""Iterations of the event loop after the last responses."""
+"""Minimum number of event loop iterations after the last responses."""
 
 SHUTDOWN_FINAL_ITERATION_S = 0.01
-"""The time that each final iteration may take to begin."""
+"""Length of the sleep that lets one of these iterations run."""
 
 
 class DrainableListener(Protocol):
@@ -56,17 +56,17 @@
 class GracefulShutdown:
     """Shuts a listener down.
 
-    The listening socket is closed when new connections have ceased to arrive, right after its queue has been
-    emptied: the kernel resets connections that are still in the queue. Clients keep their connections for
-    some time, as long as there is time to respond to requests that arrive on them. After that, responses
-    close their connections.
+    New connections are accepted for a short time. The listening socket is then closed as soon as its accept
+    queue is empty, since the kernel resets connections that are still queued. Open connections are kept
+    while there is time to respond to further requests on them; after that, each response closes its
+    connection.
     """
 
     def __init__(self, listener: DrainableListener, context: ConnectionContext) -> None:
         self._listener = listener
         self._context = context
         self._started_at = time.monotonic()
-        # The platform waits as long as the longest deadline; half of it is left for the last responses.
+        # The platform waits as long as the longest deadline; half of that is reserved for the last responses.
         self._max_deadline_s = min(listener.max_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
 
     async def run(self) -> None:
@@ -82,7 +82,7 @@
 
     async def _accept_last_connections(self) -> None:
         await asyncio.sleep(SHUTDOWN_ACCEPT_S)
-        # While the connections are at their limit the queue isn't empty: some have to close first.
+        # At the connection limit, the queue cannot be emptied until some connections close.
         max_elapsed_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s / 2
         await self._poll_until(self._listener.accept_pending, max_elapsed_s)
 
@@ -101,8 +101,8 @@
 
     async def _abort_open_requests(self) -> None:
         self._context.handler.abort_open_requests()
-        # Guards against a busy loop, where one sleep of any length may end within one iteration: a
-        # connection that was accepted just before needs several to be set up, read and responded to.
+        # On a busy loop a sleep of any length may take a single iteration, while a connection that was
+        # accepted just before needs several to be set up, read and responded to.
         for _ in range(SHUTDOWN_FINAL_ITERATIONS):
             await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -1,4 +1,4 @@
-"""A client's complete request, its one response, and the interface of the handler of requests."""
+"""A client's complete request, its response, and the interface of the request handler."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Responder(Protocol):
-    """The connection on which a request arrived, as the request sees it."""
+    """The interface to the connection on which a request arrived."""
 
     def respond(self, request: IncomingRequest, status: int, headers: Headers, body: bytes) -> None:
         """Write the final response to a request."""
@@ -28,7 +28,7 @@
         received_at: When the request arrived (seconds of the monotonic clock).
         keep_alive: Whether the connection may stay open after the response.
         size_bytes: The memory that the request occupies.
-        number: The number that the handler assigns; -1 before.
+        number: Assigned by the handler; -1 before.
     """
 
     __slots__ = (
@@ -53,14 +53,14 @@
         self._awaits_response = True
 
     def set_responder(self, responder: Responder) -> None:
-        """Set the connection, once all earlier requests on it have been responded to.
+        """Set the connection to respond on, once all earlier requests on it have been responded to.
 
         Before this call, `respond` has no effect.
         """
         self._responder = responder
 
     def abandon(self) -> None:
-        """Drop the response, if none was sent yet: the client has disconnected."""
+        """Suppress the response if it has not been sent yet: the client has disconnected."""
         self._awaits_response = False
 
     def respond(self, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
@@ -81,7 +81,7 @@
         """Handle a request; the handler calls its `respond` now or later."""
 
     def handle_disconnect(self, request: IncomingRequest) -> None:
-        """Handle that the client of an open request has disconnected: no response can reach it."""
+        """Handle the disconnect of the client of an open request; no response can reach it any more."""
 
     def abort_open_requests(self) -> None:
         """Respond to all open requests at once, since the process is about to end."""
--- a/loadbalancer/network/client/listener.py
+++ b/loadbalancer/network/client/listener.py
@@ -21,10 +21,10 @@
     from loadbalancer.network.client.incoming_request import RequestHandler
 
 ACCEPT_BACKLOG = 2_048
-"""Length of the kernel's queue: while the loop is busy, clients wait there instead of being refused."""
+"""Length of the kernel's accept queue, where clients wait instead of being refused while the loop is busy."""
 
 CLIENT_MEMORY_FRACTION = 1 / 12
-"""Fraction of the memory limit that may hold what clients have sent."""
+"""Fraction of the memory limit that may be used to buffer client input."""
 
 MIN_CONNECTION_LIMIT = 4
 """Lower bound of the connection limit, however few descriptors the configuration allows."""
@@ -39,12 +39,12 @@
 
     Attributes:
         loop: The event loop.
-        context: What the connections share.
+        context: State and services shared by the connections.
         connections: The connections that are open now.
         eviction: Closes slow and idle connections.
         address: The address that the socket is bound to.
-        connection_limit: No more connections than this are accepted at a time.
-        max_deadline_s: The longest time that a client waits for a response.
+        connection_limit: The maximum number of open connections.
+        max_deadline_s: The longest deadline of any request class.
     """
 
     def __init__(
@@ -86,16 +86,16 @@
         self.eviction.sweep()
 
     async def shut_down(self) -> None:
-        """After SIGTERM: accept and respond to what still arrives, then close all connections."""
+        """Respond to requests that still arrive after SIGTERM, then close all connections."""
         await GracefulShutdown(self, self.context).run()
 
     def close(self) -> None:
-        """Close the listening socket; the kernel resets connections that still wait in its queue."""
+        """Close the listening socket; the kernel resets connections that are still in its accept queue."""
         self._stop_accepting()
         self._socket.close()
 
     def accept_pending(self) -> bool:
-        """Accept the connections that wait in the kernel's queue, up to the connection limit.
+        """Accept the connections in the kernel's accept queue, up to the connection limit.
 
         Returns:
             Whether the queue is empty.
@@ -110,7 +110,7 @@
                     break
                 continue
             self.connections.add(accepted)
-        # Guards against spinning, or failing, at the limit: accepting is tried again in a moment.
+        # The socket stays readable at the limit: retrying at once would only spin or fail again.
         self.eviction.evict()
         self._stop_accepting()
         self.loop.call_later(timeouts.ACCEPT_RETRY_INTERVAL_S, self._resume_accepting)
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -17,7 +17,7 @@
     from loadbalancer.network.headers import Headers
 
 GUARANTEED_BUFFER_BYTES = 16_384
-"""A connection that buffers no more than this is not rejected when the buffers of all clients are full."""
+"""A connection may buffer this much even if the limit on the buffers of all clients is exceeded."""
 
 BUFFERS_FULL = Rejection(503, "too much is waiting here")
 
@@ -26,18 +26,18 @@
     """Reads the requests of a connection, passes them to the handler one at a time, and writes the responses.
 
     Attributes:
-        reader: Reads the input; holds the requests that are queued.
-        idle_since: When the last response was written, or the client connected if none was yet (seconds
-            of the monotonic clock).
+        reader: Parses the input, and holds the queued requests.
+        idle_since: When the last response was written, or when the client connected if there has been none
+            (seconds of the monotonic clock).
     """
 
     def __init__(self, context: ConnectionContext, transport: ClientTransport, reader: RequestReader) -> None:
         self._context = context
         self._transport = transport
         self._current_request: IncomingRequest | None = None
-        self._rejection: Rejection | None = None  # written once the requests before it are responded to
+        self._rejection: Rejection | None = None  # written after the responses to earlier requests
         self._is_dispatching = False
-        self._accounted_bytes = 0  # bytes of this connection in the buffer account
+        self._accounted_bytes = 0  # share of this connection in the buffer account
         self.reader = reader
         self.idle_since = reader.arrival.started_at
 
@@ -54,9 +54,9 @@
         return self._transport.has_client_disconnected()
 
     def parse_input(self) -> None:
-        """Parse the received bytes, up to the limit on requests that are read ahead."""
+        """Parse the received bytes, up to the limit on queued requests."""
         self._update_buffer_account()
-        # Guards against clients that together fill the memory: those with large buffers are rejected.
+        # Clients could together exhaust the memory: connections with large buffers are rejected.
         if self._context.buffers.is_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
@@ -65,15 +65,15 @@
                 self.reject(rejection)
             self.advance()
         if self._transport.discards_input:
-            # Guards against responses after the end of the connection: input that follows a request with
-            # `Connection: close` is not parsed.
+            # Input that follows a request with `Connection: close` must not be parsed: a response to it would
+            # be written after the end of the connection.
             self.reader.discard_unparsed()
         self._update_buffer_account()
         if self.reader.has_unparsed_input:
             self._transport.pause_reading()
 
     def advance(self) -> None:
-        """Handle the next requests, write a rejection whose turn has come, or resume reading."""
+        """Handle the next requests, then write a rejection that follows them, or resume reading."""
         if self._is_dispatching or not self._transport.is_open:
             return
         self._dispatch_requests()
@@ -86,7 +86,7 @@
             self._context.loop.call_soon(self.parse_input)
 
     def respond(self, request: IncomingRequest, status: int, headers: Headers, body: bytes) -> None:
-        """Write the final response to the current request; one to any other request is dropped."""
+        """Write the final response to the current request; a response to any other request is dropped."""
         if self._transport.is_disconnected or request is not self._current_request:
             return
         self._current_request = None
@@ -97,14 +97,14 @@
         self.advance()
 
     def reject(self, rejection: Rejection) -> None:
-        """Stop reading; the rejection is written once all requests before it are responded to."""
+        """Discard further input; write the rejection after the responses to all earlier requests."""
         self._transport.discards_input = True
         self._rejection = rejection
         self.reader.discard_input()
         self.advance()
 
     def abandon(self) -> None:
-        """Drop the queued requests and notify the handler of the open one: the client has disconnected."""
+        """Drop all requests, since the client has disconnected, and notify the handler of the current one."""
         request = self._current_request
         self._current_request = None
         self.reader.close()
@@ -120,7 +120,7 @@
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
         try:
-            # Guards against a client that sends and never reads: at most one response is buffered for it.
+            # At most one response is buffered for a client that sends requests and never reads.
             while self.has_waiting_request() and not self._transport.has_unsent_bytes():
                 request = self.reader.requests.popleft()
                 request.set_responder(self)
@@ -131,7 +131,7 @@
 
     def _handle_request(self, request: IncomingRequest) -> None:
         if request.head.is_health_check():
-            # It fails during the shutdown, so that clients that rely on it send requests elsewhere.
+            # It fails during the shutdown, so that clients that rely on it use another balancer.
             is_shutting_down = self._context.is_shutting_down
             status, body = (503, b"ending\n") if is_shutting_down else (200, b"ok\n")
             request.respond(status, body=body)
--- a/loadbalancer/network/client/rejection.py
+++ b/loadbalancer/network/client/rejection.py
@@ -1,4 +1,4 @@
-"""Error responses to input that is not an acceptable request."""
+"""Error responses to requests that are not acceptable."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RequestRejectedError(LoadBalancerError):
-    """Raised while a request is read: the request is not acceptable.
+    """Raised while parsing a request that is not acceptable.
 
     Attributes:
         rejection: The error response that the client gets.
--- a/loadbalancer/network/client/request_arrival.py
+++ b/loadbalancer/network/client/request_arrival.py
@@ -12,8 +12,8 @@
 
     Attributes:
         is_arriving: Whether a request has begun to arrive and is not complete yet.
-        started_at: When the current request began to arrive; when the client connected, before the first
-            request is complete.
+        started_at: When the current request began to arrive; until the first request is complete, when the
+            client connected.
         has_received_request: Whether a complete request has ever arrived.
     """
 
@@ -35,8 +35,7 @@
     def begin(self, now: float) -> None:
         """Record that the first byte of a request has arrived.
 
-        The first request of a connection is counted from the time when the client connected, so that
-        `started_at` does not change for it.
+        For the first request of a connection `started_at` remains the time when the client connected.
         """
         self.is_arriving = True
         if self.has_received_request:
--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -23,7 +23,7 @@
 _TARGET = re.compile(rb"/[\x21-\x7e]*")
 _TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
 
-# Two readers could believe different values of a header that is repeated.
+# If one of these headers is repeated, two parsers could use different values.
 _UNIQUE_HEADERS = (
     b"content-length",
     b"transfer-encoding",
@@ -34,7 +34,7 @@
     b"idempotency-key",
     b"host",
 )
-# Each attempt gets an X-Deadline of its own; Expect is settled between the client and the balancer.
+# Each attempt gets its own X-Deadline; Expect concerns only the client and the balancer.
 _NOT_FORWARDED = frozenset((b"x-deadline", b"expect"))
 
 HeaderMap = dict[bytes, bytes]
@@ -75,10 +75,9 @@
 def read_request_head(
     method: bytes, target: bytes, headers: Headers, classes: dict[str, RequestClass]
 ) -> RequestHead:
-    """Check the head of a request and read the values that the balancer needs.
+    """Validate the head of a request and extract the values that the balancer uses.
 
-    Guards against request smuggling: a head that the upstream, as the second reader, could understand
-    differently is rejected.
+    To prevent request smuggling, a head that the upstream could interpret differently is rejected.
 
     Args:
         method: The method.
@@ -99,7 +98,7 @@
     _check_method(method, request_class, header_map)
     _check_class_header(header_map, request_class)
     request_id = _read_request_id(header_map)
-    # A client waits no longer than its class says: a later deadline would only keep state for longer.
+    # No client waits longer than the deadline of its class: a later one would only keep state for longer.
     deadline_ms = min(_read_deadline_ms(header_map), request_class.deadline_ms)
     return RequestHead(
         method,
@@ -163,7 +162,7 @@
 
 
 def _check_method(method: bytes, request_class: RequestClass, header_map: HeaderMap) -> None:
-    """Check that the method, the idempotency key and the body fit one another and the class."""
+    """Check that the method, the idempotency key and the body are consistent with the class."""
     if method not in (b"GET", b"POST"):
         raise RequestRejectedError(Rejection(405, "GET or POST"))
     has_key = b"idempotency-key" in header_map
--- a/loadbalancer/network/client/request_parser.py
+++ b/loadbalancer/network/client/request_parser.py
@@ -1,4 +1,4 @@
-"""Sans-I/O parser of a client's requests: puts complete requests together from the events of httptools."""
+"""Sans-I/O parser of a client's requests: assembles complete requests from the callbacks of httptools."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 class RequestParser:
     """Parses the bytes of one connection into requests.
 
-    The methods `on_...` are the callbacks of httptools, and nothing else calls them.
+    The `on_...` methods are callbacks; only httptools calls them.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
 
     @property
     def partial_body_bytes(self) -> int:
-        """Size of the body so far, of a request that is not complete."""
+        """Size of the received part of the body of the incomplete request; 0 if there is none."""
         return self._body_bytes if self._head is not None else 0
 
     def feed(self, data: bytes) -> Rejection | None:
@@ -84,7 +84,7 @@
     def close(self) -> None:
         """Release all memory; nothing may be parsed afterwards.
 
-        Guards against a reference cycle: the parser of httptools refers back to this object.
+        Breaks a reference cycle: the parser of httptools refers back to this object.
         """
         self.discard_partial_request()
         self._parser = None
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -1,4 +1,4 @@
-"""Sans-I/O reader of a client's requests: buffers bytes, and bounds how much of them is parsed ahead."""
+"""Sans-I/O reader of a client's requests: buffers bytes, and limits how many requests are parsed ahead."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     from loadbalancer.settings import RequestClass
 
 MAX_PIPELINED_REQUESTS = 16
-"""Limit on the complete requests that are read ahead on one connection; above it, parsing waits."""
+"""Limit on the queued requests of one connection; parsing pauses while there are more."""
 
 SLICE_BYTES = 8_192
-"""Bytes that are parsed at a time; the requests in one slice may exceed `MAX_PIPELINED_REQUESTS`."""
+"""Number of bytes parsed at a time; the requests in one slice may exceed `MAX_PIPELINED_REQUESTS`."""
 
 
 class RequestReader:
@@ -59,7 +59,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The bytes held: not parsed, of an incomplete request, or of requests in the queue."""
+        """Number of bytes held: unparsed input, the incomplete request, and queued requests."""
         return len(self._unparsed) + self._partial_bytes + sum(r.size_bytes for r in self.requests)
 
     @property
@@ -104,7 +104,7 @@
             # A request ended in this slice: no more than the slice can belong to the next one.
             self._partial_bytes = len(data) if self.arrival.is_arriving else 0
         elif self._partial_bytes - self._parser.partial_body_bytes > MAX_HEAD_BYTES:
-            # Guards against a head, chunk extensions or trailers without end: the parser would buffer them.
+            # The parser would buffer a head, chunk extensions or trailers of any length.
             return HEAD_TOO_LARGE
         return None
 
--- a/loadbalancer/network/client/timeouts.py
+++ b/loadbalancer/network/client/timeouts.py
@@ -1,36 +1,42 @@
-"""The time limits of client connections, in seconds."""
+"""The timeouts of client connections, in seconds."""
 
 from __future__ import annotations
 
 REQUEST_TIMEOUT_S = 1.8
-"""Limit on the time in which a complete request arrives, from connecting or from the request's first byte."""
+"""How long a complete request may take to arrive.
+
+For the first request of a connection the time runs from connecting, for later ones from their first byte.
+"""
 
 REQUEST_TIMEOUT_UNDER_PRESSURE_S = 0.25
-"""The same limit while new connections wait to be accepted."""
+"""Replaces `REQUEST_TIMEOUT_S` while new connections wait to be accepted."""
 
 KEEP_ALIVE_TIMEOUT_S = 2.5
-"""An idle connection is closed after this time; clients open new ones."""
+"""How long an idle connection is kept open; clients open new ones afterwards."""
 
 IDLE_TIMEOUT_UNDER_PRESSURE_S = 0.2
-"""The same while new connections wait to be accepted: a longer time would limit the requests per second."""
+"""Replaces `KEEP_ALIVE_TIMEOUT_S` while new connections wait to be accepted.
+
+A longer timeout would limit the requests per second, since idle connections count towards the limit.
+"""
 
 SWEEP_INTERVAL_S = 0.1
-"""Interval between two checks of all connections for slow and idle ones."""
+"""Interval between checks of all connections for exceeded timeouts."""
 
 WRITE_STALL_TIMEOUT_S = 10.0
-"""A client that does not read its response for longer than this is disconnected."""
+"""How long a client may leave a response unread before it is disconnected."""
 
 LINGER_TIMEOUT_S = 0.5
-"""How long input is read and discarded after the balancer closed its side.
+"""How long input is read and discarded after the balancer has closed its sending side.
 
-Guards against a reset that overtakes the last response.
+Unread input would make the kernel send a reset, which could overtake the last response.
 """
 
 SHORT_LINGER_TIMEOUT_S = 0.05
-"""The linger after a connection on which no request began to arrive in time."""
+"""Replaces `LINGER_TIMEOUT_S` on a connection on which no request began to arrive in time."""
 
 ACCEPT_RETRY_INTERVAL_S = 0.05
-"""Accepting is tried again after this time once descriptors or connections have run out."""
+"""Delay before accepting is retried after descriptors or connections have run out."""
 
 MIN_EVICTION_INTERVAL_S = ACCEPT_RETRY_INTERVAL_S / 2
-"""Evictions are at least this far apart: each sorts all connections."""
+"""Minimum interval between evictions, each of which sorts all connections."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -1,4 +1,4 @@
-"""The transport of a client's connection: writing, pausing, and closing without losing a response."""
+"""The transport of a client connection: writing, pausing, and closing without losing a response."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     import asyncio
 
 MAX_LINGER_BYTES = 1 << 20
-"""Reading stops once more input than this was discarded: the client's sends stall until the linger ends."""
+"""Limit on discarded input; above it reading stops, and the client cannot send more until the linger ends."""
 
 
 class ClientTransport:
-    """Wraps the asyncio transport of one connection, and holds the timer that ends it after a graceful close.
+    """Wraps the asyncio transport of one connection, and aborts it some time after a graceful close.
 
     Until `attach` is called the connection is not set up: nothing is read, written or closed.
 
@@ -46,7 +46,7 @@
 
     @property
     def asyncio_transport(self) -> asyncio.Transport | None:
-        """The transport of the event loop; None until the connection is set up."""
+        """The asyncio transport; None until the connection is set up."""
         return self._transport
 
     @property
@@ -56,11 +56,11 @@
 
     @property
     def is_lingering(self) -> bool:
-        """Whether either side is closed, and the connection ends after a time."""
+        """Whether one side is closed and a timer will abort the connection."""
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether written bytes are still in the write buffer of this process."""
+        """Return whether written bytes are still in the write buffer of asyncio."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def has_unread_bytes(self) -> bool:
@@ -109,11 +109,11 @@
     # ---- the end of the connection --------------------------------------------------------------
 
     def close_gracefully(self, linger_s: float) -> None:
-        """Close the balancer's side, and read and discard input for a moment.
+        """Close the sending side, then read and discard input for a short time.
 
-        Guards against a reset that overtakes the last response, or that the kernel sends for a request that
-        arrives after the close. The client sees a clean end between two requests instead, and sends the
-        request again on another connection.
+        Closing both sides could cause a reset that overtakes the last response, or a reset for a request that
+        arrives after the close. This way, the client sees the connection end between two requests, and
+        sends the request again on another connection.
 
         Args:
             linger_s: How long input is read and discarded.
@@ -125,17 +125,17 @@
         self.discards_input = True
         self._transport.write_eof()
         if self._transport.get_write_buffer_size() == 0:
-            # The loop would shut the socket down only in its next iteration: a request could arrive before.
+            # asyncio shuts the socket down only in its next iteration: a request could arrive before that.
             shutdown_write(self._transport)
         self.abort_after(linger_s)
 
     def abort_after(self, delay_s: float) -> None:
-        """End the connection after a time; a timer that is running already is kept instead."""
+        """Abort the connection after a delay; no effect if a timer is already running."""
         if self._transport is not None and self._abort_timer is None:
             self._abort_timer = self._loop.call_later(delay_s, self._transport.abort)
 
     def abort(self) -> None:
-        """End the connection now; unsent bytes are dropped."""
+        """Abort the connection now; unsent bytes are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -150,7 +150,7 @@
     first_byte = peek(transport)
     if not first_byte:
         return first_byte == b""
-    # The end of the stream may follow bytes that are not read yet.
+    # The end of the stream may come after unread bytes.
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
