--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -1,4 +1,4 @@
-"""The request of a client that has disconnected is not sent, whether it was delayed, queued or connecting."""
+"""After a client has disconnected, its delayed, queued or connecting requests are not sent."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 async def test_disconnect_during_policy_delay_prevents_connect(
     start_proxy: StartProxy,
 ) -> None:
-    """The policy starts the attempt from a timer, before the event loop has read the disconnect."""
+    """The policy's timer starts the attempt before the event loop has read the disconnect."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     client = harness.connect_socket()
@@ -73,7 +73,7 @@
     client.sendall(request_bytes("/pay", 1, b"debit"))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
     await until_idle(harness)
-    assert status(await harness.send_request()) == 200  # all that was in flight has arrived
+    assert status(await harness.send_request()) == 200  # every earlier request has arrived by now
     received = [request.headers["x-class"] for upstream in upstreams for request in upstream.received]
     assert received.count("pay") == 1
 
@@ -98,7 +98,7 @@
         lambda: len(arrived_ids) >= 2, "the policy has got both requests", state=lambda: arrived_ids
     )
     await until_idle(harness)
-    assert status(await harness.send_request()) == 200  # all that was in flight has arrived
+    assert status(await harness.send_request()) == 200  # every earlier request has arrived by now
     assert [request.headers["x-request-id"] for request in upstream.received].count("2") == 0
 
 
@@ -119,7 +119,7 @@
 async def test_pipelined_request_starts_once_previous_response_is_read(
     start_proxy: StartProxy,
 ) -> None:
-    """Guards against a pipelined request that waits for further bytes after the response is sent."""
+    """Sending the response starts the next request, which must not wait for further bytes from the client."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
     client, received_bytes = await client_with_unread_response(harness), b""
@@ -131,7 +131,7 @@
 async def test_disconnect_behind_unread_response_drops_pipelined_request(
     start_proxy: StartProxy,
 ) -> None:
-    """Guards against sending it once the client has read the response, although the disconnect was read."""
+    """The balancer has read the disconnect before the client reads the response, which frees the pipeline."""
     upstream = Upstream(response(200, b"x" * 60_000))
     harness = await start_proxy(upstream)
     client = await client_with_unread_response(harness)
@@ -143,12 +143,12 @@
     while await asyncio.get_running_loop().sock_recv(client, 65_536):
         pass
     client.close()
-    assert status(await harness.send_request()) == 200  # all that was in flight has arrived
+    assert status(await harness.send_request()) == 200  # every earlier request has arrived by now
     assert [request.headers["x-request-id"] for request in upstream.received].count("2") == 0
 
 
 async def test_disconnect_is_detected_while_reading_is_paused(start_proxy: StartProxy) -> None:
-    """Guards against a socket that is not polled while reading is paused."""
+    """While reading is paused, the event loop does not poll the socket."""
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream, tier=1)
     client = harness.connect_socket()
@@ -158,7 +158,7 @@
     (connection,) = harness.proxy.listener.connections
     await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
     client.close()
-    await until_idle(harness)  # although the request has no response yet
+    await until_idle(harness)  # although the upstream has not responded
     await upstream.connection_closed.wait()
     assert len(upstream.received) == 1
 
@@ -167,7 +167,7 @@
 async def test_disconnect_while_connecting_prevents_attempt(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
-    """Guards against sending it where attempts must not be cancelled."""
+    """An attempt whose request has not been sent is dropped even if attempts must not be cancelled."""
     connects, upstream = DelayedConnects(monkeypatch), Upstream()
     harness = await start_proxy(upstream, limits=HEDGING_LIMITS | {"mayCancel": may_cancel})
     disconnected = asyncio.Event()
@@ -230,7 +230,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against sending it after the other attempt has brought the response."""
+    """The first attempt brings the response before the hedged request is connected."""
     connects = DelayedConnects(monkeypatch, first=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
@@ -244,6 +244,6 @@
     await until_idle(harness)
     other = await harness.client()
     other.send(deadline="400m")
-    await other.read_response()  # all that was in flight has arrived
+    await other.read_response()  # every earlier request has arrived by now
     received = [request.headers["x-request-id"] for upstream in upstreams for request in upstream.received]
     assert received.count(first.received[0].headers["x-request-id"]) == 1
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -1,4 +1,4 @@
-"""Clients of a balancer whose event loop is busy: the kernel holds what arrives until it is read."""
+"""Clients of a balancer whose event loop is busy, so that the kernel holds what they send."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 def before_each_timeout_check(
     monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
 ) -> None:
-    """Call a function with each connection and the time before the connection is checked for timeouts."""
+    """Call a function, with a connection and the current time, before each check of its timeouts."""
     close_if_timed_out = ClientConnection.close_if_timed_out
 
     def act_then_check(
@@ -55,7 +55,7 @@
 
 
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """Delay the transport of each accepted connection until the returned event is set."""
+    """Delay the setup of each accepted connection until the returned event is set."""
     setup_allowed = asyncio.Event()
     set_up = ConnectionTable.set_up
 
@@ -70,7 +70,7 @@
 
 
 def send_without_event_loop(client: socket.socket, data: bytes) -> None:
-    """Send on a socket that belongs to a transport, without the event loop."""
+    """Send immediately on a socket that belongs to a transport."""
     with socket.socket(fileno=os.dup(client.fileno())) as duplicate:
         duplicate.sendall(data)
 
@@ -79,7 +79,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against ending the program, and so resetting an unread request, after a busy last interval."""
+    """The last interval is busy; the program must still read the request, which it would otherwise reset."""
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_ACCEPT_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
@@ -100,7 +100,7 @@
 
     monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_block_loop)
     await listener.shut_down()
-    client.settimeout(0.0)  # the process has ended: nothing more can arrive
+    client.settimeout(0.0)  # the shutdown has ended, so nothing more can arrive
     assert client.recv(65_536).startswith(b"HTTP/1.1 503 ")
     assert client.recv(1) == b""
 
@@ -109,14 +109,14 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time that they wait in the accept queue counts towards the request timeout."""
+    """The request timeout includes the time in the accept queue."""
     set_request_timeout(monkeypatch, 0.2, sweep_interval_s=0.02)
 
     sweeps = set[float]()
     before_each_timeout_check(monkeypatch, lambda _, now: sweeps.add(now))
     upstream = Upstream()
     harness = await start_proxy(upstream)
-    await asyncio.sleep(0)  # the listener accepts and sweeps from now on
+    await asyncio.sleep(0)  # let the listener start to accept and sweep
     response_starts = {
         b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
         b"": b"",
@@ -135,7 +135,7 @@
     for reply, start in zip(replies, response_starts.values(), strict=True):
         assert reply.startswith(start)
         assert bool(reply) == bool(start)
-    # With a timeout that began when they were accepted there would be ten sweeps.
+    # If the timeout ran from accepting, there would be ten sweeps.
     assert len(sweeps) <= 6
     assert not upstream.connections
 
@@ -144,7 +144,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each check finds an unread byte, which must not extend the timeout."""
+    """Each timeout check finds an unread byte, which must not extend the timeout."""
     set_request_timeout(monkeypatch, 0.05, sweep_interval_s=0.01)
 
     checks = list[float]()
@@ -190,7 +190,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One connection is not set up, the request of another is unread, and a third waits to be accepted."""
+    """One connection is not set up, another has an unread request, and a third waits to be accepted."""
     set_timeouts_under_pressure(monkeypatch, 60.0)
 
     harness = await start_proxy(Upstream())
@@ -210,7 +210,7 @@
     )
     waiting = harness.connect_socket()
     waiting.sendall(request_bytes("/read", 2))
-    # Evict before the event loop can read it.
+    # The eviction comes before the event loop can read this request.
     send_without_event_loop(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
     set_timeouts_under_pressure(monkeypatch, 0.0)
     monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""A client that closes, resets or half-closes its connection has disconnected: no attempt begins after that.
+"""No attempt begins after a client has closed, reset or half-closed its connection.
 
-Where it matters, idle connections to the upstreams are opened first: a request is written to an idle one in
-the same turn of the event loop, so that only a look at the client's socket can keep it back.
+Most tests first open idle connections to the upstreams. A request is written to an idle connection in the
+same iteration of the event loop, so only a check of the client's socket can prevent it.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 
 def close_after_partial_request(client: socket.socket) -> None:
-    client.send(b"GET /re")  # peeking at one byte does not show the disconnect after it
+    client.send(b"GET /re")  # a peek at the next byte does not reveal the disconnect behind it
     client.close()
 
 
@@ -83,7 +83,7 @@
 
 
 async def open_idle_connections(harness: ProxyHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Open an idle connection to each upstream, for first attempts and retries."""
+    """Open an idle connection to each upstream, so that attempts and retries need not connect."""
     while not all(upstream.received for upstream in harness.upstreams):
         assert status(await harness.send_request()) == 200
     monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
@@ -91,14 +91,14 @@
 
 
 def received_ids(harness: ProxyHarness) -> list[str]:
-    """Return the id of each request that an upstream has received, in no particular order."""
+    """Return the ids of the requests that the upstreams have received so far, in no particular order."""
     return [
         request.headers["x-request-id"] for upstream in harness.upstreams for request in upstream.received
     ]
 
 
 async def final_received_ids(harness: ProxyHarness) -> list[str]:
-    """Return the ids of the test's own requests that upstreams received, once all in flight have arrived."""
+    """Return the ids of the test's own requests that were received, once none is in flight."""
     pass_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     ids = received_ids(harness)
@@ -109,7 +109,7 @@
 async def test_disconnect_before_accept_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop is busy until the kernel holds connection, request and disconnect."""
+    """The event loop first runs when the kernel holds the connection, its request and the disconnect."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client = harness.connect_socket()
@@ -124,7 +124,7 @@
 async def test_disconnect_during_policy_delay_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disconnect arrives while the event loop is busy, and is unread as the policy's timer fires."""
+    """The disconnect is unread when the policy's timer fires and starts the attempt."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client, disconnected = harness.connect_socket(), asyncio.Event()
@@ -166,7 +166,7 @@
     disconnect: Disconnect,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client disconnects as its first attempt fails, when a retry would be written immediately."""
+    """The client disconnects as its first attempt fails; a retry would be sent at once."""
     harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
     await open_idle_connections(harness, monkeypatch)
     client, finished_attempts = harness.connect_socket(), list[AttemptFinished]()
@@ -186,7 +186,7 @@
 async def test_failed_attempt_is_retried_while_client_is_connected(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Shows that in the test above only the disconnect prevents the retry."""
+    """Shows that only the disconnect prevents the retry in the test above."""
     script = for_first_request(response(500))
     harness = await start_proxy(Upstream(script), Upstream(script))
     await open_idle_connections(harness, monkeypatch)
@@ -236,7 +236,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request stays open until its first attempt ends, and meanwhile its hedge timer fires."""
+    """The hedge timer fires while the first attempt, which must not be cancelled, is still in progress."""
     script = for_first_request(never_respond)
     harness = await start_proxy(
         Upstream(script), Upstream(script), limits=HEDGING_LIMITS | {"mayCancel": False}
@@ -282,7 +282,7 @@
 async def test_disconnect_while_reading_is_paused_prevents_retry(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disconnect follows unread requests, and the sweep has not checked the connection."""
+    """The disconnect is behind unread requests, and no sweep has checked the connection."""
     monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def record_writer(received: ReceivedMessage, writer: Any) -> None:
@@ -312,7 +312,7 @@
 async def test_disconnect_while_body_is_written_withdraws_request(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
-    """The upstream does not get the last byte, so it does not process the request."""
+    """The upstream never receives the end of the body, so it does not process the request."""
     connections, connection_made = list[UpstreamConnection](), UpstreamConnection.connection_made
 
     def connect_with_small_buffer(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""At the connection limit new connections wait, and slow and idle ones are evicted."""
+"""At the connection limit, new connections wait while slow and idle ones are evicted."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
     clients = [await harness.client() for _ in range(100)]
     started_at = time.monotonic()
     assert status(await harness.send_request()) == 200
-    assert time.monotonic() - started_at < 3.0  # the client's time limit
+    assert time.monotonic() - started_at < 3.0  # the time that a client waits
     for client in clients:
         assert await client.reader.read() == b""
 
 
 async def test_idle_connections_are_evicted_early_for_waiting_clients(start_proxy: StartProxy) -> None:
-    """Guards against the low throughput of 168 connections of 2 s each: 84 requests a second."""
-    # A client whose request is sent as the connection is closed retries it on a new connection.
+    """Without early eviction, 168 connections kept for 2 s each would serve only 84 requests per second."""
+    # A client whose request crosses the close of its connection retries it on a new one.
     assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
-    harness = await start_proxy(Upstream(), tier=1)  # twenty requests at once are not shed in this tier
+    harness = await start_proxy(Upstream(), tier=1)  # tier 1 does not shed load
     harness.proxy.listener.connection_limit = 20
     clients = [await harness.client() for _ in range(60)]
     for client in clients:
@@ -51,7 +51,7 @@
 async def test_waiting_clients_are_accepted_after_eviction(
     start_proxy: StartProxy,
 ) -> None:
-    """Accepting is retried after connections have become idle, not only when one closes."""
+    """Accepting is retried at intervals, not only when a connection closes."""
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 2
     first = await harness.client()
@@ -59,13 +59,13 @@
     for client in (first, second):
         client.send()
         assert status(await client.read_response()) == 200
-    # Accepted once a connection has been idle for a while.
+    # Accepted once an idle connection has been evicted.
     assert status(await harness.send_request()) == 200
     assert await first.reader.read() == b""
 
 
 async def test_accepting_resumes_after_running_out_of_descriptors(tmp_path: Path) -> None:
-    """With fewer descriptors than the configuration says, accepting fails for a time."""
+    """With fewer descriptors than configured, accepting fails for some time."""
     port = free_port()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -1,4 +1,4 @@
-"""Connections without a complete request and idle connections are closed after a timeout."""
+"""Idle connections and connections without a complete request are closed after a timeout."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 async def test_connection_without_complete_request_times_out(
     start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Clients that send nothing or no complete request are disconnected within 3 s."""
+    """Clients that send no complete request are disconnected within 3 s."""
     max_duration_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
     assert max_duration_s + timeouts.LINGER_TIMEOUT_S < 2.8
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: each request that was sent gets a response, and no connection is reset."""
+"""Graceful shutdown: each request gets a response, and no connection is reset."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     keep_alive_s: float | None = None,
     max_deadline_s: float | None = None,
 ) -> None:
-    """Replace the given time limits of the shutdown."""
+    """Replace the given time limits of the shutdown; None keeps the default."""
     times = {
         "SHUTDOWN_ACCEPT_S": accept_s,
         "SHUTDOWN_KEEP_ALIVE_S": keep_alive_s,
@@ -40,7 +40,7 @@
 
 
 async def client_with_response(harness: ProxyHarness) -> Client:
-    """Return a client whose first request has its response."""
+    """Return a client that has received the response to its first request."""
     client = await harness.client()
     client.send()
     assert status(await client.read_response()) == 200
@@ -50,7 +50,7 @@
 async def test_connections_are_kept_open_for_keep_alive_time(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against clients without any balancer while another one restarts."""
+    """While another balancer restarts, clients would otherwise have none to use."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -64,7 +64,7 @@
         assert status(reply) == 200
         assert "connection" not in reply.headers
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-    assert await client.reader.read() == b""  # closed without a reset once the time has passed
+    assert await client.reader.read() == b""  # closed without a reset after the keep-alive time
     client.writer.close()
     await shutdown
 
@@ -73,7 +73,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against losing requests: the platform kills the process soon after the maximum deadline."""
+    """The platform kills the process soon after the maximum deadline, which would lose requests."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
     client = await client_with_response(harness)
@@ -116,7 +116,7 @@
 async def test_request_in_accept_queue_gets_response(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client has sent the complete request before its connection is accepted."""
+    """The client sends its complete request before its connection is accepted."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -144,7 +144,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against resets: the kernel resets queued connections when the listening socket closes."""
+    """The kernel resets queued connections when the listening socket is closed."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream)
@@ -153,12 +153,12 @@
     busy = await harness.client()
     busy.send("/pay/x", b"debit")
     await upstream.seen.wait()
-    queued = await harness.client()  # in the kernel's queue
+    queued = await harness.client()  # waits in the accept queue
     queued.send()
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0)
     for _ in range(3):
-        await asyncio.sleep(0)  # the listener has tried to accept
+        await asyncio.sleep(0)  # lets the listener try to accept
     upstream.writers[0].write(response(200, b"at last"))
     assert (await busy.read_response()).body == b"at last"
     busy.writer.close()
@@ -168,7 +168,7 @@
 
 
 async def test_request_after_abort_is_rejected(start_proxy: StartProxy) -> None:
-    """The process ends before an upstream could respond."""
+    """The process ends before an upstream could respond, so no attempt is started."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     client = await harness.client()
@@ -192,14 +192,14 @@
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert status(await client.read_response()) == 502
     await shutdown
-    assert outcomes(events) == [Outcome.CANCELLED]  # before the attempt's own timeout
+    assert outcomes(events) == [Outcome.CANCELLED]  # not by a timeout of the attempt
 
 
 async def test_request_racing_with_idle_close_gets_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request is unread in the kernel while the connection is evaluated as idle."""
+    """The request arrives, unread, while the connection is being checked for idleness."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
     client = await client_with_response(harness)
@@ -210,7 +210,7 @@
     def send_then_is_idle() -> bool:
         if not request_sent.is_set():
             request_sent.set()
-            client.send()  # written at once, and not read before the result is used
+            client.send()  # sent at once, and read only after the check
         return is_idle()
 
     monkeypatch.setattr(connection.expiry, "is_idle", send_then_is_idle)
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -1,4 +1,4 @@
-"""Buffered requests occupy a bounded amount of memory, which is released afterwards."""
+"""The memory of buffered requests is limited and is released afterwards."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
 async def test_finished_requests_and_connections_do_not_leak(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Objects are counted after many requests and connections: a leak grows with their number."""
-    # Otherwise the pool's size depends on how many requests the machine can make in that time.
+    """A leak grows with the number of requests and connections."""
+    # Otherwise the size of the pool depends on how many requests this machine sends within the delay.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
 
     def count_objects() -> Counter[str]:
@@ -69,13 +69,13 @@
 
     await send_requests(20)
     gc.collect()
-    gc.disable()  # objects that only the collector would free count as leaked
+    gc.disable()  # reference cycles, which only the garbage collector frees, count as leaks
     try:
         before = count_objects()
         await send_requests(100)
         growth: dict[str, Any] = count_objects() - before
         for timer in ("TimerFired", "HedgeTimer"):
-            growth.pop(timer, None)  # the policy's timers stay until they fire
+            growth.pop(timer, None)  # timers of the policy live until they fire
     finally:
         gc.enable()
     assert all(n < 20 for n in growth.values()), growth
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -1,4 +1,4 @@
-"""Requests that are malformed, ambiguous or too large are rejected before any upstream sees them."""
+"""Malformed, ambiguous and oversized requests are rejected without reaching an upstream."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         (b"GET /pay HTTP/1.1\r\n" + valid_headers(b"pay") + b"\r\n", 400),
         (b"POST /pay HTTP/1.1\r\n" + valid_headers(b"pay") + b"Idempotency-Key: k\r\n\r\n", 400),
         (b"POST /put HTTP/1.1\r\n" + valid_headers(b"put") + b"\r\n", 400),
-        # Never-ending input.
+        # Input of unbounded length.
         (b"GET /" + b"x" * 70_000, 431),
         (b"GET /read HTTP/1.1\r\nX-Long: " + b"x" * 70_000, 431),
         (b"\r\n" * 40_000, 431),
