--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -95,7 +95,7 @@
     before_event(harness, RequestReceived, disconnect_at_second_request)
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
     await wait_until(
-        lambda: len(arrived_ids) >= 2, "the policy has got both requests", state=lambda: arrived_ids
+        lambda: len(arrived_ids) >= 2, "the policy has received both requests", state=lambda: arrived_ids
     )
     await until_idle(harness)
     assert status(await harness.send_request()) == 200  # every earlier request has arrived by now
@@ -111,7 +111,7 @@
     transport = await wait_until(lambda: connection.transport, "the connection is set up")
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
     client.sendall(request_bytes("/read", 1) + request_bytes("/read", 2))
-    await wait_until(transport.get_write_buffer_size, "a part of the response waits for the client")
+    await wait_until(transport.get_write_buffer_size, "part of the response is in the write buffer")
     client.settimeout(0.0)
     return client
 
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -194,7 +194,7 @@
     client.sendall(request_bytes("/read", 1))
     await wait_until(
         lambda: received_ids(harness).count("1") >= 2,
-        "the request is hedged",
+        "the request is retried",
         state=lambda: received_ids(harness),
     )
     client.close()
@@ -337,7 +337,7 @@
         client.settimeout(0.0)
         await loop.sock_sendall(client, request_bytes("/pay", 1, b"x" * MAX_BODY_BYTES))
         await wait_until(
-            lambda: connections and connections[0].unsent_bytes, "a part of the body waits to be sent"
+            lambda: connections and connections[0].unsent_bytes, "part of the body is in the write buffer"
         )
         client.close()
         await disconnected.wait()
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -80,7 +80,9 @@
     harness.proxy.listener.max_deadline_s = 0.2
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert await client.reader.read() == b""  # closed without a reset
-    assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
+    assert harness.proxy.listener.context.closes_connections, (
+        "closed by the shutdown, not by the idle timeout"
+    )
     client.writer.close()
     await shutdown
 
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -34,7 +34,7 @@
     health_client = await harness.client()
     await wait_until(
         lambda: any(connection.discards_input for connection in listener.connections),
-        "a connection discards what it receives",
+        "a connection discards its input",
         state=lambda: buffers.used_bytes,
     )
     health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
