--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -152,8 +152,8 @@
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream, tier=1)
     client = harness.connect_socket()
-    many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-    client.sendall(b"".join(request_bytes("/read", number) for number in range(many)))
+    request_count = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+    client.sendall(b"".join(request_bytes("/read", number) for number in range(request_count)))
     await upstream.seen.wait()
     (connection,) = harness.proxy.listener.connections
     await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -294,8 +294,8 @@
     )
     await open_idle_connections(harness, monkeypatch)
     client = harness.connect_socket()
-    many = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
-    client.sendall(b"".join(request_bytes("/read", number) for number in range(1, many)))
+    end_number = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
+    client.sendall(b"".join(request_bytes("/read", number) for number in range(1, end_number)))
     await wait_until(
         lambda: writers and any(c.is_reading_paused for c in harness.proxy.listener.connections),
         "an attempt is in progress and the balancer pauses reading",
