--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -15,9 +15,9 @@
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
     DelayedConnects,
-    pass_reuse_delay,
     request_bytes,
-    until_idle,
+    skip_reuse_delay,
+    wait_until_idle,
 )
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
@@ -48,7 +48,7 @@
     replace_policy(harness, delay_attempt)
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert not upstream.connections
 
 
@@ -66,13 +66,13 @@
     harness = await start_proxy(*upstreams)
     while not all(upstream.received for upstream in upstreams):
         assert status(await harness.send_request()) == 200
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
     client, connects = harness.connect_socket(), DelayedConnects(monkeypatch)
     connects.on_established = client.close
     connects.allowed.set()
     client.sendall(request_bytes("/pay", 1, b"debit"))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert status(await harness.send_request()) == 200  # every earlier request has arrived by now
     received = [request.headers["x-class"] for upstream in upstreams for request in upstream.received]
     assert received.count("pay") == 1
@@ -89,7 +89,7 @@
     def disconnect_at_second_request(event: RequestReceived) -> None:
         arrived_ids.append(event.request_id)
         if len(arrived_ids) == 2:
-            pass_reuse_delay(harness)
+            skip_reuse_delay(harness)
             client.close()
 
     before_event(harness, RequestReceived, disconnect_at_second_request)
@@ -97,7 +97,7 @@
     await wait_until(
         lambda: len(arrived_ids) >= 2, "the policy has received both requests", state=lambda: arrived_ids
     )
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert status(await harness.send_request()) == 200  # every earlier request has arrived by now
     assert [request.headers["x-request-id"] for request in upstream.received].count("2") == 0
 
@@ -154,11 +154,11 @@
     client = harness.connect_socket()
     request_count = 2 * request_reader.MAX_PIPELINED_REQUESTS + request_reader.SLICE_BYTES // 50
     client.sendall(b"".join(request_bytes("/read", number) for number in range(request_count)))
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     (connection,) = harness.proxy.listener.connections
     await wait_until(lambda: connection.is_reading_paused, "the balancer pauses reading")
     client.close()
-    await until_idle(harness)  # although the upstream has not responded
+    await wait_until_idle(harness)  # although the upstream has not responded
     await upstream.connection_closed.wait()
     assert len(upstream.received) == 1
 
@@ -174,11 +174,11 @@
     before_event(harness, ClientDisconnected, lambda event: disconnected.set())
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
-    await connects.is_waiting.wait()
+    await connects.connect_pending.wait()
     client.close()
     await disconnected.wait()
     connects.allowed.set()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
 
@@ -191,12 +191,12 @@
     harness = await start_proxy(upstream)
     client = harness.connect_socket()
     client.sendall(request_bytes("/pay", 1, b"debit"))
-    await connects.is_waiting.wait()
+    await connects.connect_pending.wait()
     connects.on_established = client.close
     connects.allowed.set()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     connects.on_established = lambda: None
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
     assert upstream.connections == 1, "the connection carries the next request"
@@ -222,7 +222,7 @@
     client.close()
     await disconnected.wait()
     writers[0].write(response(503, b"", "X-Not-Run: 1"))
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert sum(len(upstream.received) for upstream in upstreams) == 1
 
 
@@ -231,17 +231,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The first attempt brings the response before the hedged request is connected."""
-    connects = DelayedConnects(monkeypatch, first=1)
+    connects = DelayedConnects(monkeypatch, undelayed=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
     client = await harness.client()
     client.send(deadline="1200m")
-    await connects.is_waiting.wait()  # the hedged request is connecting
+    await connects.connect_pending.wait()  # the hedged request is connecting
     first = next(upstream for upstream in upstreams if upstream.received)
     first.writers[0].write(response(200, b"first"))
     assert (await client.read_response()).body == b"first"
     connects.allowed.set()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     other = await harness.client()
     other.send(deadline="400m")
     await other.read_response()  # every earlier request has arrived by now
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -23,14 +23,14 @@
 from tests.support.configurations import entry
 from tests.support.disconnecting_clients import (
     HEDGING_LIMITS,
-    pass_reuse_delay,
     request_bytes,
-    until_disconnected,
-    until_idle,
+    skip_reuse_delay,
+    wait_until_disconnected,
+    wait_until_idle,
 )
 from tests.support.http_messages import ReceivedMessage, response, status
 from tests.support.policy_hooks import before_event, replace_policy
-from tests.support.scripted_upstream import Upstream, never_respond, reset
+from tests.support.scripted_upstream import Upstream, never_respond, reset_connection
 from tests.support.waiting import wait_until
 
 if TYPE_CHECKING:
@@ -86,8 +86,8 @@
     """Open an idle connection to each upstream, so that attempts and retries need not connect."""
     while not all(upstream.received for upstream in harness.upstreams):
         assert status(await harness.send_request()) == 200
-    monkeypatch.setattr(harness.proxy.upstreams, "close_idle_connections", lambda server: None)
-    pass_reuse_delay(harness)
+    monkeypatch.setattr(harness.proxy.upstream_pools, "close_idle_connections", lambda server: None)
+    skip_reuse_delay(harness)
 
 
 def received_ids(harness: ProxyHarness) -> list[str]:
@@ -99,7 +99,7 @@
 
 async def final_received_ids(harness: ProxyHarness) -> list[str]:
     """Return the ids of the test's own requests that were received, once none is in flight."""
-    pass_reuse_delay(harness)
+    skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     ids = received_ids(harness)
     return sorted(name for name in ids if len(name) < 8)
@@ -116,7 +116,7 @@
     client.sendall(request_bytes("/read", 1))
     disconnect(client)
     await harness.send_request()  # its connection was opened later
-    await until_disconnected(harness)
+    await wait_until_disconnected(harness)
     assert await final_received_ids(harness) == []
 
 
@@ -142,7 +142,7 @@
     handle = replace_policy(harness, delay_attempt)
     client.sendall(request_bytes("/read", 1))
     await disconnected.wait()
-    await until_idle(harness)
+    await wait_until_idle(harness)
     replace_policy(harness, handle)
     assert await final_received_ids(harness) == []
 
@@ -153,9 +153,9 @@
     [
         (request_bytes("/pay", 1, b"debit"), NOT_RUN),
         (request_bytes("/read", 1), response(500)),
-        (request_bytes("/read", 1), reset),
+        (request_bytes("/read", 1), reset_connection),
         (idempotent_request(1), response(500)),  # a retry with an idempotency key
-        (idempotent_request(1), reset),
+        (idempotent_request(1), reset_connection),
     ],
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
@@ -179,7 +179,7 @@
     before_event(harness, AttemptFinished, disconnect_once)
     client.sendall(raw_request)
     await wait_until(lambda: finished_attempts, "the client has disconnected")
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert await final_received_ids(harness) == ["1"]
 
 
@@ -274,7 +274,7 @@
     await disconnected.wait()
     for writer in upstream.writers:
         writer.write(response())
-    await until_idle(harness)
+    await wait_until_idle(harness)
     assert await final_received_ids(harness) == ["1"]
 
 
@@ -303,8 +303,8 @@
     )
     before_event(harness, AttemptFinished, lambda event: None if client.fileno() < 0 else disconnect(client))
     writers[0].write(response(500))
-    await until_idle(harness)
-    await until_disconnected(harness)
+    await wait_until_idle(harness)
+    await wait_until_disconnected(harness)
     assert await final_received_ids(harness) == ["1"]
 
 
@@ -330,7 +330,7 @@
         listener.settimeout(0.0)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         harness = await start_proxy(
-            more_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
+            extra_entries=[entry("s0", address)], limits=HEDGING_LIMITS | {"mayCancel": may_cancel}
         )
         client, disconnected = harness.connect_socket(), asyncio.Event()
         before_event(harness, ClientDisconnected, lambda event: disconnected.set())
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from tests.support.configurations import LISTEN_ANYWHERE, config_text, entry
+from tests.support.configurations import LISTEN_ON_ANY_PORT, config_text, entry
 from tests.support.http_client import Client
 from tests.support.http_messages import status
 from tests.support.program import running_program
@@ -88,9 +88,9 @@
     with unresponsive_discovery(state) as address:
         path = tmp_path / "config.json"
         text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
-        path.write_text(text.replace(LISTEN_ANYWHERE, f"127.0.0.1:{port}"))
+        path.write_text(text.replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
         async with running_program(path):
-            client = await Client.of_program(port)
+            client = await Client.connect_to_program(port)
             client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert status(await client.read_response()) == 200
             client.writer.close()
@@ -117,14 +117,14 @@
             "network.client.transport network.clock network.deadline_watchdog network.discovery "
             "network.discovery.connection network.discovery.retry_schedule network.discovery.watch "
             "network.endpoint_list_updater network.errors network.event_dispatcher network.headers "
-            "network.log network.open_requests network.proxy network.request_ids network.response_reader "
+            "network.log network.open_requests network.proxy network.request_ids network.response_parser "
             "network.sockets network.upstream network.upstream.attempt network.upstream.attempt_runner "
             "network.upstream.attempt_starter network.upstream.connection "
             "network.upstream.connection_limit network.upstream.health_checks network.upstream.pool "
             "network.upstream.request_bytes policy policy.admission policy.arrivals "
             "policy.attempt_recorder policy.attempt_starter policy.available_capacity policy.balancer "
-            "policy.capacity policy.endpoint_set policy.endpoint_stats policy.idempotency "
-            "policy.idle_connections policy.outlier_detection policy.overload policy.peers "
+            "policy.balancer_count policy.capacity policy.endpoint_set policy.endpoint_stats "
+            "policy.idempotency policy.idle_connections policy.outlier_detection policy.overload "
             "policy.poll_backoff policy.request policy.retry policy.selection policy.service_times "
             "policy.slow_start settings settings_reader timers "
         ).split()
