--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -103,8 +103,8 @@
     def eof_received(self) -> None:
         """Treat a client that closes its sending side as disconnected.
 
-        asyncio closes the transport once its write buffer is empty; the timer aborts a connection whose
-        client does not read the response.
+        The event loop closes the transport once its write buffer is empty; the timer aborts a connection
+        whose client does not read the response.
         """
         self._disconnect()
         self._transport.abort_after(timeouts.WRITE_STALL_TIMEOUT_S)
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -57,7 +57,7 @@
         if not self._transport.is_open or self._transport.discards_input:
             return False
         if self._transport.is_reading_paused and self._transport.has_client_disconnected():
-            return False  # asyncio does not detect a disconnect while reading is paused
+            return False  # the event loop detects no disconnect while reading is paused
         if self.is_awaiting_request():
             return self._close_if_request_timed_out(now, request_timeout_s)
         if self.is_idle():
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -13,7 +13,7 @@
     from loadbalancer.network.client.context import ConnectionContext
 
 SHUTDOWN_MAX_DEADLINE_S = 3.0
-"""Upper bound of the longest deadline as used to compute the times of the shutdown.
+"""Upper bound of the deadline from which the time limits of the shutdown are derived.
 
 The platform that runs the process waits no longer than this for responses, even if deadlines are longer.
 """
@@ -47,7 +47,7 @@
         """The connections that are open now."""
 
     def accept_pending(self) -> bool:
-        """Accept the connections in the kernel's queue; return whether the queue is empty."""
+        """Accept the connections in the accept queue; return whether the queue is empty."""
 
     def close(self) -> None:
         """Close the listening socket."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -38,7 +38,7 @@
     def attach(self, transport: asyncio.Transport) -> None:
         """Use a transport that has been set up."""
         self._transport = transport
-        # With limits of 0, asyncio calls `resume_writing` when the last byte of a response has been sent.
+        # With limits of 0, `resume_writing` is called when the last byte of a response has been sent.
         transport.set_write_buffer_limits(high=0, low=0)
         set_no_delay(transport)
 
@@ -60,7 +60,7 @@
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether written bytes are still in the write buffer of asyncio."""
+        """Return whether written bytes are still in the write buffer of the transport."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def has_unread_bytes(self) -> bool:
@@ -125,7 +125,7 @@
         self.discards_input = True
         self._transport.write_eof()
         if self._transport.get_write_buffer_size() == 0:
-            # asyncio shuts the socket down only in its next iteration: a request could arrive before that.
+            # The event loop shuts the socket down in its next iteration: a request could arrive before that.
             shutdown_write(self._transport)
         self.abort_after(linger_s)
 
