--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: each request that was sent gets a response, and no connection is reset."""
+"""Graceful shutdown: each request gets a response, and no connection is reset."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     keep_alive_s: float | None = None,
     max_deadline_s: float | None = None,
 ) -> None:
-    """Replace the given time limits of the shutdown."""
+    """Replace the given time limits of the shutdown; None keeps the default."""
     times = {
         "SHUTDOWN_ACCEPT_S": accept_s,
         "SHUTDOWN_KEEP_ALIVE_S": keep_alive_s,
@@ -39,23 +39,23 @@
             monkeypatch.setattr(graceful_shutdown, name, value)
 
 
-async def client_with_a_response(harness: ProxyHarness) -> Client:
-    """Return a client whose first request has its response."""
+async def client_with_response(harness: ProxyHarness) -> Client:
+    """Return a client that has received the response to its first request."""
     client = await harness.client()
     client.send()
     assert status(await client.read_response()) == 200
     return client
 
 
-async def test_keep_alive_connections_are_served_until_the_keep_alive_time_has_passed(
+async def test_connections_are_kept_open_for_keep_alive_time(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against clients without any balancer while another one restarts."""
+    """While another balancer restarts, clients would otherwise have none to use."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
     listener.max_deadline_s = 120.0
-    client = await client_with_a_response(harness)
+    client = await client_with_response(harness)
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: listener.is_closed, "the listener is closed")
     for _ in range(2):
@@ -64,23 +64,25 @@
         assert status(reply) == 200
         assert "connection" not in reply.headers
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
-    assert await client.reader.read() == b""  # closed without a reset once the time has passed
+    assert await client.reader.read() == b""  # closed without a reset after the keep-alive time
     client.writer.close()
     await shutdown
 
 
-async def test_keep_alive_connections_are_closed_after_half_of_the_max_deadline(
+async def test_connections_close_after_half_of_max_deadline(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against losing requests: the platform kills the process soon after the maximum deadline."""
+    """The platform kills the process soon after the maximum deadline, which would lose requests."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
-    client = await client_with_a_response(harness)
+    client = await client_with_response(harness)
     harness.proxy.listener.max_deadline_s = 0.2
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert await client.reader.read() == b""  # closed without a reset
-    assert harness.proxy.listener.context.closes_connections, "not closed as an idle one"
+    assert harness.proxy.listener.context.closes_connections, (
+        "closed by the shutdown, not by the idle timeout"
+    )
     client.writer.close()
     await shutdown
 
@@ -113,10 +115,10 @@
     await shutdown
 
 
-async def test_a_request_in_the_accept_queue_gets_a_response(
+async def test_request_in_accept_queue_gets_response(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client has sent the complete request before its connection is accepted."""
+    """The client sends its complete request before its connection is accepted."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -140,11 +142,11 @@
     await shutdown
 
 
-async def test_the_accept_queue_is_emptied_although_connections_are_at_their_limit(
+async def test_accept_queue_is_emptied_at_connection_limit(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against resets: the kernel resets queued connections when the listening socket closes."""
+    """The kernel resets queued connections when the listening socket is closed."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream)
@@ -153,12 +155,12 @@
     busy = await harness.client()
     busy.send("/pay/x", b"debit")
     await upstream.request_received.wait()
-    queued = await harness.client()  # in the kernel's queue
+    queued = await harness.client()  # waits in the accept queue
     queued.send()
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0)
     for _ in range(3):
-        await asyncio.sleep(0)  # the listener has tried to accept
+        await asyncio.sleep(0)  # lets the listener try to accept
     upstream.writers[0].write(response(200, b"at last"))
     assert (await busy.read_response()).body == b"at last"
     busy.writer.close()
@@ -167,8 +169,8 @@
     await shutdown
 
 
-async def test_a_request_after_open_ones_were_aborted_is_rejected_at_once(start_proxy: StartProxy) -> None:
-    """The process ends before an upstream could respond."""
+async def test_request_after_abort_is_rejected(start_proxy: StartProxy) -> None:
+    """The process ends before an upstream could respond, so no attempt is started."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     client = await harness.client()
@@ -178,7 +180,7 @@
     assert not upstream.connections
 
 
-async def test_requests_that_are_still_open_when_the_time_is_up_get_a_response(
+async def test_open_requests_get_response_when_shutdown_ends(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -192,25 +194,25 @@
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert status(await client.read_response()) == 502
     await shutdown
-    assert outcomes(events) == [Outcome.CANCELLED]  # before the attempt's own timeout
+    assert outcomes(events) == [Outcome.CANCELLED]  # not by a timeout of the attempt
 
 
-async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response(
+async def test_request_racing_with_idle_close_gets_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request is unread in the kernel while the connection is evaluated as idle."""
+    """The request arrives, unread, while the connection is being checked for idleness."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
-    client = await client_with_a_response(harness)
+    client = await client_with_response(harness)
     (connection,) = harness.proxy.listener.connections
     is_idle = connection.expiry.is_idle
-    has_crossed = asyncio.Event()
+    request_sent = asyncio.Event()
 
     def send_then_is_idle() -> bool:
-        if not has_crossed.is_set():
-            has_crossed.set()
-            client.send()  # written at once, and not read before the result is used
+        if not request_sent.is_set():
+            request_sent.set()
+            client.send()  # sent at once, and read only after the check
         return is_idle()
 
     monkeypatch.setattr(connection.expiry, "is_idle", send_then_is_idle)
