--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -86,7 +86,7 @@
             self.close()
             return
         if response is None:
-            self._limit_body()
+            self._start_body_timeout()
             return
         self.is_closed = self.is_closed or not self._parser.may_reuse
         if self._response is not None and not self._response.done():
@@ -126,7 +126,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _limit_body(self) -> None:
+    def _start_body_timeout(self) -> None:
         """Shorten the timeout of the call when the first bytes of its response arrive."""
         if self._timeout is None:
             return
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -74,7 +74,7 @@
         """
         for attempt in self.attempts:
             if attempt is not None:
-                attempt.withdraw()
+                attempt.drop_if_unsent()
 
     def is_finished(self) -> bool:
         """Return whether the request is closed, and has no running attempt and no queued event."""
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -76,7 +76,7 @@
         )
         self._watchdog = DeadlineWatchdog(loop, self._requests, self.dispatcher.dispatch)
         self.dispatcher.set_handlers(self._make_performer().perform, self._watchdog.respond)
-        self._is_closed = False
+        self._is_shut_down = False
         self._known_endpoints = configuration.known_endpoints
 
     def _make_performer(self) -> ActionPerformer:
@@ -123,7 +123,7 @@
 
     def handle_request(self, incoming: IncomingRequest) -> None:
         """Accept a request that has been received completely."""
-        if self._is_closed:
+        if self._is_shut_down:
             incoming.respond(503)  # the process ends before any upstream could respond
             return
         waited_ms = (time.monotonic() - incoming.received_at) * 1000
@@ -153,5 +153,5 @@
 
     def abort_open_requests(self) -> None:
         """Respond to all open requests, and to later ones as they come: the graceful shutdown has ended."""
-        self._is_closed = True
+        self._is_shut_down = True
         self._watchdog.respond_to_all()
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -58,17 +58,17 @@
     Args:
         loop: The event loop.
         connections: The source of the connection.
-        compose: Returns the bytes of the request; called as they are written.
+        encode_request: Returns the bytes of the request; called as they are written.
         on_end: Called exactly once, also if several events coincide.
-        is_wanted: Whether the client still waits for a response.
+        is_response_needed: Whether the client still waits for a response.
     """
 
     __slots__ = (
-        "_compose",
         "_connect_task",
         "_connection",
         "_connections",
-        "_is_wanted",
+        "_encode_request",
+        "_is_response_needed",
         "_loop",
         "_on_end",
         "_timer",
@@ -78,14 +78,14 @@
         self,
         loop: asyncio.AbstractEventLoop,
         connections: ConnectionSource,
-        compose: Callable[[], bytes],
+        encode_request: Callable[[], bytes],
         on_end: OnAttemptEnd,
-        is_wanted: Callable[[], bool],
+        is_response_needed: Callable[[], bool],
     ) -> None:
         self._loop = loop
         self._connections = connections
-        self._compose = compose
-        self._is_wanted = is_wanted
+        self._encode_request = encode_request
+        self._is_response_needed = is_response_needed
         self._on_end: OnAttemptEnd | None = on_end
         self._connection: UpstreamConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -109,12 +109,12 @@
         """End the attempt and close its connection, by which the upstream learns of it."""
         self._finish(Outcome.CANCELLED)
 
-    def withdraw(self) -> None:
+    def drop_if_unsent(self) -> None:
         """End the attempt if the last byte of its request has not been written.
 
         Unlike `cancel`, this has no effect on a request that the upstream may be processing.
         """
-        if self._connection is None or not self._connection.is_written():
+        if self._connection is None or not self._connection.is_request_written():
             self._finish(Outcome.NOT_SENT)
 
     def handle_response(self, response: Response) -> None:
@@ -139,16 +139,16 @@
             self._finish(_outcome_of_failed_connect(error))
             return
         self._connect_task = None
-        self._send_on_new(connection)
+        self._send_on_new_connection(connection)
 
-    def _send_on_new(self, connection: UpstreamConnection) -> None:
+    def _send_on_new_connection(self, connection: UpstreamConnection) -> None:
         if self._on_end is None:  # the attempt ended while the connection was being established
             connection.close()
         elif not self._connections.may_send():
             # Guards against a late request: the upstream began to drain while the connection was opened.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
-        elif not self._is_wanted():
+        elif not self._is_response_needed():
             # Guards against a request without a waiting client: while the connection was opened, the client
             # disconnected, or got its response from another attempt.
             self._connections.add_idle_connection(connection)
@@ -158,19 +158,19 @@
 
     def _send(self, connection: UpstreamConnection) -> None:
         self._connection = connection
-        connection.send(self._compose(), self)
+        connection.send(self._encode_request(), self)
 
     def _finish(self, outcome: Outcome, response: Response | None = None) -> None:
         on_end, self._on_end = self._on_end, None
         if on_end is None:
             return
-        self._is_wanted = _is_not_wanted  # drops the reference to the request
+        self._is_response_needed = _no_response_needed  # drops the reference to the request
         if self._timer is not None:
             self._timer.cancel()
         if self._connect_task is not None:
             self._connect_task.cancel()
         if self._connection is not None:
-            if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_written():
+            if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_request_written():
                 # The upstream cannot have processed a request of which the last byte was not sent.
                 outcome = Outcome.CONNECT_FAILED
             self._connection.release(reuse=response is not None)
@@ -195,5 +195,5 @@
     return Outcome.CONNECT_FAILED
 
 
-def _is_not_wanted() -> bool:
+def _no_response_needed() -> bool:
     return False
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -61,8 +61,8 @@
         request.running_attempts += 1
         attempt: UpstreamAttempt | None = None
         outcome = Outcome.NOT_SENT  # if the client does not wait any more
-        if self._is_wanted(request):
-            attempt = self._send(request, index, action)
+        if self._is_response_needed(request):
+            attempt = self._start_attempt(request, index, action)
             outcome = Outcome.CONNECT_FAILED  # if the endpoint list does not name the endpoint any more
         request.attempts.append(attempt)
         if attempt is None:
@@ -75,18 +75,20 @@
         if attempt is not None:
             attempt.cancel()
 
-    def _send(self, request: ProxiedRequest, index: int, action: StartAttempt) -> UpstreamAttempt | None:
+    def _start_attempt(
+        self, request: ProxiedRequest, index: int, action: StartAttempt
+    ) -> UpstreamAttempt | None:
         remaining_ms = request.expires_at_ms - self._clock.now()
         timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
         return self._starter.start(
             action.endpoint,
             max(timeout_ms, 0.0) / 1000,
-            UpstreamRequest(request.incoming, timeout_ms).compose,
+            UpstreamRequest(request.incoming, timeout_ms).encode,
             partial(self._on_finished, request, index, action.endpoint),
-            partial(self._is_wanted, request),
+            partial(self._is_response_needed, request),
         )
 
-    def _is_wanted(self, request: ProxiedRequest) -> bool:
+    def _is_response_needed(self, request: ProxiedRequest) -> bool:
         """Return whether the client still waits.
 
         Looks at the client's socket, since the event loop may not have read the end of the connection yet.
--- a/loadbalancer/network/upstream/attempt_starter.py
+++ b/loadbalancer/network/upstream/attempt_starter.py
@@ -19,36 +19,36 @@
 
     Args:
         loop: The event loop.
-        pools: The connection pools of the endpoints.
+        upstream_pools: The connection pools of the endpoints.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, pools: UpstreamPools) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, upstream_pools: UpstreamPools) -> None:
         self._loop = loop
-        self._pools = pools
+        self._upstream_pools = upstream_pools
 
     def start(
         self,
         endpoint: str,
         timeout_s: float,
-        compose: Callable[[], bytes],
+        encode_request: Callable[[], bytes],
         on_end: OnAttemptEnd,
-        is_wanted: Callable[[], bool] = lambda: True,
+        is_response_needed: Callable[[], bool] = lambda: True,
     ) -> UpstreamAttempt | None:
         """Start an attempt at an endpoint.
 
         Args:
             endpoint: The name of the endpoint.
             timeout_s: The time limit of the attempt, including the time to connect.
-            compose: Returns the bytes of the request; called as they are written.
+            encode_request: Returns the bytes of the request; called as they are written.
             on_end: Called exactly once with the outcome, after this method has returned.
-            is_wanted: Whether the client still waits for a response.
+            is_response_needed: Whether the client still waits for a response.
 
         Returns:
             The attempt; None if the endpoint list does not name the endpoint any more.
         """
-        pool = self._pools.get(endpoint)
+        pool = self._upstream_pools.get(endpoint)
         if pool is None:
             return None
-        attempt = UpstreamAttempt(self._loop, pool, compose, on_end, is_wanted)
+        attempt = UpstreamAttempt(self._loop, pool, encode_request, on_end, is_response_needed)
         attempt.start(timeout_s)
         return attempt
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -49,7 +49,7 @@
         self._handler: ResponseHandler | None = None
         self._transport: asyncio.Transport | None = None
         self._parser: ResponseParser | None = None
-        self._is_written = False
+        self._is_request_written = False
         self._is_closed = False
 
     @property
@@ -75,7 +75,7 @@
 
     def resume_writing(self) -> None:
         """Record that the last byte of the request has left the write buffer."""
-        self._is_written = self._handler is not None
+        self._is_request_written = self._handler is not None
 
     def data_received(self, data: bytes) -> None:
         """Parse the response; anything that is not a valid one ends the connection."""
@@ -83,7 +83,7 @@
         if handler is None or self._parser is None:
             self.close()
             return
-        if not self._is_written:
+        if not self._is_request_written:
             # Bytes that arrive before the request was written completely cannot be its response.
             handler.handle_reset()
             return
@@ -117,14 +117,14 @@
         if self._transport is None:
             raise InvalidStateError(_NOT_ESTABLISHED)
         self._handler = handler
-        self._is_written = False
+        self._is_request_written = False
         self._parser = self._parser or ResponseParser()
         self._transport.write(request)
-        self._is_written = self.unsent_bytes == 0 and not self._transport.is_closing()
+        self._is_request_written = self.unsent_bytes == 0 and not self._transport.is_closing()
 
-    def is_written(self) -> bool:
+    def is_request_written(self) -> bool:
         """Return whether the last byte of the request has left the write buffer of this process."""
-        return self._is_written
+        return self._is_request_written
 
     def is_alive(self) -> bool:
         """Return whether the connection can carry a request.
@@ -146,7 +146,7 @@
             reuse: Whether the request ended with a complete response.
         """
         self._handler = None
-        if reuse and self._is_written and self._parser is not None and self._parser.may_reuse:
+        if reuse and self._is_request_written and self._parser is not None and self._parser.may_reuse:
             self._on_reusable(self)
         else:
             self.close()
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -19,7 +19,7 @@
 _REQUEST = b"GET /healthz HTTP/1.1\r\nHost: upstream\r\n\r\n"
 
 
-def _compose() -> bytes:
+def _encode_request() -> bytes:
     return _REQUEST
 
 
@@ -39,7 +39,7 @@
         """Check an endpoint; the outcome is `NOT_SENT` if no endpoint list names the endpoint any more."""
         on_end = partial(self._on_end, endpoint)
         timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
-        if self._starter.start(endpoint, timeout_s, _compose, on_end) is None:
+        if self._starter.start(endpoint, timeout_s, _encode_request, on_end) is None:
             self._on_end(endpoint, Outcome.NOT_SENT, None)
 
     def _on_end(self, endpoint: str, outcome: Outcome, _response: Response | None) -> None:
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -40,12 +40,13 @@
     Attributes:
         connect_s: How long opening a connection may take.
         idle_s: How long a connection may stay idle.
-        late_send_s: How long after the start of draining a request may still be sent on a new connection.
+        send_while_draining_s: How long after the start of draining a request may still be sent on a new
+            connection.
     """
 
     connect_s: float
     idle_s: float
-    late_send_s: float
+    send_while_draining_s: float
 
     @classmethod
     def from_configuration(cls, configuration: Configuration) -> PoolTimeouts:
@@ -53,7 +54,7 @@
         return cls(
             connect_s=configuration.connect_timeout_ms / 1000,
             idle_s=IDLE_TIMEOUT_FRACTION * configuration.idle_timeout_ms / 1000,
-            late_send_s=DRAIN_GRACE_FRACTION * configuration.drain_grace_ms / 1000,
+            send_while_draining_s=DRAIN_GRACE_FRACTION * configuration.drain_grace_ms / 1000,
         )
 
 
@@ -130,7 +131,7 @@
         # each connection is counted here, before the next attempt gets here. Descriptors beyond the limit are
         # reserved, for the connection to discovery among others.
         self._limit.acquire()
-        connection = UpstreamConnection(self.add_idle_connection, self._forget)
+        connection = UpstreamConnection(self.add_idle_connection, self._on_connection_closed)
         try:
             await self._loop.create_connection(lambda: connection, *self.address)
         except BaseException:
@@ -150,7 +151,7 @@
         """Return whether the upstream does not drain, or its grace leaves time for a late request."""
         if self.draining_since is None:
             return True
-        return time.monotonic() < self.draining_since + self._timeouts.late_send_s
+        return time.monotonic() < self.draining_since + self._timeouts.send_while_draining_s
 
     def stop_draining(self) -> None:
         """Reuse connections from now on, since the upstream is ready."""
@@ -174,12 +175,12 @@
         for connection in self._idle_connections[:]:
             connection.close()
 
-    def close_idle_since_before(self, limit: float) -> None:
+    def close_idle_before(self, cutoff: float) -> None:
         """Close the connections that became idle before `limit`, in seconds of `time.monotonic`."""
-        while self._idle_connections and self._idle_connections[0].idle_since < limit:
+        while self._idle_connections and self._idle_connections[0].idle_since < cutoff:
             self._idle_connections[0].close()
 
-    def _forget(self, connection: UpstreamConnection) -> None:
+    def _on_connection_closed(self, connection: UpstreamConnection) -> None:
         self._limit.release()
         if connection in self._idle_connections:
             self._idle_connections.remove(connection)
@@ -258,9 +259,9 @@
 
     def close_expired(self) -> None:
         """Close the connections that have been idle for too long, before the upstreams do."""
-        limit = time.monotonic() - self._timeouts.idle_s
+        cutoff = time.monotonic() - self._timeouts.idle_s
         for pool in self._pools.values():
-            pool.close_idle_since_before(limit)
+            pool.close_idle_before(cutoff)
 
     def _close_oldest_idle_connection(self) -> bool:
         """Close the connection that has been idle for the longest time; return false if there is none."""
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -26,7 +26,7 @@
         self._incoming = incoming
         self._expires_at_s = time.monotonic() + timeout_ms / 1000
 
-    def compose(self) -> bytes:
+    def encode(self) -> bytes:
         """Return the bytes to send; to be called when they are sent, as X-Deadline is the time left then."""
         incoming = self._incoming
         remaining_us = max((self._expires_at_s - time.monotonic()) * 1_000_000, MIN_DEADLINE_US)
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-async def stopped_after_test(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[AsyncExitStack]:
+async def cleanup_stack(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[AsyncExitStack]:
     """Return a stack of what to stop after the test, in reverse order.
 
     Guards against code that runs with its replacements undone: `monkeypatch` is requested first and so
@@ -34,25 +34,25 @@
 
 
 @pytest.fixture
-def start_server(stopped_after_test: AsyncExitStack) -> StartServer:
+def start_server(cleanup_stack: AsyncExitStack) -> StartServer:
     """Return a function that starts a scripted server and returns its address."""
 
     async def start(server: ScriptedServer) -> str:
         address = await server.start()
-        stopped_after_test.callback(server.stop)
+        cleanup_stack.callback(server.stop)
         return address
 
     return start
 
 
 @pytest.fixture
-def start_proxy(stopped_after_test: AsyncExitStack) -> StartProxy:
+def start_proxy(cleanup_stack: AsyncExitStack) -> StartProxy:
     """Return a function that starts a proxy with its upstreams; its arguments are those of `ProxyHarness`."""
 
     async def start(*upstreams: Upstream, **arguments: Any) -> ProxyHarness:
         harness = ProxyHarness(*upstreams, **arguments)
         await harness.start()
-        stopped_after_test.push_async_callback(harness.stop)
+        cleanup_stack.push_async_callback(harness.stop)
         return harness
 
     return start
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -20,7 +20,7 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-async def test_updates_arrive_in_order_and_a_restarted_upstream_loses_its_connections(
+async def test_updates_are_applied_in_order(
     start_proxy: StartProxy,
 ) -> None:
     upstream = Upstream()
@@ -55,7 +55,7 @@
     assert len(upstream.received) == 1
 
 
-async def test_the_watch_goes_on_after_a_malformed_response(start_proxy: StartProxy) -> None:
+async def test_watch_continues_after_a_malformed_response(start_proxy: StartProxy) -> None:
     """Discovery is polled again after any exception that reading a response raises."""
     harness = await start_proxy(Upstream())
     events = record_events(harness)
@@ -67,7 +67,7 @@
     assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
 
-async def test_an_unanswered_poll_times_out_soon_after_its_wait_time(
+async def test_unanswered_poll_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against requests to upstreams that were replaced while the poll was unanswered."""
@@ -82,14 +82,14 @@
     await harness.discovery.calls.get()
     elapsed_s = asyncio.get_running_loop().time() - started
     assert elapsed_s < 3, "an update counts as delivered by then"
-    new = Upstream()
-    harness.discovery.publish(8, entry("s9", await start_server(new)), snapshot=True)
+    new_upstream = Upstream()
+    harness.discovery.publish(8, entry("s9", await start_server(new_upstream)), snapshot=True)
     await harness.discovery.calls.get()
     assert status(await harness.send_request()) == 200
-    assert new.received
+    assert new_upstream.received
 
 
-async def test_a_failed_push_watch_is_reopened_at_once(
+async def test_failed_push_watch_is_restarted_at_once(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -104,7 +104,7 @@
     assert "after=9&" in await harness.discovery.calls.get()
 
 
-async def test_an_unresponsive_push_agent_is_detected_within_the_update_deadline(
+async def test_unresponsive_push_agent_is_detected_in_time(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -64,13 +64,13 @@
     end_delay_s: float
 
 
-async def delay_after_outage(loop: SimulatedLoop, fault: str, how: str, outage: Outage) -> float:
+async def delay_after_outage(loop: SimulatedLoop, fault: str, kind: str, outage: Outage) -> float:
     """Return how long after an outage, in seconds, the policy learns of a change that was made in it."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, how)
+    proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, kind)
     await asyncio.sleep(1.0)
     discovery.fail(fault)
-    began = loop.time()
+    started_at = loop.time()
     recovered = loop.create_future()
 
     def end() -> None:
@@ -79,54 +79,54 @@
             discovery.change()
             recovered.set_result(loop.time())
 
-    def end_after_attempt() -> None:
-        if loop.time() >= began + outage.min_duration_s and discovery.fault:
+    def end_after_failed_call() -> None:
+        if loop.time() >= started_at + outage.min_duration_s and discovery.fault:
             discovery.on_attempt = lambda: None
             loop.call_later(outage.end_delay_s, end)
 
-    discovery.on_attempt = end_after_attempt
+    discovery.on_attempt = end_after_failed_call
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
     return await proxy.learns_of_drain() - recovered_at
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
+@pytest.mark.parametrize("kind", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_learned_in_time_after_an_outage_of_any_kind(fault: str, how: str) -> None:
+def test_change_during_an_outage_is_learned_in_time(fault: str, kind: str) -> None:
     """Guards against a retry delay of a minute with `askWithin` at 120 s, and a call timeout of 11 s."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
     pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait time is random there
-    for values in itertools.product(*(polled if how == "ask" else pushed), (0.0, 0.3, 2.0)):
+    for values in itertools.product(*(polled if kind == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
-        delay_s = run_simulated(partial(delay_after_outage, fault=fault, how=how, outage=outage))
+        delay_s = run_simulated(partial(delay_after_outage, fault=fault, kind=kind, outage=outage))
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
-async def check_missed_change(loop: SimulatedLoop, *, how: str, seed: int, calls: int) -> None:
+async def check_missed_change(loop: SimulatedLoop, *, kind: str, seed: int, calls: int) -> None:
     """Change the list after some watch calls whose connections have become unresponsive."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxy = WatchingProxy(discovery, seed, 10_000.0, how)
+    proxy = WatchingProxy(discovery, seed, 10_000.0, kind)
     for _ in range(calls):
-        began, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
+        started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
     discovery.fail("silent")
     discovery.fault = ""  # only the connections established before are unresponsive
     discovery.change()
-    deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
+    deadline = max(started_at + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
     assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
-def test_a_change_missed_by_an_unresponsive_watch_is_learned_in_time(how: str) -> None:
+@pytest.mark.parametrize("kind", ["ask", "push"])
+def test_change_missed_by_an_open_watch_is_learned_in_time(kind: str) -> None:
     """Guards against a detection time and retry delay that leave no time to transfer the list."""
     for seed, calls in itertools.product(range(1, 30), (1, 3)):
-        run_simulated(partial(check_missed_change, how=how, seed=seed, calls=calls))
+        run_simulated(partial(check_missed_change, kind=kind, seed=seed, calls=calls))
 
 
 async def check_switch_after_failures(
-    loop: SimulatedLoop, *, fault: str, how: str, seed: int, phase: float
+    loop: SimulatedLoop, *, fault: str, kind: str, seed: int, phase: float
 ) -> None:
     """Move to a discovery with a fault during an outage of the old one, and change its list."""
     old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
-    proxy = WatchingProxy(old, seed, 120_000.0, how)
+    proxy = WatchingProxy(old, seed, 120_000.0, kind)
     await asyncio.sleep(1.0)
     old.fail("refuses")
     await asyncio.sleep(40.0)
@@ -151,12 +151,12 @@
     assert learned_at + LIST_TRANSFER_S < switched_at + allowed
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
+@pytest.mark.parametrize("kind", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_earlier_failures_do_not_delay_a_change_after_a_move(fault: str, how: str) -> None:
+def test_failures_before_a_switch_do_not_delay_the_list(fault: str, kind: str) -> None:
     """Guards against polling the new discovery after the backoff of the old one's outage."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
-        run_simulated(partial(check_switch_after_failures, fault=fault, how=how, seed=seed, phase=phase))
+        run_simulated(partial(check_switch_after_failures, fault=fault, kind=kind, seed=seed, phase=phase))
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
@@ -189,12 +189,12 @@
     assert len(last.calls) - calls <= 30.0 / shortest_wait_s + 1
 
 
-def test_moves_during_an_outage_leave_one_call_at_a_time() -> None:
+def test_switches_during_an_outage_leave_one_watch() -> None:
     """Guards against a further poll timer for each move, all of which would be set again for ever."""
     run_simulated(check_switches_during_outage)
 
 
-async def test_the_first_watch_after_a_failure_does_not_wait_long(start_proxy: StartProxy) -> None:
+async def test_first_watch_after_a_failure_has_a_short_wait(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
 
@@ -222,7 +222,7 @@
     return discovery.attempts
 
 
-def test_balancers_poll_neither_together_nor_too_often_in_an_outage() -> None:
+def test_retries_in_an_outage_are_spread_and_limited() -> None:
     """Guards against a load of retries on discovery as it recovers."""
     span_s, seeds = 60.0, 20
     for fault in FAULTS:
@@ -235,43 +235,45 @@
     assert attempts == pytest.approx(again), "the same seeds, the same delays"
 
 
-def test_the_max_delays_leave_a_second_before_the_deadline_of_a_list() -> None:
+def test_delays_add_up_to_less_than_the_limits() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     timeout_margin_s = endpoint_watch.WATCH_TIMEOUT_MARGIN_S
-    rest_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
-    period_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
+    poll_delay_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
+    max_backoff_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
     # Discovery recovers, or has the change, just after the start of a call that fails.
-    assert period_s + LIST_TRANSFER_S < limit_s, (
+    assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
         "the call fails at once: the next one follows a period after its start"
     )
     call_s = max(recovery_s, response_s)
-    assert connect_s + call_s + rest_s + LIST_TRANSFER_S < limit_s, (
+    assert connect_s + call_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
         "the call waits for connection and response"
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
     # An open watch becomes unresponsive.
-    assert timeout_margin_s + rest_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
+    assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
     # After SIGHUP the first call to the new discovery fails.
     retry_delay_s = retry_schedule.SWITCH_RETRY_DELAY_S * MAX_DELAY_JITTER
     assert retry_schedule.SWITCH_PERIOD_S <= MAX_SWITCH_DELAY_S
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_SWITCH_DELAY_S
     assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
-    assert period_s < retry_schedule.SWITCH_PERIOD_S, "an earlier timer fires while the watch itself retries"
+    assert max_backoff_s < retry_schedule.SWITCH_PERIOD_S, (
+        "an earlier timer fires while the watch itself retries"
+    )
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
 
 
-async def test_connections_that_discovery_says_it_closes_are_closed() -> None:
+async def test_connection_close_from_discovery_is_honoured() -> None:
     """Guards against a leaked connection for each response with `Connection: close` that is not closed."""
-    open_now, index, served = 0, 7, asyncio.Event()
+    open_connections, index, served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal open_now, index
-        open_now += 1
+        nonlocal open_connections, index
+        open_connections += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await read_message(reader)
             index += 1
@@ -281,7 +283,7 @@
             body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
             await reader.read()
-        open_now -= 1
+        open_connections -= 1
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -290,4 +292,4 @@
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
     await served.wait()
-    assert open_now < 10, "of 33: the one in use, and what is just closing"
+    assert open_connections < 10, "of 33: the one in use, and what is just closing"
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -26,11 +26,11 @@
 MAX_DRAW = math.nextafter(1.0, 0.0)
 
 
-def draw_nothing() -> float:
+def fail_on_draw() -> float:
     pytest.fail("a random number was drawn, which shifts all later draws of the same generator")
 
 
-def drawing(value: float) -> Callable[[], float]:
+def constant_draw(value: float) -> Callable[[], float]:
     return lambda: value
 
 
@@ -46,10 +46,10 @@
     ],
 )
 @pytest.mark.parametrize("draw", [0.0, 0.25, MAX_DRAW])
-def test_waits_are_short_after_a_failure_and_shortened_at_random(
+def test_watch_wait_is_jittered_and_short_after_a_failure(
     consecutive_failures: int, wait_ms: float, draw: float, *, polls_discovery: bool
 ) -> None:
-    schedule = RetrySchedule(drawing(draw), polls_discovery=polls_discovery)
+    schedule = RetrySchedule(constant_draw(draw), polls_discovery=polls_discovery)
     assert schedule.watch_wait_s(consecutive_failures) == wait_ms / 1000 * (1 - WAIT_JITTER * draw)
 
 
@@ -57,10 +57,10 @@
     ("consecutive_failures", "delay_s"), [(1, 0.0), (2, PUSH_RETRY_DELAY_S), (50, PUSH_RETRY_DELAY_S)]
 )
 @pytest.mark.parametrize("switched_at_s", [NEVER_SWITCHED, SWITCHED_AT_S])
-def test_where_lists_are_pushed_the_watch_repeats_each_failed_call(
+def test_push_watch_repeats_each_failed_call(
     consecutive_failures: int, delay_s: float, switched_at_s: float
 ) -> None:
-    schedule = RetrySchedule(draw_nothing, polls_discovery=False)
+    schedule = RetrySchedule(fail_on_draw, polls_discovery=False)
     assert schedule.retry_delay_s(consecutive_failures, SWITCHED_AT_S + 1.0, switched_at_s) == delay_s
 
 
@@ -74,20 +74,20 @@
         (SWITCHED_AT_S, SWITCHED_AT_S + 1_000.0),
     ],
 )
-def test_where_discovery_is_polled_the_policy_decides_when_to_call_again(
+def test_policy_decides_when_to_poll_again(
     switched_at_s: float, started_at_s: float, consecutive_failures: int
 ) -> None:
-    schedule = RetrySchedule(draw_nothing, polls_discovery=True)
+    schedule = RetrySchedule(fail_on_draw, polls_discovery=True)
     assert schedule.retry_delay_s(consecutive_failures, started_at_s, switched_at_s) is None
 
 
 @pytest.mark.parametrize("consecutive_failures", [1, 2, 50])
 @pytest.mark.parametrize("since_switch_s", [0.0, 1.0, SWITCH_PERIOD_S - 0.001])
 @pytest.mark.parametrize(("draw", "factor"), [(0.0, 0.5), (0.5, 1.0), (MAX_DRAW, 0.5 + MAX_DRAW)])
-def test_shortly_after_a_move_the_watch_repeats_failed_polls_at_random_delays(
+def test_failed_polls_are_repeated_shortly_after_a_switch(
     since_switch_s: float, consecutive_failures: int, draw: float, factor: float
 ) -> None:
     """The number of failures has no effect, since it counts those of the previous discovery too."""
-    schedule = RetrySchedule(drawing(draw), polls_discovery=True)
+    schedule = RetrySchedule(constant_draw(draw), polls_discovery=True)
     delay_s = schedule.retry_delay_s(consecutive_failures, SWITCHED_AT_S + since_switch_s, SWITCHED_AT_S)
     assert delay_s == SWITCH_RETRY_DELAY_S * factor
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -31,7 +31,7 @@
         assert (await client.read_response()).body == f"GET /read/{i} HTTP/1.1".encode()
 
 
-async def test_input_after_a_request_with_connection_close_is_ignored(start_proxy: StartProxy) -> None:
+async def test_input_after_connection_close_is_ignored(start_proxy: StartProxy) -> None:
     """Guards against parsing it in a later slice and responding on a connection closed for writing."""
     harness = await start_proxy()
     client = await harness.client()
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -72,18 +72,20 @@
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
-    with socket.socket() as down:
-        down.bind(("127.0.0.1", 0))  # does not listen yet, so connections are refused
+    with socket.socket() as discovery_socket:
+        discovery_socket.bind(("127.0.0.1", 0))  # does not listen yet, so connections are refused
         port = free_port()
-        write_configuration(path, port, down.getsockname()[1])
+        write_configuration(path, port, discovery_socket.getsockname()[1])
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
             # The clients keep connecting, more than three times as many as are accepted.
-            clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
-            max_open = await max_open_descriptors(process, clients_part)
-            assert clients_part <= max_open <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
-            server = await asyncio.start_server(discovery.serve, sock=down)
+            client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
+            max_open = await max_open_descriptors(process, client_descriptors)
+            assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
+                "the rest is for upstreams and discovery"
+            )
+            server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             await discovery.calls.get()
             discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
             assert "after=8&" in await discovery.calls.get()
@@ -97,17 +99,17 @@
                 task.cancel()
 
 
-async def test_attempts_started_at_once_are_limited_by_the_descriptors_for_upstreams(
+async def test_simultaneous_attempts_respect_the_connection_limit(
     start_server: StartServer,
 ) -> None:
     """Guards against a limit that counts a connection only once it is established."""
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await start_server(upstream))
-    upstreams.connection_limit.max_connections = 5
-    attempts = [ObservedAttempt(upstreams) for _ in range(12)]
+    pools = make_pools(await start_server(upstream))
+    pools.connection_limit.max_connections = 5
+    attempts = [ObservedAttempt(pools) for _ in range(12)]
 
     def all_connected_or_finished() -> bool:
-        assert upstreams.open_connections <= 5
+        assert pools.open_connections <= 5
         return upstream.connections >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
@@ -115,5 +117,5 @@
         "five attempts have connected and seven have ended",
         state=lambda: (upstream.connections, [attempt.outcomes for attempt in attempts]),
     )
-    assert upstreams.open_connections == upstream.connections == 5
+    assert pools.open_connections == upstream.connections == 5
     assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -14,8 +14,8 @@
 from loadbalancer.policy.balancer import LoadBalancer
 from tests.support.configurations import config_text, configuration
 
-FIRST = EndpointListUpdate(EndpointListKind.FAILED)
-SECOND = HealthCheckFinished("s0", Outcome.SUCCEEDED)
+FIRST_EVENT = EndpointListUpdate(EndpointListKind.FAILED)
+SECOND_EVENT = HealthCheckFinished("s0", Outcome.SUCCEEDED)
 
 
 @pytest.fixture
@@ -38,21 +38,21 @@
     return EventDispatcher(balancer, Clock(), OpenRequests(), RateLimitedLog("test"))
 
 
-def test_an_event_that_an_action_causes_is_handled_after_the_other_actions(
+def test_event_from_an_action_waits_for_the_other_actions(
     dispatcher: EventDispatcher, order: list[str]
 ) -> None:
     def perform(action: Action) -> None:
         assert isinstance(action, LogMessage)
         order.append(action.text)
         if len(order) == 2:
-            dispatcher.dispatch(SECOND)
+            dispatcher.dispatch(SECOND_EVENT)
 
     dispatcher.set_handlers(perform, lambda number: None)
-    dispatcher.dispatch(FIRST)
+    dispatcher.dispatch(FIRST_EVENT)
     assert order == ["EndpointListUpdate", "one", "two", "HealthCheckFinished", "one", "two"]
 
 
-def test_a_failed_action_does_not_keep_the_next_one_from_being_performed(
+def test_next_action_is_performed_after_a_failed_one(
     dispatcher: EventDispatcher, order: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     failed_requests: list[int | None] = []
@@ -64,12 +64,12 @@
             raise OSError
 
     dispatcher.set_handlers(perform, failed_requests.append)
-    dispatcher.dispatch(FIRST)
+    dispatcher.dispatch(FIRST_EVENT)
     assert order == ["EndpointListUpdate", "one", "two"]
     assert failed_requests == [None]
     assert "could not perform LogMessage(text='one')" in capsys.readouterr().err
 
 
-def test_an_event_before_the_dispatcher_is_connected_is_an_error(dispatcher: EventDispatcher) -> None:
+def test_dispatch_without_handlers_is_an_error(dispatcher: EventDispatcher) -> None:
     with pytest.raises(InvalidStateError):
-        dispatcher.dispatch(FIRST)
+        dispatcher.dispatch(FIRST_EVENT)
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -36,12 +36,12 @@
     return error != 0
 
 
-async def test_open_requests_survive_sigterm_twice_and_a_sighup(
+async def test_open_requests_survive_repeated_signals(
     start_server: StartServer, program_with_open_request: ProgramWithOpenRequest
 ) -> None:
     program = program_with_open_request
-    new = DiscoveryServer()
-    program.path.write_text(config_text(await start_server(new), program.entries))
+    new_discovery = DiscoveryServer()
+    program.path.write_text(config_text(await start_server(new_discovery), program.entries))
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
     assert b"configuration reloaded" in await read_log_line(program.process)
@@ -51,7 +51,7 @@
     assert await program.process.wait() == 0
 
 
-async def test_a_list_may_be_indented_and_have_a_lower_index_than_before(start_proxy: StartProxy) -> None:
+async def test_indented_list_with_a_lower_index_is_applied(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
     assert "after=7&" in await harness.discovery.calls.get()
@@ -61,7 +61,7 @@
     assert harness.proxy.upstream_pools.endpoint_names == {"s9"}
 
 
-async def test_a_list_that_is_being_received_at_a_sighup_is_ignored(
+async def test_list_received_during_a_sighup_is_ignored(
     start_proxy: StartProxy, start_server: StartServer
 ) -> None:
     harness = await start_proxy(Upstream())
@@ -72,21 +72,21 @@
     connection = harness.proxy.endpoint_watch.connection
     assert connection is not None
     await wait_until(lambda: connection.is_receiving, "a part of the list is received")
-    new = DiscoveryServer()
-    text = config_text(await start_server(new), [])
+    new_discovery = DiscoveryServer()
+    text = config_text(await start_server(new_discovery), [])
     connection.data_received(list_bytes[-5:])  # the rest is read in the iteration of the signal
     harness.proxy.reconfigure(configuration(text))
-    await new.calls.get()
-    new.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
-    assert "after=3&" in await new.calls.get()
+    await new_discovery.calls.get()
+    new_discovery.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
+    assert "after=3&" in await new_discovery.calls.get()
     await harness.discovery.connection_closed.wait()
     assert harness.proxy.upstream_pools.endpoint_names == {"new"}
 
 
-async def test_a_timeout_as_the_response_is_read_finishes_the_attempt_once(start_server: StartServer) -> None:
+async def test_timeout_and_response_end_the_attempt_once(start_server: StartServer) -> None:
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await start_server(upstream))
-    attempt = ObservedAttempt(upstreams)
+    pools = make_pools(await start_server(upstream))
+    attempt = ObservedAttempt(pools)
     await upstream.seen.wait()
     connection = attempt.attempt.connection
     assert connection is not None
@@ -94,10 +94,10 @@
     connection.data_received(response())  # read before the timeout, and passed on only now
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.TIMED_OUT]
-    assert upstreams.open_connections == 0
+    assert pools.open_connections == 0
 
 
-async def test_a_request_may_have_run_if_its_connection_ends_between_the_check_and_the_write(
+async def test_connection_end_after_the_liveness_check_is_a_reset(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -105,33 +105,33 @@
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
-    (idle,) = harness.proxy.upstream_pools.pool("s0").idle_connections
-    idle.idle_since -= 1.0
+    (idle_connection,) = harness.proxy.upstream_pools.pool("s0").idle_connections
+    idle_connection.idle_since -= 1.0
     is_alive = UpstreamConnection.is_alive
-    checks: list[bool] = []
+    alive_results: list[bool] = []
 
-    def check_and_end(connection: UpstreamConnection) -> bool:
-        checks.append(is_alive(connection))
+    def check_then_end(connection: UpstreamConnection) -> bool:
+        alive_results.append(is_alive(connection))
         upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
         with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
             upstream_end.shutdown(socket.SHUT_RDWR)
-        return checks[-1]
+        return alive_results[-1]
 
-    monkeypatch.setattr(UpstreamConnection, "is_alive", check_and_end)
+    monkeypatch.setattr(UpstreamConnection, "is_alive", check_then_end)
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == 502
-    assert checks == [True]
+    assert alive_results == [True]
     outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
     assert outcomes == [Outcome.RESET]
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "moved", "restarted"])
-async def test_an_attempt_is_not_sent_after_its_endpoint_changed_while_connecting(
+async def test_endpoint_change_during_the_connect_prevents_the_send(
     start_server: StartServer, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     upstream = Upstream()
     address = await start_server(upstream)
-    upstreams = make_pools(address)
+    pools = make_pools(address)
     connect = UpstreamPool.connect
 
     async def connect_and_update(pool: UpstreamPool) -> UpstreamConnection:
@@ -142,18 +142,18 @@
             "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
             "restarted": endpoint_list(entry("s0", address, since_ms=5)),
         }[change]
-        upstreams.update_endpoints(update)  # as the connection is established
+        pools.update_endpoints(update)  # as the connection is established
         assert pool.draining_since is not None
         pool.draining_since -= 0.5  # the grace period has passed
         return connection
 
     monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
-    assert await ObservedAttempt(upstreams).outcome() is Outcome.CONNECT_FAILED
+    assert await ObservedAttempt(pools).outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
-    assert upstreams.open_connections == 0
+    assert pools.open_connections == 0
 
 
-async def test_a_fault_of_the_policy_loses_none_of_the_queued_events(
+async def test_queued_events_survive_a_policy_exception(
     start_proxy: StartProxy, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
@@ -163,7 +163,7 @@
     handle = harness.proxy.balancer.handle
     events: list[Event] = []
 
-    def faulty(event: Event, now: float) -> list[Action]:
+    def raise_for_first_attempt(event: Event, now: float) -> list[Action]:
         events.append(event)
         if isinstance(event, RequestReceived) and event.request_id == 1:
             # Both attempts fail at once: two events are queued while the policy handles the first of them.
@@ -172,10 +172,10 @@
             raise PolicyFaultError
         return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
 
-    replace_policy(harness, faulty)
+    replace_policy(harness, raise_for_first_attempt)
     assert status(await harness.send_request()) == 503
-    of_request = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
-    assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
+    event_types = [type(event) for event in events if getattr(event, "request_id", 0) == 1]
+    assert event_types == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
     assert status(await harness.send_request()) == 200
     assert not harness.proxy.open_requests
     assert "a fault of the policy" in capsys.readouterr().err
@@ -199,13 +199,13 @@
         {"balancers": 500, "discovery": "push"},
     ],
 )
-async def test_the_proxy_serves_with_any_settings_that_are_allowed(
+async def test_proxy_serves_with_unusual_valid_settings(
     start_proxy: StartProxy, settings: dict[str, Any]
 ) -> None:
     harness = await start_proxy(Upstream(), **settings)
     assert status(await harness.send_request(deadline="5000m")) == 200
 
 
-async def test_the_proxy_serves_with_the_smallest_limits(start_proxy: StartProxy) -> None:
+async def test_proxy_serves_with_minimal_limits(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream(), process_limits={"memory_mb": 32, "sockets": 50})
     assert status(await harness.send_request()) == 200
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -20,7 +20,7 @@
     import pytest
 
 
-def test_a_configuration_error_is_one_line_and_an_exit_code(tmp_path: Path) -> None:
+def test_configuration_error_prints_one_line_and_fails(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
     for text in (None, "", "{}", "[]", config_text("nowhere", [])):
@@ -65,7 +65,7 @@
     assert (completed.returncode, completed.stdout) == (0, "alive\n"), completed.stderr
 
 
-def test_a_configuration_error_keeps_its_exit_code_while_standard_error_is_closed(tmp_path: Path) -> None:
+def test_configuration_error_with_closed_stderr(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{}")
     completed = subprocess.run(
@@ -79,7 +79,7 @@
     assert completed.stdout == "loadbalancer: configuration: 'settings' is missing\n"
 
 
-def test_a_warning_does_not_prevent_the_start_without_standard_error(tmp_path: Path) -> None:
+def test_configuration_warning_without_stderr(tmp_path: Path) -> None:
     """Python sets `sys.stderr` to None if it is closed at the start; the descriptor stays open here."""
     program = """if True:
         import asyncio, os, signal, sys
@@ -105,7 +105,7 @@
     assert "unknownSetting" in completed.stdout
 
 
-def test_null_in_the_configuration_counts_as_absent() -> None:
+def test_null_in_the_configuration_means_absent() -> None:
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
         text = json.dumps(raw | {"limits": limits, "name": None, "seed": None, "known": None})
@@ -116,7 +116,7 @@
         assert config.seed == 0
 
 
-def test_the_clock_starts_at_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_starts_at_unix_time_and_is_monotonic(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     first = clock.now()
     assert abs(first - time.time() * 1000) < 1000
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -40,7 +40,7 @@
     assert 0 < int(remaining[:-1]) <= 2_000_000
 
 
-async def test_a_deadline_in_microseconds(start_proxy: StartProxy) -> None:
+async def test_deadline_in_microseconds_is_accepted(start_proxy: StartProxy) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request(deadline="900000u")) == 200
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "outcome", "final"),
+    ("script", "outcome", "client_status"),
     [
         (response(503, b"", "X-Not-Run: 1"), Outcome.REJECTED, 503),
         (response(504, b"", "X-Not-Run: 1"), Outcome.REJECTED, 503),
@@ -68,8 +68,8 @@
         (reset, Outcome.RESET, 502),
     ],
 )
-async def test_outcome_of_an_attempt_by_how_the_upstream_ends_it(
-    start_proxy: StartProxy, script: Any, outcome: Outcome, final: int
+async def test_outcome_of_each_upstream_response(
+    start_proxy: StartProxy, script: Any, outcome: Outcome, client_status: int
 ) -> None:
     async def run_script(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         if isinstance(script, bytes):
@@ -82,7 +82,7 @@
     upstream = Upstream(run_script)
     harness = await start_proxy(upstream)
     events = record_events(harness)
-    assert status(await harness.send_request("/pay/x", b"debit")) == final
+    assert status(await harness.send_request("/pay/x", b"debit")) == client_status
     # A rejected attempt never ran, so the policy may retry it; any other outcome forbids that.
     assert set(outcomes(events)) == {outcome}
     assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
@@ -100,7 +100,7 @@
     assert outcomes(events).count(Outcome.SUCCEEDED) == len(upstream.received) == 8
 
 
-async def test_an_unresponsive_upstream_times_out_and_the_client_gets_an_error_by_its_deadline(
+async def test_unresponsive_upstream_fails_the_request_by_its_deadline(
     start_proxy: StartProxy,
 ) -> None:
     upstream = Upstream(never_respond)
@@ -114,7 +114,7 @@
     await upstream.connection_closed.wait()  # a timeout closes the connection
 
 
-async def test_a_response_cancels_the_hedged_attempt_and_each_attempt_finishes_once(
+async def test_response_cancels_the_other_hedged_attempt(
     start_proxy: StartProxy,
 ) -> None:
     first, second = Upstream(never_respond), Upstream(never_respond)
@@ -130,7 +130,7 @@
     assert not harness.proxy.open_requests
 
 
-async def test_a_disconnect_reaches_the_policy_and_cancels_the_attempt(start_proxy: StartProxy) -> None:
+async def test_client_disconnect_cancels_the_attempt(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
     events = record_events(harness)
@@ -144,7 +144,7 @@
     assert not harness.proxy.open_requests
 
 
-async def test_an_exception_in_the_policy_fails_only_its_request(
+async def test_policy_exception_fails_only_its_request(
     start_proxy: StartProxy, capsys: pytest.CaptureFixture[str]
 ) -> None:
     upstream = Upstream()
@@ -162,7 +162,7 @@
     assert "a fault of the policy" in capsys.readouterr().err
 
 
-async def test_a_request_that_the_policy_ignores_is_failed_before_its_deadline(
+async def test_watchdog_responds_if_the_policy_does_not(
     start_proxy: StartProxy,
 ) -> None:
     harness = await start_proxy(Upstream())
@@ -173,7 +173,7 @@
     assert 0.1 < loop.time() - started_at < 0.25
 
 
-async def test_health_check_succeeds(start_proxy: StartProxy) -> None:
+async def test_healthz_returns_200(start_proxy: StartProxy) -> None:
     harness = await start_proxy()
     client = await harness.client()
     client.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -29,7 +29,7 @@
     from collections.abc import Iterator
 
 ROOT = Path(__file__).parents[2]
-ENTRIES = 7_000  # the largest list that is expected
+MAX_LIST_ENTRIES = 7_000  # the largest list that is expected
 
 # Runs `before`, starts the program, ends it as it begins to listen and prints `expression` as JSON.
 SCRIPT = """if True:
@@ -38,10 +38,10 @@
     from loadbalancer import __main__ as program
     from loadbalancer.network.client.listener import Listener
     start = Listener.start
-    def start_and_end(listener):
+    def start_and_terminate(listener):
         start(listener)
         os.kill(os.getpid(), signal.SIGTERM)
-    Listener.start = start_and_end
+    Listener.start = start_and_terminate
     assert program.main() == 0
     print(json.dumps({expression}))
 """
@@ -83,7 +83,9 @@
 @pytest.mark.parametrize("kind", ["ask", "push"])
 @pytest.mark.parametrize("state", ["silent", "refusing", "down"])
 @pytest.mark.parametrize("entries", [0, 1])
-async def test_it_is_ready_without_discovery(state: str, kind: str, entries: int, tmp_path: Path) -> None:
+async def test_program_is_ready_without_discovery(
+    state: str, kind: str, entries: int, tmp_path: Path
+) -> None:
     port = free_port()
     with unresponsive_discovery(state) as address:
         path = tmp_path / "config.json"
@@ -96,15 +98,15 @@
             client.writer.close()
 
 
-def test_a_start_imports_what_it_needs_and_nothing_else(tmp_path: Path) -> None:
+def test_start_imports_only_what_it_needs(tmp_path: Path) -> None:
     """Guards against imports that delay the start: with twenty starts on one core, each waits for all."""
     loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
-    bare = subprocess.run(
+    new_interpreter = subprocess.run(
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
     )
-    new = loaded - set(bare.stdout.split())
-    ours = {name for name in new if name.partition(".")[0] == "loadbalancer"}
-    assert ours == {"loadbalancer"} | {
+    imported = loaded - set(new_interpreter.stdout.split())
+    own_modules = {name for name in imported if name.partition(".")[0] == "loadbalancer"}
+    assert own_modules == {"loadbalancer"} | {
         f"loadbalancer.{name}"
         for name in (
             "__main__ actions configuration endpoints errors events network network.action_performer "
@@ -129,11 +131,13 @@
             "policy.slow_start settings settings_reader timers "
         ).split()
     }
-    tops = {name.partition(".")[0] for name in new}
-    others = {name for name in tops - set(sys.stdlib_module_names) if "cython" not in name}
-    assert others == {"loadbalancer", "uvloop", "httptools"}
-    heavy = "ctypes email http multiprocessing pathlib pickle sqlite3 tempfile unittest urllib".split()
-    assert not tops.intersection(heavy)
+    top_level_packages = {name.partition(".")[0] for name in imported}
+    third_party_packages = {
+        name for name in top_level_packages - set(sys.stdlib_module_names) if "cython" not in name
+    }
+    assert third_party_packages == {"loadbalancer", "uvloop", "httptools"}
+    slow_imports = "ctypes email http multiprocessing pathlib pickle sqlite3 tempfile unittest urllib".split()
+    assert not top_level_packages.intersection(slow_imports)
 
 
 def test_the_build_compiles_every_file(tmp_path: Path) -> None:
@@ -151,7 +155,7 @@
     assert [s for s in sources if not Path(importlib.util.cache_from_source(str(s))).exists()] == []
 
 
-def test_a_long_known_list_is_read_and_handled_once(tmp_path: Path) -> None:
+def test_long_known_list_is_processed_once(tmp_path: Path) -> None:
     before = """if True:
         from loadbalancer import events
         from loadbalancer.policy import balancer
@@ -162,35 +166,37 @@
                 counts[name] += applies(*args)
                 return function(*args)
             return counted
-        def opened(name, args):
+        def count_open(name, args):
             counts["files"] += name == "open" and args[0] == os.environ["LB_CONFIG"]
-        sys.addaudithook(opened)
+        sys.addaudithook(count_open)
         config._read_endpoint = counting("entries", config._read_endpoint)
         balancer.LoadBalancer.handle = counting("updates", balancer.LoadBalancer.handle,
             lambda _, event, now: isinstance(event, events.EndpointListUpdate)
                 and event.kind.name != "FAILED")
     """
-    counts = evaluate_after_start(tmp_path, "counts", before, ENTRIES)
-    assert counts == {"files": 1, "entries": ENTRIES, "updates": 1}
+    counts = evaluate_after_start(tmp_path, "counts", before, MAX_LIST_ENTRIES)
+    assert counts == {"files": 1, "entries": MAX_LIST_ENTRIES, "updates": 1}
 
 
-def test_no_garbage_collection_runs_during_a_start(tmp_path: Path) -> None:
+def test_no_garbage_collection_runs_during_the_start(tmp_path: Path) -> None:
     """Guards against repeated garbage collections over the long-lived objects of thousands of entries."""
     before = """if True:
         def collections():
             return [generation["collections"] for generation in gc.get_stats()]
         import asyncio
         enter = asyncio.Runner.__enter__
-        def entering(runner):
+        def record_and_enter(runner):
             seen.append(collections())
             return enter(runner)
-        asyncio.Runner.__enter__ = entering
+        asyncio.Runner.__enter__ = record_and_enter
         freeze, seen = gc.freeze, []
-        def last():
+        def record_and_freeze():
             seen.append(collections())
             freeze()
-        gc.freeze = last
+        gc.freeze = record_and_freeze
     """
-    (ran, frozen), enabled = evaluate_after_start(tmp_path, "(seen, gc.isenabled())", before, ENTRIES)
-    assert ran == frozen
+    (collections_at_start, collections_at_freeze), enabled = evaluate_after_start(
+        tmp_path, "(seen, gc.isenabled())", before, MAX_LIST_ENTRIES
+    )
+    assert collections_at_start == collections_at_freeze
     assert enabled
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -20,7 +20,7 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-async def test_a_new_discovery_is_polled_at_once_for_a_snapshot_and_the_old_connection_closed(
+async def test_reload_switches_to_the_new_discovery(
     start_proxy: StartProxy, start_server: StartServer
 ) -> None:
     first, second = Upstream(), Upstream(never_respond)
@@ -29,11 +29,11 @@
     assert status(await harness.send_request()) == 200
     await harness.discovery.calls.get()
     for index in (3, 1):  # two moves; each discovery has a lower index than the one before
-        new = DiscoveryServer()
-        harness.proxy.reconfigure(configuration(config_text(await start_server(new), [])))
-        assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
-        new.publish(index, entry("s1", await start_server(second)), snapshot=True)
-        assert f"?after={index}&" in await new.calls.get()
+        new_discovery = DiscoveryServer()
+        harness.proxy.reconfigure(configuration(config_text(await start_server(new_discovery), [])))
+        assert await new_discovery.calls.get() == "GET /v1/servers HTTP/1.1"
+        new_discovery.publish(index, entry("s1", await start_server(second)), snapshot=True)
+        assert f"?after={index}&" in await new_discovery.calls.get()
     await harness.discovery.connection_closed.wait()
     harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
     kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
@@ -41,24 +41,24 @@
     assert harness.proxy.upstream_pools.endpoint_names == {"s1"}
 
 
-async def test_the_program_survives_sighup_and_open_requests_are_not_disturbed(
+async def test_open_requests_survive_reloads(
     start_server: StartServer, program_with_open_request: ProgramWithOpenRequest
 ) -> None:
     program = program_with_open_request
-    new = DiscoveryServer()
+    new_discovery = DiscoveryServer()
     program.path.write_text("{ not whole")
     program.process.send_signal(signal.SIGHUP)
     assert b"configuration not reloaded" in await read_log_line(program.process)
-    program.path.write_text(config_text(await start_server(new), program.entries))
+    program.path.write_text(config_text(await start_server(new_discovery), program.entries))
     program.process.send_signal(signal.SIGHUP)
-    assert await new.calls.get() == "GET /v1/servers HTTP/1.1"
+    assert await new_discovery.calls.get() == "GET /v1/servers HTTP/1.1"
     await program.respond_and_check()
     program.process.send_signal(signal.SIGTERM)
     program.client.writer.close()
     assert await program.process.wait() == 0
 
 
-async def test_a_discovery_to_which_no_connection_comes_up_is_given_up_soon() -> None:
+async def test_connect_to_discovery_times_out() -> None:
     """The connect has a timeout of its own, shorter than that of a call."""
     async with full_backlog() as address:
         failed = asyncio.Event()
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -14,7 +14,7 @@
     from tests.support.fixture_types import StartProxy
 
 
-async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected(
+async def test_duplicate_id_is_rejected(
     start_proxy: StartProxy,
 ) -> None:
     upstream = Upstream(never_respond)
@@ -32,7 +32,7 @@
     assert len(upstream.received) == 1
 
 
-def test_finished_ids_are_forgotten_after_a_bounded_number(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_remembered_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.network.request_ids.MAX_FINISHED_IDS", 10)
     ids = RequestIds()
     for i in range(100):
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -127,7 +127,7 @@
     assert completed.stdout == ""
 
 
-def test_a_request_that_arrives_with_a_sigterm_gets_a_response(tmp_path: Path) -> None:
+def test_request_during_an_early_sigterm_gets_a_response(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
     completed = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
