--- a/loadbalancer/network/__init__.py
+++ b/loadbalancer/network/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on real sockets: everything between the sockets and the policy."""
+"""The network side of the balancer: connects the policy to clients, upstreams and discovery."""
--- a/loadbalancer/network/action_performer.py
+++ b/loadbalancer/network/action_performer.py
@@ -1,4 +1,4 @@
-"""The action performer: carries out the actions of the policy with timers, responses and upstreams."""
+"""Performs the policy's actions: sets timers, sends responses, starts attempts and health checks."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
     Args:
         loop: The event loop, which runs the timers.
-        clock: The clock of the policy's times.
+        clock: The clock on which the policy's times are measured.
         dispatch: Passes an event to the policy.
     """
 
@@ -50,22 +50,22 @@
         self._dispatch = dispatch
 
     def set(self, action: SetTimer) -> None:
-        """Set a timer; the policy gets `TimerFired` when its time has come."""
+        """Set a timer; the policy gets `TimerFired` when it expires."""
         delay_s = max(action.at_ms - self._clock.now(), 0.0) / 1000
         self._loop.call_later(delay_s, self._dispatch, TimerFired(action.timer))
 
 
 class ActionPerformer:
-    """Performs one action of the policy at a time.
+    """Performs the policy's actions, one at a time.
 
     Args:
-        requests: The requests by the numbers in actions.
+        requests: The open requests, which actions name by number.
         timers: The timers of the policy.
         attempts: Starts and cancels attempts.
         health_checks: Starts health checks.
         upstream_pools: The connection pools.
-        endpoint_watch: The watch on discovery.
-        log: Gets the policy's messages.
+        endpoint_watch: Watches the endpoint list of discovery.
+        log: Receives the policy's log messages.
     """
 
     def __init__(
--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -8,8 +8,8 @@
 class Clock:
     """The Unix time at the start, plus the time that has passed on the monotonic clock since.
 
-    Changes of the system's clock after the start have no effect. The times can be compared with the start
-    times of endpoints, which are Unix times too.
+    Later changes of the system clock have no effect. The times can be compared with the start times of
+    endpoints, which are Unix times too.
     """
 
     def __init__(self) -> None:
--- a/loadbalancer/network/deadline_watchdog.py
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -1,8 +1,8 @@
-"""The deadline watchdog: responds to requests that the policy has left open, shortly before their deadlines.
+"""The deadline watchdog: responds to requests that are still open shortly before the client's deadline.
 
-The deadline budget of a request is the time until its client's deadline. The policy gets all of it but
-`POLICY_DEADLINE_MARGIN_MS`. The watchdog responds in the last `WATCHDOG_MARGIN_MS`, which is reached only if
-the policy, or the code that performs its actions, has failed.
+The deadline budget of a request is the time until the client's deadline. The policy gets the budget minus
+`POLICY_DEADLINE_MARGIN_MS`. A request that is still open `WATCHDOG_MARGIN_MS` before the client's deadline
+shows that the policy, or the code that performs its actions, has failed; the watchdog then responds instead.
 """
 
 from __future__ import annotations
@@ -19,18 +19,22 @@
     from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
 
 POLICY_DEADLINE_MARGIN_MS = 10.0
-"""How long before the client's deadline the policy's ends: the response still has to reach the client."""
+"""Time between the policy's deadline and the client's, in which the response reaches the client."""
 
 WATCHDOG_MARGIN_MS = 5.0
-"""How long before the client's deadline the watchdog responds: after the policy's deadline, and in time."""
+"""Time between the watchdog's response and the client's deadline.
+
+Shorter than the policy's margin, so that the policy can respond first, and long enough for the response to
+reach the client.
+"""
 
 
 class DeadlineWatchdog:
-    """Responds to requests that must not stay open any longer.
+    """Ends requests without the policy: near their deadlines, after failures of the policy, and at shutdown.
 
     Args:
         loop: The event loop, which runs the timers.
-        requests: The requests by number.
+        requests: The open requests.
         dispatch: Passes an event of a request to the policy.
     """
 
@@ -45,7 +49,7 @@
         self._dispatch = dispatch
 
     def watch(self, request: ProxiedRequest, deadline_budget_ms: float) -> None:
-        """Set the timer that responds to a request shortly before its client's deadline.
+        """Start the timer that responds to a request shortly before its client's deadline.
 
         Args:
             request: The request; it cancels the timer when it is closed.
@@ -57,16 +61,16 @@
     def respond(self, number: int | None) -> None:
         """Respond to a request if it is still open, and end its attempts.
 
-        The status is 502 if an attempt may have had an effect, and 503 if the request surely had none.
+        The status is 502 if an attempt may have had an effect, and 503 if none can have had one.
 
         Args:
-            number: The number of the request; None, or one that is unknown, has no effect.
+            number: The number of the request; None and unknown numbers are ignored.
         """
         request = self._requests.get(number)
         if request is None or not request.is_open:
             return
         request.respond(502 if request.may_have_run or request.running_attempts else 503)
-        self._dispatch(ClientDisconnected(request.number), request)  # the policy cancels running attempts
+        self._dispatch(ClientDisconnected(request.number), request)  # has the policy cancel running attempts
         request.drop_unsent_attempts()
 
     def respond_to_all(self) -> None:
--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -12,11 +12,11 @@
 BODY_TIMEOUT_S = 0.5
 """Time limit from the first byte of a response to its last.
 
-A response that stops part-way ends the call sooner than the call's own timeout, which covers a long wait.
+A truncated response is then detected before the timeout of the call, which includes a long wait.
 """
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-"""Maximum size of a response; an endpoint list of 7,000 entries has 930 kB."""
+"""Maximum size of a response; an endpoint list of 7,000 entries takes 930 kB."""
 
 
 class DiscoveryError(LoadBalancerError):
@@ -55,10 +55,10 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to discovery, with one call at a time.
+    """One connection to discovery; it carries one call at a time.
 
     Attributes:
-        is_closed: Whether the connection can't carry a further call.
+        is_closed: Whether the connection cannot carry another call.
     """
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
         return self._response is not None and not self._response.done() and self._timeout is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
@@ -93,7 +93,7 @@
             self._response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the open call, if there is one, with an error."""
+        """Fail the call in progress, if there is one."""
         self.is_closed = True
         self._fail(exc or DiscoveryDisconnectedError())
 
@@ -121,7 +121,7 @@
             self._timeout = None
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self.is_closed = True
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,8 +1,8 @@
-"""The watch on the endpoint list of discovery.
+"""Watches the endpoint list of discovery by long polling.
 
-A watch is a chain of HTTP calls, one at a time. While no list of this discovery is known, a call gets the
-complete list at once. Otherwise a call names the version of the known list and a wait: discovery
-responds when the list changes, or when the wait has ended. The list in the configuration counts as known.
+The watch makes one HTTP call after another. As long as no list of this discovery is known, a call returns the
+complete list at once. Otherwise a call states the version of the known list and a wait: discovery responds
+when the list changes, or when the wait has ended. The list in the configuration counts as known.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
 WATCH_TIMEOUT_MARGIN_S = 1.0
-"""Time after the end of a watch call's wait at which the call fails if it got no response.
+"""Time from the end of a watch call's wait to the timeout of the call.
 
-A list that the call should have returned has to be known one second after that.
+A list that the call should have returned has to be known one second after the timeout.
 """
 
 RESPONSE_TIMEOUT_S = 2.5
-"""Timeout of a call without a wait: after a move to another discovery its list has to be known within 4 s."""
+"""Timeout of a call without a wait: after a switch to another discovery, its list is due within 4 s."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Timeout of opening a connection: shorter than a call's, since a host that is down never responds."""
+"""Timeout of a connect: shorter than that of a call, since a host that is down never responds."""
 
 _NO_VERSION = -1  # while no list of the discovery is known
 
@@ -54,7 +54,7 @@
 
         Args:
             configuration: Has the address of discovery, and the endpoint list that is known at the start.
-            on_update: Called with each response: the complete list, or the entries that have changed.
+            on_update: Called with the list in each response: a snapshot or a delta.
             on_failed: Called when a failed call has ended the watch.
         """
         self._on_update = on_update
@@ -78,7 +78,7 @@
         return self._connection
 
     def start(self) -> None:
-        """Start the watch where lists are pushed: there the policy has no action that starts it."""
+        """Start the watch if lists are pushed; if discovery is polled, the policy starts it by an action."""
         if not self._polls_discovery:
             self.start_watch()
 
@@ -88,10 +88,10 @@
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def switch_to(self, address: Address) -> None:
-        """Watch another discovery at once, beginning with its complete list.
+        """Switch to another discovery at once, beginning with its complete list.
 
-        Versions of the old discovery's list have no meaning there. Guards against a list of the old
-        discovery that arrives late, and against a retry delay that its failures caused.
+        Versions of the old discovery's list have no meaning there. The watch is restarted, so that neither a
+        late list of the old discovery nor a retry delay after its failures has an effect.
         """
         if self._task is not None:
             self._task.cancel()
@@ -110,7 +110,7 @@
             try:
                 endpoint_list = await self._fetch()
             except Exception:  # noqa: BLE001  a call may fail in any way
-                # Guards against a watch that ends without notice: a call that raises any error has failed.
+                # Any exception counts as a failed call: the watch must not end without notice.
                 retry_delay_s = self._record_failure(started_at_s)
                 if retry_delay_s is None:
                     self._task = None
@@ -156,8 +156,8 @@
         if self._connection is not None and not self._connection.is_closed:
             return self._connection
         if self._connection is not None:
-            # Guards against connections that pile up: discovery may announce after each call that it closes
-            # the connection, and leave it open.
+            # Discovery may announce after each call that it closes the connection, and yet leave it open;
+            # such connections must not accumulate.
             self._connection.close()
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, self._connection = await asyncio.get_running_loop().create_connection(
--- a/loadbalancer/network/endpoint_list_updater.py
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -1,4 +1,7 @@
-"""Applies each endpoint list: to the connection pools first, then to the policy."""
+"""Applies endpoint lists to the connection pools, and then to the policy.
+
+The order matters: every endpoint that the policy may select has a pool by then.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class EndpointListUpdater:
-    """Applies the endpoint lists of the configuration and of discovery.
+    """Applies the endpoint lists from the configuration and from discovery.
 
     Args:
         upstream_pools: The connection pools.
@@ -34,11 +37,11 @@
         self._on_applied = on_applied
 
     def apply_cached(self, endpoint_list: EndpointList) -> None:
-        """Apply the list that was known before discovery has been reached."""
+        """Apply the list from the configuration, which is known before discovery is reached."""
         self._apply(EndpointListKind.CACHED, endpoint_list)
 
     def apply(self, endpoint_list: EndpointList) -> None:
-        """Apply a list that discovery sent: a snapshot, or the entries that have changed."""
+        """Apply a list from discovery: a snapshot or a delta."""
         kind = EndpointListKind.SNAPSHOT if endpoint_list.is_complete else EndpointListKind.DELTA
         self._apply(kind, endpoint_list)
 
--- a/loadbalancer/network/errors.py
+++ b/loadbalancer/network/errors.py
@@ -10,7 +10,7 @@
 
 
 class InvalidResponseError(ProtocolError):
-    """A response of an upstream or of discovery must not be used."""
+    """A response from an upstream or from discovery is not valid."""
 
 
 class ConnectionLimitError(LoadBalancerError):
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The event dispatcher: passes events to the policy one at a time, and has its actions performed in order."""
+"""Passes events to the policy one at a time, and has the resulting actions performed in order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from loadbalancer.policy.balancer import LoadBalancer
 
 MAX_LOGGED_EVENT_CHARS = 500
-"""Length at which the line on an event that the policy failed to handle is cut."""
+"""Maximum length of the log line on an event that the policy failed to handle."""
 
 _HANDLERS_NOT_SET = "an event was dispatched before the dispatcher was connected"
 
@@ -27,15 +27,15 @@
 class EventDispatcher:
     """Queues events for the policy.
 
-    An event that arises while another one is handled, for instance because an action has an immediate result,
-    waits in the queue: the policy gets it after all actions for the current event have been performed. A
-    failure of the policy, or of an action, is logged and ends only its own request.
+    An event that is dispatched while another one is being handled, for example by an action that completes
+    immediately, stays in the queue until all actions for the current event have been performed. An exception
+    in the policy or in an action is logged, and ends only the request that it concerns.
 
     Args:
         balancer: The policy.
-        clock: The time that the policy gets with each event.
-        requests: The requests by number; a request is removed once its last event has been handled.
-        log: Gets a line for each failure.
+        clock: The clock whose time is passed to the policy with each event.
+        requests: The open requests; a request is removed once its last event has been handled.
+        log: Receives a line for each failure.
     """
 
     def __init__(
@@ -53,18 +53,20 @@
     def set_handlers(
         self, perform: Callable[[Action], None], end_failed_request: Callable[[int | None], None]
     ) -> None:
-        """Set the receivers of actions and failures, which need the dispatcher themselves.
+        """Set the functions that handle actions and failures.
+
+        They cannot be passed to the constructor, since the objects that provide them need the dispatcher.
 
         Args:
             perform: Performs one action of the policy.
-            end_failed_request: Responds to a request of which an event or action failed, given its number;
+            end_failed_request: Ends the request whose event or action failed, given its number; the number is
                 None if the event or action belongs to no request.
         """
         self._perform = perform
         self._end_failed_request = end_failed_request
 
     def dispatch(self, event: Event, request: ProxiedRequest | None = None) -> None:
-        """Pass an event to the policy, now or, while another event is being handled, after that one.
+        """Pass an event to the policy: at once, or after the event that is being handled.
 
         Args:
             event: The event.
@@ -87,7 +89,7 @@
             try:
                 self._perform(action)
             except Exception:  # noqa: BLE001  an action may fail in any way
-                # Guards against a fault in one action: the actions after it are still performed.
+                # An exception in one action must not prevent the actions after it.
                 self._log.exception(f"could not perform {action!r}")
                 self._end_failed_request(_request_number(action))
         if request is not None:
@@ -98,7 +100,7 @@
         try:
             return self._balancer.handle(event, self._clock.now())
         except Exception:  # noqa: BLE001  the policy may fail in any way
-            # Guards against a fault in the policy: it ends this request, never the process.
+            # An exception in the policy must end only this request, not the process.
             self._log.exception(f"the policy failed at {event!r}"[:MAX_LOGGED_EVENT_CHARS])
             self._end_failed_request(request.number if request is not None else None)
             return []
--- a/loadbalancer/network/headers.py
+++ b/loadbalancer/network/headers.py
@@ -1,12 +1,12 @@
-"""HTTP headers: their type, the size limits of a message, and the ones that a proxy passes on."""
+"""HTTP headers: their type, the size limits of messages, and the end-to-end headers."""
 
 from __future__ import annotations
 
 MAX_BODY_BYTES = 65_536
-"""Limit on the body of a message, which the protocol between the services sets."""
+"""Maximum size of the body of a message, as set by the protocol between the services."""
 
 MAX_HEAD_BYTES = 65_536
-"""Limit on a message without its body: start line, headers, chunk framing, earlier interim responses."""
+"""Maximum size of a message without its body: start line, headers, chunk framing, interim responses."""
 
 _HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -26,9 +26,9 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that a proxy passes on.
+    """Return the headers that a proxy forwards.
 
-    Leaves out the hop-by-hop headers of HTTP, and those that a Connection header names: they concern one
+    Hop-by-hop headers, and headers that a Connection header names, are left out: they apply to a single
     connection only.
     """
     excluded = _HOP_BY_HOP_HEADERS
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error, with a limit on their rate."""
+"""Rate-limited log lines on standard error."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import traceback
 
 INTERVAL_S = 10.0
-"""Length of the intervals in which lines are counted."""
+"""Length of the interval to which `MAX_LINES` applies."""
 
 MAX_LINES = 50
-"""Number of lines in each interval, so that the output stays bounded however often an error repeats."""
+"""Maximum number of lines in an interval; it bounds the output of an error that keeps recurring."""
 
 
 class RateLimitedLog:
     """Writes up to `MAX_LINES` lines to standard error in each interval, and drops further ones.
 
     Args:
-        name: The beginning of each line.
+        name: The prefix of each line.
     """
 
     def __init__(self, name: str) -> None:
@@ -34,7 +34,7 @@
             self._lines = 0
         self._lines += 1
         if self._lines <= MAX_LINES:
-            # Guards against a closed standard error, which must not end the process.
+            # A closed standard error must not end the process.
             with contextlib.suppress(OSError):
                 print(f"{self._name}: {text}", file=sys.stderr, flush=True)  # noqa: T201  this is the log
 
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -1,4 +1,4 @@
-"""The table of the requests that the proxy has accepted and that are not finished."""
+"""The table of requests that the proxy has accepted and not finished."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """An accepted request with its attempts.
 
     Attributes:
-        number: The number of the request in the policy's events and actions.
+        number: The number of the request; the `request_id` of the policy's events and actions.
         incoming: The client's request, which gets exactly one response.
         expires_at_ms: The policy's deadline, on the policy's clock.
         attempts: The attempts in order; None for an attempt that never started.
@@ -57,7 +57,7 @@
         self._watchdog_timer = timer
 
     def close(self) -> None:
-        """Mark the request as closed: the client has disconnected, or its response is sent next."""
+        """Mark the request as closed: the client has disconnected, or its response is about to be sent."""
         self.is_open = False
         if self._watchdog_timer is not None:
             self._watchdog_timer.cancel()
@@ -70,7 +70,8 @@
     def drop_unsent_attempts(self) -> None:
         """End the attempts whose request has not been sent completely.
 
-        Such an attempt may be ended also where the settings forbid to cancel attempts.
+        Such attempts may be ended even if the settings forbid cancelling attempts: the upstream cannot have
+        processed their requests.
         """
         for attempt in self.attempts:
             if attempt is not None:
@@ -93,7 +94,7 @@
         return len(self._by_number)
 
     def __iter__(self) -> Iterator[int]:
-        """Iterate over a copy of the numbers of the requests, since the table may change meanwhile."""
+        """Iterate over a copy of the request numbers, since the table may change during the iteration."""
         return iter(list(self._by_number))
 
     def __getitem__(self, number: int) -> ProxiedRequest:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: the policy, and the clients, upstreams and discovery that it is connected to."""
+"""The proxy: connects the policy to clients, upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -29,21 +29,22 @@
     from loadbalancer.network.client.incoming_request import IncomingRequest
 
 IDLE_CHECK_INTERVAL_S = 1.0
-"""Interval between two checks for upstream connections that have been idle for too long."""
+"""Interval between two checks for upstream connections that have exceeded the idle timeout."""
 
 
 class Proxy:
-    """One load balancer: turns I/O into events of the policy, and the policy's actions into I/O.
+    """One load balancer: turns I/O into events for the policy, and the policy's actions into I/O.
 
-    It makes no decisions. Only the deadline watchdog responds to requests without the policy.
+    The policy makes all decisions on the requests that are passed to it; only the deadline watchdog responds
+    to such a request without the policy.
 
     Attributes:
-        log: Where lines are written.
+        log: The log of the balancer.
         clock: The clock of the policy.
         balancer: The policy.
         upstream_pools: The connection pools.
-        listener: The connections of clients.
-        endpoint_watch: The watch on discovery.
+        listener: Accepts clients and holds their connections.
+        endpoint_watch: Watches the endpoint list of discovery.
         dispatcher: Passes events to the policy.
     """
 
@@ -110,7 +111,7 @@
             self.listener.start()
 
     def reconfigure(self, configuration: Configuration) -> None:
-        """Watch the discovery that a new configuration names; requests and connections are not affected."""
+        """Switch to the discovery of a new configuration; requests and connections are not affected."""
         host, port = configuration.discovery
         self.log.write(f"configuration reloaded: discovery at {host}:{port}")
         self.endpoint_watch.switch_to(configuration.discovery)
@@ -152,6 +153,6 @@
             request.drop_unsent_attempts()
 
     def abort_open_requests(self) -> None:
-        """Respond to all open requests, and to later ones as they come: the graceful shutdown has ended."""
+        """Respond to all open requests, and to later ones on arrival: the graceful shutdown is over."""
         self._is_shut_down = True
         self._watchdog.respond_to_all()
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -8,14 +8,15 @@
 """Length of a generation; ids of finished requests are remembered for one to two generations."""
 
 MAX_FINISHED_IDS = 4_096
-"""Number of finished ids in a generation at which the next one begins."""
+"""Number of finished ids in a generation at which the next generation begins."""
 
 
 class RequestIds:
     """The X-Request-Ids in use: those of open requests, and of requests that finished recently.
 
-    Guards against a second request with the id of another one, from the same or another client: its effect
-    could happen twice. Finished ids are remembered in two generations, which bounds their number and age.
+    A second request with the same id, from the same client or another one, is rejected: if it is a duplicate,
+    its effect could happen twice. Finished ids are remembered in two generations, which bounds their number
+    and age.
     """
 
     def __init__(self) -> None:
@@ -42,7 +43,7 @@
         return True
 
     def finish(self, request_id: bytes) -> None:
-        """Move the id of an open request, which has no running attempt any more, to the finished ones."""
+        """Move the id of a request, which must have no running attempt, to the finished ones."""
         self._open.discard(request_id)
         now_s = time.monotonic()
         age_s = now_s - self._generation_started_at_s
--- a/loadbalancer/network/response_parser.py
+++ b/loadbalancer/network/response_parser.py
@@ -1,4 +1,4 @@
-"""An incremental parser of HTTP/1.1 responses, which validates them."""
+"""An incremental, validating parser of HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from loadbalancer.network.headers import MAX_BODY_BYTES, MAX_HEAD_BYTES, Headers
 
 _MAX_LENGTH_DIGITS = 19
-"""Number of digits above which a Content-Length is rejected before it is converted to an integer."""
+"""Maximum number of digits of a Content-Length, checked before it is converted to an integer."""
 
 _SWITCHING_PROTOCOLS = 101
 _FIRST_FINAL_STATUS = 200
@@ -36,11 +36,11 @@
 
 
 class ResponseParser:
-    """Parses the responses on a connection one after another.
+    """Parses the consecutive responses on a connection.
 
-    Guards against endless headers or interim responses, invalid lengths, and a body that exceeds the limit:
-    each is rejected as soon as it is detected, so that time is left for another attempt. Bytes that follow a
-    complete response do not affect it, but the connection cannot be used again.
+    Endless headers or interim responses, invalid lengths, and bodies that exceed the limit are rejected as
+    soon as they are detected, which leaves time for another attempt. Bytes that follow a complete response do
+    not affect it, but the connection cannot be reused.
 
     Args:
         max_body_bytes: The maximum size of a body.
@@ -104,7 +104,7 @@
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Reject a response with an unusable head before its body is read."""
+        """Reject a response with an invalid head before its body is read."""
         status = self._parser.get_status_code()
         if status == _SWITCHING_PROTOCOLS:
             raise InvalidResponseError(_PROTOCOL_SWITCH)
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -1,4 +1,4 @@
-"""Socket operations that the transports of asyncio do not offer, and the reserve of file descriptors."""
+"""Socket operations that asyncio transports do not offer, and the reserve of file descriptors."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     import asyncio
 
 RESERVED_DESCRIPTORS = 24
-"""Number of file descriptors that neither the connections of clients nor those to upstreams may use.
+"""Number of file descriptors that client connections, and likewise upstream connections, leave unused.
 
-The event loop, the log, the connection to discovery and connections that are being closed need them.
+They are for the event loop, the log, the connection to discovery and connections that are being closed.
 """
 
 
 class _BorrowedSocket(socket.socket):
-    """A socket on the descriptor of a transport; the descriptor stays open when the context ends."""
+    """A socket object on the descriptor of a transport; leaving the context does not close the descriptor."""
 
     __slots__ = ()
 
@@ -35,7 +35,7 @@
 
 
 def peek(transport: asyncio.BaseTransport) -> bytes | None:
-    """Look at the next byte that the kernel has received and the event loop has not read.
+    """Look at the next byte that the kernel has received and the event loop has not read yet.
 
     Returns:
         The byte; `b""` if the connection has ended; None if there is neither a byte nor an end.
@@ -50,12 +50,12 @@
 
 
 def shutdown_write(transport: asyncio.BaseTransport) -> None:
-    """End the sending side of a connection at once, before the event loop closes its socket.
+    """Shut down the sending side of a connection at once; the event loop closes the socket only later.
 
-    The write buffer of the transport must be empty. A transport that is closing is not affected.
+    The write buffer of the transport must be empty. Has no effect on a transport that is closing.
     """
     if transport.is_closing():
         return
-    # Guards against the error that the kernel reports for a connection that has ended already.
+    # The kernel reports an error for a connection that has ended already.
     with _BorrowedSocket(transport) as borrowed, contextlib.suppress(OSError):
         borrowed.shutdown(socket.SHUT_WR)
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt to have a request processed by an upstream, and the outcome of each way in which it can end.
+"""One attempt to have an upstream process a request, and its outcome.
 
-Each attempt ends exactly once. Where it is uncertain whether the upstream processed the request, the outcome
-is one after which it may have: a request that is not idempotent must not be processed twice.
+Each attempt ends exactly once. If it is uncertain whether the upstream processed the request, the outcome is
+one that counts as "may have run", since a request that is not idempotent must not be processed twice.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
-"""Errors of connecting that are caused by this process or machine, not by the upstream."""
+"""Connect errors that are caused by this process or machine, not by the upstream."""
 
 _NOT_PROCESSED_HEADER = (b"x-not-run", b"1")
-"""The header of a 503 or 504 response which states that the upstream did not begin to process the request."""
+"""Header of a 503 or 504 response which states that the upstream did not begin to process the request."""
 
 OnAttemptEnd = Callable[[Outcome, Response | None], None]
-"""A function that gets the outcome of an attempt, and the response if it is complete."""
+"""A callback that gets the outcome of an attempt, and the response if it is complete."""
 
 
 class ConnectionSource(Protocol):
-    """The source of the connection of an attempt.
+    """Provides the connection of an attempt.
 
     Attributes:
         connect_timeout_s: How long opening a connection may take.
@@ -46,21 +46,21 @@
         """Open a connection, or raise OSError or ConnectionLimitError."""
 
     def add_idle_connection(self, connection: UpstreamConnection) -> None:
-        """Add a connection that may carry a further request to the idle ones."""
+        """Add a reusable connection to the idle ones."""
 
     def may_send(self) -> bool:
-        """Return whether the upstream still accepts a request on a connection that has just been opened."""
+        """Return whether a request may still be sent on a connection that has just been opened."""
 
 
 class UpstreamAttempt:
-    """One attempt at an upstream; it owns its timer and the task that connects.
+    """One attempt at an upstream; it owns its timer and its connect task.
 
     Args:
         loop: The event loop.
         connections: The source of the connection.
-        encode_request: Returns the bytes of the request; called as they are written.
-        on_end: Called exactly once, also if several events coincide.
-        is_response_needed: Whether the client still waits for a response.
+        encode_request: Returns the bytes of the request; called just before they are written.
+        on_end: Called exactly once, even if several events coincide.
+        is_response_needed: Returns whether a response is still needed.
     """
 
     __slots__ = (
@@ -97,7 +97,7 @@
         return self._connection
 
     def start(self, timeout_s: float) -> None:
-        """Send on an idle connection, or open one; `on_end` is not called before this returns."""
+        """Send the request on an idle connection, or open one; `on_end` is not called before this returns."""
         self._timer = self._loop.call_later(timeout_s, self.handle_timeout)
         connection = self._connections.take_idle_connection()
         if connection is not None:
@@ -106,7 +106,7 @@
             self._connect_task = self._loop.create_task(self._connect())
 
     def cancel(self) -> None:
-        """End the attempt and close its connection, by which the upstream learns of it."""
+        """End the attempt and close its connection, which notifies the upstream."""
         self._finish(Outcome.CANCELLED)
 
     def drop_if_unsent(self) -> None:
@@ -122,12 +122,12 @@
         self._finish(_outcome_of_response(response), response)
 
     def handle_reset(self) -> None:
-        """End the attempt, since the connection ended or carried bytes that are not a valid response."""
+        """End the attempt: its connection ended, or carried bytes that are not a valid response."""
         self._finish(Outcome.RESET)
 
     def handle_timeout(self) -> None:
-        """End the attempt, since its time limit has passed."""
-        # Without a connection nothing was written, so that the upstream cannot have processed the request.
+        """End the attempt: its time limit has passed."""
+        # Without a connection nothing was written, and the upstream cannot have processed the request.
         self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
 
     async def _connect(self) -> None:
@@ -145,12 +145,12 @@
         if self._on_end is None:  # the attempt ended while the connection was being established
             connection.close()
         elif not self._connections.may_send():
-            # Guards against a late request: the upstream began to drain while the connection was opened.
+            # The upstream began to drain while the connection was being opened; it is too late for a request.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
         elif not self._is_response_needed():
-            # Guards against a request without a waiting client: while the connection was opened, the client
-            # disconnected, or got its response from another attempt.
+            # While the connection was being opened, the client disconnected, or got its response from another
+            # attempt.
             self._connections.add_idle_connection(connection)
             self._finish(Outcome.NOT_SENT)
         else:
@@ -171,7 +171,7 @@
             self._connect_task.cancel()
         if self._connection is not None:
             if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_request_written():
-                # The upstream cannot have processed a request of which the last byte was not sent.
+                # The upstream cannot have processed a request whose last byte was not sent.
                 outcome = Outcome.CONNECT_FAILED
             self._connection.release(reuse=response is not None)
         on_end(outcome, response)
@@ -186,8 +186,8 @@
 
 
 def _outcome_of_failed_connect(error: Exception) -> Outcome:
-    # Guards against a failure that is attributed to the upstream, though this process lacks a resource: the
-    # policy would count it against the endpoint.
+    # If this process lacks a resource, the outcome must not blame the upstream: the policy would count it
+    # against the endpoint.
     if isinstance(error, ConnectionLimitError):
         return Outcome.NOT_SENT
     if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -22,7 +22,7 @@
 
 
 class AttemptRunner:
-    """Starts and cancels attempts; each `StartAttempt` leads to one `AttemptFinished`."""
+    """Starts and cancels attempts; each `StartAttempt` leads to exactly one `AttemptFinished`."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         """Create a runner without attempts.
 
         Args:
-            requests: The table in which the policy's request numbers are looked up.
+            requests: The open requests, which actions name by number.
             starter: Starts attempts at endpoints.
-            clock: The clock of the requests' `expires_at_ms`.
+            clock: The clock on which `expires_at_ms` of requests is measured.
             dispatch: Passes an event of a request to the policy.
-            on_disconnect: Called with a request if its client turns out to have disconnected.
+            on_disconnect: Called with a request whose client is found to have disconnected.
         """
         self._requests = requests
         self._starter = starter
@@ -50,8 +50,8 @@
     def start(self, action: StartAttempt) -> None:
         """Start the next attempt of a request.
 
-        If the client has disconnected, or the endpoint list does not name the endpoint, the attempt ends at
-        once.
+        If the client has disconnected, or the endpoint is no longer on the endpoint list, the attempt ends
+        at once.
 
         Raises:
             KeyError: The request is finished or unknown.
@@ -60,10 +60,10 @@
         index = len(request.attempts)
         request.running_attempts += 1
         attempt: UpstreamAttempt | None = None
-        outcome = Outcome.NOT_SENT  # if the client does not wait any more
+        outcome = Outcome.NOT_SENT  # the outcome if the client no longer waits
         if self._is_response_needed(request):
             attempt = self._start_attempt(request, index, action)
-            outcome = Outcome.CONNECT_FAILED  # if the endpoint list does not name the endpoint any more
+            outcome = Outcome.CONNECT_FAILED  # the outcome if the endpoint is no longer on the list
         request.attempts.append(attempt)
         if attempt is None:
             self._on_finished(request, index, action.endpoint, outcome, None)
@@ -91,7 +91,7 @@
     def _is_response_needed(self, request: ProxiedRequest) -> bool:
         """Return whether the client still waits.
 
-        Looks at the client's socket, since the event loop may not have read the end of the connection yet.
+        Checks the client's socket, since the event loop may not have read the end of the connection yet.
         """
         if request.is_open and request.incoming.has_client_disconnected():
             self._on_disconnect(request.incoming)
--- a/loadbalancer/network/upstream/attempt_starter.py
+++ b/loadbalancer/network/upstream/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Starts attempts at endpoints by name."""
+"""Starts attempts at endpoints, which are given by their names."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
         Args:
             endpoint: The name of the endpoint.
             timeout_s: The time limit of the attempt, including the time to connect.
-            encode_request: Returns the bytes of the request; called as they are written.
+            encode_request: Returns the bytes of the request; called just before they are written.
             on_end: Called exactly once with the outcome, after this method has returned.
-            is_response_needed: Whether the client still waits for a response.
+            is_response_needed: Returns whether a response is still needed.
 
         Returns:
-            The attempt; None if the endpoint list does not name the endpoint any more.
+            The attempt; None if the endpoint is no longer on the endpoint list.
         """
         pool = self._upstream_pools.get(endpoint)
         if pool is None:
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -18,7 +18,7 @@
 
 
 class ResponseHandler(Protocol):
-    """Gets the result of the request that a connection carries."""
+    """Receives the result of the request that a connection carries."""
 
     def handle_response(self, response: Response) -> None:
         """Handle the complete response."""
@@ -31,7 +31,7 @@
     """One connection to an upstream; it carries one request at a time and owns its transport.
 
     Args:
-        on_reusable: Called with the connection when it may carry a further request.
+        on_reusable: Called with the connection when it may be reused for another request.
         on_closed: Called with the connection exactly once, when it closes.
 
     Attributes:
@@ -71,14 +71,14 @@
         self._transport.set_write_buffer_limits(high=0, low=0)
 
     def pause_writing(self) -> None:
-        """Do nothing: `send` checks by itself whether a part of the request is in the write buffer."""
+        """Do nothing: `send` itself checks whether a part of the request is left in the write buffer."""
 
     def resume_writing(self) -> None:
         """Record that the last byte of the request has left the write buffer."""
         self._is_request_written = self._handler is not None
 
     def data_received(self, data: bytes) -> None:
-        """Parse the response; anything that is not a valid one ends the connection."""
+        """Parse the response; unexpected or invalid bytes end the connection."""
         handler = self._handler
         if handler is None or self._parser is None:
             self.close()
@@ -133,7 +133,7 @@
         """
         if self._is_closed or self._transport is None or self._transport.is_closing():
             return False
-        return peek(self._transport) is None  # neither its end, nor bytes that belong to no request
+        return peek(self._transport) is None  # neither the end of the connection, nor unexpected bytes
 
     def mark_idle(self) -> None:
         """Record that the connection carries no request from now on."""
@@ -152,10 +152,10 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection, and its sending side before this returns.
+        """Close the connection; its sending side is shut down before this returns.
 
-        Guards against two attempts of a request that run at the same time: the event loop closes the socket
-        only in its next turn, when the next attempt may have been sent already.
+        The event loop closes the socket only in its next iteration. The next attempt of the request may have
+        been sent by then, and both would run at the same time.
         """
         self._report_closed()
         if self._transport is not None:
--- a/loadbalancer/network/upstream/connection_limit.py
+++ b/loadbalancer/network/upstream/connection_limit.py
@@ -11,10 +11,10 @@
     from collections.abc import Callable
 
 UPSTREAM_DESCRIPTORS_FRACTION = 0.5
-"""Fraction of the file descriptors for connections to upstreams; the rest is for those of clients."""
+"""Fraction of the file descriptors for upstream connections; the rest is for client connections."""
 
 MIN_CONNECTION_LIMIT = 4
-"""Number of connections that may be open however few descriptors there are."""
+"""Number of connections that may always be open, even with very few descriptors."""
 
 
 class ConnectionLimit:
@@ -22,8 +22,8 @@
 
     Args:
         descriptor_limit: The number of file descriptors that the process may have open.
-        close_idle_connection: Closes the connection that has been idle for the longest time, in whichever
-            pool it is; returns false if no connection is idle.
+        close_idle_connection: Closes the connection that has been idle for the longest time, in any pool;
+            returns false if no connection is idle.
 
     Attributes:
         max_connections: The number of connections that may be open at a time.
@@ -37,7 +37,7 @@
         self._close_idle_connection = close_idle_connection
 
     def acquire(self) -> None:
-        """Count a connection that is about to be opened; at the limit, close an idle one for it.
+        """Count a connection that is about to be opened; at the limit, close an idle one to make room.
 
         Raises:
             ConnectionLimitError: The limit is reached, and no connection is idle.
@@ -47,5 +47,5 @@
         self.open_connections += 1
 
     def release(self) -> None:
-        """Stop counting a connection, which has closed."""
+        """Stop counting a connection that has closed."""
         self.open_connections -= 1
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: each is one GET /healthz to an upstream, of which the policy gets the outcome."""
+"""Health checks: each sends GET /healthz to an upstream and reports the outcome to the policy."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self._dispatch = dispatch
 
     def start(self, endpoint: str) -> None:
-        """Check an endpoint; the outcome is `NOT_SENT` if no endpoint list names the endpoint any more."""
+        """Check an endpoint; the outcome is `NOT_SENT` if the endpoint is no longer on the endpoint list."""
         on_end = partial(self._on_end, endpoint)
         timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
         if self._starter.start(endpoint, timeout_s, _encode_request, on_end) is None:
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -1,4 +1,4 @@
-"""Connection pools: the connections to each upstream, of which the idle ones are used again."""
+"""Connection pools: open connections to the upstreams, and reuse the idle ones."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList, EndpointListEntry
 
 IDLE_TIMEOUT_FRACTION = 0.8
-"""Fraction of the upstream's idle timeout for which a connection is used.
+"""Fraction of the upstream's idle timeout for which an idle connection is kept.
 
-A request that is sent while the upstream closes the connection would end as a reset.
+A request that is sent while the upstream closes the connection would end with a reset.
 """
 
 REUSE_DELAY_S = 0.02
 """Minimum time between a response and the next request on its connection.
 
-Stray bytes may follow a response by some milliseconds.
+Stray bytes may arrive some milliseconds after a response.
 """
 
 DRAIN_GRACE_FRACTION = 0.5
-"""Fraction of the drain grace in which a request may be sent on a connection that was opened meanwhile.
+"""Fraction of the drain grace in which a request may be sent on a connection that was still being opened.
 
-The upstream's grace began before this process read that the upstream drains: the endpoint list may have
-waited in a buffer.
+For the upstream, the grace began before this process learned of it: the endpoint list may have waited in a
+buffer.
 """
 
 
@@ -70,8 +70,8 @@
 
     Attributes:
         connect_timeout_s: How long opening a connection may take.
-        draining_since: When the upstream was first seen to drain, in seconds of `time.monotonic`; None if
-            it does not drain.
+        draining_since: When the upstream was first seen to drain, or was removed, in seconds of
+            `time.monotonic`; None if neither.
     """
 
     def __init__(
@@ -105,9 +105,8 @@
     def take_idle_connection(self) -> UpstreamConnection | None:
         """Remove and return the most recently used idle connection that is alive; close dead ones.
 
-        Guards against stray bytes behind a response that would be taken for the response to the next
-        request: a connection carries no further request until `REUSE_DELAY_S` has passed, in which such
-        bytes show.
+        A connection is not reused until `REUSE_DELAY_S` has passed since its last response. Stray bytes that
+        follow the response arrive in this time; they must not be taken for the response to the next request.
         """
         now = time.monotonic()
         for connection in reversed(self._idle_connections[:]):
@@ -127,9 +126,9 @@
             ConnectionLimitError: No further connection may be open.
             OSError: The upstream cannot be reached, or this process lacks a resource.
         """
-        # Guards against attempts that start in one turn of the event loop and all find the limit not reached:
-        # each connection is counted here, before the next attempt gets here. Descriptors beyond the limit are
-        # reserved, for the connection to discovery among others.
+        # The connection is counted before it is established. Otherwise attempts that start in one iteration
+        # of the event loop could together exceed the limit, and use descriptors that are reserved for the
+        # connection to discovery, among others.
         self._limit.acquire()
         connection = UpstreamConnection(self.add_idle_connection, self._on_connection_closed)
         try:
@@ -140,7 +139,7 @@
         return connection
 
     def add_idle_connection(self, connection: UpstreamConnection) -> None:
-        """Add a connection to the idle ones; close it if the upstream drains or was removed meanwhile."""
+        """Add a connection to the idle ones; close it if the upstream drains or was removed."""
         if self._is_retired or self.draining_since is not None:
             connection.close()
             return
@@ -148,23 +147,23 @@
         self._idle_connections.append(connection)
 
     def may_send(self) -> bool:
-        """Return whether the upstream does not drain, or its grace leaves time for a late request."""
+        """Return whether the upstream does not drain, or its drain grace leaves time for a request."""
         if self.draining_since is None:
             return True
         return time.monotonic() < self.draining_since + self._timeouts.send_while_draining_s
 
     def stop_draining(self) -> None:
-        """Reuse connections from now on, since the upstream is ready."""
+        """Reuse connections from now on: the upstream is ready."""
         self.draining_since = None
 
     def start_draining(self) -> None:
-        """Close the idle connections and reuse none from now on, since the upstream drains."""
+        """Close the idle connections and reuse none from now on: the upstream drains."""
         if self.draining_since is None:
             self.draining_since = time.monotonic()
             self.close_idle_connections()
 
     def retire(self) -> None:
-        """Reuse no connection any more, since the upstream was removed, moved or restarted."""
+        """Close the idle connections and reuse none later: the upstream was removed, moved or restarted."""
         self._is_retired = True
         if self.draining_since is None:
             self.draining_since = time.monotonic()
@@ -212,11 +211,11 @@
         return self.connection_limit.open_connections
 
     def pool(self, endpoint: str) -> UpstreamPool:
-        """Return the pool of an endpoint that the endpoint list names."""
+        """Return the pool of an endpoint, which must be on the endpoint list."""
         return self._pools[endpoint]
 
     def get(self, endpoint: str) -> UpstreamPool | None:
-        """Return the pool of an endpoint; None if the endpoint list does not name the endpoint."""
+        """Return the pool of an endpoint; None if the endpoint is not on the endpoint list."""
         return self._pools.get(endpoint)
 
     def update_endpoints(self, endpoint_list: EndpointList) -> None:
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes of the request that one attempt sends to its upstream."""
+"""Encodes the request that an attempt sends to its upstream."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
         self._expires_at_s = time.monotonic() + timeout_ms / 1000
 
     def encode(self) -> bytes:
-        """Return the bytes to send; to be called when they are sent, as X-Deadline is the time left then."""
+        """Return the bytes to send.
+
+        To be called just before they are sent, since X-Deadline is the time that is left now.
+        """
         incoming = self._incoming
         remaining_us = max((self._expires_at_s - time.monotonic()) * 1_000_000, MIN_DEADLINE_US)
         return b"%bX-Deadline: %du\r\n%b\r\n%b" % (
