--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -1,4 +1,4 @@
-"""What the network tests start, each stopped after its test."""
+"""Fixtures of the network tests; what they start is stopped after the test."""
 
 from __future__ import annotations
 
@@ -24,10 +24,9 @@
 
 @pytest.fixture
 async def cleanup_stack(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[AsyncExitStack]:
-    """Return a stack of what to stop after the test, in reverse order.
+    """Return the exit stack that stops what a test has started, in reverse order.
 
-    Guards against code that runs with its replacements undone: `monkeypatch` is requested first and so
-    undone last.
+    Requests `monkeypatch`, so that replacements are undone only after everything has stopped.
     """
     async with AsyncExitStack() as stack:
         yield stack
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: updates are applied, and it continues after failures of discovery."""
+"""The watch on the endpoint list: it applies updates, and continues after failures of discovery."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     harness.discovery.publish(9, entry("s0", address, since_ms=5), snapshot=True)
     await harness.discovery.calls.get()
     harness.discovery.responses.put_nowait(response(503, b""))
-    await harness.discovery.calls.get()  # polled again when the policy's timer fires
+    await harness.discovery.calls.get()  # the next poll follows when the policy's timer fires
     assert list_kinds(events) == [
         EndpointListKind.DELTA,
         EndpointListKind.SNAPSHOT,
@@ -56,7 +56,7 @@
 
 
 async def test_watch_continues_after_a_malformed_response(start_proxy: StartProxy) -> None:
-    """Discovery is polled again after any exception that reading a response raises."""
+    """Any exception from reading a response counts as a failed call."""
     harness = await start_proxy(Upstream())
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
@@ -70,7 +70,7 @@
 async def test_unanswered_poll_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against requests to upstreams that were replaced while the poll was unanswered."""
+    """Otherwise requests go on to upstreams that were replaced while the poll was unanswered."""
     harness = await start_proxy(Upstream(reset))
     await harness.send_request()
     line = await harness.discovery.calls.get()
@@ -93,7 +93,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a retry delay as long as the grace period of a draining upstream."""
+    """A retry delay could be as long as the grace period of a draining upstream."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for index in (8, 9):
@@ -108,7 +108,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A local agent is cheap to poll, so its timeout is shorter than that of a central discovery."""
+    """A local agent is cheap to call, so its timeout is shorter than that of a central discovery."""
     harness = await start_proxy(Upstream(), discovery="push")
     line = await harness.discovery.calls.get()
     wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
@@ -124,7 +124,7 @@
 
 
 async def test_a_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """Guards against requests to draining upstreams during a full poll timeout for the rest of a list."""
+    """Otherwise requests go on to draining upstreams for a whole poll timeout."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     line = await harness.discovery.calls.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -1,6 +1,6 @@
 """The endpoint list is learned in time after failures of discovery.
 
-Discovery and the time are stand-ins in most tests (`simulated_discovery`).
+Most tests simulate discovery and the clock (`simulated_discovery`).
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# The policy learns of a list, or of a change, within this time after discovery has it and is reachable.
+# Time limit for the policy to learn of a list, or of a change, after discovery has it and is reachable.
 MAX_LIST_DELAY_S = 6.0
-# The same from the end of the wait time of a watch that became unresponsive, if that is later.
+# The same from the end of the wait of a watch that became unresponsive, if that is later.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
 # The same from a SIGHUP.
 MAX_SWITCH_DELAY_S = 4.0
@@ -53,9 +53,9 @@
 
     Attributes:
         poll_deadline_ms: The balancer's `askWithin`.
-        min_duration_s: Minimum duration.
+        min_duration_s: Minimum duration of the outage.
         seed: The balancer's seed.
-        end_delay_s: How long after a call that failed by it the outage ends.
+        end_delay_s: Time from a failed call to the end of the outage.
     """
 
     poll_deadline_ms: float
@@ -65,7 +65,7 @@
 
 
 async def delay_after_outage(loop: SimulatedLoop, fault: str, kind: str, outage: Outage) -> float:
-    """Return how long after an outage, in seconds, the policy learns of a change that was made in it."""
+    """Return how long after an outage, in seconds, the policy learns of a change made during it."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, kind)
     await asyncio.sleep(1.0)
@@ -92,9 +92,9 @@
 @pytest.mark.parametrize("kind", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_during_an_outage_is_learned_in_time(fault: str, kind: str) -> None:
-    """Guards against a retry delay of a minute with `askWithin` at 120 s, and a call timeout of 11 s."""
+    """A retry delay of a minute (`askWithin` is 120 s) or a call timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait time is random there
+    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
     for values in itertools.product(*(polled if kind == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
         delay_s = run_simulated(partial(delay_after_outage, fault=fault, kind=kind, outage=outage))
@@ -102,13 +102,13 @@
 
 
 async def check_missed_change(loop: SimulatedLoop, *, kind: str, seed: int, calls: int) -> None:
-    """Change the list after some watch calls whose connections have become unresponsive."""
+    """Change the list after the connections of some watch calls have become unresponsive."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, seed, 10_000.0, kind)
     for _ in range(calls):
         started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
     discovery.fail("silent")
-    discovery.fault = ""  # only the connections established before are unresponsive
+    discovery.fault = ""  # only the existing connections are unresponsive
     discovery.change()
     deadline = max(started_at + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
     assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("kind", ["ask", "push"])
 def test_change_missed_by_an_open_watch_is_learned_in_time(kind: str) -> None:
-    """Guards against a detection time and retry delay that leave no time to transfer the list."""
+    """The times to detect the failure and to retry must leave time to transfer the list."""
     for seed, calls in itertools.product(range(1, 30), (1, 3)):
         run_simulated(partial(check_missed_change, kind=kind, seed=seed, calls=calls))
 
@@ -124,14 +124,14 @@
 async def check_switch_after_failures(
     loop: SimulatedLoop, *, fault: str, kind: str, seed: int, phase: float
 ) -> None:
-    """Move to a discovery with a fault during an outage of the old one, and change its list."""
+    """Switch to a discovery with a fault during an outage of the old one, and change its list."""
     old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
     proxy = WatchingProxy(old, seed, 120_000.0, kind)
     await asyncio.sleep(1.0)
     old.fail("refuses")
     await asyncio.sleep(40.0)
     attempts = len(old.attempts)
-    # The policy sets its timer again with the next call.
+    # The policy sets its timer anew at the next call.
     await wait_until(lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01)
     await asyncio.sleep(phase)
     new.fault = fault
@@ -142,11 +142,11 @@
         new.on_attempt = lambda: None
         new.change()
 
-    new.on_attempt = lambda: loop.call_soon(recover)  # once the first call has been received or has failed
+    new.on_attempt = lambda: loop.call_soon(recover)  # after the first call was received or failed
     proxy.switch_to(new)
     learned_at = await proxy.learns_of_drain()
     assert new.attempts[0] == switched_at
-    # A connection that is established late costs both timeouts: of the connect and of the response.
+    # A connection that is established late takes up both timeouts, that of the connect and of the response.
     allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_SWITCH_DELAY_S
     assert learned_at + LIST_TRANSFER_S < switched_at + allowed
 
@@ -154,13 +154,13 @@
 @pytest.mark.parametrize("kind", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_failures_before_a_switch_do_not_delay_the_list(fault: str, kind: str) -> None:
-    """Guards against polling the new discovery after the backoff of the old one's outage."""
+    """The backoff from the outage of the old discovery must not apply to the new one."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
         run_simulated(partial(check_switch_after_failures, fault=fault, kind=kind, seed=seed, phase=phase))
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
-    """Move seven times while all discoveries refuse connections; the last one recovers."""
+    """Switch seven times while all discoveries refuse connections; the last one recovers."""
     discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
     proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
@@ -182,7 +182,7 @@
     last.change()
     learned_at = await proxy.learns_of_drain()
     calls = len(last.calls)
-    await asyncio.sleep(30.0)  # a leftover timer does not interrupt the watch
+    await asyncio.sleep(30.0)  # no timer from an earlier switch may interrupt the watch
     assert loop.time() >= learned_at + 30.0
     assert [connection.after for connection in last.connections] == [last.index]
     shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
@@ -190,7 +190,7 @@
 
 
 def test_switches_during_an_outage_leave_one_watch() -> None:
-    """Guards against a further poll timer for each move, all of which would be set again for ever."""
+    """Each switch must not add a poll timer, which would be set again for ever."""
     run_simulated(check_switches_during_outage)
 
 
@@ -223,7 +223,7 @@
 
 
 def test_retries_in_an_outage_are_spread_and_limited() -> None:
-    """Guards against a load of retries on discovery as it recovers."""
+    """Simultaneous retries would overload discovery as it recovers."""
     span_s, seeds = 60.0, 20
     for fault in FAULTS:
         attempts = run_simulated(partial(attempts_in_outage, fault=fault, seeds=seeds, span_s=span_s))
@@ -243,7 +243,7 @@
     max_backoff_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
-    # Discovery recovers, or has the change, just after the start of a call that fails.
+    # Discovery recovers, or gets the change, just after the start of a call that fails.
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
         "the call fails at once: the next one follows a period after its start"
     )
@@ -268,7 +268,7 @@
 
 
 async def test_connection_close_from_discovery_is_honoured() -> None:
-    """Guards against a leaked connection for each response with `Connection: close` that is not closed."""
+    """Otherwise each response with `Connection: close` leaks a connection that discovery leaves open."""
     open_connections, index, served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -32,7 +32,7 @@
 
 
 async def test_input_after_connection_close_is_ignored(start_proxy: StartProxy) -> None:
-    """Guards against parsing it in a later slice and responding on a connection closed for writing."""
+    """Otherwise it is parsed in a later slice, and answered on a connection that is shut down for writing."""
     harness = await start_proxy()
     client = await harness.client()
     head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
@@ -77,7 +77,7 @@
 
 
 async def test_a_graceful_close_reaches_an_idle_client_at_once(start_proxy: StartProxy) -> None:
-    """Guards against a request that arrives before the close, which would be read and discarded."""
+    """Otherwise a request that arrives before the event loop closes the socket is read and discarded."""
     harness = await start_proxy(Upstream())
     client = harness.connect_socket()
     (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""File descriptors stay free for upstreams and discovery."""
+"""Limits on file descriptors, which keep some free for upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the largest number of open descriptors, until `min_count` are open and a second longer."""
+    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -68,18 +68,18 @@
 async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
     start_server: StartServer, tmp_path: Path
 ) -> None:
-    """Descriptors for discovery and upstreams stay free while discovery is down."""
+    """Idle clients must not use up the descriptors for discovery and upstreams while discovery is down."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
     with socket.socket() as discovery_socket:
-        discovery_socket.bind(("127.0.0.1", 0))  # does not listen yet, so connections are refused
+        discovery_socket.bind(("127.0.0.1", 0))  # not listening yet: connections are refused
         port = free_port()
         write_configuration(path, port, discovery_socket.getsockname()[1])
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
-            # The clients keep connecting, more than three times as many as are accepted.
+            # More than three times as many clients as are accepted keep connecting.
             client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
             assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
@@ -102,7 +102,7 @@
 async def test_simultaneous_attempts_respect_the_connection_limit(
     start_server: StartServer,
 ) -> None:
-    """Guards against a limit that counts a connection only once it is established."""
+    """The limit also counts connections that are not established yet."""
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
     pools.connection_limit.max_connections = 5
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The event dispatcher alone: the order of events and actions, and its use before it is connected."""
+"""The event dispatcher alone: the order of events and actions, and dispatch without handlers."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def order() -> list[str]:
-    """What happened, in order."""
+    """The names of handled events and the texts of performed actions, in order."""
     return []
 
 
 @pytest.fixture
 def dispatcher(monkeypatch: pytest.MonkeyPatch, order: list[str]) -> EventDispatcher:
-    """A dispatcher whose policy records each event and has two messages written."""
+    """A dispatcher whose policy records each event and responds with two `LogMessage` actions."""
     settings = configuration(config_text("127.0.0.1:9", [])).settings
     balancer = LoadBalancer(settings, 1)
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -1,4 +1,4 @@
-"""Concurrent events, each pair forced into the order that is harder to handle."""
+"""Concurrent events, forced into the order that is harder to handle."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def is_refused(port: int) -> bool:
-    """Return whether a connection to the port is refused; it must be either refused or accepted."""
+    """Return whether a connection to the port is refused; any result but refusal and success is an error."""
     with socket.socket() as client:
         error = client.connect_ex(("127.0.0.1", port))
     assert error in (0, errno.ECONNREFUSED)
@@ -74,7 +74,7 @@
     await wait_until(lambda: connection.is_receiving, "a part of the list is received")
     new_discovery = DiscoveryServer()
     text = config_text(await start_server(new_discovery), [])
-    connection.data_received(list_bytes[-5:])  # the rest is read in the iteration of the signal
+    connection.data_received(list_bytes[-5:])  # read in the same iteration of the event loop as the signal
     harness.proxy.reconfigure(configuration(text))
     await new_discovery.calls.get()
     new_discovery.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
@@ -91,7 +91,7 @@
     connection = attempt.attempt.connection
     assert connection is not None
     attempt.attempt.handle_timeout()
-    connection.data_received(response())  # read before the timeout, and passed on only now
+    connection.data_received(response())  # was read before the timeout, but is delivered only now
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.TIMED_OUT]
     assert pools.open_connections == 0
@@ -101,7 +101,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A request that is not idempotent fails after one attempt."""
+    """The request may have run, so it fails after one attempt if it is not idempotent."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
@@ -142,9 +142,9 @@
             "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
             "restarted": endpoint_list(entry("s0", address, since_ms=5)),
         }[change]
-        pools.update_endpoints(update)  # as the connection is established
+        pools.update_endpoints(update)  # just after the connection is established
         assert pool.draining_since is not None
-        pool.draining_since -= 0.5  # the grace period has passed
+        pool.draining_since -= 0.5  # half a second later, when the grace period has passed
         return connection
 
     monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
@@ -158,7 +158,7 @@
 ) -> None:
     monkeypatch.setattr(
         "loadbalancer.network.deadline_watchdog.WATCHDOG_MARGIN_MS", -1e6
-    )  # the watchdog's response comes too late
+    )  # so that the watchdog responds too late to matter
     harness = await start_proxy(Upstream())
     handle = harness.proxy.balancer.handle
     events: list[Event] = []
@@ -166,7 +166,7 @@
     def raise_for_first_attempt(event: Event, now: float) -> list[Action]:
         events.append(event)
         if isinstance(event, RequestReceived) and event.request_id == 1:
-            # Both attempts fail at once: two events are queued while the policy handles the first of them.
+            # Both attempts fail at once, so that the second event is queued while the first one is handled.
             return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
         if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
             raise PolicyFaultError
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: its configuration errors and its signals."""
+"""The program as a process: configuration errors and signals; also the null settings and the clock."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_signals_after_the_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
-    """The event loop ignores signals as it closes, and their default action must not be restored."""
+    """Closing the event loop must not restore the default action of the signals, which ends the process."""
     program = """if True:
         import asyncio, os, signal
         from loadbalancer import __main__ as program
@@ -80,7 +80,7 @@
 
 
 def test_configuration_warning_without_stderr(tmp_path: Path) -> None:
-    """Python sets `sys.stderr` to None if it is closed at the start; the descriptor stays open here."""
+    """Python sets `sys.stderr` to None if it is closed at the start; here the descriptor stays open."""
     program = """if True:
         import asyncio, os, signal, sys
         from loadbalancer import __main__ as program
@@ -120,5 +120,5 @@
     clock = Clock()
     first = clock.now()
     assert abs(first - time.time() * 1000) < 1000
-    monkeypatch.setattr(time, "time", lambda: 0.0)  # the wall clock is set back
+    monkeypatch.setattr(time, "time", lambda: 0.0)  # sets the wall clock back
     assert clock.now() >= first
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -1,4 +1,4 @@
-"""The complete proxy on loopback sockets: what it forwards, and its response to each outcome."""
+"""The complete proxy on loopback sockets: forwarding, and the response to each outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     harness = await start_proxy(upstream)
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == client_status
-    # A rejected attempt never ran, so the policy may retry it; any other outcome forbids that.
+    # A rejected attempt did not run, so the policy may retry; after any other outcome here it must not.
     assert set(outcomes(events)) == {outcome}
     assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
 
@@ -111,7 +111,7 @@
     assert status(await harness.send_request("/pay/x", b"debit", deadline="300m")) == 502
     assert loop.time() - started_at < 0.3 + 0.05
     assert outcomes(events) == [Outcome.TIMED_OUT]
-    await upstream.connection_closed.wait()  # a timeout closes the connection
+    await upstream.connection_closed.wait()  # the timeout closes the connection
 
 
 async def test_response_cancels_the_other_hedged_attempt(
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -1,6 +1,6 @@
-"""Readiness: what the program does at its start, and what it does not wait for.
+"""Readiness: what the program does before it accepts clients, and what it does not wait for.
 
-No test depends on the speed of the machine.
+The tests check what is done, not how long it takes, and so do not depend on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -29,9 +29,10 @@
     from collections.abc import Iterator
 
 ROOT = Path(__file__).parents[2]
-MAX_LIST_ENTRIES = 7_000  # the largest list that is expected
+# The largest endpoint list that is expected.
+MAX_LIST_ENTRIES = 7_000
 
-# Runs `before`, starts the program, ends it as it begins to listen and prints `expression` as JSON.
+# Runs `before`, starts the program, terminates it as it begins to listen, and prints `expression` as JSON.
 SCRIPT = """if True:
     import gc, json, os, signal, sys
     {before}
@@ -48,7 +49,7 @@
 
 
 def evaluate_after_start(tmp_path: Path, expression: str, before: str = "pass", entries: int = 6) -> Any:
-    """Start the program with known endpoints, stop it, and return the value of an expression in it."""
+    """Start the program with known endpoints, terminate it, and return the value of an expression in it."""
     known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entries)]
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", known))
@@ -67,12 +68,12 @@
 
 @contextmanager
 def unresponsive_discovery(state: str) -> Iterator[str]:
-    """Yield an address at which discovery responds to no call."""
+    """Yield the address of a discovery that responds to no call."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         if state == "silent":
             listener.listen()
-        if state == "down":  # connections are never established
+        if state == "down":  # the backlog is full, so that connections are never established
             listener.listen(0)
             for filler in (first, second):
                 filler.settimeout(0.0)
@@ -99,7 +100,7 @@
 
 
 def test_start_imports_only_what_it_needs(tmp_path: Path) -> None:
-    """Guards against imports that delay the start: with twenty starts on one core, each waits for all."""
+    """Imports delay the start: when twenty programs start on one core, each of them waits for all imports."""
     loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
     new_interpreter = subprocess.run(
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
@@ -141,7 +142,7 @@
 
 
 def test_the_build_compiles_every_file(tmp_path: Path) -> None:
-    """Guards against compiling at each start: the file system is read-only at run time."""
+    """The file system is read-only at run time: without bytecode files each start compiles the sources."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     package = tmp_path / "loadbalancer"
     for source in (ROOT / "loadbalancer").rglob("*.py"):
@@ -179,7 +180,7 @@
 
 
 def test_no_garbage_collection_runs_during_the_start(tmp_path: Path) -> None:
-    """Guards against repeated garbage collections over the long-lived objects of thousands of entries."""
+    """Each collection would traverse the long-lived objects of thousands of entries, and free nothing."""
     before = """if True:
         def collections():
             return [generation["collections"] for generation in gc.get_stats()]
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is reloaded while requests are open."""
+"""Reloading the configuration, by SIGHUP or directly."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
     await harness.discovery.calls.get()
-    for index in (3, 1):  # two moves; each discovery has a lower index than the one before
+    for index in (3, 1):  # two switches, each to a list with a lower index
         new_discovery = DiscoveryServer()
         harness.proxy.reconfigure(configuration(config_text(await start_server(new_discovery), [])))
         assert await new_discovery.calls.get() == "GET /v1/servers HTTP/1.1"
@@ -59,7 +59,7 @@
 
 
 async def test_connect_to_discovery_times_out() -> None:
-    """The connect has a timeout of its own, shorter than that of a call."""
+    """The timeout of a connect is shorter than that of a call."""
     async with full_backlog() as address:
         failed = asyncio.Event()
         config = configuration(config_text(address, [entry("s0", "127.0.0.1:9")]))
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids: an id is accepted once, and forgotten after a time."""
+"""Request ids: duplicates are rejected, and only a bounded number of finished ids is remembered."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     assert status(await second.read_response()) == 409
     upstream.writers[0].write(response(200, b"unaffected"))
     assert (await first.read_response()).body == b"unaffected"
-    second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
+    second.send("/pay/x", b"debit", x_request_id="same")  # the first request with this id has run
     assert status(await second.read_response()) == 409
     assert len(upstream.received) == 1
 
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive while the program starts, each at a chosen step of the start."""
+"""Signals that arrive at a given step of the program's start."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 ROOT = Path(__file__).parents[2]
 
-# Runs the program as `python -m` does; at one audit event the configuration file is replaced and a signal
-# is sent. Arguments: the name of the event, its first argument (or ""), the number of the signal.
+# Runs the program as `python -m` does. At one audit event, the configuration file is replaced and the program
+# gets a signal. Arguments: the name of the event, its first argument (or ""), the number of the signal.
 SIGNALLED_PROGRAM = """if True:
     import asyncio, os, runpy, sys
     enter_runner = asyncio.Runner.__enter__
@@ -40,7 +40,7 @@
     runpy.run_module("loadbalancer", run_name="__main__")
 """
 
-# Starts the program with a SIGTERM and a client's request as it begins to listen.
+# Runs the program; as it begins to listen, a SIGTERM and the request of a client arrive.
 PROGRAM_WITH_EARLY_CLIENT = """if True:
     import os, signal, socket
     from loadbalancer import __main__ as program
@@ -69,7 +69,7 @@
 
 
 def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
-    """Return the command line of a program that gets a signal at a step of its start."""
+    """Return a command that runs the program and sends it a signal at a step of its start."""
     event, first_argument = START_STEPS[step]
     if event == "open":
         first_argument = str(path)
@@ -92,7 +92,7 @@
 async def test_a_sighup_during_the_start_reloads_the_configuration(
     start_server: StartServer, step: str, tmp_path: Path
 ) -> None:
-    """Guards against a SIGHUP that ends the program or is lost."""
+    """The signal must neither end the program nor be lost."""
     new_discovery = DiscoveryServer()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
@@ -117,7 +117,7 @@
 
 @AT_EACH_STEP
 def test_a_sigterm_during_the_start_ends_the_program_silently(step: str, tmp_path: Path) -> None:
-    """The program ends by the signal itself, or by a shutdown once the event loop runs."""
+    """The signal itself ends the program or, once the event loop runs, a graceful shutdown does."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(path.read_text())
--- a/tests/network/upstream/__init__.py
+++ b/tests/network/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the upstream side: attempts and pools."""
+"""Tests of attempts and connection pools."""
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and pools on loopback sockets: the outcome of each way in which an attempt can finish."""
+"""Attempts and connection pools on loopback sockets: the outcome of each way in which an attempt can end."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def test_reset_during_the_write_is_a_failed_connect() -> None:
-    """The upstream reads the headers and resets while the rest is still in the balancer's buffer."""
+    """The upstream resets the connection while part of the request is still in the balancer's buffer."""
     accepted = asyncio.Event()
 
     async def read_ten_bytes_and_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -59,7 +59,7 @@
     pools = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(pools)
     await upstream.seen.wait()
-    upstream.writers[0].write(response())  # received by the kernel, and not yet read
+    upstream.writers[0].write(response())  # received by the kernel, but not read yet
     attempt.attempt.cancel()
     attempt.attempt.cancel()
     await upstream.connection_closed.wait()
@@ -73,11 +73,11 @@
     upstream = Upstream()
     address = await start_server(upstream)
     pools = make_pools(address)
-    attempt = ObservedAttempt(pools)  # begins to connect
+    attempt = ObservedAttempt(pools)  # starts to connect
     pool = pools.pool("s0")
     pools.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
     assert pool.draining_since is not None
-    pool.draining_since -= 0.5  # the grace period has passed during the connect
+    pool.draining_since -= 0.5  # the grace period ends during the connect
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
 
@@ -97,7 +97,7 @@
     pools.close_idle_connections("s0")
     assert pools.open_connections == 0
     await serve()
-    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # not yet the upstream's limit
+    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the balancer's limit is 0.8 of 60 s
     await serve()
     assert upstream.connections == 3
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
@@ -127,7 +127,7 @@
     assert attempt is not None
     await other.seen.wait()
     assert pools.open_connections == 1
-    # The balancer lacks a descriptor, which must not count as a failure of the upstream.
+    # The balancer lacks a descriptor; this must not count as a failure of the upstream.
     assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
     attempt.cancel()
 
@@ -170,7 +170,7 @@
     ],
 )
 async def test_extra_bytes_after_a_response_are_ignored(start_proxy: StartProxy, extra_bytes: bytes) -> None:
-    """Guards against extra bytes that replace the response, make it a reset or answer the next request."""
+    """The bytes must not replace the response, turn it into a reset, or be taken for the next response."""
     upstream = Upstream(response(200, b"the answer") + extra_bytes, response(200, b"the next"))
     harness = await start_proxy(upstream)
     assert (await harness.send_request()).body == b"the answer"
@@ -182,8 +182,8 @@
     upstream = Upstream()
     pools = make_pools(await start_server(upstream))
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
-    assert pools.pool("s0").take_idle_connection() is None  # not immediately
-    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor some milliseconds later
+    assert pools.pool("s0").take_idle_connection() is None  # not at once
+    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
@@ -193,7 +193,7 @@
 async def test_timed_out_attempt_is_closed_before_the_policy_is_notified(
     start_proxy: StartProxy,
 ) -> None:
-    """Guards against two attempts in progress until the event loop closes the first connection."""
+    """Otherwise the next attempt could run at the same time, until the event loop closes the connection."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
     saw_disconnect = list[bool]()
@@ -244,7 +244,7 @@
 
 
 async def respond_after_20_ms(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Respond after 20 ms, so that the ratio of lost requests to good responses is as in production."""
+    """Respond after 20 ms, so that the ratio of failed requests to good responses is as in production."""
     await asyncio.sleep(0.02)
     writer.write(response())
 
@@ -255,7 +255,7 @@
 
 @pytest.mark.parametrize("failure", [never_respond, reject])
 async def test_ejection_is_per_request_class(start_proxy: StartProxy, failure: Script) -> None:
-    """Guards against good responses to one class that hide the failures of another."""
+    """Good responses to one class must not hide the failures of another."""
 
     async def by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (failure if received.headers["x-class"] == "read" else respond_after_20_ms)(received, writer)
