--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, cause: ProtocolError) -> None:
-        super().__init__(f"not a valid response: {cause!r}")
+        super().__init__(f"invalid response from discovery: {cause!r}")
         self.cause = cause
 
 
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -21,7 +21,7 @@
 MAX_LOGGED_EVENT_CHARS = 500
 """Maximum length of the log line on an event that the policy failed to handle."""
 
-_HANDLERS_NOT_SET = "an event was dispatched before the dispatcher was connected"
+_HANDLERS_NOT_SET = "an event was dispatched before the handlers were set"
 
 
 class EventDispatcher:
--- a/loadbalancer/network/response_parser.py
+++ b/loadbalancer/network/response_parser.py
@@ -17,11 +17,11 @@
 _HEADERS_TOO_LARGE = "headers too large"
 _INTERIM_RESPONSES_TOO_LARGE = "headers and interim responses too large"
 _BODY_TOO_LARGE = "body too large"
-_MORE_THAN_ONE_RESPONSE = "more than one response"
-_PROTOCOL_SWITCH = "a switch to another protocol, which was not requested"
-_AMBIGUOUS_LENGTH = "more than one length"
-_INVALID_LENGTH = "an invalid length"
-_NO_LENGTH = "no length, so that a truncated response could not be recognised"
+_MORE_THAN_ONE_RESPONSE = "more than one final response"
+_PROTOCOL_SWITCH = "protocol switch (status 101), which was not requested"
+_AMBIGUOUS_LENGTH = "conflicting or unsupported Content-Length or Transfer-Encoding"
+_INVALID_LENGTH = "Content-Length is invalid or exceeds the size limit"
+_NO_LENGTH = "neither Content-Length nor chunked: a truncated body could not be detected"
 
 
 class Response:
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -79,7 +79,7 @@
     started_at = asyncio.get_running_loop().time()
     await harness.discovery.calls.get()
     elapsed_s = asyncio.get_running_loop().time() - started_at
-    assert elapsed_s < 3, "an update counts as delivered by then"
+    assert elapsed_s < 3, "a missed update has to be requested again by then"
     new_upstream = Upstream()
     harness.discovery.publish(8, entry("s9", await start_server(new_upstream)), snapshot=True)
     await harness.discovery.calls.get()
@@ -126,6 +126,6 @@
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.calls.get()
-    assert "wait_ms" in request_line, "a poll, whose response may take long to begin"
+    assert "wait_ms" in request_line, "a watch call, whose response may begin late"
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.calls.get(), 5)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -179,7 +179,7 @@
     shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
     assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
     earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
-    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
+    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next switch"
     last_discovery.fault = ""
     last_discovery.change()
     learned_at = await proxy.learns_of_drain()
@@ -234,11 +234,13 @@
         mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
         assert len(attempts) / (balancers * span_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
-        assert max(map(slots.count, set(slots))) < balancers / 3, "no tenth of a second gets a third of them"
+        assert max(map(slots.count, set(slots))) < balancers / 3, (
+            "within a tenth of a second, fewer than a third of the balancers call"
+        )
     repeated_attempts = run_simulated(
         partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s)
     )
-    assert attempts == pytest.approx(repeated_attempts), "the same seeds, the same delays"
+    assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
 
 def test_delays_add_up_to_less_than_the_limits() -> None:
@@ -251,11 +253,11 @@
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
     # Discovery recovers, or gets the change, just after the start of a call that fails.
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
-        "the call fails at once: the next one follows a period after its start"
+        "the call fails at once, and the next one starts a backoff period after it"
     )
     call_s = max(recovery_s, response_s)
     assert connect_s + call_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
-        "the call waits for connection and response"
+        "the call fails by the timeouts of the connect and of the response"
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
@@ -270,7 +272,7 @@
     assert max_backoff_s < retry_schedule.SWITCH_PERIOD_S, (
         "an earlier timer fires while the watch itself retries"
     )
-    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
+    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
 
 
 async def test_connection_close_from_discovery_is_honoured() -> None:
@@ -298,4 +300,4 @@
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
     await served.wait()
-    assert open_connections < 10, "of 33: the one in use, and what is just closing"
+    assert open_connections < 10, "of 33 connections, only the one in use and those being closed"
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -93,7 +93,7 @@
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
             assert status(await client.read_response()) == 200
-            assert not any(task.done() for task in clients), "the idle ones never went away"
+            assert not any(task.done() for task in clients), "the idle clients keep connecting"
             server.close()
             for task in clients:
                 task.cancel()
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -270,5 +270,7 @@
     await send_rounds(20)
     reads_before, pays_before = count_received("read"), count_received("pay")
     await send_rounds(50)
-    assert count_received("read") - reads_before <= 4, "occasional requests show whether it has recovered"
-    assert count_received("pay") - pays_before >= 20, "the class that it serves well still goes there"
+    assert count_received("read") - reads_before <= 4, (
+        "only occasional requests test whether the upstream has recovered"
+    )
+    assert count_received("pay") - pays_before >= 20, "requests of the other class are still sent to it"
