--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -121,7 +121,7 @@
             self._timeout = None
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.is_closed = True
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/network/discovery/retry_schedule.py
+++ b/loadbalancer/network/discovery/retry_schedule.py
@@ -1,14 +1,14 @@
 """The timing of calls to discovery: how long a watch call waits, and when a failed call is repeated.
 
 Where discovery is polled, the policy decides when to call again after a failure, except shortly after a
-switch to another discovery. Where an agent pushes endpoint lists, the watch itself repeats failed calls.
+switch to another discovery service. Where an agent pushes endpoint lists, the watch repeats failed calls.
 
 The times meet these limits:
 
 - Where lists are pushed, a list has to be known within 6 s of the time when the agent has it.
 - A list that should have ended the wait of an unresponsive watch call has to be known within 2 s of the end
   of that wait.
-- After a switch to another discovery, its list has to be known within 4 s.
+- After a switch to another discovery service, its list has to be known within 4 s.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 """Delay before a call after two or more consecutive failures, where lists are pushed."""
 
 SWITCH_PERIOD_S = 4.0
-"""Time after a switch to another discovery (SIGHUP) in which its list has to be known."""
+"""Time after a switch to another discovery service (SIGHUP) in which its list has to be known."""
 
 SWITCH_RETRY_DELAY_S = 0.5
 """Mean delay before a call after a failure within `SWITCH_PERIOD_S`, where discovery is polled."""
@@ -87,8 +87,8 @@
             consecutive_failures: The number of calls that have failed since the last successful one,
                 including this one.
             started_at_s: When the failed call started.
-            switched_at_s: When the watch last switched to another discovery, on the same clock; minus
-                infinity if it never did.
+            switched_at_s: When the watch last switched to another discovery service, on the same clock;
+                minus infinity if it never did.
 
         Returns:
             The delay; None if the policy decides when to call again.
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,8 +1,9 @@
 """Watches the endpoint list of discovery by long polling.
 
-The watch makes one HTTP call after another. As long as no list of this discovery is known, a call returns the
-complete list at once. Otherwise a call states the version of the known list and a wait: discovery responds
-when the list changes, or when the wait has ended. The list in the configuration counts as known.
+The watch makes one HTTP call after another. As long as no list of this discovery service is known, a call
+returns the complete list immediately. Otherwise a call states the version of the known list and a wait:
+discovery responds when the list changes, or when the wait has ended. The list in the configuration counts as
+known.
 """
 
 from __future__ import annotations
@@ -29,12 +30,15 @@
 """
 
 RESPONSE_TIMEOUT_S = 2.5
-"""Timeout of a call without a wait: after a switch to another discovery, its list is due within 4 s."""
+"""Timeout of a call without a wait.
+
+After a switch to another discovery service, its list has to be known within 4 s.
+"""
 
 CONNECT_TIMEOUT_S = 1.0
 """Timeout of a connect: shorter than that of a call, since a host that is down never responds."""
 
-_NO_VERSION = -1  # while no list of the discovery is known
+_NO_VERSION = -1  # while no list of the discovery service is known
 
 
 class EndpointWatch:
@@ -88,10 +92,10 @@
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def switch_to(self, address: Address) -> None:
-        """Switch to another discovery at once, beginning with its complete list.
+        """Switch to another discovery service immediately, beginning with its complete list.
 
-        Versions of the old discovery's list have no meaning there. The watch is restarted, so that neither a
-        late list of the old discovery nor a retry delay after its failures has an effect.
+        Versions of the old service's list have no meaning there. The watch is restarted, so that neither a
+        late list of the old service nor a retry delay after its failures has an effect.
         """
         if self._task is not None:
             self._task.cancel()
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -66,7 +66,7 @@
         self._end_failed_request = end_failed_request
 
     def dispatch(self, event: Event, request: ProxiedRequest | None = None) -> None:
-        """Pass an event to the policy: at once, or after the event that is being handled.
+        """Pass an event to the policy, immediately or after the event that is being handled.
 
         Args:
             event: The event.
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -111,7 +111,7 @@
             self.listener.start()
 
     def reconfigure(self, configuration: Configuration) -> None:
-        """Switch to the discovery of a new configuration; requests and connections are not affected."""
+        """Switch to the discovery service of a new configuration; requests and connections are unaffected."""
         host, port = configuration.discovery
         self.log.write(f"configuration reloaded: discovery at {host}:{port}")
         self.endpoint_watch.switch_to(configuration.discovery)
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -30,7 +30,7 @@
 
 
 def set_no_delay(transport: asyncio.BaseTransport) -> None:
-    """Set TCP_NODELAY, so that small messages are sent at once."""
+    """Set TCP_NODELAY, so that small messages are sent without delay."""
     transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
@@ -50,7 +50,7 @@
 
 
 def shutdown_write(transport: asyncio.BaseTransport) -> None:
-    """Shut down the sending side of a connection at once; the event loop closes the socket only later.
+    """Shut down the sending side of a connection immediately; the event loop closes the socket only later.
 
     The write buffer of the transport must be empty. Has no effect on a transport that is closing.
     """
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -166,7 +166,7 @@
     def raise_for_first_attempt(event: Event, now: float) -> list[Action]:
         events.append(event)
         if isinstance(event, RequestReceived) and event.request_id == 1:
-            # Both attempts fail at once, so that the second event is queued while the first one is handled.
+            # Both attempts fail immediately: the second event is queued while the first one is handled.
             return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
         if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
             raise PolicyFaultError
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -174,7 +174,7 @@
     upstream = Upstream()
     pools = make_pools(await start_server(upstream))
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
-    assert pools.pool("s0").take_idle_connection() is None  # not at once
+    assert pools.pool("s0").take_idle_connection() is None  # not immediately
     pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
