--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: configuration errors and signals; also the null settings and the clock."""
+"""The program as a process: configuration errors, signals, null settings and the clock."""
 
 from __future__ import annotations
 
