--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -22,8 +22,8 @@
     __slots__ = ()
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
-        owned = transport.get_extra_info("socket")
-        super().__init__(owned.family, owned.type, owned.proto, owned.fileno())
+        original = transport.get_extra_info("socket")
+        super().__init__(original.family, original.type, original.proto, original.fileno())
 
     def __exit__(self, *_: object) -> None:
         self.detach()
