--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -11,7 +11,7 @@
 from loadbalancer.network.client import graceful_shutdown, timeouts
 from loadbalancer.network.client.connection import ClientConnection
 from loadbalancer.network.client.connection_table import ConnectionTable
-from tests.support.busy_event_loop import keep_event_loop_busy
+from tests.support.busy_event_loop import block_event_loop
 from tests.support.disconnecting_clients import request_bytes
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream
@@ -39,15 +39,15 @@
     monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
 ) -> None:
     """Call a function with each connection and the time before the connection is checked for timeouts."""
-    expire_if_slow = ClientConnection.expire_if_slow
+    close_if_timed_out = ClientConnection.close_if_timed_out
 
     def act_then_expire(
         connection: ClientConnection, now: float, request_timeout_s: float, idle_timeout_s: float
     ) -> bool:
         act(connection, now)
-        return expire_if_slow(connection, now, request_timeout_s, idle_timeout_s)
+        return close_if_timed_out(connection, now, request_timeout_s, idle_timeout_s)
 
-    monkeypatch.setattr(ClientConnection, "expire_if_slow", act_then_expire)
+    monkeypatch.setattr(ClientConnection, "close_if_timed_out", act_then_expire)
 
 
 def is_past_request_timeout(connection: ClientConnection, now: float) -> bool:
@@ -127,7 +127,7 @@
     clients = [harness.connect_socket() for _ in response_starts]
     for client, sent in zip(clients, response_starts, strict=True):
         client.sendall(sent)
-    keep_event_loop_busy(0.3)
+    block_event_loop(0.3)
     for client in clients:
         client.settimeout(0.0)
     loop = asyncio.get_running_loop()
@@ -177,7 +177,7 @@
     client_socket = client.writer.transport.get_extra_info("socket")
 
     def send_the_rest(connection: ClientConnection, now: float) -> None:
-        if connection.is_request_pending() and is_past_request_timeout(connection, now) and rests:
+        if connection.is_awaiting_request() and is_past_request_timeout(connection, now) and rests:
             send_at_once(client_socket, rests.pop())
 
     before_each_expiry_check(monkeypatch, send_the_rest)
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from loadbalancer.network.client import pipeline as request_pipeline
-from tests.support.disconnecting_clients import until_disconnected
+from tests.support.disconnecting_clients import wait_until_disconnected
 from tests.support.http_messages import status
 from tests.support.scripted_upstream import Upstream, never_respond
 from tests.support.waiting import wait_until
@@ -39,8 +39,8 @@
     )
     health_client.writer.write(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert status(await health_client.read_response()) == 200
-    unconditional_bytes = 5 * request_pipeline.UNCONDITIONAL_BUFFER_BYTES
-    assert buffers.used_bytes <= buffers.limit_bytes + unconditional_bytes
+    guaranteed_bytes = 5 * request_pipeline.GUARANTEED_BUFFER_BYTES
+    assert buffers.used_bytes <= buffers.limit_bytes + guaranteed_bytes
     for client in clients:
         client.writer.transport.abort()
     await wait_until(
@@ -65,7 +65,7 @@
     async def send_requests(times: int) -> None:
         for _ in range(times):
             assert status(await harness.send_request()) == 200
-        await until_disconnected(harness)
+        await wait_until_disconnected(harness)
 
     await send_requests(20)
     gc.collect()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -69,14 +69,14 @@
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, kind)
     await asyncio.sleep(1.0)
-    discovery.fail(fault)
+    discovery.begin_outage(fault)
     started_at = loop.time()
     recovered = loop.create_future()
 
     def end() -> None:
         if not recovered.done():
             discovery.fault = ""
-            discovery.change()
+            discovery.drain_upstream()
             recovered.set_result(loop.time())
 
     def end_after_failed_call() -> None:
@@ -86,7 +86,7 @@
 
     discovery.on_attempt = end_after_failed_call
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
-    return await proxy.learns_of_drain() - recovered_at
+    return await proxy.wait_for_drain() - recovered_at
 
 
 @pytest.mark.parametrize("kind", ["ask", "push"])
@@ -107,11 +107,11 @@
     proxy = WatchingProxy(discovery, seed, 10_000.0, kind)
     for _ in range(calls):
         started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
-    discovery.fail("silent")
+    discovery.begin_outage("silent")
     discovery.fault = ""  # only the existing connections are unresponsive
-    discovery.change()
+    discovery.drain_upstream()
     deadline = max(started_at + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
-    assert await proxy.learns_of_drain() + LIST_TRANSFER_S < deadline
+    assert await proxy.wait_for_drain() + LIST_TRANSFER_S < deadline
 
 
 @pytest.mark.parametrize("kind", ["ask", "push"])
@@ -128,7 +128,7 @@
     old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
     proxy = WatchingProxy(old_discovery, seed, 120_000.0, kind)
     await asyncio.sleep(1.0)
-    old_discovery.fail("refuses")
+    old_discovery.begin_outage("refuses")
     await asyncio.sleep(40.0)
     attempts = len(old_discovery.attempts)
     # The policy sets its timer anew at the next call.
@@ -142,14 +142,14 @@
     def recover() -> None:
         new_discovery.fault = ""
         new_discovery.on_attempt = lambda: None
-        new_discovery.change()
+        new_discovery.drain_upstream()
 
     new_discovery.on_attempt = lambda: loop.call_soon(recover)  # after the first call was received or failed
     proxy.switch_to(new_discovery)
-    learned_at = await proxy.learns_of_drain()
+    learned_at = await proxy.wait_for_drain()
     assert new_discovery.attempts[0] == switched_at
     # A connection that is established late takes up both timeouts, that of the connect and of the response.
-    allowed = MAX_LIST_DELAY_S if fault == "late" else MAX_SWITCH_DELAY_S
+    allowed = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
     assert learned_at + LIST_TRANSFER_S < switched_at + allowed
 
 
@@ -167,7 +167,7 @@
     proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
     for discovery in discoveries:
-        discovery.fail("refuses")
+        discovery.begin_outage("refuses")
     await asyncio.sleep(30.0)
     for discovery in discoveries[1:]:
         proxy.switch_to(discovery)
@@ -181,8 +181,8 @@
     earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
     assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next switch"
     last_discovery.fault = ""
-    last_discovery.change()
-    learned_at = await proxy.learns_of_drain()
+    last_discovery.drain_upstream()
+    learned_at = await proxy.wait_for_drain()
     calls = len(last_discovery.calls)
     await asyncio.sleep(30.0)  # no timer from an earlier switch may interrupt the watch
     assert loop.time() >= learned_at + 30.0
@@ -217,7 +217,7 @@
     discovery = SimulatedDiscovery(loop, 1)
     proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
     await asyncio.sleep(1.0)
-    discovery.fail(fault)
+    discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
     discovery.attempts.clear()
     await asyncio.sleep(span_s)
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -17,7 +17,7 @@
 from tests.support.configurations import config_text, configuration, entry
 from tests.support.event_recorder import record_events
 from tests.support.http_messages import response, status
-from tests.support.policy_hooks import PolicyFaultError, replace_policy
+from tests.support.policy_hooks import InjectedPolicyError, replace_policy
 from tests.support.program import ProgramWithOpenRequest, read_log_line
 from tests.support.scripted_discovery import DiscoveryServer, list_response
 from tests.support.scripted_upstream import Upstream, never_respond
@@ -87,7 +87,7 @@
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(pools)
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     connection = attempt.attempt.connection
     assert connection is not None
     attempt.attempt.handle_timeout()
@@ -169,7 +169,7 @@
             # Both attempts fail immediately: the second event is queued while the first one is handled.
             return [StartAttempt(1, "nowhere", 100.0), StartAttempt(1, "nowhere", 100.0)]
         if isinstance(event, AttemptFinished) and (event.request_id, event.attempt_index) == (1, 0):
-            raise PolicyFaultError
+            raise InjectedPolicyError
         return handle(event, now) if getattr(event, "request_id", 0) != 1 else []
 
     replace_policy(harness, raise_for_first_attempt)
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -10,8 +10,8 @@
 from loadbalancer.events import ClientDisconnected, Event, Outcome, RequestReceived
 from tests.support.event_recorder import outcomes, record_events
 from tests.support.http_messages import ReceivedMessage, response, status
-from tests.support.policy_hooks import PolicyFaultError, replace_policy
-from tests.support.scripted_upstream import Upstream, never_respond, reset
+from tests.support.policy_hooks import InjectedPolicyError, replace_policy
+from tests.support.scripted_upstream import Upstream, never_respond, reset_connection
 
 if TYPE_CHECKING:
     from loadbalancer.actions import Action
@@ -31,7 +31,7 @@
     assert (status(reply), reply.body) == (200, b"\x00tile")
     assert reply.headers["content-type"] == "image/x"
     received = upstream.received[0]
-    assert (received.line, received.body) == ("POST /put/a?b=c HTTP/1.1", b"debit")
+    assert (received.start_line, received.body) == ("POST /put/a?b=c HTTP/1.1", b"debit")
     assert received.headers["x-request-id"] == "9b1f03aa"
     assert received.headers["idempotency-key"] == "5c0f"
     assert received.headers["x-class"] == "put"
@@ -65,7 +65,7 @@
         (b"HTTP/1.1 101 Switch\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nxx", Outcome.RESET, 502),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", Outcome.RESET, 502),
         (b"nonsense\r\n\r\n", Outcome.RESET, 502),
-        (reset, Outcome.RESET, 502),
+        (reset_connection, Outcome.RESET, 502),
     ],
 )
 async def test_outcome_of_each_upstream_response(
@@ -118,7 +118,7 @@
     events = record_events(harness)
     client = await harness.client()
     client.send(deadline="1200m")
-    await asyncio.gather(first.seen.wait(), second.seen.wait())
+    await asyncio.gather(first.request_received.wait(), second.request_received.wait())
     second.writers[0].write(response(200, b"second"))
     assert (await client.read_response()).body == b"second"
     await first.connection_closed.wait()
@@ -132,7 +132,7 @@
     events = record_events(harness)
     client = await harness.client()
     client.send()
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     client.writer.close()
     await upstream.connection_closed.wait()
     assert any(isinstance(event, ClientDisconnected) for event in events)
@@ -149,7 +149,7 @@
 
     def raise_for_first_request(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived) and event.request_id == 1:
-            raise PolicyFaultError
+            raise InjectedPolicyError
         return handle(event, now)
 
     replace_policy(harness, raise_for_first_request)
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -56,7 +56,7 @@
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(pools)
-    await upstream.seen.wait()
+    await upstream.request_received.wait()
     upstream.writers[0].write(response())  # received by the kernel, but not read yet
     attempt.attempt.cancel()
     attempt.attempt.cancel()
@@ -117,7 +117,7 @@
     starter = AttemptStarter(asyncio.get_running_loop(), pools)
     attempt = starter.start("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
-    await other_upstream.seen.wait()
+    await other_upstream.request_received.wait()
     assert pools.open_connections == 1
     # The balancer lacks a descriptor; this must not count as a failure of the upstream.
     assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
