--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -64,10 +64,10 @@
     end_delay_s: float
 
 
-async def delay_after_outage(loop: SimulatedLoop, fault: str, kind: str, outage: Outage) -> float:
+async def delay_after_outage(loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage) -> float:
     """Return how long after an outage, in seconds, the policy learns of a change made during it."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, kind)
+    proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, discovery_mode)
     await asyncio.sleep(1.0)
     discovery.begin_outage(fault)
     started_at = loop.time()
@@ -89,22 +89,24 @@
     return await proxy.wait_for_drain() - recovered_at
 
 
-@pytest.mark.parametrize("kind", ["ask", "push"])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_change_during_an_outage_is_learned_in_time(fault: str, kind: str) -> None:
+def test_change_during_an_outage_is_learned_in_time(fault: str, discovery_mode: str) -> None:
     """A retry delay of a minute (`askWithin` is 120 s) or a call timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
     pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
-    for values in itertools.product(*(polled if kind == "ask" else pushed), (0.0, 0.3, 2.0)):
+    for values in itertools.product(*(polled if discovery_mode == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
-        delay_s = run_simulated(partial(delay_after_outage, fault=fault, kind=kind, outage=outage))
+        delay_s = run_simulated(
+            partial(delay_after_outage, fault=fault, discovery_mode=discovery_mode, outage=outage)
+        )
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
-async def check_missed_change(loop: SimulatedLoop, *, kind: str, seed: int, calls: int) -> None:
+async def check_missed_change(loop: SimulatedLoop, *, discovery_mode: str, seed: int, calls: int) -> None:
     """Change the list after the connections of some watch calls have become unresponsive."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxy = WatchingProxy(discovery, seed, 10_000.0, kind)
+    proxy = WatchingProxy(discovery, seed, 10_000.0, discovery_mode)
     for _ in range(calls):
         started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
     discovery.begin_outage("silent")
@@ -114,19 +116,19 @@
     assert await proxy.wait_for_drain() + LIST_TRANSFER_S < deadline
 
 
-@pytest.mark.parametrize("kind", ["ask", "push"])
-def test_change_missed_by_an_open_watch_is_learned_in_time(kind: str) -> None:
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
+def test_change_missed_by_an_open_watch_is_learned_in_time(discovery_mode: str) -> None:
     """The times to detect the failure and to retry must leave time to transfer the list."""
     for seed, calls in itertools.product(range(1, 30), (1, 3)):
-        run_simulated(partial(check_missed_change, kind=kind, seed=seed, calls=calls))
+        run_simulated(partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, calls=calls))
 
 
 async def check_switch_after_failures(
-    loop: SimulatedLoop, *, fault: str, kind: str, seed: int, phase: float
+    loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, phase: float
 ) -> None:
     """Switch to a discovery with a fault during an outage of the old one, and change its list."""
     old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
-    proxy = WatchingProxy(old_discovery, seed, 120_000.0, kind)
+    proxy = WatchingProxy(old_discovery, seed, 120_000.0, discovery_mode)
     await asyncio.sleep(1.0)
     old_discovery.begin_outage("refuses")
     await asyncio.sleep(40.0)
@@ -153,12 +155,20 @@
     assert learned_at + LIST_TRANSFER_S < switched_at + allowed
 
 
-@pytest.mark.parametrize("kind", ["ask", "push"])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_failures_before_a_switch_do_not_delay_the_list(fault: str, kind: str) -> None:
+def test_failures_before_a_switch_do_not_delay_the_list(fault: str, discovery_mode: str) -> None:
     """The backoff from the outage of the old discovery must not apply to the new one."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
-        run_simulated(partial(check_switch_after_failures, fault=fault, kind=kind, seed=seed, phase=phase))
+        run_simulated(
+            partial(
+                check_switch_after_failures,
+                fault=fault,
+                discovery_mode=discovery_mode,
+                seed=seed,
+                phase=phase,
+            )
+        )
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -81,16 +81,16 @@
         yield f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-@pytest.mark.parametrize("kind", ["ask", "push"])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("state", ["silent", "refusing", "down"])
 @pytest.mark.parametrize("entries", [0, 1])
 async def test_program_is_ready_without_discovery(
-    state: str, kind: str, entries: int, tmp_path: Path
+    state: str, discovery_mode: str, entries: int, tmp_path: Path
 ) -> None:
     port = free_port()
     with unresponsive_discovery(state) as address:
         path = tmp_path / "config.json"
-        text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=kind)
+        text = config_text(address, [entry("s0", "127.0.0.1:9")] * entries, discovery=discovery_mode)
         path.write_text(text.replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
         async with running_program(path):
             client = await Client.connect_to_program(port)
