--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -1,7 +1,7 @@
 """One attempt to have an upstream process a request, and its outcome.
 
 Each attempt ends exactly once. If it is uncertain whether the upstream processed the request, the outcome is
-one that counts as "may have run", since a request that is not idempotent must not be processed twice.
+none of `UNPROCESSED_OUTCOMES`, since a request that is not idempotent must not be processed twice.
 """
 
 from __future__ import annotations
