--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -105,7 +105,7 @@
             accepts_clients: Whether to listen for clients; false for a balancer that serves none.
         """
         self._endpoint_lists.apply_cached(self._known_endpoints)
-        self.endpoint_watch.start()
+        self.endpoint_watch.start_if_pushed()
         self._close_expired_connections()
         if accepts_clients:
             self.listener.start()
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -57,7 +57,7 @@
 
     Args:
         loop: The event loop.
-        connections: The source of the connection.
+        connection_source: Provides the connection.
         encode_request: Returns the bytes of the request; called just before they are written.
         on_end: Called exactly once, even if several events coincide.
         is_response_needed: Returns whether a response is still needed.
@@ -66,7 +66,7 @@
     __slots__ = (
         "_connect_task",
         "_connection",
-        "_connections",
+        "_connection_source",
         "_encode_request",
         "_is_response_needed",
         "_loop",
@@ -77,13 +77,13 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        connections: ConnectionSource,
+        connection_source: ConnectionSource,
         encode_request: Callable[[], bytes],
         on_end: OnAttemptEnd,
         is_response_needed: Callable[[], bool],
     ) -> None:
         self._loop = loop
-        self._connections = connections
+        self._connection_source = connection_source
         self._encode_request = encode_request
         self._is_response_needed = is_response_needed
         self._on_end: OnAttemptEnd | None = on_end
@@ -99,7 +99,7 @@
     def start(self, timeout_s: float) -> None:
         """Send the request on an idle connection, or open one; `on_end` is not called before this returns."""
         self._timer = self._loop.call_later(timeout_s, self.handle_timeout)
-        connection = self._connections.take_idle_connection()
+        connection = self._connection_source.take_idle_connection()
         if connection is not None:
             self._send(connection)
         else:
@@ -132,8 +132,8 @@
 
     async def _connect(self) -> None:
         try:
-            async with asyncio.timeout(self._connections.connect_timeout_s):
-                connection = await self._connections.connect()
+            async with asyncio.timeout(self._connection_source.connect_timeout_s):
+                connection = await self._connection_source.connect()
         except (ConnectionLimitError, OSError, TimeoutError) as error:
             self._connect_task = None
             self._finish(_outcome_of_failed_connect(error))
@@ -144,14 +144,14 @@
     def _send_on_new_connection(self, connection: UpstreamConnection) -> None:
         if self._on_end is None:  # the attempt ended while the connection was being established
             connection.close()
-        elif not self._connections.may_send():
+        elif not self._connection_source.may_send():
             # The upstream began to drain while the connection was being opened; it is too late for a request.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
         elif not self._is_response_needed():
             # While the connection was being opened, the client disconnected, or got its response from another
             # attempt.
-            self._connections.add_idle_connection(connection)
+            self._connection_source.add_idle_connection(connection)
             self._finish(Outcome.NOT_SENT)
         else:
             self._send(connection)
