--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files: one TOML file each, validated before the run starts."""
+"""Experiment files: TOML files that are validated before the run starts."""
 
 from __future__ import annotations
 
@@ -18,53 +18,53 @@
 
     from testbed.results import RunResult
 
-FOLDER = Path(__file__).parent / "experiments"
+EXPERIMENTS_FOLDER = Path(__file__).parent / "experiments"
 
 
 class ExperimentError(TestbedError, ValueError):
-    """An experiment's file can't be used; the text is one line that begins with the file's name."""
+    """An experiment file can't be used; the message is one line that begins with the file's name."""
 
     def __init__(self, path: Path, problem: object) -> None:
         super().__init__(f"{path.name}: {' '.join(str(problem).split())}")
 
 
 def formerly(name: str, old_name: str) -> Any:
-    """Define a field that has been renamed, for use within `Annotated`.
+    """Define a plan field that has been renamed, for use in `Annotated`.
 
     Args:
         name: The field's current name.
-        old_name: Its earlier name, which experiment files may still use.
+        old_name: Its earlier name, which experiment files and stored results may still use.
 
     Returns:
-        A pydantic field that is read under either name and written under the current one.
+        A pydantic field that is parsed under either name and serialized under the current one.
     """
     return Field(validation_alias=AliasChoices(name, old_name))
 
 
 class Plan(BaseModel):
-    """The fields that every experiment has; each kind of run adds its own in a subclass."""
+    """The fields that all experiments have; each kind of run adds its own in a subclass."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     run: str
-    """The kind of run: a name in `testbed.runs.RUNS`."""
+    """The kind of run: a name in `testbed.runs.RUN_KINDS`."""
     about: str
     """The question that the experiment answers, in one sentence."""
     seed: Annotated[int, Field(ge=0)]
     """The seed of all random numbers."""
     sizes: Annotated[tuple[int, ...], Field(min_length=1)]
-    """The sizes to compare, ascending. The kind of run says what they count; a fit needs four or more."""
+    """The sizes to compare, ascending. Each kind of run says what they count; a fit needs at least four."""
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """A kind of experiment: the model of its file, and the function that measures it."""
+class RunKind:
+    """A kind of run: the model of its experiment files, and the function that measures it."""
 
-    plan: type[Plan]
+    plan_type: type[Plan]
     measure: Callable[[Any, FilteringBoundLogger], RunResult[Any]]
 
 
-def read_plan(path: Path, runs: dict[str, Run]) -> Plan:
+def read_plan(path: Path, run_kinds: dict[str, RunKind]) -> Plan:
     """Read and validate the plan in a file.
 
     Raises:
@@ -74,13 +74,13 @@
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ExperimentError(path, error) from None
-    run = runs.get(str(raw.get("run")))
-    if run is None:
-        problem = f"run is {raw.get('run')!r}: it must be one of {', '.join(runs)}"
+    run_kind = run_kinds.get(str(raw.get("run")))
+    if run_kind is None:
+        problem = f"run is {raw.get('run')!r}: it must be one of {', '.join(run_kinds)}"
         raise ExperimentError(path, problem)
     try:
-        return run.plan.model_validate(raw)
+        return run_kind.plan_type.model_validate(raw)
     except ValidationError as error:
         first = error.errors()[0]
-        where = ".".join(map(str, first["loc"]))
-        raise ExperimentError(path, f"{where}: {first['msg']}") from None
+        field_path = ".".join(map(str, first["loc"]))
+        raise ExperimentError(path, f"{field_path}: {first['msg']}") from None
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -1,8 +1,8 @@
-"""The time that a real balancer adds to a request, and its processor time, over the length of the list.
+"""Measures the latency that a real balancer adds, and its processor time, for endpoint lists of each length.
 
 Requests go through the balancer and, at the same time, directly to a few of the upstreams on persistent
-connections. One process sends both and measures their latency from the scheduled time; the upstreams and the
-balancer run in processes of their own.
+connections. One process sends both and measures their latency from the scheduled time; the upstreams run in
+a second process, and the balancer in a third.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from testbed.load import streams as load
 from testbed.measurement import latency
 from testbed.measurement.meter import CoresWatch, Usage, usage
-from testbed.results import Measured, Row, RunResult, fit_columns
+from testbed.results import MeasuredRow, Row, RunResult, fit_columns, stored_as
 from testbed.runs import load_plan
 from testbed.upstream.group import UpstreamProcess
 
@@ -30,37 +30,38 @@
 
     from testbed.upstream.behaviour import UpstreamCounts
 
-_AGENTS = "127.79.0.1"
-_BALANCER = "127.78.0.1"
+_FIRST_AGENT_HOST = "127.79.0.1"
+_BALANCER_HOST = "127.78.0.1"
 _MIB = 2**20
-_FITTED = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
+_FITTED_COLUMNS = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
+"""The stored columns to fit over the length of the list."""
 
 
 class Plan(load_plan.Plan):
-    """The load; `sizes` count the entries of the list, and the settings give as many balancers."""
+    """The load; `sizes` are lengths of the endpoint list, and the settings state as many balancers."""
 
     service_ms: float
     """The service time of an upstream in milliseconds."""
     direct_servers: int
     """The number of upstreams, from the start of the list, that get direct requests."""
     rest_s: float
-    """The time without load, in seconds, to measure the processor time that is not caused by requests."""
+    """The time without load in seconds, in which the processor time of an idle balancer is measured."""
     measure_s: float
-    """The length of the measured load in seconds."""
+    """The duration of the measured load in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddedTimeRow(Row):
-    """A balancer under load with a list of one length.
+    """The measurements of a balancer under load, with a list of one length.
 
-    Requests go `direct` to the upstreams and `through` the balancer at the same time. The numbers in names
-    are percentiles (999: 99.9). `added` is the percentile through the balancer less the same percentile of
-    direct requests; `over_median` is the percentile through the balancer less the median of direct requests.
+    The numbers in names of latencies are percentiles (999: 99.9), of requests `direct` to the upstreams or
+    `through` the balancer. `added` is the percentile through the balancer minus the same percentile of direct
+    requests; `over_median` is the percentile through the balancer minus the median of direct requests.
     """
 
     entries: int
     """The length of the list."""
-    calls: int
+    requests: int = stored_as("calls")
     """Requests through the balancer."""
     served: int
     """Requests through the balancer with a 200 response."""
@@ -73,27 +74,27 @@
     over_median_90_ms: float
     over_median_99_ms: float
     over_median_999_ms: float
-    processor_us_a_call: float
+    processor_us_per_request: float = stored_as("processor_us_a_call")
     """The balancer's processor time per request."""
-    rest_us_a_s: float
-    """The balancer's processor time per second without load."""
-    net_us_a_call: float
-    """The balancer's processor time per request, without the part that it uses without load."""
+    idle_us_per_s: float = stored_as("rest_us_a_s")
+    """The balancer's processor time per second without load, in microseconds."""
+    net_us_per_request: float = stored_as("net_us_a_call")
+    """The balancer's processor time per request, minus what it uses without load."""
     resident_mib: float
-    """The balancer's resident memory at the end."""
-    attempts_a_call: float
-    opened_a_call: float
+    """The balancer's resident memory after the load."""
+    attempts_per_request: float = stored_as("attempts_a_call")
+    opened_connections_per_request: float = stored_as("opened_a_call")
     """Connections opened to upstreams per request."""
-    probes: int
-    """Health checks at all upstreams."""
-    late_99_ms: float
-    """The 99th percentile of the lateness of requests through the balancer."""
+    health_checks: int = stored_as("probes")
+    """Health checks that the upstreams received."""
+    p99_lateness_ms: float = stored_as("late_99_ms")
+    """The 99th percentile of the lateness with which requests through the balancer were sent."""
     cores_busy: float
     """The fraction of core time that was busy, from 0 to 1."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
-    """Measure each size, and fit lines over the sizes."""
+    """Measure each length of the list, and fit lines over the lengths."""
     result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -101,22 +102,22 @@
         result.add(measured)
         log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
     if len(plan.sizes) > 1:
-        result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED]
+        result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED_COLUMNS]
     return result
 
 
-async def _measure_size(plan: Plan, size: int) -> Measured[AddedTimeRow]:
-    """Start upstreams, discovery and a balancer, and measure it."""
+async def _measure_size(plan: Plan, size: int) -> MeasuredRow[AddedTimeRow]:
+    """Start upstreams, discovery and a balancer, and measure the balancer."""
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
-        await discovery.start(_AGENTS)
+        await discovery.start(_FIRST_AGENT_HOST)
         entries = settings.endpoint_entries(size, seed=plan.seed, addresses=upstreams.addresses)
         discovery.replace_entries(entries)
         balancer_settings = settings.balancer_settings(balancers=size)
         text = settings.configuration_text(
             "n1",
-            free_address(_BALANCER),
+            free_address(_BALANCER_HOST),
             discovery.agent_address(0),
             entries,
             balancer_settings,
@@ -138,7 +139,7 @@
 class _Readings:
     """The readings before and after the measured load."""
 
-    rest_us_a_s: float
+    idle_us_per_s: float
     usage_before: Usage
     usage_after: Usage
     counts_before: UpstreamCounts
@@ -148,25 +149,27 @@
 
 
 class _Measurement:
-    """Measures direct requests and requests through a balancer, and the balancer's usage of the machine."""
+    """Measures direct requests, requests through a balancer, and the balancer's resource usage."""
 
     def __init__(self, plan: Plan, size: int, upstreams: UpstreamProcess, balancer: RealBalancer) -> None:
         self._plan, self._size = plan, size
         self._upstreams, self._balancer = upstreams, balancer
-        direct = [http_client.Client(address) for address in upstreams.addresses[: plan.direct_servers]]
-        front = http_client.Client(balancer.address)
+        direct_clients = [
+            http_client.Client(address) for address in upstreams.addresses[: plan.direct_servers]
+        ]
+        balancer_client = http_client.Client(balancer.address)
         self._streams = [
-            load.Stream("direct", direct, plan.per_s, plan.class_name, plan.deadline_ms),
-            load.Stream("through", [front], plan.per_s, plan.class_name, plan.deadline_ms),
+            load.Stream("direct", direct_clients, plan.per_s, plan.class_name, plan.deadline_ms),
+            load.Stream("through", [balancer_client], plan.per_s, plan.class_name, plan.deadline_ms),
         ]
 
-    async def run(self) -> Measured[AddedTimeRow]:
+    async def run(self) -> MeasuredRow[AddedTimeRow]:
         """Warm up, measure without load, and measure under load."""
         plan = self._plan
         await load.run_streams(self._streams, plan.warm_s, plan.seed + 1)
-        rest_us_a_s = await self._rest()
+        idle_us_per_s = await self._measure_idle_us_per_s()
         gc.collect()
-        gc.freeze()  # keeps collections during the measurement short
+        gc.freeze()  # makes garbage collections during the measurement short
         cores = CoresWatch()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
@@ -178,11 +181,11 @@
         for name, report in reports.items():
             reasons += report.invalid_reasons(f"{self._size} entries, {name}", plan.late_ms)
         readings = _Readings(
-            rest_us_a_s, usage_before, usage_after, counts_before, counts_after, busy, reports
+            idle_us_per_s, usage_before, usage_after, counts_before, counts_after, busy, reports
         )
-        return Measured(self._row(readings), reasons)
+        return MeasuredRow(self._row(readings), reasons)
 
-    async def _rest(self) -> float:
+    async def _measure_idle_us_per_s(self) -> float:
         """Measure the balancer's processor time per second without load, in microseconds."""
         before = self._usage()
         await asyncio.sleep(self._plan.rest_s)
@@ -195,19 +198,20 @@
         direct, through = readings.reports["direct"], readings.reports["through"]
         before, after = readings.counts_before, readings.counts_after
         processor_us = (readings.usage_after.processor_s - readings.usage_before.processor_s) * 1e6
-        rest_us = readings.rest_us_a_s * self._plan.measure_s
+        idle_us = readings.idle_us_per_s * self._plan.measure_s
         return AddedTimeRow(
             entries=self._size,
-            calls=through.sends,
+            requests=through.sends,
             served=through.served.count,
             **latency.added(direct.served, through.served),
-            processor_us_a_call=processor_us / through.sends,
-            rest_us_a_s=readings.rest_us_a_s,
-            net_us_a_call=(processor_us - rest_us) / through.sends,
+            processor_us_per_request=processor_us / through.sends,
+            idle_us_per_s=readings.idle_us_per_s,
+            net_us_per_request=(processor_us - idle_us) / through.sends,
             resident_mib=readings.usage_after.resident / _MIB,
-            attempts_a_call=(after.requests - before.requests - direct.sends) / through.sends,
-            opened_a_call=(after.connections - before.connections - direct.opened) / through.sends,
-            probes=after.health_checks - before.health_checks,
-            late_99_ms=through.lateness.quantile_ms(0.99),
+            attempts_per_request=(after.requests - before.requests - direct.sends) / through.sends,
+            opened_connections_per_request=(after.connections - before.connections - direct.opened)
+            / through.sends,
+            health_checks=after.health_checks - before.health_checks,
+            p99_lateness_ms=through.lateness.quantile_ms(0.99),
             cores_busy=readings.cores_busy,
         )
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -1,8 +1,8 @@
-"""An independent checker of the rules for one balancer: it shares no code with the policy.
+"""An independent checker of the actions of one balancer; it shares no code with the policy.
 
-It knows the endpoint list, the requests and the attempts, and asserts at each action that the rules allow it:
-each request gets exactly one final response, in time; a request that may have run is repeated only where its
-class allows it; nothing goes to an endpoint that takes no requests; and a warming endpoint is not overloaded.
+It tracks the endpoint list, the requests and the attempts, and asserts at each action that the rules allow
+it: each request gets exactly one final response, in time; a request that may have run is repeated only where
+its class allows it; no attempt goes to an endpoint that is not ready; and no warming endpoint is overloaded.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 if TYPE_CHECKING:
     from collections import Counter
 
-GRACE_MS = 20.0  # a response may come this much after its deadline
+# Time after its deadline by which a request must have its response.
+GRACE_MS = 20.0
 NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -32,7 +33,7 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt, with its endpoint's entry as it was when the attempt started."""
+    """An attempt, with the entry of its endpoint at the start of the attempt."""
 
     endpoint: Endpoint
     started_at_ms: float
@@ -51,7 +52,7 @@
     is_disconnected: bool = False
 
     @property
-    def is_settled(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the client has its final response or has disconnected."""
         return self.response is not None or self.is_disconnected
 
@@ -60,7 +61,7 @@
 
 
 class RuleChecker:
-    """Checks the actions of one balancer process; `responses` counts the final responses."""
+    """Checks the actions of one balancer process, and counts the final responses in `responses`."""
 
     def __init__(
         self, settings: Settings, endpoints: dict[str, Endpoint], responses: Counter[FinalResponse]
@@ -69,21 +70,23 @@
         self._settings = settings
         self._endpoints = endpoints
         self._responses = responses
-        self._starts_ms: dict[str, list[float]] = {}  # of the attempts at each endpoint
-        self._max_warm_starts = 0  # attempts that one warm endpoint got within one window
+        self._starts_ms: dict[str, list[float]] = {}  # start times of attempts by endpoint
+        self._max_warm_starts = 0  # most attempts that a warm endpoint got within one window
 
     def start_attempt(self, request_id: int, name: str, now: float) -> int:
-        """Check that an attempt may start now, record it and return its index."""
+        """Check that an attempt may start now; record it and return its index."""
         request = self.requests[request_id]
         endpoint = self._endpoints.get(name)
-        assert request.response is None, "sent after the end"
-        assert not request.is_disconnected, "sent after the end"
-        assert now <= request.deadline_ms, "sent after the deadline"
-        assert len(request.attempts) < self._settings.max_attempts, "more attempts than allowed"
-        assert endpoint is not None, "sent to what has been removed"
-        assert endpoint.state is EndpointState.READY, "sent to what drains or has been removed"
+        assert request.response is None, "attempt after the final response"
+        assert not request.is_disconnected, "attempt after the client disconnected"
+        assert now <= request.deadline_ms, "attempt after the deadline"
+        assert len(request.attempts) < self._settings.max_attempts, "more than max_attempts attempts"
+        assert endpoint is not None, "attempt at an unknown endpoint"
+        assert endpoint.state is EndpointState.READY, "attempt at a draining or removed endpoint"
         if not self._settings.may_hedge:
-            assert not any(attempt.is_in_flight for attempt in request.attempts), "two attempts in flight"
+            assert not any(attempt.is_in_flight for attempt in request.attempts), (
+                "two attempts in flight without hedging"
+            )
         self._check_repetition(request, endpoint, now)
         self._check_warmup(endpoint, now)
         request.attempts.append(TrackedAttempt(endpoint, now))
@@ -94,23 +97,28 @@
         earlier = request.attempts_that_may_have_run()
         if not earlier or request_class.idempotency is Idempotency.SAFE:
             return
-        assert request_class.idempotency is Idempotency.KEYED, "a request that is not idempotent sent twice"
+        assert request_class.idempotency is Idempotency.KEYED, "non-idempotent request repeated"
         window_ends_ms = earlier[0].started_at_ms + request_class.idempotency_window_ms
-        assert now < window_ends_ms, "repeated after the window"
+        assert now < window_ends_ms, "request repeated after the idempotency window"
         for attempt in earlier:
             if request_class.idempotency_scope is IdempotencyScope.CELL:
-                assert attempt.endpoint.cell == endpoint.cell, "repeated outside the cell"
+                assert attempt.endpoint.cell == endpoint.cell, "request repeated outside its cell"
             if request_class.idempotency_scope is IdempotencyScope.ZONE:
-                assert attempt.endpoint.zone == endpoint.zone, "repeated outside the zone"
+                assert attempt.endpoint.zone == endpoint.zone, "request repeated outside its zone"
 
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
-        """Check that a warming endpoint gets one attempt a window, or its part of the busiest warm one's."""
+        """Check that a warming endpoint gets few attempts in a window.
+
+        It may get one, or its share of the most that a warm endpoint has got.
+        """
         starts_ms = self._starts_ms.setdefault(endpoint.name, [])
         recent = sum(start > now - self._settings.slow_start_window_ms for start in starts_ms)
         fraction = self._warmup_fraction(endpoint, now)
         if fraction < 1:
             limit = max(1, self._settings.slow_start_overload_factor * fraction * self._max_warm_starts)
-            assert 1 + recent <= limit, f"overloaded while warming: {1 + recent} attempts, at most {limit}"
+            assert 1 + recent <= limit, (
+                f"warming endpoint overloaded: {1 + recent} attempts in a window, limit {limit}"
+            )
         else:
             self._max_warm_starts = max(self._max_warm_starts, recent)
         starts_ms.append(now)
@@ -122,22 +130,22 @@
         initial = self._settings.slow_start_initial_fraction
         return initial + (1 - initial) * age_ms / self._settings.slow_start_ms
 
-    def forget_process(self, name: str) -> None:
-        """Forget the attempts at an endpoint that restarted: they are no load on the new process."""
+    def reset_endpoint(self, name: str) -> None:
+        """Forget the attempts at an endpoint that has restarted: they are no load on the new process."""
         self._starts_ms[name] = []
 
     def cancel_attempt(self, request_id: int, attempt_index: int) -> bool:
         """Check that an attempt may be cancelled, and return whether it is still in flight."""
         assert self._settings.may_cancel
         attempts = self.requests[request_id].attempts
-        assert attempt_index < len(attempts), "cancelled an attempt never made"
+        assert attempt_index < len(attempts), "cancelled an attempt that was never started"
         return attempts[attempt_index].is_in_flight
 
     def finish_attempt(self, request_id: int, attempt_index: int, outcome: Outcome, now: float) -> bool:
-        """Record the end of an attempt, and the response that a success brings.
+        """Record the end of an attempt and, if it succeeded, the final response.
 
         Returns:
-            Whether the attempt was still in flight; one that has ended before changes nothing.
+            Whether the attempt was still in flight; if not, nothing has changed.
         """
         request = self.requests[request_id]
         attempt = request.attempts[attempt_index]
@@ -145,12 +153,12 @@
             return False
         attempt.is_in_flight = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        if outcome is Outcome.SUCCEEDED and not request.is_settled:
+        if outcome is Outcome.SUCCEEDED and not request.is_complete:
             self._respond(request, FinalResponse.SERVED, now)
         return True
 
     def reject(self, request_id: int, now: float) -> None:
-        """Check that the response may say that sending the request again is harmless."""
+        """Check that the client may safely repeat the request."""
         request = self.requests[request_id]
         request_class = request.request_class
         is_repeatable_anywhere = request_class.idempotency is Idempotency.SAFE or (
@@ -158,22 +166,22 @@
             and request_class.idempotency_scope is IdempotencyScope.ALL
         )
         may_have_run = bool(request.attempts_that_may_have_run())
-        assert not may_have_run or is_repeatable_anywhere, "rejected what may have run"
+        assert not may_have_run or is_repeatable_anywhere, "rejected a request that may have run"
         self._respond(request, FinalResponse.REJECTED, now)
 
     def fail(self, request_id: int, now: float) -> None:
-        """Check that a request may be failed now."""
+        """Check that a failure may be the response to a request now."""
         self._respond(self.requests[request_id], FinalResponse.FAILED, now)
 
     def _respond(self, request: TrackedRequest, response: FinalResponse, now: float) -> None:
         assert request.response is None, "two final responses"
         if not request.is_disconnected:
-            assert now <= request.deadline_ms + GRACE_MS, "responded too late"
+            assert now <= request.deadline_ms + GRACE_MS, "response after the deadline"
         request.response = response
         self._responses[response] += 1
 
     def check_overdue(self, now: float) -> None:
-        """Check that no request has been left without a response."""
+        """Check that each request has its response in time."""
         for request_id, request in self.requests.items():
-            is_overdue = not request.is_settled and now > request.deadline_ms + GRACE_MS
-            assert not is_overdue, f"request {request_id} was lost"
+            is_overdue = not request.is_complete and now > request.deadline_ms + GRACE_MS
+            assert not is_overdue, f"request {request_id} has no response"
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -1,4 +1,4 @@
-"""The replica count is estimated from the endpoints that are left and the requests that arrive here."""
+"""The balancer count is estimated from the remaining endpoints and the arrival rate of requests."""
 
 from __future__ import annotations
 
@@ -21,22 +21,20 @@
 def test_taking_over_a_lost_zone_lowers_the_balancer_count(
     remaining: int, interval_ms: float, *, takes_over: bool
 ) -> None:
-    """After the loss of a zone, three replicas of seven used only three sevenths of the capacity left."""
+    """With a fixed count, three balancers left of seven would use three sevenths of the capacity left."""
     harness = PolicyHarness(10, balancers=4)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:remaining])
     serve_at_interval(harness, interval_ms, 3)
     admitted_per_endpoint = len(send_until_shed(harness)) / remaining
     assert (admitted_per_endpoint > 4) if takes_over else (admitted_per_endpoint < 3), (
-        "of eight requests for each endpoint"
+        "of a limit of 8 for each endpoint"
     )
 
 
-def test_a_lower_balancer_count_raises_the_part_of_each_quota() -> None:
+def test_a_lower_balancer_count_raises_quotas() -> None:
     harness = PolicyHarness(10, balancers=4, tenants=(Tenant("small", 30.0),), over_quota_weight=0.0)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:5])
     serve_at_interval(harness, 10.0, 3)
-    assert len(send_until_shed(harness, tenant="small")) > 20, (
-        "a fourth of its quota would have limited it to 15"
-    )
+    assert len(send_until_shed(harness, tenant="small")) > 20, "a quarter of the quota would allow only 15"
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -1,24 +1,24 @@
-"""How long connections live when idle is learned, and they are closed before that."""
+"""The idle time after which connections are dead is learned, and such connections are closed."""
 
 from __future__ import annotations
 
 from loadbalancer.actions import CloseIdleConnections
 from loadbalancer.events import Outcome
-from tests.policy.helpers import PAY, PolicyHarness, first_endpoint, of_type
+from tests.policy.helpers import PAY, PolicyHarness, actions_of_type, first_endpoint
 
 
 def closes_idle_connections(harness: PolicyHarness, interval_ms: float) -> bool:
-    """Serve a request after an idle time; return whether idle connections were closed before it."""
+    """Serve a request after an idle time; return whether idle connections were closed for it."""
     harness.now += interval_ms
     request, actions = harness.request(PAY)
     harness.now += 20
     harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
-    return bool(of_type(actions, CloseIdleConnections))
+    return bool(actions_of_type(actions, CloseIdleConnections))
 
 
-def test_connections_that_break_when_idle_are_closed_before_that() -> None:
-    """Connections dropped silently after a second without use cost each later attempt its full timeout."""
-    harness = PolicyHarness(1, tier=1)  # nothing is shed there
+def test_the_idle_limit_is_learned_from_unanswered_attempts() -> None:
+    """If connections are silently dropped after a second idle, each later attempt takes its full timeout."""
+    harness = PolicyHarness(1, tier=1)  # inner tiers shed no load
     for _ in range(20):
         assert not closes_idle_connections(harness, 400.0)
     assert not closes_idle_connections(harness, 1_500.0)
@@ -26,12 +26,14 @@
         closes_idle_connections(harness, 10.0)
         harness.now += 1_500
         request, actions = harness.request(PAY)
-        assert not of_type(actions, CloseIdleConnections)
+        assert not actions_of_type(actions, CloseIdleConnections)
         harness.now += 1_000
         harness.finish(request, 0, "s0", Outcome.TIMED_OUT)
     closes_idle_connections(harness, 10.0)
-    assert closes_idle_connections(harness, 1_600.0), "idle as long as before the lost attempts"
-    assert not closes_idle_connections(harness, 400.0), "a shorter idle time is known to be safe"
+    assert closes_idle_connections(harness, 1_600.0), (
+        "idle for as long as before the attempts without a response"
+    )
+    assert not closes_idle_connections(harness, 400.0), "shorter idle times have proved safe"
     for _ in range(60):
         closes_idle_connections(harness, 400.0)
     assert not closes_idle_connections(harness, 1_600.0), "the evidence has been replaced"
