--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -12,11 +12,11 @@
 BODY_TIMEOUT_S = 0.5
 """Time limit from the first byte of a response to its last.
 
-A response that stops part-way ends the call sooner than the call's own timeout, which covers a long wait.
+A truncated response is then detected before the timeout of the call, which includes a long wait.
 """
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-"""Maximum size of a response; an endpoint list of 7,000 entries has 930 kB."""
+"""Maximum size of a response; an endpoint list of 7,000 entries takes 930 kB."""
 
 
 class DiscoveryError(LoadBalancerError):
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, cause: ProtocolError) -> None:
-        super().__init__(f"not a valid response: {cause!r}")
+        super().__init__(f"invalid response from discovery: {cause!r}")
         self.cause = cause
 
 
@@ -55,10 +55,10 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to discovery, with one call at a time.
+    """One connection to discovery; it carries one call at a time.
 
     Attributes:
-        is_closed: Whether the connection can't carry a further call.
+        is_closed: Whether the connection cannot carry another call.
     """
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
         return self._response is not None and not self._response.done() and self._timeout is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast("asyncio.Transport", transport)
 
     def data_received(self, data: bytes) -> None:
@@ -86,14 +86,14 @@
             self.close()
             return
         if response is None:
-            self._limit_body()
+            self._start_body_timeout()
             return
         self.is_closed = self.is_closed or not self._parser.may_reuse
         if self._response is not None and not self._response.done():
             self._response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the open call, if there is one, with an error."""
+        """Fail the call in progress, if there is one."""
         self.is_closed = True
         self._fail(exc or DiscoveryDisconnectedError())
 
@@ -121,12 +121,12 @@
             self._timeout = None
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self.is_closed = True
         if self._transport is not None:
             self._transport.abort()
 
-    def _limit_body(self) -> None:
+    def _start_body_timeout(self) -> None:
         """Shorten the timeout of the call when the first bytes of its response arrive."""
         if self._timeout is None:
             return
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: the policy, and the clients, upstreams and discovery that it is connected to."""
+"""The proxy: connects the policy to clients, upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -29,21 +29,22 @@
     from loadbalancer.network.client.incoming_request import IncomingRequest
 
 IDLE_CHECK_INTERVAL_S = 1.0
-"""Interval between two checks for upstream connections that have been idle for too long."""
+"""Interval between two checks for upstream connections that have exceeded the idle timeout."""
 
 
 class Proxy:
-    """One load balancer: turns I/O into events of the policy, and the policy's actions into I/O.
+    """One load balancer: turns I/O into events for the policy, and the policy's actions into I/O.
 
-    It makes no decisions. Only the deadline watchdog responds to requests without the policy.
+    The policy makes all decisions on the requests that are passed to it; only the deadline watchdog responds
+    to such a request without the policy.
 
     Attributes:
-        log: Where lines are written.
+        log: The log of the balancer.
         clock: The clock of the policy.
         balancer: The policy.
         upstream_pools: The connection pools.
-        listener: The connections of clients.
-        endpoint_watch: The watch on discovery.
+        listener: Accepts clients and holds their connections.
+        endpoint_watch: Watches the endpoint list of discovery.
         dispatcher: Passes events to the policy.
     """
 
@@ -76,7 +77,7 @@
         )
         self._watchdog = DeadlineWatchdog(loop, self._requests, self.dispatcher.dispatch)
         self.dispatcher.set_handlers(self._make_performer().perform, self._watchdog.respond)
-        self._is_closed = False
+        self._is_shut_down = False
         self._known_endpoints = configuration.known_endpoints
 
     def _make_performer(self) -> ActionPerformer:
@@ -104,13 +105,13 @@
             accepts_clients: Whether to listen for clients; false for a balancer that serves none.
         """
         self._endpoint_lists.apply_cached(self._known_endpoints)
-        self.endpoint_watch.start()
+        self.endpoint_watch.start_if_pushed()
         self._close_expired_connections()
         if accepts_clients:
             self.listener.start()
 
     def reconfigure(self, configuration: Configuration) -> None:
-        """Watch the discovery that a new configuration names; requests and connections are not affected."""
+        """Switch to the discovery service of a new configuration; requests and connections are unaffected."""
         host, port = configuration.discovery
         self.log.write(f"configuration reloaded: discovery at {host}:{port}")
         self.endpoint_watch.switch_to(configuration.discovery)
@@ -123,7 +124,7 @@
 
     def handle_request(self, incoming: IncomingRequest) -> None:
         """Accept a request that has been received completely."""
-        if self._is_closed:
+        if self._is_shut_down:
             incoming.respond(503)  # the process ends before any upstream could respond
             return
         waited_ms = (time.monotonic() - incoming.received_at) * 1000
@@ -152,6 +153,6 @@
             request.drop_unsent_attempts()
 
     def abort_open_requests(self) -> None:
-        """Respond to all open requests, and to later ones as they come: the graceful shutdown has ended."""
-        self._is_closed = True
+        """Respond to all open requests, and to later ones on arrival: the graceful shutdown is over."""
+        self._is_shut_down = True
         self._watchdog.respond_to_all()
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt to have a request processed by an upstream, and the outcome of each way in which it can end.
+"""One attempt to have an upstream process a request, and its outcome.
 
-Each attempt ends exactly once. Where it is uncertain whether the upstream processed the request, the outcome
-is one after which it may have: a request that is not idempotent must not be processed twice.
+Each attempt ends exactly once. If it is uncertain whether the upstream processed the request, the outcome is
+none of `UNPROCESSED_OUTCOMES`, since a request that is not idempotent must not be processed twice.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 LOCAL_RESOURCE_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
-"""Errors of connecting that are caused by this process or machine, not by the upstream."""
+"""Connect errors that are caused by this process or machine, not by the upstream."""
 
 _NOT_PROCESSED_HEADER = (b"x-not-run", b"1")
-"""The header of a 503 or 504 response which states that the upstream did not begin to process the request."""
+"""Header of a 503 or 504 response which states that the upstream did not begin to process the request."""
 
 OnAttemptEnd = Callable[[Outcome, Response | None], None]
-"""A function that gets the outcome of an attempt, and the response if it is complete."""
+"""A callback that gets the outcome of an attempt, and the response if it is complete."""
 
 
 class ConnectionSource(Protocol):
-    """The source of the connection of an attempt.
+    """Provides the connection of an attempt.
 
     Attributes:
         connect_timeout_s: How long opening a connection may take.
@@ -46,29 +46,29 @@
         """Open a connection, or raise OSError or ConnectionLimitError."""
 
     def add_idle_connection(self, connection: UpstreamConnection) -> None:
-        """Add a connection that may carry a further request to the idle ones."""
+        """Add a reusable connection to the idle ones."""
 
     def may_send(self) -> bool:
-        """Return whether the upstream still accepts a request on a connection that has just been opened."""
+        """Return whether a request may still be sent on a connection that has just been opened."""
 
 
 class UpstreamAttempt:
-    """One attempt at an upstream; it owns its timer and the task that connects.
+    """One attempt at an upstream; it owns its timer and its connect task.
 
     Args:
         loop: The event loop.
-        connections: The source of the connection.
-        compose: Returns the bytes of the request; called as they are written.
-        on_end: Called exactly once, also if several events coincide.
-        is_wanted: Whether the client still waits for a response.
+        connection_source: Provides the connection.
+        encode_request: Returns the bytes of the request; called just before they are written.
+        on_end: Called exactly once, even if several events coincide.
+        is_response_needed: Returns whether a response is still needed.
     """
 
     __slots__ = (
-        "_compose",
         "_connect_task",
         "_connection",
-        "_connections",
-        "_is_wanted",
+        "_connection_source",
+        "_encode_request",
+        "_is_response_needed",
         "_loop",
         "_on_end",
         "_timer",
@@ -77,15 +77,15 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        connections: ConnectionSource,
-        compose: Callable[[], bytes],
+        connection_source: ConnectionSource,
+        encode_request: Callable[[], bytes],
         on_end: OnAttemptEnd,
-        is_wanted: Callable[[], bool],
+        is_response_needed: Callable[[], bool],
     ) -> None:
         self._loop = loop
-        self._connections = connections
-        self._compose = compose
-        self._is_wanted = is_wanted
+        self._connection_source = connection_source
+        self._encode_request = encode_request
+        self._is_response_needed = is_response_needed
         self._on_end: OnAttemptEnd | None = on_end
         self._connection: UpstreamConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -97,24 +97,24 @@
         return self._connection
 
     def start(self, timeout_s: float) -> None:
-        """Send on an idle connection, or open one; `on_end` is not called before this returns."""
+        """Send the request on an idle connection, or open one; `on_end` is not called before this returns."""
         self._timer = self._loop.call_later(timeout_s, self.handle_timeout)
-        connection = self._connections.take_idle_connection()
+        connection = self._connection_source.take_idle_connection()
         if connection is not None:
             self._send(connection)
         else:
             self._connect_task = self._loop.create_task(self._connect())
 
     def cancel(self) -> None:
-        """End the attempt and close its connection, by which the upstream learns of it."""
+        """End the attempt and close its connection, which notifies the upstream."""
         self._finish(Outcome.CANCELLED)
 
-    def withdraw(self) -> None:
+    def drop_if_unsent(self) -> None:
         """End the attempt if the last byte of its request has not been written.
 
         Unlike `cancel`, this has no effect on a request that the upstream may be processing.
         """
-        if self._connection is None or not self._connection.is_written():
+        if self._connection is None or not self._connection.is_request_written():
             self._finish(Outcome.NOT_SENT)
 
     def handle_response(self, response: Response) -> None:
@@ -122,56 +122,56 @@
         self._finish(_outcome_of_response(response), response)
 
     def handle_reset(self) -> None:
-        """End the attempt, since the connection ended or carried bytes that are not a valid response."""
+        """End the attempt: its connection ended, or carried bytes that are not a valid response."""
         self._finish(Outcome.RESET)
 
     def handle_timeout(self) -> None:
-        """End the attempt, since its time limit has passed."""
-        # Without a connection nothing was written, so that the upstream cannot have processed the request.
+        """End the attempt: its time limit has passed."""
+        # Without a connection nothing was written, and the upstream cannot have processed the request.
         self._finish(Outcome.TIMED_OUT if self._connection else Outcome.CONNECT_FAILED)
 
     async def _connect(self) -> None:
         try:
-            async with asyncio.timeout(self._connections.connect_timeout_s):
-                connection = await self._connections.connect()
+            async with asyncio.timeout(self._connection_source.connect_timeout_s):
+                connection = await self._connection_source.connect()
         except (ConnectionLimitError, OSError, TimeoutError) as error:
             self._connect_task = None
             self._finish(_outcome_of_failed_connect(error))
             return
         self._connect_task = None
-        self._send_on_new(connection)
+        self._send_on_new_connection(connection)
 
-    def _send_on_new(self, connection: UpstreamConnection) -> None:
+    def _send_on_new_connection(self, connection: UpstreamConnection) -> None:
         if self._on_end is None:  # the attempt ended while the connection was being established
             connection.close()
-        elif not self._connections.may_send():
-            # Guards against a late request: the upstream began to drain while the connection was opened.
+        elif not self._connection_source.may_send():
+            # The upstream began to drain while the connection was being opened; it is too late for a request.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
-        elif not self._is_wanted():
-            # Guards against a request without a waiting client: while the connection was opened, the client
-            # disconnected, or got its response from another attempt.
-            self._connections.add_idle_connection(connection)
+        elif not self._is_response_needed():
+            # While the connection was being opened, the client disconnected, or got its response from another
+            # attempt.
+            self._connection_source.add_idle_connection(connection)
             self._finish(Outcome.NOT_SENT)
         else:
             self._send(connection)
 
     def _send(self, connection: UpstreamConnection) -> None:
         self._connection = connection
-        connection.send(self._compose(), self)
+        connection.send(self._encode_request(), self)
 
     def _finish(self, outcome: Outcome, response: Response | None = None) -> None:
         on_end, self._on_end = self._on_end, None
         if on_end is None:
             return
-        self._is_wanted = _is_not_wanted  # drops the reference to the request
+        self._is_response_needed = _no_response_needed  # drops the reference to the request
         if self._timer is not None:
             self._timer.cancel()
         if self._connect_task is not None:
             self._connect_task.cancel()
         if self._connection is not None:
-            if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_written():
-                # The upstream cannot have processed a request of which the last byte was not sent.
+            if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_request_written():
+                # The upstream cannot have processed a request whose last byte was not sent.
                 outcome = Outcome.CONNECT_FAILED
             self._connection.release(reuse=response is not None)
         on_end(outcome, response)
@@ -186,8 +186,8 @@
 
 
 def _outcome_of_failed_connect(error: Exception) -> Outcome:
-    # Guards against a failure that is attributed to the upstream, though this process lacks a resource: the
-    # policy would count it against the endpoint.
+    # If this process lacks a resource, the outcome must not blame the upstream: the policy would count it
+    # against the endpoint.
     if isinstance(error, ConnectionLimitError):
         return Outcome.NOT_SENT
     if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
@@ -195,5 +195,5 @@
     return Outcome.CONNECT_FAILED
 
 
-def _is_not_wanted() -> bool:
+def _no_response_needed() -> bool:
     return False
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -1,4 +1,4 @@
-"""What the network tests start, each stopped after its test."""
+"""Fixtures of the network tests; what they start is stopped after the test."""
 
 from __future__ import annotations
 
@@ -23,36 +23,35 @@
 
 
 @pytest.fixture
-async def stopped_after_test(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[AsyncExitStack]:
-    """Return a stack of what to stop after the test, in reverse order.
+async def cleanup_stack(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[AsyncExitStack]:
+    """Return the exit stack that stops what a test has started, in reverse order.
 
-    Guards against code that runs with its replacements undone: `monkeypatch` is requested first and so
-    undone last.
+    Requests `monkeypatch`, so that replacements are undone only after everything has stopped.
     """
     async with AsyncExitStack() as stack:
         yield stack
 
 
 @pytest.fixture
-def start_server(stopped_after_test: AsyncExitStack) -> StartServer:
+def start_server(cleanup_stack: AsyncExitStack) -> StartServer:
     """Return a function that starts a scripted server and returns its address."""
 
     async def start(server: ScriptedServer) -> str:
         address = await server.start()
-        stopped_after_test.callback(server.stop)
+        cleanup_stack.callback(server.stop)
         return address
 
     return start
 
 
 @pytest.fixture
-def start_proxy(stopped_after_test: AsyncExitStack) -> StartProxy:
+def start_proxy(cleanup_stack: AsyncExitStack) -> StartProxy:
     """Return a function that starts a proxy with its upstreams; its arguments are those of `ProxyHarness`."""
 
     async def start(*upstreams: Upstream, **arguments: Any) -> ProxyHarness:
         harness = ProxyHarness(*upstreams, **arguments)
         await harness.start()
-        stopped_after_test.push_async_callback(harness.stop)
+        cleanup_stack.push_async_callback(harness.stop)
         return harness
 
     return start
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: updates are applied, and it continues after failures of discovery."""
+"""The watch on the endpoint list: it applies updates, and continues after failures of discovery."""
 
 from __future__ import annotations
 
@@ -20,15 +20,13 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-async def test_updates_arrive_in_order_and_a_restarted_upstream_loses_its_connections(
-    start_proxy: StartProxy,
-) -> None:
+async def test_updates_are_applied_in_order(start_proxy: StartProxy) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
-    line = await harness.discovery.calls.get()
-    assert line.startswith("GET /v1/servers?after=7&wait_ms=")
+    request_line = await harness.discovery.calls.get()
+    assert request_line.startswith("GET /v1/servers?after=7&wait_ms=")
     address = harness.entries[0]["address"]
     harness.discovery.publish(8, entry("s0", address, since_ms=5))
     assert "after=8&" in await harness.discovery.calls.get()  # the next poll follows at once
@@ -36,7 +34,7 @@
     harness.discovery.publish(9, entry("s0", address, since_ms=5), snapshot=True)
     await harness.discovery.calls.get()
     harness.discovery.responses.put_nowait(response(503, b""))
-    await harness.discovery.calls.get()  # polled again when the policy's timer fires
+    await harness.discovery.calls.get()  # the next poll follows when the policy's timer fires
     assert list_kinds(events) == [
         EndpointListKind.DELTA,
         EndpointListKind.SNAPSHOT,
@@ -55,8 +53,8 @@
     assert len(upstream.received) == 1
 
 
-async def test_the_watch_goes_on_after_a_malformed_response(start_proxy: StartProxy) -> None:
-    """Discovery is polled again after any exception that reading a response raises."""
+async def test_watch_continues_after_a_malformed_response(start_proxy: StartProxy) -> None:
+    """Any exception from reading a response counts as a failed call."""
     harness = await start_proxy(Upstream())
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
@@ -67,33 +65,33 @@
     assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
 
-async def test_an_unanswered_poll_times_out_soon_after_its_wait_time(
+async def test_unanswered_poll_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against requests to upstreams that were replaced while the poll was unanswered."""
+    """Otherwise requests go on to upstreams that were replaced while the poll was unanswered."""
     harness = await start_proxy(Upstream(reset_connection))
     await harness.send_request()
-    line = await harness.discovery.calls.get()
-    assert float(line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
+    request_line = await harness.discovery.calls.get()
+    assert float(request_line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
     harness.discovery.responses.put_nowait(response(503, b""))
     monkeypatch.setattr(retry_schedule, "WATCH_WAIT_MS", 100)
     await harness.discovery.calls.get()  # never answered
-    started = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     await harness.discovery.calls.get()
-    elapsed_s = asyncio.get_running_loop().time() - started
-    assert elapsed_s < 3, "an update counts as delivered by then"
-    new = Upstream()
-    harness.discovery.publish(8, entry("s9", await start_server(new)), snapshot=True)
+    elapsed_s = asyncio.get_running_loop().time() - started_at
+    assert elapsed_s < 3, "a missed update has to be requested again by then"
+    new_upstream = Upstream()
+    harness.discovery.publish(8, entry("s9", await start_server(new_upstream)), snapshot=True)
     await harness.discovery.calls.get()
     assert status(await harness.send_request()) == 200
-    assert new.received
+    assert new_upstream.received
 
 
-async def test_a_failed_push_watch_is_reopened_at_once(
+async def test_failed_push_watch_is_restarted_at_once(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a retry delay as long as the grace period of a draining upstream."""
+    """A retry delay could be as long as the grace period of a draining upstream."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for index in (8, 9):
@@ -104,14 +102,14 @@
     assert "after=9&" in await harness.discovery.calls.get()
 
 
-async def test_an_unresponsive_push_agent_is_detected_within_the_update_deadline(
+async def test_unresponsive_push_agent_is_detected_in_time(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A local agent is cheap to poll, so its timeout is shorter than that of a central discovery."""
+    """A local agent is cheap to call, so its timeout is shorter than that of a central discovery."""
     harness = await start_proxy(Upstream(), discovery="push")
-    line = await harness.discovery.calls.get()
-    wait_ms = float(line.partition("wait_ms=")[2].split(" ")[0])
+    request_line = await harness.discovery.calls.get()
+    wait_ms = float(request_line.partition("wait_ms=")[2].split(" ")[0])
     assert wait_ms / 1000 + endpoint_watch.WATCH_TIMEOUT_MARGIN_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
     harness.discovery.publish(8)
     monkeypatch.setattr(endpoint_watch, "WATCH_TIMEOUT_MARGIN_S", 0.1)
@@ -124,10 +122,10 @@
 
 
 async def test_a_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """Guards against requests to draining upstreams during a full poll timeout for the rest of a list."""
+    """Otherwise requests go on to draining upstreams for a whole poll timeout."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
-    line = await harness.discovery.calls.get()
-    assert "wait_ms" in line, "a poll, whose response may take long to begin"
+    request_line = await harness.discovery.calls.get()
+    assert "wait_ms" in request_line, "a watch call, whose response may begin late"
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.calls.get(), 5)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -1,6 +1,6 @@
 """The endpoint list is learned in time after failures of discovery.
 
-Discovery and the time are stand-ins in most tests (`simulated_discovery`).
+Most tests simulate discovery and the clock (`simulated_discovery`).
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# The policy learns of a list, or of a change, within this time after discovery has it and is reachable.
+# Time limit for the policy to learn of a list, or of a change, after discovery has it and is reachable.
 MAX_LIST_DELAY_S = 6.0
-# The same from the end of the wait time of a watch that became unresponsive, if that is later.
+# The same from the end of the wait of a watch that became unresponsive, if that is later.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
 # The same from a SIGHUP.
 MAX_SWITCH_DELAY_S = 4.0
@@ -53,9 +53,9 @@
 
     Attributes:
         poll_deadline_ms: The balancer's `askWithin`.
-        min_duration_s: Minimum duration.
+        min_duration_s: Minimum duration of the outage.
         seed: The balancer's seed.
-        end_delay_s: How long after a call that failed by it the outage ends.
+        end_delay_s: Time from a failed call to the end of the outage.
     """
 
     poll_deadline_ms: float
@@ -64,13 +64,13 @@
     end_delay_s: float
 
 
-async def delay_after_outage(loop: SimulatedLoop, fault: str, how: str, outage: Outage) -> float:
-    """Return how long after an outage, in seconds, the policy learns of a change that was made in it."""
+async def delay_after_outage(loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage) -> float:
+    """Return how long after an outage, in seconds, the policy learns of a change made during it."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, how)
+    proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, discovery_mode)
     await asyncio.sleep(1.0)
     discovery.begin_outage(fault)
-    began = loop.time()
+    started_at = loop.time()
     recovered = loop.create_future()
 
     def end() -> None:
@@ -79,88 +79,100 @@
             discovery.drain_upstream()
             recovered.set_result(loop.time())
 
-    def end_after_attempt() -> None:
-        if loop.time() >= began + outage.min_duration_s and discovery.fault:
+    def end_after_failed_call() -> None:
+        if loop.time() >= started_at + outage.min_duration_s and discovery.fault:
             discovery.on_attempt = lambda: None
             loop.call_later(outage.end_delay_s, end)
 
-    discovery.on_attempt = end_after_attempt
+    discovery.on_attempt = end_after_failed_call
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
     return await proxy.wait_for_drain() - recovered_at
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_change_is_learned_in_time_after_an_outage_of_any_kind(fault: str, how: str) -> None:
-    """Guards against a retry delay of a minute with `askWithin` at 120 s, and a call timeout of 11 s."""
+def test_change_during_an_outage_is_learned_in_time(fault: str, discovery_mode: str) -> None:
+    """A retry delay of a minute (`askWithin` is 120 s) or a call timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait time is random there
-    for values in itertools.product(*(polled if how == "ask" else pushed), (0.0, 0.3, 2.0)):
+    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
+    for values in itertools.product(*(polled if discovery_mode == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
-        delay_s = run_simulated(partial(delay_after_outage, fault=fault, how=how, outage=outage))
+        delay_s = run_simulated(
+            partial(delay_after_outage, fault=fault, discovery_mode=discovery_mode, outage=outage)
+        )
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
-async def check_missed_change(loop: SimulatedLoop, *, how: str, seed: int, calls: int) -> None:
-    """Change the list after some watch calls whose connections have become unresponsive."""
+async def check_missed_change(loop: SimulatedLoop, *, discovery_mode: str, seed: int, calls: int) -> None:
+    """Change the list after the connections of some watch calls have become unresponsive."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxy = WatchingProxy(discovery, seed, 10_000.0, how)
+    proxy = WatchingProxy(discovery, seed, 10_000.0, discovery_mode)
     for _ in range(calls):
-        began, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
+        started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
     discovery.begin_outage("silent")
-    discovery.fault = ""  # only the connections established before are unresponsive
+    discovery.fault = ""  # only the existing connections are unresponsive
     discovery.drain_upstream()
-    deadline = max(began + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
+    deadline = max(started_at + wait_s + MAX_UNRESPONSIVE_WATCH_DELAY_S, loop.time() + MAX_LIST_DELAY_S)
     assert await proxy.wait_for_drain() + LIST_TRANSFER_S < deadline
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
-def test_a_change_missed_by_an_unresponsive_watch_is_learned_in_time(how: str) -> None:
-    """Guards against a detection time and retry delay that leave no time to transfer the list."""
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
+def test_change_missed_by_an_open_watch_is_learned_in_time(discovery_mode: str) -> None:
+    """The times to detect the failure and to retry must leave time to transfer the list."""
     for seed, calls in itertools.product(range(1, 30), (1, 3)):
-        run_simulated(partial(check_missed_change, how=how, seed=seed, calls=calls))
+        run_simulated(partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, calls=calls))
 
 
 async def check_switch_after_failures(
-    loop: SimulatedLoop, *, fault: str, how: str, seed: int, phase: float
+    loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, phase: float
 ) -> None:
-    """Move to a discovery with a fault during an outage of the old one, and change its list."""
-    old, new = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
-    proxy = WatchingProxy(old, seed, 120_000.0, how)
+    """Switch to a discovery with a fault during an outage of the old one, and change its list."""
+    old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
+    proxy = WatchingProxy(old_discovery, seed, 120_000.0, discovery_mode)
     await asyncio.sleep(1.0)
-    old.begin_outage("refuses")
+    old_discovery.begin_outage("refuses")
     await asyncio.sleep(40.0)
-    attempts = len(old.attempts)
-    # The policy sets its timer again with the next call.
-    await wait_until(lambda: len(old.attempts) > attempts, "discovery is called again", poll_interval_s=0.01)
+    attempts = len(old_discovery.attempts)
+    # The policy sets its timer anew at the next call.
+    await wait_until(
+        lambda: len(old_discovery.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
+    )
     await asyncio.sleep(phase)
-    new.fault = fault
+    new_discovery.fault = fault
     switched_at = loop.time()
 
     def recover() -> None:
-        new.fault = ""
-        new.on_attempt = lambda: None
-        new.drain_upstream()
+        new_discovery.fault = ""
+        new_discovery.on_attempt = lambda: None
+        new_discovery.drain_upstream()
 
-    new.on_attempt = lambda: loop.call_soon(recover)  # once the first call has been received or has failed
-    proxy.switch_to(new)
+    new_discovery.on_attempt = lambda: loop.call_soon(recover)  # after the first call was received or failed
+    proxy.switch_to(new_discovery)
     learned_at = await proxy.wait_for_drain()
-    assert new.attempts[0] == switched_at
-    # A connection that is established late costs both timeouts: of the connect and of the response.
+    assert new_discovery.attempts[0] == switched_at
+    # A connection that is established late takes up both timeouts, that of the connect and of the response.
     allowed = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
     assert learned_at + LIST_TRANSFER_S < switched_at + allowed
 
 
-@pytest.mark.parametrize("how", ["ask", "push"])
+@pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_earlier_failures_do_not_delay_a_change_after_a_move(fault: str, how: str) -> None:
-    """Guards against polling the new discovery after the backoff of the old one's outage."""
+def test_failures_before_a_switch_do_not_delay_the_list(fault: str, discovery_mode: str) -> None:
+    """The backoff from the outage of the old discovery must not apply to the new one."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
-        run_simulated(partial(check_switch_after_failures, fault=fault, how=how, seed=seed, phase=phase))
+        run_simulated(
+            partial(
+                check_switch_after_failures,
+                fault=fault,
+                discovery_mode=discovery_mode,
+                seed=seed,
+                phase=phase,
+            )
+        )
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
-    """Move seven times while all discoveries refuse connections; the last one recovers."""
+    """Switch seven times while all discoveries refuse connections; the last one recovers."""
     discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
     proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
@@ -171,30 +183,30 @@
         proxy.switch_to(discovery)
         await asyncio.sleep(0.2)
     await asyncio.sleep(10.0)
-    last = discoveries[-1]
-    before = len(last.attempts)
+    last_discovery = discoveries[-1]
+    attempts_before = len(last_discovery.attempts)
     await asyncio.sleep(60.0)
     shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
-    assert 60.0 / MAX_LIST_DELAY_S < len(last.attempts) - before <= 60.0 / shortest_delay_s
+    assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
     earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
-    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next move"
-    last.fault = ""
-    last.drain_upstream()
+    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next switch"
+    last_discovery.fault = ""
+    last_discovery.drain_upstream()
     learned_at = await proxy.wait_for_drain()
-    calls = len(last.calls)
-    await asyncio.sleep(30.0)  # a leftover timer does not interrupt the watch
+    calls = len(last_discovery.calls)
+    await asyncio.sleep(30.0)  # no timer from an earlier switch may interrupt the watch
     assert loop.time() >= learned_at + 30.0
-    assert [connection.after for connection in last.connections] == [last.index]
+    assert [connection.after for connection in last_discovery.connections] == [last_discovery.index]
     shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
-    assert len(last.calls) - calls <= 30.0 / shortest_wait_s + 1
+    assert len(last_discovery.calls) - calls <= 30.0 / shortest_wait_s + 1
 
 
-def test_moves_during_an_outage_leave_one_call_at_a_time() -> None:
-    """Guards against a further poll timer for each move, all of which would be set again for ever."""
+def test_switches_during_an_outage_leave_one_watch() -> None:
+    """Each switch must not add a poll timer, which would be set again for ever."""
     run_simulated(check_switches_during_outage)
 
 
-async def test_the_first_watch_after_a_failure_does_not_wait_long(start_proxy: StartProxy) -> None:
+async def test_first_watch_after_a_failure_has_a_short_wait(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
 
@@ -208,10 +220,12 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
-async def attempts_in_outage(loop: SimulatedLoop, *, fault: str, seeds: int, span_s: float) -> list[float]:
+async def attempts_in_outage(
+    loop: SimulatedLoop, *, fault: str, balancers: int, span_s: float
+) -> list[float]:
     """Return the times of the calls of several balancers while discovery has a fault."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, seeds + 1)]
+    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
     await asyncio.sleep(1.0)
     discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
@@ -222,56 +236,62 @@
     return discovery.attempts
 
 
-def test_balancers_poll_neither_together_nor_too_often_in_an_outage() -> None:
-    """Guards against a load of retries on discovery as it recovers."""
-    span_s, seeds = 60.0, 20
+def test_retries_in_an_outage_are_spread_and_limited() -> None:
+    """Simultaneous retries would overload discovery as it recovers."""
+    span_s, balancers = 60.0, 20
     for fault in FAULTS:
-        attempts = run_simulated(partial(attempts_in_outage, fault=fault, seeds=seeds, span_s=span_s))
-        mean_s = poll_backoff.MAX_BACKOFF_MS / 1000
-        assert len(attempts) / (seeds * span_s) < 1.1 / mean_s, fault
+        attempts = run_simulated(partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s))
+        mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
+        assert len(attempts) / (balancers * span_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
-        assert max(map(slots.count, set(slots))) < seeds / 3, "no tenth of a second gets a third of them"
-    again = run_simulated(partial(attempts_in_outage, fault=fault, seeds=seeds, span_s=span_s))
-    assert attempts == pytest.approx(again), "the same seeds, the same delays"
+        assert max(map(slots.count, set(slots))) < balancers / 3, (
+            "within a tenth of a second, fewer than a third of the balancers call"
+        )
+    repeated_attempts = run_simulated(
+        partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s)
+    )
+    assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
 
-def test_the_max_delays_leave_a_second_before_the_deadline_of_a_list() -> None:
+def test_delays_add_up_to_less_than_the_limits() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     timeout_margin_s = endpoint_watch.WATCH_TIMEOUT_MARGIN_S
-    rest_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
-    period_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
+    poll_delay_s = poll_backoff.MIN_DELAY_MS / 1000 * MAX_DELAY_JITTER
+    max_backoff_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
-    # Discovery recovers, or has the change, just after the start of a call that fails.
-    assert period_s + LIST_TRANSFER_S < limit_s, (
-        "the call fails at once: the next one follows a period after its start"
+    # Discovery recovers, or gets the change, just after the start of a call that fails.
+    assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
+        "the call fails at once, and the next one starts a backoff period after it"
     )
     call_s = max(recovery_s, response_s)
-    assert connect_s + call_s + rest_s + LIST_TRANSFER_S < limit_s, (
-        "the call waits for connection and response"
+    assert connect_s + call_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
+        "the call fails by the timeouts of the connect and of the response"
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
     # An open watch becomes unresponsive.
-    assert timeout_margin_s + rest_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
+    assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
     # After SIGHUP the first call to the new discovery fails.
     retry_delay_s = retry_schedule.SWITCH_RETRY_DELAY_S * MAX_DELAY_JITTER
     assert retry_schedule.SWITCH_PERIOD_S <= MAX_SWITCH_DELAY_S
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_SWITCH_DELAY_S
     assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
-    assert period_s < retry_schedule.SWITCH_PERIOD_S, "an earlier timer fires while the watch itself retries"
-    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a response that stops short ends no later"
+    assert max_backoff_s < retry_schedule.SWITCH_PERIOD_S, (
+        "an earlier timer fires while the watch itself retries"
+    )
+    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
 
 
-async def test_connections_that_discovery_says_it_closes_are_closed() -> None:
-    """Guards against a leaked connection for each response with `Connection: close` that is not closed."""
-    open_now, index, served = 0, 7, asyncio.Event()
+async def test_connection_close_from_discovery_is_honoured() -> None:
+    """Otherwise each response with `Connection: close` leaks a connection that discovery leaves open."""
+    open_connections, index, served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal open_now, index
-        open_now += 1
+        nonlocal open_connections, index
+        open_connections += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await read_message(reader)
             index += 1
@@ -281,7 +301,7 @@
             body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
             await reader.read()
-        open_now -= 1
+        open_connections -= 1
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -290,4 +310,4 @@
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
     await served.wait()
-    assert open_now < 10, "of 33: the one in use, and what is just closing"
+    assert open_connections < 10, "of 33 connections, only the one in use and those being closed"
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""File descriptors stay free for upstreams and discovery."""
+"""Limits on file descriptors, which keep some free for upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the largest number of open descriptors, until `min_count` are open and a second longer."""
+    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -68,22 +68,24 @@
 async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
     start_server: StartServer, tmp_path: Path
 ) -> None:
-    """Descriptors for discovery and upstreams stay free while discovery is down."""
+    """Idle clients must not use up the descriptors for discovery and upstreams while discovery is down."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
-    with socket.socket() as down:
-        down.bind(("127.0.0.1", 0))  # does not listen yet, so connections are refused
+    with socket.socket() as discovery_socket:
+        discovery_socket.bind(("127.0.0.1", 0))  # not listening yet: connections are refused
         port = free_port()
-        write_configuration(path, port, down.getsockname()[1])
+        write_configuration(path, port, discovery_socket.getsockname()[1])
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
-            # The clients keep connecting, more than three times as many as are accepted.
-            clients_part = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
-            max_open = await max_open_descriptors(process, clients_part)
-            assert clients_part <= max_open <= DESCRIPTORS // 2, "the rest is for upstreams and discovery"
-            server = await asyncio.start_server(discovery.serve, sock=down)
+            # More than three times as many clients as are accepted keep connecting.
+            client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
+            max_open = await max_open_descriptors(process, client_descriptors)
+            assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
+                "the rest is for upstreams and discovery"
+            )
+            server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             await discovery.calls.get()
             discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
             assert "after=8&" in await discovery.calls.get()
@@ -91,23 +93,21 @@
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
             assert status(await client.read_response()) == 200
-            assert not any(task.done() for task in clients), "the idle ones never went away"
+            assert not any(task.done() for task in clients), "the idle clients keep connecting"
             server.close()
             for task in clients:
                 task.cancel()
 
 
-async def test_attempts_started_at_once_are_limited_by_the_descriptors_for_upstreams(
-    start_server: StartServer,
-) -> None:
-    """Guards against a limit that counts a connection only once it is established."""
+async def test_simultaneous_attempts_respect_the_connection_limit(start_server: StartServer) -> None:
+    """The limit also counts connections that are not established yet."""
     upstream = Upstream(never_respond)
-    upstreams = make_pools(await start_server(upstream))
-    upstreams.connection_limit.max_connections = 5
-    attempts = [ObservedAttempt(upstreams) for _ in range(12)]
+    pools = make_pools(await start_server(upstream))
+    pools.connection_limit.max_connections = 5
+    attempts = [ObservedAttempt(pools) for _ in range(12)]
 
     def all_connected_or_finished() -> bool:
-        assert upstreams.open_connections <= 5
+        assert pools.open_connections <= 5
         return upstream.connections >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
@@ -115,5 +115,5 @@
         "five attempts have connected and seven have ended",
         state=lambda: (upstream.connections, [attempt.outcomes for attempt in attempts]),
     )
-    assert upstreams.open_connections == upstream.connections == 5
+    assert pools.open_connections == upstream.connections == 5
     assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids: an id is accepted once, and forgotten after a time."""
+"""Request ids: duplicates are rejected, and only a bounded number of finished ids is remembered."""
 
 from __future__ import annotations
 
@@ -14,9 +14,7 @@
     from tests.support.fixture_types import StartProxy
 
 
-async def test_a_duplicate_id_is_rejected_and_the_first_request_is_unaffected(
-    start_proxy: StartProxy,
-) -> None:
+async def test_duplicate_id_is_rejected(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
     first = await harness.client()
@@ -27,12 +25,12 @@
     assert status(await second.read_response()) == 409
     upstream.writers[0].write(response(200, b"unaffected"))
     assert (await first.read_response()).body == b"unaffected"
-    second.send("/pay/x", b"debit", x_request_id="same")  # the id is of a request that has run
+    second.send("/pay/x", b"debit", x_request_id="same")  # the first request with this id has run
     assert status(await second.read_response()) == 409
     assert len(upstream.received) == 1
 
 
-def test_finished_ids_are_forgotten_after_a_bounded_number(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_remembered_ids_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.network.request_ids.MAX_FINISHED_IDS", 10)
     ids = RequestIds()
     for i in range(100):
