--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -47,7 +47,7 @@
 
 def check_simulator(command: str) -> None:
     """Send an empty batch to the simulator host, which must reply that it has no actions."""
-    done = subprocess.run(
+    completed = subprocess.run(
         ["/bin/sh", "-c", command],
         input="sync time=1.0 batch=1\neob\n",
         text=True,
@@ -55,8 +55,8 @@
         check=True,
         timeout=SIMULATOR_TIMEOUT_S,
     )
-    if done.stdout != "yield batch=1\n":
-        message = f"the simulator host replied {done.stdout!r} to an empty batch"
+    if completed.stdout != "yield batch=1\n":
+        message = f"the simulator host replied {completed.stdout!r} to an empty batch"
         raise DeployFileError(message)
 
 
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -29,7 +29,7 @@
 """How many characters of the event loop's report of an unhandled exception are logged."""
 
 
-def load(path: str, warn: Callable[[str], None]) -> Configuration:
+def load_configuration(path: str, warn: Callable[[str], None]) -> Configuration:
     """Return the configuration in a file.
 
     Raises:
@@ -60,8 +60,8 @@
 
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     proxy = Proxy(configuration, loop)
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, path)
     _log_unhandled_exceptions(loop, proxy)
@@ -77,7 +77,7 @@
 def _reload(proxy: Proxy, path: str) -> None:
     """Watch the discovery that the configuration file names now; ignore a file that can't be used."""
     try:
-        proxy.reconfigure(load(path, proxy.log.write))
+        proxy.reconfigure(load_configuration(path, proxy.log.write))
     except (OSError, LoadBalancerError) as error:
         proxy.log.write(f"configuration not reloaded: {_one_line(error)}")
 
@@ -89,14 +89,14 @@
     loop.set_exception_handler(log)
 
 
-def _load_from_environment(warn: Callable[[str], None]) -> tuple[str, Configuration]:
+def _load_configuration_from_environment(warn: Callable[[str], None]) -> tuple[str, Configuration]:
     """Return the path that `LB_CONFIG` names, and the configuration in that file."""
     path = os.environ.get("LB_CONFIG")
     if not path:
-        from loadbalancer.configuration import ConfigurationNotNamedError
+        from loadbalancer.configuration import ConfigurationPathNotSetError
 
-        raise ConfigurationNotNamedError
-    return path, load(path, warn)
+        raise ConfigurationPathNotSetError
+    return path, load_configuration(path, warn)
 
 
 def _one_line(error: Exception) -> str:
@@ -114,7 +114,7 @@
     """Read the configuration, serve, and return the exit status."""
     # Guards against a SIGHUP before the loop runs: it must neither end the process nor be lost.
     early_reloads: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
     gc.disable()  # until the start is complete: hardly any object of it is garbage
     import asyncio
 
@@ -122,7 +122,7 @@
 
     warnings: list[str] = []
     try:
-        path, configuration = _load_from_environment(warnings.append)
+        path, configuration = _load_configuration_from_environment(warnings.append)
     except (OSError, LoadBalancerError) as error:
         _write_error(f"configuration: {_one_line(error)}")
         return EXIT_INVALID_CONFIGURATION
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -34,12 +34,12 @@
 MAX_PORT = 65_535
 """The highest port of TCP."""
 
-_STATES = {
+_STATE_BY_STATUS = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-_NO_ENDPOINTS = {"index": 0, "snapshot": True, "endpoints": []}
+_EMPTY_ENDPOINT_LIST = {"index": 0, "snapshot": True, "endpoints": []}
 
 
 class ConfigurationError(LoadBalancerError, ValueError):
@@ -54,7 +54,7 @@
         super().__init__(self.reason)
 
 
-class ConfigurationNotNamedError(ConfigurationError):
+class ConfigurationPathNotSetError(ConfigurationError):
     """The environment variable that names the configuration file is missing or empty."""
 
     def __init__(self) -> None:
@@ -206,7 +206,7 @@
         seed=int(str(document.get("seed") or "0"), 16),
         descriptor_limit=int(limits.get("sockets", DEFAULT_DESCRIPTOR_LIMIT)),
         memory_limit_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_LIMIT_MB)),
-        known_endpoints=read_endpoint_list(document.get("known") or _NO_ENDPOINTS),
+        known_endpoints=read_endpoint_list(document.get("known") or _EMPTY_ENDPOINT_LIST),
         settings=settings_reader.read_settings(fields, warn),
         connect_timeout_ms=settings_reader.number(
             fields, "limits.connectTimeout", settings_reader.DEFAULT_CONNECT_TIMEOUT_MS
@@ -223,7 +223,7 @@
         raise NonFiniteEntryError(entry["name"])
     endpoint = Endpoint(
         name=str(entry["name"]),
-        state=_STATES[entry["status"]],
+        state=_STATE_BY_STATUS[entry["status"]],
         zone=str(entry.get("zone", "")),
         cell=int(entry.get("group") or 0),
         weight=weight,
@@ -245,8 +245,8 @@
         fields: Where to add the fields.
     """
     if isinstance(value, dict):
-        for name, inner in value.items():
-            _flatten(inner, f"{path}.{name}" if path else str(name), fields)
+        for name, nested in value.items():
+            _flatten(nested, f"{path}.{name}" if path else str(name), fields)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         fields[f"{path}.count"] = str(len(value))
         for i, item in enumerate(value):
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -173,11 +173,11 @@
         FieldError: A field is missing or malformed.
         InvalidSettingsError: A value is out of range.
     """
-    _warn_of_unknown_fields(fields, warn)
+    _warn_about_unknown_fields(fields, warn)
     return _read_known_settings(fields)
 
 
-def _warn_of_unknown_fields(fields: Fields, warn: Warn) -> None:
+def _warn_about_unknown_fields(fields: Fields, warn: Warn) -> None:
     for name in fields:
         if _INDEX.sub(".", name) not in _KNOWN_FIELDS:
             warn(f"setting {name!r} is unknown and ignored")
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -12,11 +12,11 @@
 
 from loadbalancer.settings_reader import Fields, Warn, integer, number, required
 from loadbalancer.simulator.codec import (
-    read_endpoint,
-    read_endpoint_list_update,
-    read_event,
-    read_fields,
-    read_instance_started,
+    parse_endpoint,
+    parse_endpoint_list_update,
+    parse_event,
+    parse_fields,
+    parse_instance_started,
 )
 from loadbalancer.simulator.errors import EndOfInputError, UnexpectedLineError
 from loadbalancer.simulator.messages import Batch, InstanceEvent, InstanceKilled, Message
@@ -70,7 +70,7 @@
         if kind != _BATCH_START:
             reason = "a batch must begin with 'sync'"
             raise UnexpectedLineError(reason)
-        fields = read_fields(parts)
+        fields = parse_fields(parts)
         self.batch_id = required(fields, "batch")
         return Batch(self.batch_id, number(fields, "time"), self._read_messages())
 
@@ -80,11 +80,11 @@
             kind, *parts = self.line.split(" ")
             if kind == _BATCH_END:
                 return
-            fields = read_fields(parts)
+            fields = parse_fields(parts)
             if kind == _SHARED_LIST:
                 self._read_shared_list(fields)
                 continue
-            message = self._read_message(kind, fields)
+            message = self._parse_message(kind, fields)
             if message is not None:
                 yield message
         raise EndOfInputError
@@ -103,16 +103,16 @@
         if kind != _SHARED_LIST_ENTRY:
             reason = "the entries of a ledger are cut short"
             raise UnexpectedLineError(reason)
-        return read_endpoint(read_fields(parts))
+        return parse_endpoint(parse_fields(parts))
 
-    def _read_message(self, kind: str, fields: Fields) -> Message | None:
+    def _parse_message(self, kind: str, fields: Fields) -> Message | None:
         """Return the message of one line; None if no instance has to know of the line."""
         if kind == _INSTANCE_STARTED:
-            return read_instance_started(fields, self._warn)
+            return parse_instance_started(fields, self._warn)
         if kind == _INSTANCE_KILLED:
             return InstanceKilled(required(fields, "who"))
         if kind == _ENDPOINT_LIST:
-            update = read_endpoint_list_update(fields, self._shared_lists)
+            update = parse_endpoint_list_update(fields, self._shared_lists)
             return InstanceEvent(required(fields, "who"), update)
-        event = read_event(kind, fields, self._warn)
+        event = parse_event(kind, fields, self._warn)
         return None if event is None else InstanceEvent(required(fields, "who"), event)
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -74,7 +74,7 @@
 _HEDGE_TIMER = "hedge"
 
 
-def read_fields(parts: list[str]) -> Fields:
+def parse_fields(parts: list[str]) -> Fields:
     """Return the `name=value` parts of a line by name.
 
     Raises:
@@ -87,7 +87,7 @@
         raise MalformedPartError(malformed) from None
 
 
-def read_endpoint(fields: Fields) -> Endpoint:
+def parse_endpoint(fields: Fields) -> Endpoint:
     """Return one entry of an endpoint list."""
     return Endpoint(
         name=required(fields, "upstream"),
@@ -99,7 +99,7 @@
     )
 
 
-def read_endpoint_list_update(
+def parse_endpoint_list_update(
     fields: Fields, shared_lists: Mapping[int, tuple[Endpoint, ...]]
 ) -> EndpointListUpdate:
     """Return the endpoint list update of one line.
@@ -121,7 +121,7 @@
     return EndpointListUpdate(kind, shared_lists[list_id])
 
 
-def read_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
+def parse_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
     """Return the start of an instance: all fields but its identity and seed are settings."""
     seed = integer(fields, "prng")
     settings_fields = {name: value for name, value in fields.items() if name not in ("who", "prng")}
@@ -129,7 +129,7 @@
     return InstanceStarted(required(fields, "who"), seed, settings)
 
 
-def read_event(kind: str, fields: Fields, warn: Warn) -> Event | None:
+def parse_event(kind: str, fields: Fields, warn: Warn) -> Event | None:
     """Return the event of one line.
 
     Args:
@@ -143,14 +143,14 @@
     Raises:
         FieldError: A field is missing or malformed.
     """
-    reader = _EVENT_READERS.get(kind)
-    if reader is None:
+    parser = _EVENT_PARSERS.get(kind)
+    if parser is None:
         warn(f"event {kind!r} is unknown and ignored")
         return None
-    return reader(fields, warn)
+    return parser(fields, warn)
 
 
-def _read_request_received(fields: Fields, _warn: Warn) -> RequestReceived:
+def _parse_request_received(fields: Fields, _warn: Warn) -> RequestReceived:
     return RequestReceived(
         request_id=integer(fields, "corr"),
         class_name=required(fields, "grade"),
@@ -161,38 +161,38 @@
     )
 
 
-def _read_attempt_finished(fields: Fields, warn: Warn) -> AttemptFinished:
+def _parse_attempt_finished(fields: Fields, warn: Warn) -> AttemptFinished:
     return AttemptFinished(
         request_id=integer(fields, "corr"),
         attempt_index=integer(fields, "shot"),
         endpoint=required(fields, "upstream"),
-        outcome=_read_outcome(fields, warn),
+        outcome=_parse_outcome(fields, warn),
         is_request_complete=fields.get("complete") == "1",
-        load_report=_read_load_report(fields),
+        load_report=_parse_load_report(fields),
     )
 
 
-def _read_timer_fired(fields: Fields, warn: Warn) -> TimerFired | None:
-    timer = _read_timer(required(fields, "ctx"))
+def _parse_timer_fired(fields: Fields, warn: Warn) -> TimerFired | None:
+    timer = _parse_timer(required(fields, "ctx"))
     if timer is None:
         warn(f"timer {fields['ctx']!r} is unknown and ignored")
         return None
     return TimerFired(timer)
 
 
-def _read_client_disconnected(fields: Fields, _warn: Warn) -> ClientDisconnected:
+def _parse_client_disconnected(fields: Fields, _warn: Warn) -> ClientDisconnected:
     return ClientDisconnected(integer(fields, "corr"))
 
 
-def _read_response_started(fields: Fields, _warn: Warn) -> ResponseStarted:
+def _parse_response_started(fields: Fields, _warn: Warn) -> ResponseStarted:
     return ResponseStarted(integer(fields, "corr"), integer(fields, "shot"))
 
 
-def _read_health_check_finished(fields: Fields, warn: Warn) -> HealthCheckFinished:
+def _parse_health_check_finished(fields: Fields, warn: Warn) -> HealthCheckFinished:
     return HealthCheckFinished(
         endpoint=required(fields, "upstream"),
-        outcome=_read_outcome(fields, warn),
-        load_report=_read_load_report(fields),
+        outcome=_parse_outcome(fields, warn),
+        load_report=_parse_load_report(fields),
     )
 
 
@@ -200,18 +200,18 @@
     """Skip a known line that the policy has no use for."""
 
 
-_EVENT_READERS: dict[str, Callable[[Fields, Warn], Event | None]] = {
-    "knock": _read_request_received,
-    "verdict": _read_attempt_finished,
-    "reminder": _read_timer_fired,
-    "client_gone": _read_client_disconnected,
-    "established": _read_response_started,
-    "check_result": _read_health_check_finished,
+_EVENT_PARSERS: dict[str, Callable[[Fields, Warn], Event | None]] = {
+    "knock": _parse_request_received,
+    "verdict": _parse_attempt_finished,
+    "reminder": _parse_timer_fired,
+    "client_gone": _parse_client_disconnected,
+    "established": _parse_response_started,
+    "check_result": _parse_health_check_finished,
     "note_from": _ignore,
 }
 
 
-def _read_outcome(fields: Fields, warn: Warn) -> Outcome:
+def _parse_outcome(fields: Fields, warn: Warn) -> Outcome:
     code = required(fields, "verdict")
     outcome = _OUTCOME_BY_CODE.get(code)
     if outcome is None:
@@ -220,21 +220,21 @@
     return outcome
 
 
-def _read_load_report(fields: Fields) -> tuple[float, ...]:
+def _parse_load_report(fields: Fields) -> tuple[float, ...]:
     """Return the figures that an endpoint reports of its load; the policy does not use them."""
     text = fields.get(_LOAD_REPORT)
     if not text:
         return ()
     try:
-        figures = tuple([float(value) for value in text.split(",")])
+        values = tuple([float(value) for value in text.split(",")])
     except ValueError:
-        figures = (math.nan,)
-    if not all(map(math.isfinite, figures)):
+        values = (math.nan,)
+    if not all(map(math.isfinite, values)):
         raise InvalidFieldError(_LOAD_REPORT, text, "is no row of numbers")
-    return figures
+    return values
 
 
-def _read_timer(text: str) -> Timer | None:
+def _parse_timer(text: str) -> Timer | None:
     kind, _, request_id = text.partition(":")
     if kind == _LIST_TIMER:
         return EndpointListTimer()
@@ -243,7 +243,7 @@
     return None
 
 
-def _write_timer(timer: Timer) -> str:
+def _format_timer(timer: Timer) -> str:
     match timer:
         case EndpointListTimer():
             return _LIST_TIMER
@@ -251,14 +251,14 @@
             return f"{_HEDGE_TIMER}:{request_id}"
 
 
-def write_action(instance: str, action: Action) -> str:
+def format_action(instance: str, action: Action) -> str:
     """Return an action as one line of the reply."""
     match action:
         case StartAttempt():
             fields = f"corr={action.request_id} upstream={action.endpoint} timeout={action.timeout_ms:.3f}"
             line = f"send who={instance} {fields}"
         case SetTimer():
-            line = f"remind who={instance} moment={action.at_ms:.3f} ctx={_write_timer(action.timer)}"
+            line = f"remind who={instance} moment={action.at_ms:.3f} ctx={_format_timer(action.timer)}"
         case RejectRequest():
             line = f"reject who={instance} corr={action.request_id} stayAway={action.retry_after_ms:.3f}"
         case FailRequest():
@@ -276,7 +276,7 @@
     return line
 
 
-def write_failure(instance: str, error: BaseException) -> str:
+def format_failure(instance: str, error: BaseException) -> str:
     """Return the line that reports an error raised by the policy of an instance."""
     return f"give_in who={instance} bodyText={_one_line(f'{_wire_name(error)}: {error}')}"
 
@@ -287,7 +287,7 @@
     return next(t.__name__ for t in types if t.__module__ != LoadBalancerError.__module__)
 
 
-def write_batch_end(batch_id: str) -> str:
+def format_batch_end(batch_id: str) -> str:
     """Return the last line of a reply."""
     return f"yield batch={batch_id}"
 
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -23,25 +23,25 @@
 class Host:
     """The balancer instances of one process; they share no state."""
 
-    def __init__(self, errors: TextIO) -> None:
-        """Start without instances; errors, and warnings of ignored input, are written to `errors`."""
-        self._errors = errors
-        self._warnings: set[str] = set()
+    def __init__(self, error_output: TextIO) -> None:
+        """Start without instances; errors, and warnings of ignored input, are written to `error_output`."""
+        self._error_output = error_output
+        self._written_warnings: set[str] = set()
         # By identity; None for an instance whose policy has raised an error.
         self._balancers: dict[str, LoadBalancer | None] = {}
 
-    def run(self, source: TextIO, target: TextIO) -> int:
+    def run(self, input_stream: TextIO, output_stream: TextIO) -> int:
         """Reply to batches until the input ends.
 
         Returns:
             The exit status: 0 if the input ended between two batches, 1 if it broke off or was invalid.
         """
-        reader = BatchReader(source, self._warn)
+        reader = BatchReader(input_stream, self._warn)
         try:
             for batch in reader.batches():
                 reply = self._handle_batch(batch)
-                target.write("\n".join(reply) + "\n")
-                target.flush()
+                output_stream.write("\n".join(reply) + "\n")
+                output_stream.flush()
         except (LoadBalancerError, UnicodeDecodeError) as error:
             self._report(reader, error)
             return 1
@@ -52,13 +52,13 @@
     def _report(self, reader: BatchReader, error: Exception) -> None:
         """Write why the input is invalid, and where."""
         line = reader.line[:_MAX_LOGGED_LINE_CHARS]
-        print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._errors)
+        print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._error_output)
 
     def _warn(self, text: str) -> None:
         """Write a warning, unless the same text has been written before."""
-        if text not in self._warnings:
-            self._warnings.add(text)
-            print(f"loadbalancer: {text}", file=self._errors)
+        if text not in self._written_warnings:
+            self._written_warnings.add(text)
+            print(f"loadbalancer: {text}", file=self._error_output)
 
     def _handle_batch(self, batch: Batch) -> list[str]:
         """Handle the messages of a batch in order, and return the lines of the reply."""
@@ -71,7 +71,7 @@
                     self._balancers[message.instance] = LoadBalancer(message.settings, message.seed)
                 case InstanceKilled():
                     self._remove_instance(message.instance)
-        reply.append(codec.write_batch_end(batch.batch_id))
+        reply.append(codec.format_batch_end(batch.batch_id))
         return reply
 
     def _remove_instance(self, instance: str) -> None:
@@ -92,11 +92,11 @@
         if balancer is None:
             return []
         try:
-            return [codec.write_action(instance, action) for action in balancer.handle(event, now_ms)]
+            return [codec.format_action(instance, action) for action in balancer.handle(event, now_ms)]
         except Exception as error:  # noqa: BLE001  whatever the policy raises is reported on the wire
-            traceback.print_exc(file=self._errors)
+            traceback.print_exc(file=self._error_output)
             self._balancers[instance] = None
-            return [codec.write_failure(instance, error)]
+            return [codec.format_failure(instance, error)]
 
 
 def main() -> int:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -26,7 +26,7 @@
     ResponseStarted,
     TimerFired,
 )
-from loadbalancer.simulator.codec import read_event, read_fields, write_action
+from loadbalancer.simulator.codec import format_action, parse_event, parse_fields
 from loadbalancer.simulator.errors import MalformedPartError
 from loadbalancer.timers import EndpointListTimer, HedgeTimer
 
@@ -47,7 +47,7 @@
     ],
 )
 def test_an_action_is_written_as_one_line(action: Action, line: str) -> None:
-    assert write_action("4", action) == line
+    assert format_action("4", action) == line
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,7 @@
 def test_a_line_is_read_as_one_event(line: str, event: Event | None) -> None:
     warnings: list[str] = []
     kind, *parts = line.split(" ")
-    assert read_event(kind, read_fields(parts), warnings.append) == event
+    assert parse_event(kind, parse_fields(parts), warnings.append) == event
     assert warnings == []
 
 
@@ -88,10 +88,10 @@
 def test_a_line_of_unknown_meaning_is_ignored_with_a_warning(line: str) -> None:
     warnings: list[str] = []
     kind, *parts = line.split(" ")
-    assert read_event(kind, read_fields(parts), warnings.append) is None
+    assert parse_event(kind, parse_fields(parts), warnings.append) is None
     assert len(warnings) == 1
 
 
 def test_a_part_without_an_equals_sign_is_an_error_of_the_wire() -> None:
     with pytest.raises(MalformedPartError, match="'remaining' is not name=value"):
-        read_fields(["corr=7", "remaining"])
+        parse_fields(["corr=7", "remaining"])
