--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -20,12 +20,12 @@
 # Python calls for each event outside the policy: its line is read, its batch framed, its reply written. It
 # takes 27.2 with Python 3.11. A reader with a function around each of its steps took 39.2, and with it the
 # processor time of a simulated day was 1.06 to 1.13 times that of the decisions in one module.
-MAX_SIMULATOR_CALLS = 28.0
+MAX_CALLS_OUTSIDE_POLICY = 28.0
 # The same with the calls of the policy: 63.4 with Python 3.11.
 MAX_CALLS = 68.0
 
 
-def batches() -> str:
+def input_text() -> str:
     """One instance with two endpoints, and a batch for each arrival and for each end of an attempt."""
     start = f"{instance_started(1)}{SHARED_LIST}membership who=1 mode=0 list=3\n"
     lines = [f"sync time=100.0 batch=0\n{start}eob\n"]
@@ -43,36 +43,36 @@
     """Python calls for each event by the module that defines what is called."""
     calls: Counter[str] = Counter()
 
-    def count(frame: FrameType, kind: str, _: object) -> None:
+    def count_call(frame: FrameType, kind: str, _: object) -> None:
         if kind == "call":
             calls[frame.f_globals["__name__"]] += 1
 
-    source, target = io.StringIO(batches()), io.StringIO()
+    input_stream, output_stream = io.StringIO(input_text()), io.StringIO()
     host = Host(sys.stderr)
     previous = sys.getprofile()
-    sys.setprofile(count)
+    sys.setprofile(count_call)
     try:
-        status = host.run(source, target)
+        status = host.run(input_stream, output_stream)
     finally:
         sys.setprofile(previous)
     assert status == 0
-    assert target.getvalue().count("send who=1") == REQUESTS
-    return Counter({module: number / EVENTS for module, number in calls.items()})
+    assert output_stream.getvalue().count("send who=1") == REQUESTS
+    return Counter({module: count / EVENTS for module, count in calls.items()})
 
 
-def test_few_calls_read_a_line_and_write_the_reply(calls_per_event: Counter[str]) -> None:
-    own = {
-        module: number
-        for module, number in calls_per_event.items()
+def test_calls_outside_the_policy_are_few(calls_per_event: Counter[str]) -> None:
+    outside_policy = {
+        module: count
+        for module, count in calls_per_event.items()
         if not module.startswith("loadbalancer.policy")
     }
-    assert sum(own.values()) <= MAX_SIMULATOR_CALLS, own
+    assert sum(outside_policy.values()) <= MAX_CALLS_OUTSIDE_POLICY, outside_policy
 
 
-def test_few_calls_handle_an_event(calls_per_event: Counter[str]) -> None:
+def test_all_calls_are_few(calls_per_event: Counter[str]) -> None:
     assert calls_per_event.total() <= MAX_CALLS, calls_per_event
 
 
-def test_a_look_up_of_an_outcome_calls_no_python_code(calls_per_event: Counter[str]) -> None:
+def test_an_outcome_lookup_calls_no_python_code(calls_per_event: Counter[str]) -> None:
     """A set of enum members calls `Enum.__hash__`; a tuple compares members by identity."""
     assert calls_per_event["enum"] == 0
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -13,38 +13,38 @@
 from tests.simulator.wire_lines import SHARED_LIST, instance_started
 
 
-def first_batch(who: int = 1) -> str:
+def first_batch(instance: int = 1) -> str:
     """The start of one instance, and its endpoint list."""
-    endpoint_list = f"{SHARED_LIST}membership who={who} generation=1 mode=0 list=3\n"
-    return f"sync time=100.0 batch=1\n{instance_started(who)}{endpoint_list}eob\n"
+    endpoint_list = f"{SHARED_LIST}membership who={instance} generation=1 mode=0 list=3\n"
+    return f"sync time=100.0 batch=1\n{instance_started(instance)}{endpoint_list}eob\n"
 
 
 def run_host(text: str) -> tuple[int, str, str]:
     """Exit status, replies and error messages for an input."""
-    out, err = io.StringIO(), io.StringIO()
-    status = Host(err).run(io.StringIO(text), out)
-    return status, out.getvalue(), err.getvalue()
+    output, errors = io.StringIO(), io.StringIO()
+    status = Host(errors).run(io.StringIO(text), output)
+    return status, output.getvalue(), errors.getvalue()
 
 
-def test_a_request_is_sent_and_every_batch_gets_a_reply() -> None:
-    status, out, _ = run_host(
+def test_every_batch_gets_a_reply() -> None:
+    status, output, _ = run_host(
         first_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     )
     assert status == 0
-    lines = out.split("\n")
+    lines = output.split("\n")
     assert lines[0] == "yield batch=1"
     assert any(line.startswith("send who=1 corr=9 upstream=u") for line in lines)
     assert lines[-2] == "yield batch=2"
 
 
-def test_unknown_settings_and_events_are_warned_of_once_and_ignored() -> None:
+def test_unknown_input_is_ignored_with_one_warning() -> None:
     text = first_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
     text += "sync time=110.0 batch=2\nfrobnicate who=1\nfrobnicate who=1\neob\n"
-    status, out, err = run_host(text)
+    status, output, errors = run_host(text)
     assert status == 0
-    assert out.endswith("yield batch=2\n")
-    assert err.count("frobnicate") == 1
-    assert err.count("moon.phase") == 1
+    assert output.endswith("yield batch=2\n")
+    assert errors.count("frobnicate") == 1
+    assert errors.count("moon.phase") == 1
 
 
 @pytest.mark.parametrize(
@@ -67,51 +67,51 @@
     ],
 )
 def test_an_invalid_line_is_reported_in_one_message(line: str, reason: str) -> None:
-    status, _, err = run_host(first_batch() + f"sync time=110.0 batch=2\n{line}\neob\n")
+    status, _, errors = run_host(first_batch() + f"sync time=110.0 batch=2\n{line}\neob\n")
     assert status == 1
-    assert reason in err
-    assert "batch 2" in err
-    assert err.count("\n") == 1
+    assert reason in errors
+    assert "batch 2" in errors
+    assert errors.count("\n") == 1
 
 
-def test_input_may_end_between_batches_but_not_inside_one() -> None:
+def test_input_must_not_end_inside_a_batch() -> None:
     assert run_host(first_batch())[0] == 0
-    status, _, err = run_host(first_batch() + "sync time=110.0 batch=2\n")
+    status, _, errors = run_host(first_batch() + "sync time=110.0 batch=2\n")
     assert status == 1
-    assert "inside a batch" in err
+    assert "inside a batch" in errors
 
 
-def test_an_error_in_the_policy_is_reported_for_its_instance_only() -> None:
+def test_a_policy_error_affects_its_instance_only() -> None:
     text = "sync time=90.0 batch=0\n" + instance_started(2) + "eob\n" + first_batch(1)
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
-    status, out, err = run_host(text)
+    status, output, errors = run_host(text)
     assert status == 0
-    assert "give_in who=1 bodyText=ValueError: request 9 is of unknown class 'nosuch'\n" in out
-    assert "give_in who=2" not in out
-    assert "Traceback" in err
+    assert "give_in who=1 bodyText=ValueError: request 9 is of unknown class 'nosuch'\n" in output
+    assert "give_in who=2" not in output
+    assert "Traceback" in errors
 
 
-def test_an_unknown_outcome_is_treated_as_one_that_may_have_run() -> None:
+def test_an_unknown_outcome_may_have_had_an_effect() -> None:
     not_idempotent = first_batch().replace("retryable", "fragile")
     text = not_idempotent + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
-    status, out, err = run_host(text)
+    status, output, errors = run_host(text)
     assert status == 0
-    assert "abort who=1 corr=9" in out
-    assert out.count("send ") == 1
-    assert "'42'" in err
+    assert "abort who=1 corr=9" in output
+    assert output.count("send ") == 1
+    assert "'42'" in errors
 
 
-def test_no_setting_of_the_wire_is_reported_as_unknown() -> None:
+def test_no_wire_setting_is_reported_as_unknown() -> None:
     settings = (
         "classes.0.aimStretch=2 goal.logLossPart=0.4 goal.fullAtNines=3 goal.punctual=0.2 goal.tailMiss=0.02 "
         "limits.connIdle=30000.0 limits.streamsPerConn=1 familyInfo.passesDeadline=true prices.waste=0.02 "
         "worthBy=work weights=nominal myNumber=0 contract.drainGrace=2000.0 contract.graceToAnswer=8.0"
     )
-    status, _, err = run_host(first_batch().replace("tick=5.0", f"tick=5.0 {settings}"))
+    status, _, errors = run_host(first_batch().replace("tick=5.0", f"tick=5.0 {settings}"))
     assert status == 0
-    assert err == ""
+    assert errors == ""
 
 
 def run_process(instances: list[int], hash_seed: str) -> str:
@@ -135,11 +135,11 @@
     return completed.stdout
 
 
-def test_actions_depend_neither_on_the_hash_seed_nor_on_other_instances() -> None:
+def test_actions_ignore_hash_seed_and_other_instances() -> None:
     together = run_process([1, 2], "1")
     assert together == run_process([1, 2], "2")
-    for who in (1, 2):
-        own_lines = [line for line in together.split("\n") if f"who={who} " in line]
-        alone = [line for line in run_process([who], "3").split("\n") if f"who={who} " in line]
+    for instance in (1, 2):
+        own_lines = [line for line in together.split("\n") if f"who={instance} " in line]
+        alone = [line for line in run_process([instance], "3").split("\n") if f"who={instance} " in line]
         assert own_lines == alone
         assert own_lines
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -11,10 +11,10 @@
 DEFAULT_SEED = "8c1f30d27a5be964"
 
 
-def entry(name: str, address: str, **more: Any) -> dict[str, Any]:
-    """Return an entry of discovery's endpoint list; `more` replaces the default fields."""
-    base = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 1.0}
-    return base | {"status": "in_service", "since_ms": 0} | more
+def entry(name: str, address: str, **fields: Any) -> dict[str, Any]:
+    """Return an entry of discovery's endpoint list; `fields` replaces the default fields."""
+    defaults = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 1.0}
+    return defaults | {"status": "in_service", "since_ms": 0} | fields
 
 
 def config_text(discovery: str, entries: list[dict[str, Any]], /, **settings: Any) -> str:
@@ -30,7 +30,7 @@
         {"name": "pay", "target": 2000.0, "deadline": 5000.0, "effect": "fragile", "worth": 1.0},
         {"name": "put", "target": 2000.0, "deadline": 5000.0, "effect": "dedup", "repeatWindow": 5000.0},
     ]
-    base: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "classes": classes,
         "balancers": 2,
         "discovery": "ask",
@@ -53,7 +53,7 @@
             "seed": DEFAULT_SEED,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"index": 7, "snapshot": True, "endpoints": entries},
-            "settings": base | settings,
+            "settings": defaults | settings,
         }
     )
 
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -21,11 +21,11 @@
     @classmethod
     async def connect_to_program(cls, port: int) -> Client:
         """Connect to a program that was started just now, as soon as it listens."""
-        connected = await wait_until(
+        connected_socket = await wait_until(
             lambda: try_connect(port), "the program accepts connections", poll_interval_s=0.01
         )
         client = cls()
-        client.reader, client.writer = await asyncio.open_connection(sock=connected)
+        client.reader, client.writer = await asyncio.open_connection(sock=connected_socket)
         return client
 
     def send(
@@ -44,13 +44,17 @@
             headers: Further headers, or other values for the default ones; an empty one is left out.
         """
         method = "POST" if body else "GET"
-        named = {
+        all_headers = {
             "x-request-id": f"{next(_REQUEST_NUMBERS):08x}",
             "x-class": path[1:].partition("/")[0],
             "x-deadline": deadline,
         }
-        named |= {n.replace("_", "-"): v for n, v in headers.items()}
-        lines = [f"{method} {path} HTTP/1.1", "Host: h", *[f"{n}: {v}" for n, v in named.items() if v]]
+        all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+        lines = [
+            f"{method} {path} HTTP/1.1",
+            "Host: h",
+            *[f"{name}: {value}" for name, value in all_headers.items() if value],
+        ]
         lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -13,7 +13,9 @@
 
     def __init__(self, head: bytes, body: bytes) -> None:
         self.start_line, *rest = head.decode("latin-1").split("\r\n")
-        self.headers = {n.lower(): v for n, _, v in (line.partition(": ") for line in rest if line)}
+        self.headers = {
+            name.lower(): value for name, _, value in (line.partition(": ") for line in rest if line)
+        }
         self.body = body
 
 
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -29,12 +29,12 @@
     return previous
 
 
-def before_event(harness: ProxyHarness, event_type: type, act: Callable[[Any], None]) -> None:
+def before_event(harness: ProxyHarness, event_type: type, callback: Callable[[Any], None]) -> None:
     """Call a function with each event of one type before the policy handles it."""
 
-    def act_then_handle(event: Event, now: float) -> list[Action]:
+    def call_then_handle(event: Event, now: float) -> list[Action]:
         if isinstance(event, event_type):
-            act(event)
+            callback(event)
         return handle(event, now)
 
-    handle = replace_policy(harness, act_then_handle)
+    handle = replace_policy(harness, call_then_handle)
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -85,13 +85,13 @@
         self._sockets.append(client_socket)
         return client_socket
 
-    async def send_request(self, *args: Any, **more: Any) -> ReceivedMessage:
+    async def send_request(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
         """Send a request on a connection of its own and return the response.
 
         The arguments are those of `Client.send`.
         """
         client = await self.client()
-        client.send(*args, **more)
+        client.send(*args, **kwargs)
         reply = await client.read_response()
         client.writer.close()
         return reply
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -46,13 +46,13 @@
                 self.calls.put_nowait(call.start_line)
                 reply = asyncio.ensure_future(self.responses.get())
                 # The balancer sends nothing before it has the response: reading ends only by a disconnect.
-                end = asyncio.ensure_future(reader.read(1))
-                await asyncio.wait((reply, end), return_when=asyncio.FIRST_COMPLETED)
-                if end.done():
+                disconnect = asyncio.ensure_future(reader.read(1))
+                await asyncio.wait((reply, disconnect), return_when=asyncio.FIRST_COMPLETED)
+                if disconnect.done():
                     reply.cancel()
                     break
-                end.cancel()
-                await asyncio.wait((end,))
+                disconnect.cancel()
+                await asyncio.wait((disconnect,))
                 writer.write(reply.result())
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -173,9 +173,9 @@
                 connection.receive(list_response(KNOWN_INDEX)[:-5])
                 self.loop.call_soon(connection.become_unresponsive)
             case _:
-                self._respond_by_list(connection, call)
+                self._respond_with_list(connection, call)
 
-    def _respond_by_list(self, connection: SimulatedConnection, call: str) -> None:
+    def _respond_with_list(self, connection: SimulatedConnection, call: str) -> None:
         _, _, query_text = call.split(" ")[1].partition("?")
         query = dict(part.split("=") for part in query_text.split("&") if part)
         if "after" not in query or int(query["after"]) < self.index:
@@ -183,10 +183,10 @@
             return
         connection.after = int(query["after"])
         wait_s = float(query["wait_ms"]) / 1000
-        self.loop.call_later(wait_s, self._on_wait_over, connection, connection.calls)
+        self.loop.call_later(wait_s, self._on_wait_ended, connection, connection.calls)
         self.watches.put_nowait((self.loop.time(), wait_s))
 
-    def _on_wait_over(self, connection: SimulatedConnection, call_number: int) -> None:
+    def _on_wait_ended(self, connection: SimulatedConnection, call_number: int) -> None:
         if connection.after is not None and call_number == connection.calls:
             connection.receive(self._list(snapshot=False))
 
--- a/tests/support/test_waiting.py
+++ b/tests/support/test_waiting.py
@@ -11,16 +11,16 @@
 from tests.support.waiting import wait_until
 
 
-async def test_asynchronous_tests_run_on_the_event_loop_of_the_program() -> None:
+async def test_asynchronous_tests_run_on_uvloop() -> None:
     assert isinstance(asyncio.get_running_loop(), uvloop.Loop)
 
 
-async def test_the_first_true_result_of_the_condition_is_returned() -> None:
+async def test_the_first_true_result_is_returned() -> None:
     results = iter([0, None, 7, 8])
     assert await wait_until(lambda: next(results), "a number comes") == 7
 
 
-async def test_a_condition_that_holds_is_not_waited_for() -> None:
+async def test_a_true_condition_returns_without_waiting() -> None:
     loop = asyncio.get_running_loop()
     passed = list[str]()
     loop.call_soon(passed.append, "an iteration")
@@ -28,12 +28,12 @@
     assert not passed, "the event loop has not run meanwhile"
 
 
-async def test_a_wait_fails_with_its_description_and_the_state() -> None:
+async def test_the_failure_contains_description_and_state() -> None:
     with pytest.raises(pytest.fail.Exception, match=r"waited 0\.01 s until a client comes; state: \['s0'\]"):
         await wait_until(lambda: False, "a client comes", state=lambda: ["s0"], timeout_s=0.01)
 
 
-async def test_a_test_that_hangs_fails_after_the_time_limit() -> None:
+async def test_a_hanging_test_fails_at_the_time_limit() -> None:
     async def hang() -> None:
         await asyncio.Event().wait()
 
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -41,7 +41,7 @@
 
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
         self.outcomes: list[Outcome] = []
-        self.over = asyncio.Event()
+        self.finished = asyncio.Event()
         starter = AttemptStarter(asyncio.get_running_loop(), pools)
         attempt = starter.start("s0", timeout_s, lambda: request, self._record)
         assert attempt is not None
@@ -49,11 +49,11 @@
 
     def _record(self, outcome: Outcome, response: Response | None) -> None:
         self.outcomes.append(outcome)
-        self.over.set()
+        self.finished.set()
 
     async def outcome(self) -> Outcome:
         """Wait for the outcome; exactly one must be reported."""
-        await self.over.wait()
+        await self.finished.wait()
         (outcome,) = self.outcomes
         return outcome
 
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -46,7 +46,7 @@
     deadline = loop.time() + timeout_s
     while not (result := condition()):
         if loop.time() >= deadline:
-            seen = "" if state is None else f"; state: {state()!r}"
-            pytest.fail(f"waited {timeout_s:g} s until {description}{seen}")
+            state_text = "" if state is None else f"; state: {state()!r}"
+            pytest.fail(f"waited {timeout_s:g} s until {description}{state_text}")
         await asyncio.sleep(poll_interval_s)
     return result
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -44,31 +44,35 @@
     return Module(str(path.relative_to(ROOT)), source, ast.parse(source))
 
 
-def report(violations: list[str]) -> None:
+def assert_no_violations(violations: list[str]) -> None:
     assert not violations, "\n" + "\n".join(violations)
 
 
 def test_modules_are_small(modules: list[Module]) -> None:
     sizes = [(module.location, len(module.source.splitlines())) for module in modules]
-    report([f"{path}: {n} lines, limit {MAX_MODULE_LINES}" for path, n in sizes if n > MAX_MODULE_LINES])
+    assert_no_violations(
+        [f"{path}: {n} lines, limit {MAX_MODULE_LINES}" for path, n in sizes if n > MAX_MODULE_LINES]
+    )
 
 
 def test_classes_are_small(modules: list[Module]) -> None:
-    report([*too_long(modules, (ast.ClassDef,), MAX_CLASS_LINES)])
+    assert_no_violations([*definitions_over_limit(modules, (ast.ClassDef,), MAX_CLASS_LINES)])
 
 
 def test_functions_are_small(modules: list[Module]) -> None:
-    report([*too_long(modules, (ast.FunctionDef, ast.AsyncFunctionDef), MAX_FUNCTION_LINES)])
+    assert_no_violations(
+        [*definitions_over_limit(modules, (ast.FunctionDef, ast.AsyncFunctionDef), MAX_FUNCTION_LINES)]
+    )
 
 
 def test_folders_are_small(modules: list[Module]) -> None:
     sizes = Counter(str(Path(module.location).parent) for module in modules).items()
-    report(
+    assert_no_violations(
         [f"{path}: {n} modules, limit {MAX_FOLDER_MODULES}" for path, n in sizes if n > MAX_FOLDER_MODULES]
     )
 
 
-def too_long(
+def definitions_over_limit(
     modules: list[Module], kinds: tuple[type[ast.ClassDef | FunctionNode], ...], limit: int
 ) -> Iterator[str]:
     """Yield a line for each definition over the limit, counted from its `class` or `def` to its end."""
@@ -83,5 +87,5 @@
 def test_a_long_definition_is_named() -> None:
     source = "def long():\n" + "    pass\n" * MAX_FUNCTION_LINES
     module = Module("long.py", source, ast.parse(source))
-    found = [*too_long([module], (ast.FunctionDef,), MAX_FUNCTION_LINES)]
+    found = [*definitions_over_limit([module], (ast.FunctionDef,), MAX_FUNCTION_LINES)]
     assert found == [f"long.py:1: long: {MAX_FUNCTION_LINES + 1} lines, limit {MAX_FUNCTION_LINES}"]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("text", ["nowhere", ":80", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:-1", None])
-def test_an_address_has_a_host_and_a_port(text: str | None) -> None:
+def test_an_invalid_address_is_rejected(text: str | None) -> None:
     with pytest.raises(InvalidAddressError, match=r"is no address of the form host:port$"):
         read_address(text)
 
@@ -55,7 +55,7 @@
     assert raised.value.reason == str(raised.value) == reason
 
 
-def test_the_reason_of_an_error_is_one_line() -> None:
+def test_an_error_message_is_one_line() -> None:
     with pytest.raises(ConfigurationError) as raised:
         read_configuration("not\nJSON", lambda warning: None)
     assert "\n" not in str(raised.value)
@@ -70,7 +70,7 @@
         ([entry("s0", "nowhere")], InvalidAddressError, "'nowhere' is no address"),
     ],
 )
-def test_an_invalid_entry_of_an_endpoint_list_is_an_error(
+def test_an_invalid_endpoint_list_entry_is_rejected(
     entries: list[Any], error: type[LoadBalancerError], reason: str
 ) -> None:
     with pytest.raises(error, match=reason) as raised:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -16,11 +16,11 @@
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
 DECISIONS = sorted((ROOT / "docs" / "decisions").glob("*.md"))
-RECORDS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
+INCIDENTS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
 OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
-NAME_MAY_STAND_IN = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
-NOT_OF_THE_TREE = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
-NOT_OF_THE_TREE_PREFIXES = (
+MAY_CONTAIN_OLD_NAME = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
+IGNORED_FOLDERS = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
+IGNORED_FOLDER_PREFIXES = (
     ".venv-",
     ".mypy_cache",
     ".ruff_cache",
@@ -30,56 +30,56 @@
 )
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
 FILE_NAME = re.compile(r"\.(py|toml|md|json|txt)$")
-CODE_NAME = re.compile(r"_|[a-z][A-Z]")  # snake case, capitals with underscores, or camel case
+CODE_IDENTIFIER = re.compile(r"_|[a-z][A-Z]")  # snake case, capitals with underscores, or camel case
 MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
 
 
-def page_name(path: Path) -> str:
+def relative_path(path: Path) -> str:
     return str(path.relative_to(ROOT))
 
 
-def tree_files() -> Iterator[Path]:
+def repository_files() -> Iterator[Path]:
     """The files of the tree, without what tools leave behind."""
     for folder, folders, names in os.walk(ROOT):
         folders[:] = [
             name
             for name in folders
-            if name not in NOT_OF_THE_TREE
-            and not name.startswith(NOT_OF_THE_TREE_PREFIXES)
+            if name not in IGNORED_FOLDERS
+            and not name.startswith(IGNORED_FOLDER_PREFIXES)
             and not name.endswith(".egg-info")
         ]
         yield from (Path(folder, name) for name in names)
 
 
-def test_the_old_package_name_is_withdrawn() -> None:
+def test_the_old_package_name_is_unused() -> None:
     found = [
-        page_name(path)
-        for path in tree_files()
-        if not page_name(path).startswith(NAME_MAY_STAND_IN)
-        and (OLD_PACKAGE_NAME in page_name(path) or OLD_PACKAGE_NAME.encode() in path.read_bytes())
+        relative_path(path)
+        for path in repository_files()
+        if not relative_path(path).startswith(MAY_CONTAIN_OLD_NAME)
+        and (OLD_PACKAGE_NAME in relative_path(path) or OLD_PACKAGE_NAME.encode() in path.read_bytes())
     ]
     assert found == []
 
 
-@pytest.mark.parametrize("page", PAGES + DECISIONS + RECORDS, ids=page_name)
-def test_links_lead_somewhere(page: Path) -> None:
+@pytest.mark.parametrize("page", PAGES + DECISIONS + INCIDENTS, ids=relative_path)
+def test_link_targets_exist(page: Path) -> None:
     links = re.findall(r"\]\(([^)#\s]*)(?:#([^)\s]+))?[^)]*\)", page.read_text(encoding="utf-8"))
-    assert [link for link in links if "://" not in link[0] and not leads_somewhere(page, *link)] == []
+    assert [link for link in links if "://" not in link[0] and not link_target_exists(page, *link)] == []
 
 
-def leads_somewhere(page: Path, target: str, anchor: str) -> bool:
+def link_target_exists(page: Path, target: str, anchor: str) -> bool:
     """Whether the target of a link exists, and has a heading with the link's anchor if it has one."""
     path = page.parent / target if target else page
-    return path.exists() and (not anchor or anchor in anchors(path))
+    return path.exists() and (not anchor or anchor in heading_anchors(path))
 
 
-def anchors(page: Path) -> set[str]:
+def heading_anchors(page: Path) -> set[str]:
     """The anchors of a page's headings, as code hosts derive them from the text."""
     headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
     return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
 
-@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=relative_path)
 def test_paths_exist(page: Path) -> None:
     paths = re.findall(
         r"`((?:loadbalancer|testbed|tests|docs|deploy|\.ci)/[\w./-]*)`", page.read_text(encoding="utf-8")
@@ -93,10 +93,10 @@
     lines = page.read_text(encoding="utf-8").partition("| older word or name |")[0].splitlines()
     quoted = re.findall(r"`([A-Za-z_][\w.]*)`", "\n".join(lines))
     names = {name for text in quoted if not FILE_NAME.search(text) for name in text.split(".")}
-    return {name for name in names if CODE_NAME.search(name)}
+    return {name for name in names if CODE_IDENTIFIER.search(name)}
 
 
-@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=page_name)
+@pytest.mark.parametrize("page", PAGES + DECISIONS, ids=relative_path)
 def test_names_exist(page: Path) -> None:
     sources = [
         path for folder in ("loadbalancer", "testbed", "tests") for path in (ROOT / folder).rglob("*.py")
@@ -106,7 +106,7 @@
     assert identifiers_of(page) - known == set()
 
 
-def test_the_index_of_decisions_has_every_record() -> None:
+def test_the_decision_index_lists_every_record() -> None:
     index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
     records = [path.name for path in DECISIONS if path.name != "README.md"]
     assert records
@@ -117,7 +117,7 @@
     ("page", "packages"),
     [("ARCHITECTURE.md", ("loadbalancer", "testbed")), ("POLICY.md", ("loadbalancer/policy",))],
 )
-def test_a_page_names_every_module_that_it_explains(page: str, packages: tuple[str, ...]) -> None:
+def test_a_page_names_every_module_of_its_packages(page: str, packages: tuple[str, ...]) -> None:
     text = (ROOT / "docs" / page).read_text(encoding="utf-8")
     modules = [
         path
@@ -126,7 +126,7 @@
         if path.name not in ("__init__.py", "__main__.py")
     ]
     assert modules
-    missing = [page_name(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", text)]
+    missing = [relative_path(path) for path in modules if not re.search(rf"\b{re.escape(path.name)}\b", text)]
     assert missing == []
 
 
@@ -137,17 +137,17 @@
             function = node.func
             name = function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
             if name in LOGGING_FUNCTIONS:
-                yield from constants(node.args[0])
+                yield from constant_texts(node.args[0])
 
 
-def constants(node: ast.AST) -> Iterator[str]:
+def constant_texts(node: ast.AST) -> Iterator[str]:
     """The texts of a string or of the fixed parts of an f-string."""
     for part in node.values if isinstance(node, ast.JoinedStr) else [node]:
         if isinstance(part, ast.Constant) and isinstance(part.value, str):
             yield part.value.strip()
 
 
-def test_the_on_call_page_has_every_line() -> None:
+def test_the_on_call_page_quotes_every_message() -> None:
     page = (ROOT / "docs" / "ONCALL.md").read_text(encoding="utf-8")
     texts = [text for path in (ROOT / "loadbalancer").rglob("*.py") for text in message_texts(path)]
     long_texts = {text for text in texts if len(text) >= MIN_TEXT_LENGTH}
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -33,18 +33,18 @@
 
 
 @pytest.mark.parametrize("contract_type", [AcyclicModulesContract, StandardLibraryOnlyContract])
-def test_imports_within_the_rules_pass(contract_type: type[Contract], graph: grimp.ImportGraph) -> None:
+def test_allowed_imports_pass(contract_type: type[Contract], graph: grimp.ImportGraph) -> None:
     assert check(contract_type, graph).kept
 
 
-def test_a_cycle_over_several_modules_is_found(graph: grimp.ImportGraph) -> None:
+def test_a_cycle_of_several_modules_is_found(graph: grimp.ImportGraph) -> None:
     graph.add_import(importer="app.a.bottom", imported="app.a.top")
     result = check(AcyclicModulesContract, graph)
     assert not result.kept
     assert "app.a.bottom -> app.a.top -> app.b.middle -> app.a.bottom" in result.metadata["lines"]
 
 
-def test_a_cycle_over_the_init_module_of_a_package_is_found(
+def test_a_cycle_through_a_package_module_is_found(
     graph: grimp.ImportGraph,
 ) -> None:
     graph.add_import(importer="app.a", imported="app.a.top")
@@ -52,7 +52,7 @@
     assert "app.a -> app.a.top -> app.a" in check(AcyclicModulesContract, graph).metadata["lines"]
 
 
-def test_an_import_of_a_third_party_module_is_found(graph: grimp.ImportGraph) -> None:
+def test_a_third_party_import_is_found(graph: grimp.ImportGraph) -> None:
     graph.add_import(importer="app.b.middle", imported="httptools")
     result = check(StandardLibraryOnlyContract, graph)
     assert not result.kept
