--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -1,6 +1,6 @@
-"""Build what deploy/balancer.toml names, and check that simulator host and balancer respond.
+"""Runs the commands of deploy/balancer.toml, and checks that the simulator host and the balancer respond.
 
-A check that fails raises `DeployFileError`, or the error of the command that failed.
+A failed check raises `DeployFileError`, or the error of the command that failed.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 class DeployFileError(Exception):
-    """What the deploy file names is missing, or does not behave as it should."""
+    """A file that the deploy file names is missing, or one of its commands does not work as expected."""
 
 
 def read_deploy_file() -> dict[str, Any]:
-    """Return the deploy file. Every file that it names must exist."""
+    """Return the content of the deploy file, and check that every file that it names exists."""
     deploy = tomllib.loads(DEPLOY_FILE.read_text(encoding="utf-8"))
     missing = [name for name in deploy["policy"] + deploy["node"] if not Path(name).exists()]
     if missing:
@@ -46,7 +46,7 @@
 
 
 def check_simulator(command: str) -> None:
-    """Send an empty batch to the simulator host, which must reply that it has no actions."""
+    """Check that the simulator host replies to an empty batch with no actions."""
     completed = subprocess.run(
         ["/bin/sh", "-c", command],
         input="sync time=1.0 batch=1\neob\n",
@@ -61,7 +61,7 @@
 
 
 def check_balancer(command: str) -> None:
-    """Start a balancer, wait until its health check succeeds, and check that SIGTERM ends it normally."""
+    """Check that a balancer becomes ready, and that SIGTERM ends it with status 0."""
     port = free_port()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
@@ -79,7 +79,7 @@
 
 
 def configuration(port: int) -> dict[str, Any]:
-    """Return a configuration with one class, no endpoints, and a discovery address where nothing listens."""
+    """Return a configuration with one class, no endpoints and an unreachable discovery."""
     request_class = {"name": "read", "target": 100.0, "deadline": 500.0, "effect": "retryable"}
     return {
         "name": "n1",
@@ -91,7 +91,7 @@
 
 
 def wait_until_ready(balancer: subprocess.Popen[bytes], port: int) -> None:
-    """Wait until the health check succeeds."""
+    """Wait until the health check of the balancer succeeds."""
     deadline = time.monotonic() + READY_TIMEOUT_S
     while (status := health_status(port)) != http.HTTPStatus.OK:
         if balancer.poll() is not None:
@@ -116,7 +116,7 @@
 
 
 def free_port() -> int:
-    """Return a port on which nothing listens at this moment."""
+    """Return a port on which nothing listens now."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,11 +1,11 @@
-"""A load balancer for services that call services.
+"""A load balancer for chains of HTTP/1.1 services.
 
-`LoadBalancer` is the policy of one balancer instance, configured by `Settings`. It accepts events and returns
-actions, and does no I/O itself: `loadbalancer.network` carries the actions out over HTTP,
-`loadbalancer.simulator` on the wire of a simulator.
+`LoadBalancer` is the policy of one balancer instance, configured by `Settings`. It accepts events, returns
+actions and does no I/O itself. Two hosts carry out its actions: `loadbalancer.network` over HTTP, and
+`loadbalancer.simulator` over the line protocol of a simulator.
 
-The names below are the package's public interface. Modules inside the package import each name from the
-module that defines it.
+The names below are the public interface of the package. Inside the package, modules import each name from
+the module that defines it.
 """
 
 from loadbalancer.actions import (
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m loadbalancer`: serve with the configuration in the file that `LB_CONFIG` names.
+"""`python -m loadbalancer`: run a balancer with the configuration file that `LB_CONFIG` names.
 
-The modules of the network are imported after the handler of SIGHUP is set, since the import takes a while.
-Exit status: 0 after SIGTERM or SIGINT, 1 if the program can't serve, 2 if the configuration can't be used.
+The network modules are imported only once SIGHUP is handled: the import is slow, and a SIGHUP without a
+handler would end the process. Exit status: 0 after SIGTERM or SIGINT, 1 if the program can't serve, 2 if the
+configuration can't be used.
 """
 
 from __future__ import annotations
@@ -26,19 +27,19 @@
 EXIT_INVALID_CONFIGURATION = 2
 
 MAX_LOGGED_CONTEXT_CHARS = 2000
-"""How many characters of the event loop's report of an unhandled exception are logged."""
+"""Limit on the logged length of the context that the event loop gives for an unhandled exception."""
 
 
 def load_configuration(path: str, warn: Callable[[str], None]) -> Configuration:
-    """Return the configuration in a file.
+    """Read the configuration file.
 
     Raises:
         OSError: The file can't be read.
-        ConfigurationError: The configuration can't be used.
+        ConfigurationError: The configuration is invalid.
     """
     from loadbalancer.configuration import ConfigurationError, read_configuration
 
-    with open(path, encoding="utf-8") as file:  # noqa: PTH123  a start does without pathlib
+    with open(path, encoding="utf-8") as file:  # noqa: PTH123  importing pathlib would slow down the start
         try:
             text = file.read()
         except UnicodeDecodeError as error:
@@ -51,8 +52,8 @@
 
     Args:
         configuration: The configuration to start with.
-        path: The file to read the configuration from again at SIGHUP.
-        early_reloads: The SIGHUP signals that arrived before this call.
+        path: The configuration file, which is read again at SIGHUP.
+        early_reloads: The SIGHUP signals received before this call.
     """
     import asyncio
 
@@ -68,14 +69,14 @@
     proxy.start()
     if early_reloads:
         _reload(proxy, path)
-    gc.freeze()  # the objects of the start live as long as the process: collections can skip them
+    gc.freeze()  # objects created at start live as long as the process: no collection needs to visit them
     gc.enable()
     await stop.wait()
     await proxy.listener.shut_down()
 
 
 def _reload(proxy: Proxy, path: str) -> None:
-    """Watch the discovery that the configuration file names now; ignore a file that can't be used."""
+    """Apply the discovery address in the file. If the file can't be used, log why and change nothing."""
     try:
         proxy.reconfigure(load_configuration(path, proxy.log.write))
     except (OSError, LoadBalancerError) as error:
@@ -90,7 +91,7 @@
 
 
 def _load_configuration_from_environment(warn: Callable[[str], None]) -> tuple[str, Configuration]:
-    """Return the path that `LB_CONFIG` names, and the configuration in that file."""
+    """Return the path in `LB_CONFIG`, and the configuration in that file."""
     path = os.environ.get("LB_CONFIG")
     if not path:
         from loadbalancer.configuration import ConfigurationPathNotSetError
@@ -104,18 +105,18 @@
 
 
 def _write_error(text: str) -> None:
-    """Write a line for the operator, before there is a proxy whose log takes it."""
-    # Guards against an exception while standard error is closed: `sys.stderr` is None then, and only `print`
-    # accepts that, by using standard output.
+    """Write a line to standard error, for use while there is no proxy log yet."""
+    # `sys.stderr` is None if standard error is closed. `print` accepts that and uses standard output, whereas
+    # `sys.stderr.write` would raise an exception.
     print(f"loadbalancer: {text}", file=sys.stderr)  # noqa: T201  see the comment above
 
 
 def main() -> int:
     """Read the configuration, serve, and return the exit status."""
-    # Guards against a SIGHUP before the loop runs: it must neither end the process nor be lost.
+    # A SIGHUP that arrives before the event loop runs must neither end the process nor be lost.
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
-    gc.disable()  # until the start is complete: hardly any object of it is garbage
+    gc.disable()  # until the start is complete, since it creates hardly any garbage
     import asyncio
 
     import uvloop
--- a/loadbalancer/actions.py
+++ b/loadbalancer/actions.py
@@ -1,6 +1,6 @@
 """The actions that `LoadBalancer.handle` returns.
 
-The host carries out the actions of one event in their order, and reports their results as events
+The host carries out the actions returned for an event in order, and reports their results as events
 (`loadbalancer.events`). All times and durations are in milliseconds on one monotonic clock. All types are
 frozen.
 """
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send a request to an endpoint; the host reports the end with `AttemptFinished`.
+    """Send a request to an endpoint; the host reports the outcome with `AttemptFinished`.
 
-    Attempts of a request are counted from 0 in the order of these actions.
+    The attempts of a request are numbered from 0 in the order of these actions.
 
     Attributes:
         request_id: The id from `RequestReceived`.
-        endpoint: The name of the endpoint to send it to.
-        timeout_ms: The time until the attempt times out, from now.
+        endpoint: The name of the endpoint.
+        timeout_ms: The time from now until the attempt times out.
     """
 
     request_id: int
@@ -36,7 +36,7 @@
     """Cancel an attempt that is in flight; the host reports its end with `AttemptFinished`.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
         attempt_index: The index of the attempt among those of the request.
     """
 
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Respond that the client may safely repeat the request.
+    """Respond that the client may safely retry the request.
 
-    Either no attempt of it was processed, or its class is `Idempotency.SAFE`.
+    Either no attempt was processed, or the class of the request is `Idempotency.SAFE`.
 
     Attributes:
-        request_id: The request.
-        retry_after_ms: The time that the client should wait before a retry; 0 to suggest none.
+        request_id: The id of the request.
+        retry_after_ms: The time that the client should wait before it retries; 0 to suggest none.
     """
 
     request_id: int
@@ -64,7 +64,7 @@
     """Respond that the request failed; it may have had an effect.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
     """
 
     request_id: int
@@ -72,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Set a timer; the host reports with `TimerFired` that it has fired.
+    """Set a timer; the host sends `TimerFired` when it fires.
 
     Attributes:
-        at_ms: When it fires, on the clock of the events.
-        timer: The value that the event returns.
+        at_ms: The time at which it fires, on the clock of the events.
+        timer: The value to return in `TimerFired`.
     """
 
     at_ms: float
@@ -85,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Send a health check to an endpoint; the host reports its end with `HealthCheckFinished`.
+    """Send a health check to an endpoint; the host reports the result with `HealthCheckFinished`.
 
-    The policy never returns this action: its evidence is that of the attempts.
+    The policy never returns this action: it judges endpoints by the outcomes of attempts.
 
     Attributes:
         endpoint: The name of the endpoint to check.
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Open the watch on the endpoint list; the host reports its updates with `EndpointListUpdate`."""
+    """Start to watch the endpoint list; the host reports each update with `EndpointListUpdate`."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration of a balancer, read from the JSON file that `LB_CONFIG` names, and discovery's lists.
+"""Reads the JSON configuration of a balancer, and endpoint lists in the format of discovery.
 
-The settings of the policy have the names of the simulator's wire, as nested objects. They are flattened to
-the fields of the wire and read by `loadbalancer.settings_reader`, so that the simulator and the real balancer
-read each setting alike.
+In the configuration, the settings of the policy are nested objects with the names of the simulator's wire.
+They are flattened to the fields of the wire and read by `loadbalancer.settings_reader`, so that both hosts of
+the policy interpret each setting in the same way.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 """Host and port."""
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024
-"""How many file descriptors may be open, where the configuration doesn't say."""
+"""Limit on open file descriptors if the configuration has none."""
 DEFAULT_MEMORY_LIMIT_MB = 192
-"""How much memory may be used, where the configuration doesn't say."""
+"""Limit on memory if the configuration has none."""
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
-"""After which idle time upstreams close a connection, where the settings don't say."""
+"""Idle time after which upstreams close a connection if the settings have none."""
 DEFAULT_DRAIN_GRACE_MS = 0.0
-"""How long a draining upstream still accepts requests, where the settings don't say."""
+"""Time for which a draining upstream still accepts requests if the settings have none."""
 MAX_PORT = 65_535
-"""The highest port of TCP."""
+"""The highest TCP port."""
 
 _STATE_BY_STATUS = {
     "in_service": EndpointState.READY,
@@ -43,10 +43,10 @@
 
 
 class ConfigurationError(LoadBalancerError, ValueError):
-    """The configuration can't be used.
+    """The configuration is invalid.
 
     Attributes:
-        reason: Why, in one line.
+        reason: What is wrong with it, in one line.
     """
 
     def __init__(self, reason: str) -> None:
@@ -55,7 +55,7 @@
 
 
 class ConfigurationPathNotSetError(ConfigurationError):
-    """The environment variable that names the configuration file is missing or empty."""
+    """The environment variable `LB_CONFIG` is missing or empty."""
 
     def __init__(self) -> None:
         super().__init__("LB_CONFIG is not set")
@@ -69,14 +69,14 @@
 
 
 class InvalidAddressError(ConfigurationError):
-    """A text that should be an address is not of the form `host:port`."""
+    """A text is not an address of the form `host:port`."""
 
     def __init__(self, text: object) -> None:
         super().__init__(f"{text!r} is no address of the form host:port")
 
 
 class EndpointListError(LoadBalancerError, ValueError):
-    """Base class of the errors of an endpoint list in the format of discovery."""
+    """Base class of the errors in an endpoint list in the format of discovery."""
 
 
 class MalformedEndpointListError(EndpointListError):
@@ -97,8 +97,8 @@
     """One entry of an endpoint list.
 
     Attributes:
-        endpoint: What the policy knows of the endpoint.
-        address: Where it accepts connections.
+        endpoint: The entry as the policy sees it.
+        address: The address at which the upstream accepts connections.
     """
 
     endpoint: Endpoint
@@ -106,11 +106,11 @@
 
 
 class EndpointList(NamedTuple):
-    """One response of discovery.
+    """One response of discovery: an endpoint list, or the changes to one.
 
     Attributes:
         version: The version of the list.
-        is_complete: Whether the entries are the complete list; otherwise they are those that have changed.
+        is_complete: Whether this is a snapshot (the complete list) or a delta (changed entries only).
         endpoints: The entries.
     """
 
@@ -120,20 +120,20 @@
 
 
 class Configuration(NamedTuple):
-    """All that a balancer is configured with.
+    """The configuration of a balancer.
 
     Attributes:
         name: The name of the balancer in log lines; may be empty.
-        listen: The address to accept clients at.
+        listen: The address to accept client connections at.
         discovery: The address of the discovery service.
         seed: The seed of the policy's random draws.
-        descriptor_limit: How many file descriptors the process may have open.
-        memory_limit_mb: How much memory the process may use.
-        known_endpoints: The endpoint list as it was known before the start.
-        settings: What the policy is configured with.
-        connect_timeout_ms: The longest wait for a connection to an upstream.
+        descriptor_limit: The number of file descriptors that the process may have open.
+        memory_limit_mb: The amount of memory that the process may use.
+        known_endpoints: The endpoint list to use until discovery responds; may be empty.
+        settings: The settings of the policy.
+        connect_timeout_ms: The timeout of a connect to an upstream.
         idle_timeout_ms: The idle time after which an upstream closes a connection.
-        drain_grace_ms: How long a draining upstream still accepts requests.
+        drain_grace_ms: The time for which a draining upstream still accepts requests.
     """
 
     name: str
@@ -150,14 +150,14 @@
 
 
 def read_configuration(text: str, warn: Callable[[str], None]) -> Configuration:
-    """Return the configuration in a JSON text.
+    """Read a configuration.
 
     Args:
-        text: The text.
-        warn: Called with a message about each setting that is unknown and ignored.
+        text: The configuration as JSON.
+        warn: Called with a message for each unknown setting, which is ignored.
 
     Raises:
-        ConfigurationError: The text is not JSON, a key is missing, or a value is invalid.
+        ConfigurationError: The text is not valid JSON, a key is missing, or a value is invalid.
     """
     try:
         return _read_document(json.loads(text), warn)
@@ -170,7 +170,7 @@
 
 
 def read_endpoint_list(document: Mapping[str, Any]) -> EndpointList:
-    """Return the endpoint list in a document in the format of discovery.
+    """Read an endpoint list from a document in the format of discovery.
 
     Raises:
         EndpointListError: The document is not an endpoint list.
@@ -184,10 +184,10 @@
 
 
 def read_address(text: object) -> Address:
-    """Return the host and port of a text of the form `host:port`; the host is not resolved.
+    """Split an address of the form `host:port`; the host is not resolved.
 
     Raises:
-        InvalidAddressError: The text is of another form.
+        InvalidAddressError: The text has another form.
     """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
@@ -233,16 +233,16 @@
 
 
 def _flatten(value: object, path: str, fields: settings_reader.Fields) -> None:
-    """Add a nested setting to `fields` in the form of the wire.
+    """Add a nested setting to `fields` in the format of the wire.
 
-    The keys of nested objects are joined by dots. A list of objects becomes a field with its length, and the
-    fields of each object under a path with its index; any other list becomes one field, its values joined by
-    commas.
+    The keys of nested objects are joined by dots. A list of objects becomes one field with its length, and
+    the fields of each object under a path with its index. Any other list becomes one field with its values
+    joined by commas.
 
     Args:
-        value: The setting: an object, a list or a scalar; null means a setting that is not given.
-        path: The path of the setting; empty for the object of all settings.
-        fields: Where to add the fields.
+        value: The setting: an object, a list or a scalar; null stands for an absent setting.
+        path: The path of the setting; empty for the object that holds all settings.
+        fields: The fields to add to.
     """
     if isinstance(value, dict):
         for name, nested in value.items():
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -7,14 +7,14 @@
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint's process accepts requests, by the endpoint list."""
+    """Whether an endpoint accepts requests, according to the endpoint list."""
 
     READY = "ready"
     """It accepts new requests."""
     DRAINING = "draining"
     """It finishes its open requests and accepts no new ones."""
     REMOVED = "gone"
-    """It has ended, or no longer belongs to the service."""
+    """Its process has ended, or no longer belongs to the service."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,12 +25,12 @@
         name: Its identity in the list. A restarted process may keep the name.
         state: Whether it accepts new requests.
         zone: The zone that it runs in; empty if unknown.
-        cell: The number of its cell, a group of endpoints that share idempotency keys where the scope of a
-            class is `IdempotencyScope.CELL`.
-        weight: Its registered capacity, relative to other endpoints. The policy replaces a value that is not
-            positive and finite by 1.
-        started_at_ms: When its process started, in milliseconds on the clock of the policy's events; 0 if
-            that is long ago. An entry with a later start under the same name is a new process.
+        cell: The number of its cell. The endpoints of a cell share the idempotency keys of classes with
+            `IdempotencyScope.CELL`.
+        weight: Its registered capacity, relative to other endpoints. The policy uses 1 in place of a
+            value that is not positive and finite.
+        started_at_ms: When its process started, in milliseconds on the clock of the policy's events; 0 if it
+            started long ago. An entry with the same name and a later start is a new process.
     """
 
     name: str
--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -8,7 +8,7 @@
 
 
 class InvalidStateError(LoadBalancerError):
-    """An object was used in a state that does not allow the call: a fault of this program."""
+    """A method was called in a state that does not allow it: a bug in this program."""
 
 
 class InvalidSettingsError(LoadBalancerError, ValueError):
@@ -17,7 +17,7 @@
     Attributes:
         field: The name of the field that holds the value.
         value: The value.
-        requirement: What the field requires, as the end of a sentence: "must not be negative".
+        requirement: What the value must fulfil, as the end of a sentence, such as "must not be negative".
     """
 
     def __init__(self, field: str, value: object, requirement: str) -> None:
@@ -28,10 +28,10 @@
 
 
 class DuplicateRequestError(LoadBalancerError, ValueError):
-    """A request has arrived under the id of one that is still open: a fault of the policy's host.
+    """A request has arrived with the id of one that is still open: a bug in the host of the policy.
 
     Attributes:
-        request_id: The id that both have.
+        request_id: The id of both requests.
     """
 
     def __init__(self, request_id: int) -> None:
@@ -43,8 +43,8 @@
     """A request names a class that the settings don't define.
 
     Attributes:
-        request_id: The request.
-        class_name: The class that it names.
+        request_id: The id of the request.
+        class_name: The name of the class.
     """
 
     def __init__(self, request_id: int, class_name: str) -> None:
@@ -57,8 +57,8 @@
     """An event names a request that is not open, or an attempt that was never started for it.
 
     Attributes:
-        request_id: The request that the event names.
-        attempt_index: The attempt of that request that the event names.
+        request_id: The id of the request.
+        attempt_index: The index of the attempt among those of the request.
     """
 
     def __init__(self, request_id: int, attempt_index: int) -> None:
--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -1,6 +1,6 @@
 """The events that `LoadBalancer.handle` accepts.
 
-The host of a `LoadBalancer` passes it each event as it happens, in order, together with the current time, and
+The host of a `LoadBalancer` passes it each event as it happens, in order and with the current time, and
 carries out the actions that it returns (`loadbalancer.actions`). All times and durations are in milliseconds
 on one monotonic clock. All types are frozen.
 """
@@ -17,16 +17,16 @@
 
 
 class EndpointListKind(enum.Enum):
-    """Which entries an endpoint list update holds."""
+    """Which entries an endpoint list update contains."""
 
     DELTA = "delta"
-    """The entries that are new or have changed; the others stay as they are."""
+    """The new and changed entries; all others stay as they are."""
     SNAPSHOT = "full"
-    """All entries; a known endpoint without an entry has been removed."""
+    """All entries; a known endpoint that has no entry has been removed."""
     CACHED = "cached"
-    """All entries as known from the configuration; discovery has not been reached since the start."""
+    """All entries of the list in the configuration; discovery has not responded since the start."""
     FAILED = "failed"
-    """No entries: discovery could not be reached, and the last list stays in force."""
+    """No entries: discovery could not be reached, and the last list stays in use."""
 
 
 class Outcome(enum.Enum):
@@ -37,7 +37,7 @@
     ERROR = "error"
     """The endpoint responded with an error; the request may have had an effect."""
     REJECTED = "rejected"
-    """The endpoint responded that it has not processed the request."""
+    """The endpoint responded that it did not process the request."""
     TIMED_OUT = "timed out"
     """No response came within the attempt's timeout."""
     CONNECT_FAILED = "connect failed"
@@ -52,9 +52,9 @@
     """The host does not know how it ended; the request may have had an effect."""
 
 
-# A tuple: a look-up in a set would call `Enum.__hash__`, which is a Python function.
+# A tuple, because a lookup in a set would call `Enum.__hash__`, which is a Python function.
 UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-"""Outcomes that prove that an attempt was not processed: a transparent retry is allowed for any class."""
+"""Outcomes of attempts that were certainly not processed, so that any class allows a transparent retry."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     """The endpoint list has changed, or discovery could not be reached.
 
     Attributes:
-        kind: Whether `endpoints` is a complete list, a change to it, or empty.
+        kind: Whether `endpoints` is the complete list, the changes to it, or empty.
         endpoints: The entries of the update.
     """
 
@@ -72,16 +72,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request has arrived. It must get exactly one final response.
+    """A request of a client has arrived. It must get exactly one final response.
 
     Attributes:
-        request_id: The id that all later events and actions refer to it by; unique among open requests.
+        request_id: The id of the request in all later events and actions; unique among open requests.
         class_name: The name of its `RequestClass`.
-        remaining_ms: The time until its deadline, in milliseconds from now.
-        tenant: The tenant whose quota it counts against; None without one.
+        remaining_ms: The time from now until its deadline.
+        tenant: The name of the tenant whose quota it counts against; None if it has no tenant.
         is_client_retry: Whether the client marks it as a retry. The policy does not use it: it infers a late
             retry from `remaining_ms`.
-        cost_hint_ms: Its expected work, in milliseconds of one standard core; 0 if unknown.
+        cost_hint_ms: Its expected processing time on one standard core; 0 if unknown.
     """
 
     request_id: int
@@ -97,8 +97,8 @@
     """A streaming response has begun: the deadline is met, and no further attempt may start.
 
     Attributes:
-        request_id: The request.
-        attempt_index: The index of the attempt that brought the response; see `AttemptFinished`.
+        request_id: The id of the request.
+        attempt_index: The index of the attempt that the response belongs to; see `AttemptFinished`.
     """
 
     request_id: int
@@ -110,15 +110,15 @@
     """An attempt has ended, with any outcome.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
         attempt_index: The index of the attempt among those of the request, from 0 in the order of the
             `StartAttempt` actions.
         endpoint: The name of the endpoint that it was sent to.
         outcome: How it ended.
-        is_request_complete: Whether the request needs no response any more: the client has its final
-            response, from this attempt or another one, or has disconnected.
-        load_report: The endpoint's load report, in the order of `Settings.load_report_fields`; empty without
-            one. The policy does not use it.
+        is_request_complete: Whether the request needs no further response: the client has the final response,
+            from this attempt or another one, or has disconnected.
+        load_report: The endpoint's load report, in the order of `Settings.load_report_fields`; empty if it
+            sent none. The policy does not use it.
     """
 
     request_id: int
@@ -131,10 +131,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request has disconnected; the request needs no response any more.
+    """The client of a request has disconnected; the request needs no response.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
     """
 
     request_id: int
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,8 +1,8 @@
-"""The settings of a balancer instance: request classes, tenants, limits and slow-start rules.
+"""The settings of a balancer instance: request classes, tenants, limits and slow start.
 
-The platform provides them at an instance's start, on the simulator's wire or in the file that `LB_CONFIG`
-names; `loadbalancer.settings_reader` reads both. All durations are in milliseconds. All types are frozen, and
-raise `InvalidSettingsError` for a value out of range.
+An instance receives them at its start, over the simulator's wire or in the file that `LB_CONFIG` names;
+`loadbalancer.settings_reader` reads both. All durations are in milliseconds. All types are frozen, and raise
+`InvalidSettingsError` for a value out of range.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
     """Whether a request may be processed more than once."""
 
     SAFE = "safe"
-    """Processing it again has no further effect, at any endpoint."""
+    """Repeated processing has no further effect, at any endpoint."""
     KEYED = "keyed"
-    """It has an idempotency key, by which the endpoints of a scope drop a repetition within a window."""
+    """It has an idempotency key, by which the endpoints of a scope drop duplicates within a time window."""
     NOT_IDEMPOTENT = "unsafe"
     """It must not be processed twice: only transparent retries are allowed."""
 
 
 class IdempotencyScope(enum.Enum):
-    """Which endpoints share their idempotency keys: each drops a request that another has processed."""
+    """Which endpoints share idempotency keys: each drops a request that another one has processed."""
 
     ALL = "all"
     """All endpoints of the service."""
@@ -42,17 +42,17 @@
 
     Attributes:
         name: The name that requests refer to; unique among the classes of a service.
-        latency_objective_ms: The response time up to which a response has its full value; above 0.
-        deadline_ms: The time from the client's first attempt after which a response has no value and the
-            client gives up; above 0.
+        latency_objective_ms: The latency up to which a response has its full value; above 0.
+        deadline_ms: The time from the client's first attempt after which the client gives up and a response
+            has no value; above 0.
         idempotency: Whether a request may be processed more than once.
-        idempotency_scope: For a keyed class: which endpoints drop a repetition.
+        idempotency_scope: For a keyed class: which endpoints share its keys.
         idempotency_window_ms: For a keyed class: how long an endpoint remembers a key.
         priority_weight: The value of a response within the latency objective, relative to other classes; at
             least 0. Load of lower weight is shed first.
-        late_value: The value of a response after the latency objective and before the deadline, as a fraction
-            of `priority_weight`, from 0 to 1.
-        is_streaming: Whether a response is a stream: the deadline applies to its first byte.
+        late_value: The value of a response between the latency objective and the deadline, as a fraction of
+            `priority_weight`, from 0 to 1.
+        is_streaming: Whether the response is a stream, so that the deadline applies to its first byte.
     """
 
     name: str
@@ -82,7 +82,7 @@
 
     Attributes:
         name: The name that requests refer to.
-        quota_per_s: The requests per second that are reserved for the tenant, over all balancers.
+        quota_per_s: The requests per second reserved for the tenant, summed over all balancers.
     """
 
     name: str
@@ -98,35 +98,35 @@
     """The settings of one balancer instance.
 
     Attributes:
-        classes: The classes that requests may be of; at least one.
-        tenants: The tenants with a quota. A request of another tenant, or without one, has no quota.
-        balancers: The number of balancer instances in this tier, this one included. An endpoint gets the sum
-            of the requests that all of them send.
-        tier: The number of tiers before this one; 0 for the tier that clients send requests to. Only
-            the balancers of tier 0 shed load.
+        classes: The request classes; at least one.
+        tenants: The tenants with a quota. Requests of other tenants, or without a tenant, have no quota.
+        balancers: The number of balancer instances in this tier, including this one. An endpoint receives
+            the requests of all of them.
+        tier: The number of tiers before this one; 0 for the tier that clients send requests to. Only the
+            balancers of tier 0 shed load.
         zone: The zone that the instance runs in; empty if unknown.
-        polls_discovery: Whether the endpoint list must be requested with `WatchEndpoints`; otherwise the host
-            sends it on its own.
-        poll_deadline_ms: The longest time allowed between two polls of discovery. The backoff after failures
-            stays within a third of it.
-        max_attempts: The maximum number of attempts for a request, including the first one and hedged ones.
-        connect_timeout_ms: The time after which a connect fails. An attempt without an open connection is
+        polls_discovery: Whether the policy must request the endpoint list with `WatchEndpoints`; otherwise
+            the host sends it unasked.
+        poll_deadline_ms: The maximum time between two polls of discovery. The backoff after failures is at
+            most a third of it.
+        max_attempts: The maximum number of attempts of a request, including the first one and hedged ones.
+        connect_timeout_ms: The time after which a connect fails. An attempt that needs a new connection is
             sent up to this much later than it starts.
         may_cancel: Whether an attempt in flight may be cancelled.
         may_hedge: Whether an attempt may start while an earlier one of the same request is in flight.
         may_health_check: Whether health checks are allowed. The policy sends none and does not use it.
         max_retry_after_ms: The maximum `Retry-After` of a rejection; 0 if rejections must not have one.
-        slow_start_ms: The time from its start during which an endpoint warms up; 0 if endpoints start warm.
+        slow_start_ms: The time from its start for which an endpoint warms up; 0 if endpoints start warm.
         slow_start_initial_fraction: The fraction of its full capacity that an endpoint has at its start,
             above 0. The fraction grows linearly to 1 over `slow_start_ms`.
-        slow_start_overload_factor: The work within one window, as a multiple of its present capacity, above
-            which a warming endpoint fails.
+        slow_start_overload_factor: The amount of work within one window, as a multiple of its current
+            capacity, above which a warming endpoint fails.
         slow_start_window_ms: The length of that window.
-        over_quota_weight: The value of a response to a tenant's request over its quota, as a fraction of the
-            value of one within it, from 0 to 1.
-        tick_ms: The resolution of the platform's clock: timers fire up to this much late.
-        load_report_fields: The names of the fields of an endpoint's load report, in order. The policy does
-            not use load reports.
+        over_quota_weight: The value of a response to a request over its tenant's quota, as a fraction of the
+            value of one within the quota, from 0 to 1.
+        tick_ms: The resolution of the host's clock: timers may fire up to this much late.
+        load_report_fields: The field names of an endpoint's load report, in order. The policy does not use
+            load reports.
     """
 
     classes: tuple[RequestClass, ...]
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,8 +1,8 @@
-"""Reads settings from flat `path=value` fields, for the simulator's wire and for `LB_CONFIG` alike.
+"""Reads settings from flat `path=value` fields, for both the simulator's wire and the file of `LB_CONFIG`.
 
-The names of the settings, and the words for the values of an enum, are those of the wire; no other module
-quotes them. Each field holds text: `number`, `integer`, `flag` and `lookup` return it as a typed value, or
-raise a `FieldError` with the name of the field.
+The names of the settings, and the words for enum values, are those of the wire. No other module contains
+them, except for the settings that `loadbalancer.configuration` uses itself. Each field is text: `number`,
+`integer`, `flag` and `lookup` convert it to a typed value. Errors are `FieldError`s with the field's name.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings, Tenant
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
-"""How long to wait for a connection where the settings don't say."""
+"""Connect timeout if the settings have none."""
 
 Fields = dict[str, str]
-"""The fields of one line or of one configuration: the text of each field by its path."""
+"""The fields of a line or of a configuration: maps the path of each field to its text."""
 
 Warn = Callable[[str], None]
-"""Called with a message about each part of the input that is ignored."""
+"""Called with a message for each part of the input that is ignored."""
 
 T = TypeVar("T")
 
@@ -55,11 +55,11 @@
     """.split()
 )
 _INDEX = re.compile(r"\.\d+\.")
-"""The position of an entry in a list of settings, such as the `.0.` of `classes.0.name`."""
+"""The index of an entry in a list of settings, such as `.0.` in `classes.0.name`."""
 
 
 class FieldError(LoadBalancerError, ValueError):
-    """Base class of the errors of one field."""
+    """Base class of the errors in a field."""
 
 
 class MissingFieldError(FieldError):
@@ -75,12 +75,12 @@
 
 
 class InvalidFieldError(FieldError):
-    """A field holds text that can't be read as a value of the field's type.
+    """The text of a field can't be converted to the field's type.
 
     Attributes:
         name: The name of the field.
-        text: What it holds.
-        reason: Why that is invalid, as the end of a sentence: "is no number".
+        text: The text of the field.
+        reason: Why the text is invalid, as the end of a sentence, such as "is no number".
     """
 
     def __init__(self, name: str, text: str, reason: str) -> None:
@@ -91,7 +91,7 @@
 
 
 def required(fields: Fields, name: str) -> str:
-    """Return the text of a field.
+    """Return the text of a required field.
 
     Raises:
         MissingFieldError: The field is missing.
@@ -103,16 +103,16 @@
 
 
 def number(fields: Fields, name: str, default: float | None = None) -> float:
-    """Return the finite number that a field holds.
+    """Return the value of a field as a finite number.
 
     Args:
-        fields: The fields to look in.
-        name: The field's name.
-        default: The value of a missing field; None makes the field a required one.
+        fields: The fields.
+        name: The name of the field.
+        default: The value to return for a missing field; None if the field is required.
 
     Raises:
         MissingFieldError: The field is missing, and there is no default.
-        InvalidFieldError: The field holds no finite number.
+        InvalidFieldError: The text is not a finite number.
     """
     text = fields.get(name)
     if text is None:
@@ -129,11 +129,11 @@
 
 
 def integer(fields: Fields, name: str) -> int:
-    """Return the integer that a required field holds.
+    """Return the value of a required field as an integer.
 
     Raises:
         MissingFieldError: The field is missing.
-        InvalidFieldError: The field holds no integer.
+        InvalidFieldError: The text is not an integer.
     """
     try:
         return int(fields[name])
@@ -144,16 +144,16 @@
 
 
 def flag(fields: Fields, name: str) -> bool:
-    """Return whether a field is set to true; a missing field is false."""
+    """Return whether a field is true; a missing field is false."""
     return fields.get(name) in ("1", "true")
 
 
 def lookup(value_by_word: dict[str, T], fields: Fields, name: str) -> T:
-    """Return the value that `value_by_word` maps the word in a required field to.
+    """Return the value to which `value_by_word` maps the text of a required field.
 
     Raises:
         MissingFieldError: The field is missing.
-        InvalidFieldError: The field holds a word that is not in the table.
+        InvalidFieldError: The text is not a key of `value_by_word`.
     """
     word = required(fields, name)
     try:
@@ -166,8 +166,8 @@
     """Return the settings of one balancer instance.
 
     Args:
-        fields: The settings, by their path on the wire.
-        warn: Called once for each field whose name is unknown; such a field is ignored.
+        fields: The settings.
+        warn: Called with a message for each field with an unknown name, which is ignored.
 
     Raises:
         FieldError: A field is missing or malformed.
@@ -228,7 +228,7 @@
 
 
 def _read_idempotency_scope(fields: Fields, name: str) -> IdempotencyScope:
-    """Return a class's idempotency scope; an unknown word means the narrowest scope, which is always safe."""
+    """Return the idempotency scope of a class: for an unknown word the narrowest, which is always safe."""
     return _SCOPE_BY_WORD.get(fields.get(name, "all"), IdempotencyScope.CELL)
 
 
--- a/loadbalancer/simulator/__init__.py
+++ b/loadbalancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs balancer instances on the wire of a simulator, in place of the network."""
+"""Runs balancer instances in a simulator: events and actions are lines of a text protocol, the wire."""
--- a/loadbalancer/simulator/__main__.py
+++ b/loadbalancer/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loadbalancer.simulator`: serve the simulator's wire on standard input and output."""
+"""`python -m loadbalancer.simulator`: host balancer instances on the wire, on standard input and output."""
 
 import sys
 
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -1,9 +1,9 @@
 """The framing of the simulator's wire: groups the lines of the input into batches of typed messages.
 
-The input is a sequence of batches. A batch begins with a `sync` line, which carries its time, and ends with
-an `eob` line. Between them stands one line for each message, or an endpoint list that later messages refer to
-by its number: a `ledger` line, followed by an `m` line for each of its entries. Empty lines between batches
-are skipped.
+The input is a sequence of batches. A batch begins with a `sync` line, which contains its time, and ends with
+an `eob` line. Each line between them is a message, or belongs to an endpoint list that later messages refer
+to by its number: a `ledger` line, followed by an `m` line for each entry. Empty lines between batches are
+skipped.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
     """Parses batches from the lines of the wire.
 
     Attributes:
-        batch_id: The batch that was begun last; "?" before the first one.
-        line: The line that was read last, without its line end.
+        batch_id: The id of the batch that was begun last; "?" before the first one.
+        line: The line read last, without its line end.
     """
 
     def __init__(self, lines: Iterable[str], warn: Warn) -> None:
-        """Read from `lines`; `warn` is called with a message about each part of the input that is ignored."""
+        """Read from `lines`; `warn` is called with a message for each part of the input that is ignored."""
         self.batch_id = "?"
         self.line = ""
         self._lines = iter(lines)
@@ -58,7 +58,7 @@
         Raises:
             FieldError: A field of a line is missing or malformed.
             InvalidSettingsError: A setting of an instance is out of range.
-            WireError: A line is not allowed where it stands.
+            WireError: A line is malformed, or not allowed at its position.
         """
         for line in self._lines:
             self.line = line.rstrip(_LINE_END)
@@ -106,7 +106,7 @@
         return parse_endpoint(parse_fields(parts))
 
     def _parse_message(self, kind: str, fields: Fields) -> Message | None:
-        """Return the message of one line; None if no instance has to know of the line."""
+        """Return the message of one line; None if the line is ignored."""
         if kind == _INSTANCE_STARTED:
             return parse_instance_started(fields, self._warn)
         if kind == _INSTANCE_KILLED:
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -1,7 +1,7 @@
 """The codec of the simulator's wire: parses one line into a typed value, and formats an action as one line.
 
-A line is its kind followed by `name=value` fields, separated by single spaces. The kinds, names and codes are
-those of the wire; only this module and `batch_reader` quote them, apart from the names of the settings.
+A line consists of its kind and of `name=value` fields, separated by single spaces. Only this module and
+`batch_reader` contain the kinds, names and codes of the wire, except for the names of settings.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 def parse_fields(parts: list[str]) -> Fields:
-    """Return the `name=value` parts of a line by name.
+    """Return a dict of the `name=value` parts of a line.
 
     Raises:
         MalformedPartError: A part has no equals sign.
@@ -105,12 +105,12 @@
     """Return the endpoint list update of one line.
 
     Args:
-        fields: The fields of the line; one of them is the number of a list.
-        shared_lists: The lists that were sent before, by their numbers.
+        fields: The fields of the line, including the number of a list.
+        shared_lists: The endpoint lists received so far, by number.
 
     Raises:
         FieldError: A field is missing or malformed.
-        UnknownEndpointListError: The list was never sent.
+        UnknownEndpointListError: No list with this number was received.
     """
     kind = lookup(_LIST_KIND_BY_CODE, fields, "mode")
     if kind is EndpointListKind.FAILED:
@@ -122,7 +122,7 @@
 
 
 def parse_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
-    """Return the start of an instance: all fields but its identity and seed are settings."""
+    """Return the start of an instance. All fields except for its id and seed are settings."""
     seed = integer(fields, "prng")
     settings_fields = {name: value for name, value in fields.items() if name not in ("who", "prng")}
     settings = read_settings(settings_fields, warn)
@@ -135,10 +135,10 @@
     Args:
         kind: The first word of the line.
         fields: The fields of the line.
-        warn: Called with a message about a kind, timer or outcome that is unknown.
+        warn: Called with a message for an unknown kind, timer or outcome.
 
     Returns:
-        The event; None for a line that is unknown, or that the policy has no use for.
+        The event; None if the line is unknown, or the policy has no use for it.
 
     Raises:
         FieldError: A field is missing or malformed.
@@ -197,7 +197,7 @@
 
 
 def _ignore(_fields: Fields, _warn: Warn) -> None:
-    """Skip a known line that the policy has no use for."""
+    """Ignore a known line that the policy has no use for."""
 
 
 _EVENT_PARSERS: dict[str, Callable[[Fields, Warn], Event | None]] = {
@@ -221,7 +221,7 @@
 
 
 def _parse_load_report(fields: Fields) -> tuple[float, ...]:
-    """Return the figures that an endpoint reports of its load; the policy does not use them."""
+    """Return the load report of an endpoint, which the policy does not use."""
     text = fields.get(_LOAD_REPORT)
     if not text:
         return ()
@@ -277,12 +277,12 @@
 
 
 def format_failure(instance: str, error: BaseException) -> str:
-    """Return the line that reports an error raised by the policy of an instance."""
+    """Return the line of the reply that reports an error in the policy of an instance."""
     return f"give_in who={instance} bodyText={_one_line(f'{_wire_name(error)}: {error}')}"
 
 
 def _wire_name(error: BaseException) -> str:
-    """Return the name of an error's type; the wire knows the package's own errors by their standard base."""
+    """Return the name of an error's type; for the package's own errors, that of the built-in base class."""
     types = type(error).__mro__ if isinstance(error, LoadBalancerError) else (type(error),)
     return next(t.__name__ for t in types if t.__module__ != LoadBalancerError.__module__)
 
--- a/loadbalancer/simulator/errors.py
+++ b/loadbalancer/simulator/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the simulator's wire: lines that it does not allow where they stand."""
+"""The errors of the simulator's wire: lines that are malformed, or not allowed at their position."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class UnexpectedLineError(WireError):
-    """A line of this kind is not allowed here."""
+    """A line of this kind is not allowed at this position."""
 
 
 class EndOfInputError(WireError):
@@ -36,7 +36,7 @@
     """A line names an instance that was never started, or has been killed.
 
     Attributes:
-        instance: The identity that the line names.
+        instance: The id of the instance.
     """
 
     def __init__(self, instance: str) -> None:
@@ -45,7 +45,7 @@
 
 
 class UnknownEndpointListError(WireError):
-    """An endpoint list update names a list that was never sent.
+    """An endpoint list update refers to a list that was never sent.
 
     Attributes:
         list_id: The number of the list.
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -17,24 +17,25 @@
     from loadbalancer.events import Event
 
 _MAX_LOGGED_LINE_CHARS = 200
-"""How many characters of an invalid line an error message quotes."""
+"""Limit on the length of an invalid line in an error message."""
 
 
 class Host:
     """The balancer instances of one process; they share no state."""
 
     def __init__(self, error_output: TextIO) -> None:
-        """Start without instances; errors, and warnings of ignored input, are written to `error_output`."""
+        """Start without instances; errors and warnings are written to `error_output`."""
         self._error_output = error_output
         self._written_warnings: set[str] = set()
-        # By identity; None for an instance whose policy has raised an error.
+        # By instance id; None for an instance whose policy has raised an error.
         self._balancers: dict[str, LoadBalancer | None] = {}
 
     def run(self, input_stream: TextIO, output_stream: TextIO) -> int:
         """Reply to batches until the input ends.
 
         Returns:
-            The exit status: 0 if the input ended between two batches, 1 if it broke off or was invalid.
+            The exit status: 0 if the input ended between two batches; 1 if it ended inside a batch or was
+            invalid, or if the output was closed.
         """
         reader = BatchReader(input_stream, self._warn)
         try:
@@ -50,12 +51,12 @@
         return 0
 
     def _report(self, reader: BatchReader, error: Exception) -> None:
-        """Write why the input is invalid, and where."""
+        """Write an error message with the position and reason of invalid input."""
         line = reader.line[:_MAX_LOGGED_LINE_CHARS]
         print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._error_output)
 
     def _warn(self, text: str) -> None:
-        """Write a warning, unless the same text has been written before."""
+        """Write a warning, unless the same one has been written before."""
         if text not in self._written_warnings:
             self._written_warnings.add(text)
             print(f"loadbalancer: {text}", file=self._error_output)
@@ -82,8 +83,8 @@
     def _handle_event(self, instance: str, event: Event, now_ms: float) -> list[str]:
         """Pass an event to an instance's policy, and return its actions as lines of the reply.
 
-        An error of the policy is written to the reply, where the simulator shows it beside the event that
-        caused it. The instance then handles no further event: its state can't be relied on.
+        If the policy raises an error, the reply reports it, so that the simulator can show it beside the
+        event that caused it. The instance ignores all later events, because its state may be inconsistent.
         """
         try:
             balancer = self._balancers[instance]
--- a/loadbalancer/simulator/messages.py
+++ b/loadbalancer/simulator/messages.py
@@ -1,7 +1,7 @@
-"""The input of the simulator as typed values: batches, and the messages in them.
+"""The input from the simulator as typed values: batches, and the messages in them.
 
-The types are named tuples because each line of the input makes one: a frozen dataclass with two fields takes
-1.7 times as long to construct. Messages are distinguished by their class and never compared.
+The types are named tuples because each line of the input creates one, and a frozen dataclass with two fields
+takes 1.7 times as long to construct. Messages are distinguished by class and never compared.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class InstanceStarted(NamedTuple):
-    """A balancer instance starts; it replaces an earlier instance of the same identity.
+    """A balancer instance starts; it replaces an earlier instance with the same id.
 
     Attributes:
-        instance: The identity of the instance.
+        instance: The id of the instance.
         seed: The seed of all its random draws.
-        settings: What its policy is configured with.
+        settings: The settings of its policy.
     """
 
     instance: str
@@ -30,10 +30,10 @@
 
 
 class InstanceKilled(NamedTuple):
-    """A balancer instance has been killed; its state is lost, and no further message names it.
+    """A balancer instance has been killed; its state is lost, and no later message refers to it.
 
     Attributes:
-        instance: The identity of the instance.
+        instance: The id of the instance.
     """
 
     instance: str
@@ -43,7 +43,7 @@
     """An event for the policy of one balancer instance.
 
     Attributes:
-        instance: The identity of the instance.
+        instance: The id of the instance.
         event: The event to pass to its policy.
     """
 
@@ -55,13 +55,13 @@
 
 
 class Batch(NamedTuple):
-    """The messages of one moment of simulated time; the simulator waits for one reply to all of them.
+    """The messages of one instant of simulated time; the simulator waits for one reply to all of them.
 
     Attributes:
-        batch_id: The simulator's name for the batch, which the last line of the reply repeats.
-        now_ms: The moment, in milliseconds of simulated time.
-        messages: The messages, parsed from the input as they are iterated over: exhaust them before asking
-            for the next batch.
+        batch_id: The id of the batch, repeated in the last line of the reply.
+        now_ms: The simulated time, in milliseconds.
+        messages: The messages. Iteration parses them from the input, so they must be exhausted before the
+            next batch is read.
     """
 
     batch_id: str
--- a/loadbalancer/timers.py
+++ b/loadbalancer/timers.py
@@ -1,7 +1,7 @@
 """The timers that the policy sets.
 
-The policy's host gets a timer in a `SetTimer` action and returns it unchanged in a `TimerFired` event. The
-policy cancels no timers; it ignores one that is no longer needed when it fires.
+The host of the policy receives a timer in a `SetTimer` action and returns it unchanged in a `TimerFired`
+event. The policy never cancels a timer; it ignores one that is no longer needed when it fires.
 """
 
 from __future__ import annotations
