--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,10 +22,10 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Limit the time of each asynchronous test.
+    """Apply a time limit to each asynchronous test.
 
-    Guards against hanging: the signal of pytest-timeout does not interrupt a waiting uvloop, and its thread
-    ends the complete test run.
+    The methods of pytest-timeout do not suit tests that hang: its signal does not interrupt a waiting uvloop,
+    and its thread ends the complete test run.
     """
     for item in items:
         if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
@@ -35,7 +35,7 @@
 def with_time_limit(
     test: Callable[..., Awaitable[None]], timeout_s: float = TEST_TIMEOUT_S
 ) -> Callable[..., Awaitable[None]]:
-    """Return an asynchronous test that fails by `TimeoutError` after a time limit."""
+    """Return a test that fails with `TimeoutError` once the time limit has passed."""
 
     @functools.wraps(test)
     async def limited_test(*args: object, **kwargs: object) -> None:
--- a/tests/import_contracts.py
+++ b/tests/import_contracts.py
@@ -1,6 +1,6 @@
-"""Contract types for import-linter: the rules on imports that none of its own contract types can express.
+"""Contract types for import-linter, for import rules that its built-in types can't express.
 
-The contracts themselves are in `pyproject.toml`. Run them with `lint-imports`.
+The contracts are defined in `pyproject.toml` and checked by `lint-imports`.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class StandardLibraryOnlyContract(Contract):
-    """Packages that import nothing but the standard library and the top-level packages that are checked.
+    """Packages that import only the standard library and the root packages of the contracts.
 
     Options:
-        packages: Names of the packages. Their submodules are checked too.
+        packages: The names of the packages. Their submodules are checked too.
     """
 
     type_name = "standard_library_only"
@@ -26,7 +26,7 @@
     packages = fields.ListField(subfield=fields.StringField())
 
     def check(self, graph: ImportGraph, verbose: bool) -> ContractCheck:
-        """Return a broken contract with one line for each import of a third-party module."""
+        """Check the imports; the result has one line for each import of a third-party module."""
         allowed = sys.stdlib_module_names | set(self.session_options["root_packages"])
         imports = [
             f"{importer} imports {imported}"
@@ -44,11 +44,11 @@
 class AcyclicModulesContract(Contract):
     """Modules that do not import each other in a cycle, whichever packages they are in.
 
-    The contract type `acyclic_siblings` compares whole packages: it also forbids that two packages import
-    from each other where no module is part of a cycle.
+    The built-in contract type `acyclic_siblings` compares whole packages: it also forbids two packages that
+    import from each other without a cycle of modules.
 
     Options:
-        packages: Names of the packages whose modules are checked.
+        packages: The names of the packages whose modules are checked.
     """
 
     type_name = "acyclic_modules"
@@ -56,7 +56,7 @@
     packages = fields.ListField(subfield=fields.StringField())
 
     def check(self, graph: ImportGraph, verbose: bool) -> ContractCheck:
-        """Return a broken contract with one line for each import that closes a cycle."""
+        """Check the imports; the result has one line for each import that is part of a cycle."""
         cycles = [
             " -> ".join([importer, *chain])
             for importer in sorted(modules_of(graph, self.packages))
@@ -66,18 +66,18 @@
         return ContractCheck(kept=not cycles, metadata={"lines": cycles})
 
     def render_broken_contract(self, check: ContractCheck) -> None:
-        """Print each cycle, starting from every import in it."""
+        """Print each cycle once for every import in it."""
         print_lines(check)
 
 
 def modules_of(graph: ImportGraph, packages: object) -> set[str]:
-    """Return the modules of the named packages, the packages themselves included."""
+    """Return the modules of the named packages, including the packages themselves."""
     names = [str(name) for name in packages] if isinstance(packages, list) else []
     return set(names).union(*(graph.find_descendants(name) for name in names))
 
 
 def print_lines(check: ContractCheck) -> None:
-    """Print the lines that a check has left in its metadata."""
+    """Print the lines that a check has stored in its metadata."""
     for line in check.metadata["lines"]:
         output.print_error(line)
     output.new_line()
--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -1,4 +1,4 @@
-"""The cost of an event on the simulator's wire, measured as a count of Python calls; no clock is read."""
+"""The cost of an event on the simulator's wire, measured in Python calls instead of time to be repeatable."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 REQUESTS = 400
 EVENTS = 2 * REQUESTS  # the arrival of each request and the end of its attempt
-# Python calls for each event outside the policy: its line is read, its batch framed, its reply written. It
-# takes 27.2 with Python 3.11. A reader with a function around each of its steps took 39.2, and with it the
-# processor time of a simulated day was 1.06 to 1.13 times that of the decisions in one module.
+# Python calls per event outside the policy: to parse the line, frame the batch and format the reply. With
+# Python 3.11 there are 27.2. A reader with a function around each step took 39.2, and the processor time of a
+# simulated day was then 1.06 to 1.13 times that of the decisions in one module.
 MAX_CALLS_OUTSIDE_POLICY = 28.0
-# The same with the calls of the policy: 63.4 with Python 3.11.
+# The same including the policy: 63.4 calls with Python 3.11.
 MAX_CALLS = 68.0
 
 
 def input_text() -> str:
-    """One instance with two endpoints, and a batch for each arrival and for each end of an attempt."""
+    """Return input with two endpoints, and a batch for each arrival and each end of an attempt."""
     start = f"{instance_started(1)}{SHARED_LIST}membership who=1 mode=0 list=3\n"
     lines = [f"sync time=100.0 batch=0\n{start}eob\n"]
     for n in range(REQUESTS):
@@ -40,7 +40,7 @@
 
 @pytest.fixture(scope="module")
 def calls_per_event() -> Counter[str]:
-    """Python calls for each event by the module that defines what is called."""
+    """Python calls per event, by the module that defines the called function."""
     calls: Counter[str] = Counter()
 
     def count_call(frame: FrameType, kind: str, _: object) -> None:
@@ -74,5 +74,5 @@
 
 
 def test_an_outcome_lookup_calls_no_python_code(calls_per_event: Counter[str]) -> None:
-    """A set of enum members calls `Enum.__hash__`; a tuple compares members by identity."""
+    """A lookup in a set calls `Enum.__hash__`; a tuple compares the members by identity."""
     assert calls_per_event["enum"] == 0
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The lines of the simulator's wire."""
+"""Parsing and formatting of the lines of the simulator's wire."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The host on the simulator's wire: replies, warnings, invalid input, and instances kept apart."""
+"""The simulator host: replies, warnings, invalid input, and the isolation of instances."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def first_batch(instance: int = 1) -> str:
-    """The start of one instance, and its endpoint list."""
+    """Return a batch that starts one instance and sends its endpoint list."""
     endpoint_list = f"{SHARED_LIST}membership who={instance} generation=1 mode=0 list=3\n"
     return f"sync time=100.0 batch=1\n{instance_started(instance)}{endpoint_list}eob\n"
 
 
 def run_host(text: str) -> tuple[int, str, str]:
-    """Exit status, replies and error messages for an input."""
+    """Return the exit status, the replies and the error output for an input."""
     output, errors = io.StringIO(), io.StringIO()
     status = Host(errors).run(io.StringIO(text), output)
     return status, output.getvalue(), errors.getvalue()
@@ -115,7 +115,7 @@
 
 
 def run_process(instances: list[int], hash_seed: str) -> str:
-    """The replies of a process that hosts these instances."""
+    """Return the replies of a process that hosts these instances."""
     text = "".join(
         ["sync time=100.0 batch=1\n", SHARED_LIST, *(instance_started(i, 11 + i) for i in instances)]
     )
--- a/tests/simulator/wire_lines.py
+++ b/tests/simulator/wire_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire that several tests send."""
+"""Lines of the simulator's wire that several tests share."""
 
 from __future__ import annotations
 
--- a/tests/support/busy_event_loop.py
+++ b/tests/support/busy_event_loop.py
@@ -1,4 +1,4 @@
-"""Blocks the event loop as a busy process does."""
+"""Simulates a busy event loop."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def block_event_loop(duration_s: float) -> None:
-    """Block the event loop: it accepts and reads nothing meanwhile, while the kernel does."""
+    """Block the event loop, which then accepts and reads nothing; the kernel still does."""
     time.sleep(duration_s)
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -12,18 +12,18 @@
 
 
 def entry(name: str, address: str, **fields: Any) -> dict[str, Any]:
-    """Return an entry of discovery's endpoint list; `fields` replaces the default fields."""
+    """Return an entry of an endpoint list in the format of discovery; `fields` overrides the defaults."""
     defaults = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "weight": 1.0}
     return defaults | {"status": "in_service", "since_ms": 0} | fields
 
 
 def config_text(discovery: str, entries: list[dict[str, Any]], /, **settings: Any) -> str:
-    """Return the text of a configuration.
+    """Return a configuration as JSON.
 
     Args:
-        discovery: Its address.
-        entries: The endpoints that are known at the start.
-        settings: Replace the settings of that name.
+        discovery: The address of discovery.
+        entries: The endpoint list to start with.
+        settings: Settings that override the defaults of the same name.
     """
     classes = [
         {"name": "read", "target": 2000.0, "deadline": 5000.0, "effect": "retryable", "worth": 2.0},
@@ -59,5 +59,5 @@
 
 
 def configuration(text: str) -> Configuration:
-    """Return a configuration that is expected to have no unknown setting."""
+    """Read a configuration; unknown settings are ignored."""
     return read_configuration(text, lambda warning: None)
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect at a chosen time, and waits for the end of their requests."""
+"""Helpers for clients that disconnect at a chosen time."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     "connectTimeout": 5_000.0,
     "mayDuplicate": True,
 }
-"""Limits that allow hedged requests, with a connect timeout longer than any test delays a connect."""
+"""Limits that allow hedged requests, with a connect timeout above any delay of a connect in these tests."""
 
 
 def request_bytes(path: str, number: int, body: bytes = b"") -> bytes:
-    """Return the bytes of a request of the class that its path names."""
+    """Return an encoded request; its path is a slash and its class."""
     method = "POST" if body else "GET"
     head = (
         f"{method} {path} HTTP/1.1\r\nX-Class: {path[1:]}\r\nX-Request-Id: {number}\r\nX-Deadline: 4000m\r\n"
@@ -35,7 +35,7 @@
 
 
 async def wait_until_idle(harness: ProxyHarness) -> None:
-    """Wait until no request is open and no attempt in progress."""
+    """Wait until all requests are finished, with no attempt in flight."""
     await wait_until(
         lambda: not harness.proxy.open_requests,
         "no request is open",
@@ -52,7 +52,7 @@
 
 
 def skip_reuse_delay(harness: ProxyHarness) -> None:
-    """Let idle connections to upstreams be reused immediately."""
+    """Make idle connections to upstreams reusable immediately."""
     pools = harness.proxy.upstreams
     for name in pools.endpoint_names:
         for connection in pools.pool(name).idle_connections:
@@ -60,16 +60,16 @@
 
 
 class DelayedConnects:
-    """Connections to upstreams that are established only when the test allows it.
+    """Delays connections to upstreams until the test allows them.
 
     Args:
         monkeypatch: Undoes the change at the end of the test.
-        undelayed: How many connections are established without delay before that.
+        undelayed: The number of connections that are established without delay before the first delayed one.
 
     Attributes:
-        connect_pending: Set once a connection waits to be allowed.
-        allowed: To be set by the test.
-        on_established: Called as a delayed connection is established.
+        connect_pending: Set once a delayed connection waits for `allowed`.
+        allowed: Set by the test to establish the delayed connections.
+        on_established: Called when a delayed connection is established.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, undelayed: int = 0) -> None:
--- a/tests/support/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -13,7 +13,7 @@
 
 
 def record_events(harness: ProxyHarness) -> list[Event]:
-    """Return a list to which every further event is appended."""
+    """Return a list to which each event from now on is appended."""
     events: list[Event] = []
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
@@ -30,5 +30,5 @@
 
 
 def list_kinds(events: list[Event]) -> list[EndpointListKind]:
-    """Return the kinds of the endpoint list updates, in their order."""
+    """Return the kinds of the endpoint list updates, in order."""
     return [event.kind for event in events if isinstance(event, EndpointListUpdate)]
--- a/tests/support/fixture_types.py
+++ b/tests/support/fixture_types.py
@@ -1,4 +1,4 @@
-"""The types of the fixtures that start something."""
+"""The types of the fixtures that start servers and proxies."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class ScriptedServer(Protocol):
-    """An upstream or a discovery."""
+    """A server with scripted responses: an upstream or a discovery service."""
 
     async def start(self) -> str:
-        """Listen and return the address."""
+        """Listen, and return the address."""
 
     def stop(self) -> None:
         """Stop listening, and close the connections."""
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -1,4 +1,4 @@
-"""A client of a balancer on one connection."""
+"""An HTTP client for the tests of the balancer."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from tests.support.sockets import try_connect
 from tests.support.waiting import wait_until
 
-_REQUEST_NUMBERS = itertools.count(1)  # an id is new with every request
+_REQUEST_NUMBERS = itertools.count(1)  # each request has a new id
 
 
 class Client:
-    """A client on one connection."""
+    """An HTTP client with one connection to a balancer."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     @classmethod
     async def connect_to_program(cls, port: int) -> Client:
-        """Connect to a program that was started just now, as soon as it listens."""
+        """Connect to a program that is starting, as soon as it listens."""
         connected_socket = await wait_until(
             lambda: try_connect(port), "the program accepts connections", poll_interval_s=0.01
         )
@@ -35,13 +35,13 @@
         deadline: str = "4000m",
         **headers: str,
     ) -> None:
-        """Send a request: POST if it has a body, else GET.
+        """Send a request: POST if it has a body, otherwise GET.
 
         Args:
-            path: Its target; the first part is its class.
-            body: Its body.
-            deadline: Its X-Deadline.
-            headers: Further headers, or other values for the default ones; an empty one is left out.
+            path: The request target; its first segment is the class.
+            body: The body.
+            deadline: The value of X-Deadline.
+            headers: Further headers, or other values for the default ones; an empty value omits the header.
         """
         method = "POST" if body else "GET"
         all_headers = {
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the tests write and read them."""
+"""Reading and formatting of HTTP messages."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReceivedMessage:
-    """A request as an upstream received it, or a response as a client did."""
+    """A request received by an upstream, or a response received by a client."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         self.start_line, *rest = head.decode("latin-1").split("\r\n")
@@ -28,11 +28,11 @@
 
 
 def response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
-    """Return the bytes of a response; each header is a complete line."""
+    """Return an encoded response; each header is a complete line."""
     lines = [f"HTTP/1.1 {status} Any", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 def status(reply: ReceivedMessage) -> int:
-    """Return the status of a response."""
+    """Return the status code of a response."""
     return int(reply.start_line.split(" ")[1])
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -1,4 +1,4 @@
-"""Replaces the policy by a function of a test, or calls one before it."""
+"""Replaces the policy of a proxy by a function, or calls a function before it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class InjectedPolicyError(Exception):
-    """Raised by a test in place of the policy."""
+    """Raised by a test in place of an error in the policy."""
 
     def __init__(self) -> None:
         super().__init__("a fault of the policy")
@@ -23,14 +23,14 @@
 
 
 def replace_policy(harness: ProxyHarness, handler: EventHandler) -> EventHandler:
-    """Have a function handle all further events, and return the previous handler."""
+    """Let a function handle all further events, and return the previous handler."""
     previous: EventHandler = harness.proxy.balancer.handle
     harness.proxy.balancer.handle = handler  # type: ignore[method-assign, assignment]
     return previous
 
 
 def before_event(harness: ProxyHarness, event_type: type, callback: Callable[[Any], None]) -> None:
-    """Call a function with each event of one type before the policy handles it."""
+    """Call a function with each event of a type before the policy handles the event."""
 
     def call_then_handle(event: Event, now: float) -> list[Action]:
         if isinstance(event, event_type):
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,4 +1,4 @@
-"""The program in a process of its own."""
+"""Runs the program in a separate process."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 async def running_program(
     path: Path, descriptor_limit: int | None = None
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Start the program with the configuration in a file, and kill it at the end if it still runs.
+    """Run the program with a configuration file; kill it on exit if it still runs.
 
     Args:
-        path: The file.
-        descriptor_limit: How many file descriptors the process may have open; None for the default limit.
+        path: The configuration file.
+        descriptor_limit: The limit on open file descriptors of the process; None for the default limit.
     """
     limit = "" if descriptor_limit is None else f"ulimit -n {descriptor_limit} && "
     process = await asyncio.create_subprocess_exec(
@@ -47,21 +47,21 @@
 
 
 async def read_log_line(process: asyncio.subprocess.Process) -> bytes:
-    """Return the next line that a program writes to standard error."""
+    """Return the next line that the program writes to standard error."""
     assert process.stderr is not None
     return await process.stderr.readline()
 
 
 @dataclass(frozen=True)
 class ProgramWithOpenRequest:
-    """The program with a request that its upstream has received and not responded to.
+    """A running program with a request that its upstream has received and not yet responded to.
 
     Attributes:
-        process: The program.
-        path: The file that `LB_CONFIG` names.
-        port: Where it listens.
-        entries: The endpoints that it knew at its start: the upstream alone.
-        upstream: The upstream, which never responds by itself.
+        process: The process of the program.
+        path: The configuration file.
+        port: The port that the program listens on.
+        entries: The endpoint list that it started with, which contains only the upstream.
+        upstream: The upstream, which responds only in `respond_and_check`.
         client: The client that waits for the response.
     """
 
@@ -73,6 +73,6 @@
     client: Client
 
     async def respond_and_check(self) -> None:
-        """Have the upstream respond now, and check that the client gets the response."""
+        """Let the upstream respond, and check that the client receives the response."""
         self.upstream.writers[0].write(response(200, b"unharmed"))
         assert (await self.client.read_response()).body == b"unharmed"
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A proxy in the process of the tests."""
+"""Runs a proxy in the process of the tests."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 class ProxyHarness:
-    """A proxy in this process, with its upstreams and discovery.
+    """A proxy with its upstreams and discovery service.
 
     Args:
-        upstreams: Its upstreams, which are started with it and named `s0`, `s1` and so on.
-        extra_entries: Further endpoints that it knows at the start.
+        upstreams: The upstreams, which are started with the proxy and named `s0`, `s1` and so on.
+        extra_entries: Further entries of the endpoint list to start with.
         process_limits: The limits of the process, in place of the defaults of `config_text`.
-        settings: Replace the defaults of `config_text`.
+        settings: Settings that override the defaults of `config_text`.
 
     Attributes:
-        upstreams: As given.
-        discovery: Its discovery.
-        entries: The endpoints that it knows at the start.
-        proxy: The proxy, once it is started.
+        upstreams: The upstreams.
+        discovery: The discovery service.
+        entries: The endpoint list to start with.
+        proxy: The proxy; set by `start`.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._sockets: list[socket.socket] = []
 
     async def start(self) -> None:
-        """Start the upstreams, the discovery and the proxy."""
+        """Start the upstreams, the discovery service and the proxy."""
         for i, upstream in enumerate(self.upstreams):
             self.entries.append(entry(f"s{i}", await upstream.start()))
         text = config_text(await self.discovery.start(), self.entries, **self._settings)
@@ -62,7 +62,7 @@
         self.proxy.start()
 
     async def stop(self) -> None:
-        """Close the listener and all connections from outside the proxy, which closes its own then."""
+        """Close the listener and the other end of all connections, so that the proxy closes its own."""
         self.proxy.listener.close()
         for client in self._clients:
             client.writer.transport.abort()
@@ -73,20 +73,20 @@
             upstream.stop()
 
     async def client(self) -> Client:
-        """Connect a client, which is disconnected when the proxy stops at the latest."""
+        """Connect a client, which `stop` disconnects."""
         client = Client()
         self._clients.append(client)
         client.reader, client.writer = await asyncio.open_connection(*self.proxy.listener.address[:2])
         return client
 
     def connect_socket(self) -> socket.socket:
-        """Connect a client outside the event loop: all that it does takes effect at once."""
+        """Connect a client outside the event loop, so that all its operations take effect at once."""
         client_socket = socket.create_connection(self.proxy.listener.address[:2])
         self._sockets.append(client_socket)
         return client_socket
 
     async def send_request(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
-        """Send a request on a connection of its own and return the response.
+        """Send a request on a new connection, and return the response.
 
         The arguments are those of `Client.send`.
         """
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that responds by a script."""
+"""A discovery service with scripted responses."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class DiscoveryServer:
-    """A discovery that answers each call by the next queued response, and waits for one as a watch does.
+    """A discovery service that answers each call with the next queued response, once there is one.
 
     Attributes:
-        responses: The responses to come, as bytes.
-        calls: The request lines of the calls that have come.
-        connection_closed: Set when a connection has ended.
-        writers: The sending side of each connection.
+        responses: The queued responses, encoded.
+        calls: The request lines of the received calls.
+        connection_closed: Set once a connection has been closed.
+        writers: The writer of each connection.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
                 call = await read_message(reader)
                 self.calls.put_nowait(call.start_line)
                 reply = asyncio.ensure_future(self.responses.get())
-                # The balancer sends nothing before it has the response: reading ends only by a disconnect.
+                # The balancer sends nothing before it has the response: the read ends only at a disconnect.
                 disconnect = asyncio.ensure_future(reader.read(1))
                 await asyncio.wait((reply, disconnect), return_when=asyncio.FIRST_COMPLETED)
                 if disconnect.done():
@@ -60,13 +60,13 @@
         writer.close()
 
     def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
-        """Respond to the next call by an endpoint list, or by a change of it."""
+        """Queue a response with an endpoint list, or with changes to it."""
         self.responses.put_nowait(list_response(index, *entries, snapshot=snapshot))
 
 
 def list_response(
     index: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
 ) -> bytes:
-    """Return a response of discovery with an endpoint list, or with a change of it."""
+    """Return an encoded response with an endpoint list, or with changes to it."""
     document = {"index": index, "snapshot": snapshot, "endpoints": entries}
     return response(200, json.dumps(document, indent=indent).encode())
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that responds by a script."""
+"""An upstream with scripted responses."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from tests.support.sockets import socket_address
 
 Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
-"""Responds to a request, or leaves it without a response."""
+"""Handles a request, with or without a response."""
 
 
 class Upstream:
-    """A server that responds to its nth request by the nth script, and to all later ones by the last.
+    """A server that handles its nth request with the nth script, and all later requests with the last one.
 
     Attributes:
-        received: The requests that it received.
-        connections: How many connections it accepted.
-        writers: The sending side of each of them.
-        request_received: Set with the first request.
-        connection_closed: Set when the balancer has ended a connection.
+        received: The received requests.
+        connections: The number of accepted connections.
+        writers: The writer of each connection.
+        request_received: Set when a request is received.
+        connection_closed: Set once the balancer has closed a connection.
     """
 
     def __init__(self, *scripts: Script | bytes) -> None:
@@ -61,9 +61,9 @@
 
 
 async def never_respond(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Never respond."""
+    """Leave the request without a response."""
 
 
 async def reset_connection(request: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection instead of a response."""
+    """Reset the connection instead of responding."""
     writer.transport.abort()
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -1,6 +1,6 @@
-"""A simulated discovery on an event loop with a simulated clock, which jumps to the next timer.
+"""A simulated discovery service on an event loop with a simulated clock, which jumps to the next timer.
 
-Minutes of an outage pass in an instant, and a test chooses the time at which it ends.
+Tests simulate minutes of an outage in an instant, and choose the exact time at which it ends.
 """
 
 from __future__ import annotations
@@ -23,9 +23,12 @@
 
     from loadbalancer.actions import Action
 
+# refuses: connects are refused. resets: calls are answered by a reset. unreachable: connects never complete.
+# connects late: connects take almost the connect timeout, and calls get no response. silent: calls get no
+# response. error: calls get status 500. truncated: calls get an incomplete response.
 FAULTS = ("refuses", "resets", "unreachable", "connects late", "silent", "error", "truncated")
-CONNECT_FAULTS = ("refuses", "unreachable", "connects late")  # the faults of a connect
-KNOWN_INDEX = 8  # the version of the list at the start
+CONNECT_FAULTS = ("refuses", "unreachable", "connects late")  # faults that affect new connections
+KNOWN_INDEX = 8  # the initial version of the list
 T = TypeVar("T")
 
 
@@ -48,7 +51,7 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop with a simulated clock, whose connections lead to simulated discoveries by port."""
+    """An event loop with a simulated clock, which connects to the simulated discovery at a port."""
 
     def __init__(self) -> None:
         self._jumping_selector = _JumpingSelector(selectors.DefaultSelector())
@@ -63,11 +66,11 @@
 
 
 class SimulatedConnection(asyncio.Transport):
-    """The balancer's side of one connection to a simulated discovery.
+    """The balancer's end of a connection to a simulated discovery.
 
     Attributes:
-        is_unresponsive: Whether it is unresponsive: nothing is received on it any more.
-        after: The index given by the watch call that waits on it; None if no call waits.
+        is_unresponsive: Whether the balancer receives nothing more on it.
+        after: The list version in the watch call that waits on it; None if no call waits.
         calls: The number of calls on it.
     """
 
@@ -92,11 +95,11 @@
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
     def become_unresponsive(self) -> None:
-        """Let nothing be received on it any more."""
+        """Make the connection unresponsive: the balancer receives nothing more on it."""
         self.is_unresponsive = True
 
     def receive(self, data: bytes) -> None:
-        """Have the balancer read bytes of a response in the next iteration of the event loop."""
+        """Let the balancer read a response, or a part of one, in the next iteration of the event loop."""
         self.after = None
         asyncio.get_running_loop().call_soon(self._receive_now, data)
 
@@ -106,15 +109,16 @@
 
 
 class SimulatedDiscovery:
-    """A discovery with faults.
+    """A discovery service with faults.
 
     Attributes:
         fault: The current fault, one of `FAULTS`; empty if there is none.
         index: The version of its endpoint list.
-        attempts: The time of each connect with a fault and of each call, in seconds.
+        connections: The open connections.
+        attempts: The times of connects under a fault of `CONNECT_FAULTS`, and of received calls, in seconds.
         calls: The request lines of the calls.
         watches: The start and the wait time of each watch, in seconds.
-        on_attempt: Called when a connect or a call has been accepted or has failed.
+        on_attempt: Called after each of these connects and each call.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -131,7 +135,7 @@
         self.on_attempt: Callable[[], object] = lambda: None
 
     async def connect(self, factory: Callable[[], asyncio.Protocol]) -> Any:
-        """Accept a connection, or fail to."""
+        """Accept a connection, or apply the current fault to it."""
         fault = self.fault
         if fault in CONNECT_FAULTS:
             self.attempts.append(self.loop.time())
@@ -141,7 +145,7 @@
         if fault == "unreachable":
             await self.loop.create_future()  # never established
         if fault == "connects late":
-            # Calls on it get no response either.
+            # The connection is unresponsive too: its calls get no response.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -151,7 +155,7 @@
         return connection, protocol
 
     def on_call(self, connection: SimulatedConnection, call: str) -> None:
-        """Handle a call, given as its request line."""
+        """Handle the call with a request line."""
         if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
         self.calls.append(call)
@@ -194,7 +198,7 @@
         return list_response(self.index, *self._entries, snapshot=snapshot)
 
     def begin_outage(self, fault: str) -> None:
-        """Begin an outage, with its effect on open connections."""
+        """Begin an outage, and apply its fault to the open connections."""
         self.fault = fault
         for connection in list(self.connections):
             if fault in ("refuses", "resets"):
@@ -205,7 +209,7 @@
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
     def drain_upstream(self) -> None:
-        """Have an upstream begin to drain, and send the change to each waiting watch."""
+        """Set an upstream to draining, and send the change to each waiting watch."""
         self.index += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
@@ -214,10 +218,17 @@
 
 
 class WatchingProxy:
-    """A proxy on the simulated event loop, and the time at which its policy learns of the drain.
+    """A proxy on the simulated event loop, which records when its policy learns of the draining upstream.
+
+    Args:
+        discovery: The discovery service to watch.
+        seed: The seed of the balancer.
+        poll_deadline_ms: The setting `askWithin`.
+        discovery_mode: The setting `discovery`: "ask" or "push".
 
     Attributes:
-        drain_learned_at: Completed with that time, in seconds of the event loop's clock.
+        proxy: The proxy.
+        drain_learned_at: Completed with the time, in seconds on the clock of the event loop.
     """
 
     def __init__(
@@ -247,18 +258,18 @@
         return self._handle(event, now)
 
     def switch_to(self, discovery: SimulatedDiscovery) -> None:
-        """Reconfigure the proxy with another address of discovery, as SIGHUP does."""
+        """Reconfigure the proxy with the address of another discovery service, as SIGHUP does."""
         document = json.loads(self._text) | {"discovery": f"127.0.0.1:{discovery.port}"}
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def wait_for_drain(self) -> float:
-        """Wait until the policy learns of the drain, close the listener, and return the time."""
+        """Wait until the policy learns of the draining upstream, close the listener, and return the time."""
         learned_at: float = await asyncio.wait_for(self.drain_learned_at, 120)
         self.stop()
         return learned_at
 
     def stop(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
         self.proxy.listener.close()
 
 
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,4 +1,4 @@
-"""Addresses and ports of loopback sockets."""
+"""Helpers for loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 def socket_address(server: asyncio.Server) -> str:
-    """Return the address of a server, as host and port."""
+    """Return the address of a server in the form `host:port`."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 def free_port() -> int:
-    """Return a port of 127.0.0.1 that is free now, for a program that is configured with its address."""
+    """Return a port of 127.0.0.1 that is free now, for a program whose configuration has a port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 def try_connect(port: int) -> socket.socket | None:
-    """Return a non-blocking client of a port, or None if the connection is refused."""
+    """Return a non-blocking connection to a port, or None if it is refused."""
     try:
         client = socket.create_connection(("127.0.0.1", port))
     except ConnectionRefusedError:
--- a/tests/support/test_waiting.py
+++ b/tests/support/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition, and the event loop and time limit of asynchronous tests."""
+"""`wait_until`, and the event loop and time limit of asynchronous tests."""
 
 from __future__ import annotations
 
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and pools without a proxy, for the tests of the upstream side."""
+"""Runs attempts and connection pools without a proxy."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def endpoint_list(*entries: dict[str, Any], is_complete: bool = False) -> EndpointList:
-    """Return an endpoint list as read from discovery: a change of the list, or the complete list."""
+    """Return an endpoint list as read from discovery: the complete list, or changes to it."""
     return read_endpoint_list({"index": 1, "snapshot": is_complete, "endpoints": list(entries)})
 
 
 def make_pools(address: str, **limits: Any) -> UpstreamPools:
-    """Return pools with one endpoint, `s0`, at an address."""
+    """Return pools with one endpoint `s0` at the address; `limits` overrides the default limits."""
     default_limits = {"attemptsCap": 3, "connIdle": 60_000.0, "connectTimeout": 200.0}
     text = config_text("127.0.0.1:9", [], limits=default_limits | limits)
     pools = UpstreamPools(read_configuration(text, lambda warning: None), asyncio.get_running_loop())
@@ -37,7 +37,7 @@
 
 
 class ObservedAttempt:
-    """A started attempt at `s0`, and every outcome that was reported for it."""
+    """An attempt at `s0`, and every outcome reported for it."""
 
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
         self.outcomes: list[Outcome] = []
@@ -52,7 +52,7 @@
         self.finished.set()
 
     async def outcome(self) -> Outcome:
-        """Wait for the outcome; exactly one must be reported."""
+        """Wait for the outcome, which must be the only one reported."""
         await self.finished.wait()
         (outcome,) = self.outcomes
         return outcome
@@ -60,7 +60,7 @@
 
 @asynccontextmanager
 async def full_backlog() -> AsyncIterator[str]:
-    """Yield an address at which no connection is ever established."""
+    """Yield the address of a listener with a full backlog, which establishes no further connection."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition, with a time limit and a message that says what did not happen."""
+"""Waits for a condition, with a time limit and a message that says what did not happen."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 T = TypeVar("T")
 
 TEST_TIMEOUT_S = 10.0
-"""Time limit of an asynchronous test; only a test that hangs comes near it."""
+"""Time limit of an asynchronous test; only a hanging test comes near it."""
 
 WAIT_TIMEOUT_S = 8.0
-"""How long a condition may take: less than the time limit of a test, so that this message comes first."""
+"""Time limit of a wait: below the time limit of a test, so that the failure describes the condition."""
 
 POLL_INTERVAL_S = 0.001
-"""How long to sleep between two checks: short beside any timeout that a test sets."""
+"""Sleep between two checks: short compared to any timeout that a test sets."""
 
 
 async def wait_until(
@@ -30,12 +30,12 @@
     timeout_s: float = WAIT_TIMEOUT_S,
     poll_interval_s: float = POLL_INTERVAL_S,
 ) -> T:
-    """Wait until a condition holds, and fail the test if it does not in time.
+    """Wait until a condition is true, and fail the test if the time limit passes first.
 
     Args:
-        condition: Checked at once and then after each poll interval, until its result is true.
-        description: Completes the sentence "waited until ..." in the failure.
-        state: Returns what the failure shows besides, as it is when the time is up.
+        condition: Called at once and then after each poll interval, until its result is true.
+        description: The end of the sentence "waited until ..." in the failure message.
+        state: Returns an object that is added to the failure message.
         timeout_s: The time limit, on the clock of the running event loop.
         poll_interval_s: The sleep between two checks; 0 checks in each iteration of the event loop.
 
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -1,4 +1,4 @@
-"""Size limits of modules, classes, functions and folders of the product."""
+"""Size limits on the modules, classes, functions and folders of the program and the testbed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """One parsed module."""
 
     location: str
-    """Its path from the root of the tree."""
+    """Its path relative to the root of the repository."""
 
     source: str
     tree: ast.Module
@@ -34,7 +34,7 @@
 
 @pytest.fixture(scope="module")
 def modules() -> list[Module]:
-    """The modules of the program and of the testbed."""
+    """All modules of the program and the testbed."""
     paths = [path for package in ("loadbalancer", "testbed") for path in (ROOT / package).rglob("*.py")]
     return [read_module(path) for path in sorted(paths)]
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The errors of a configuration that can't be used, and of an invalid endpoint list."""
+"""Errors in configurations and in endpoint lists."""
 
 from __future__ import annotations
 
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages agree with the tree: links, paths, module list, log lines, and the withdrawn package name."""
+"""The documentation agrees with the code: links, paths, names, lists of modules, and log messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
 DECISIONS = sorted((ROOT / "docs" / "decisions").glob("*.md"))
 INCIDENTS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
-OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, so that this file does not contain it
+OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, since this file must not contain it
 MAY_CONTAIN_OLD_NAME = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
 IGNORED_FOLDERS = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
 IGNORED_FOLDER_PREFIXES = (
@@ -30,7 +30,7 @@
 )
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
 FILE_NAME = re.compile(r"\.(py|toml|md|json|txt)$")
-CODE_IDENTIFIER = re.compile(r"_|[a-z][A-Z]")  # snake case, capitals with underscores, or camel case
+CODE_IDENTIFIER = re.compile(r"_|[a-z][A-Z]")  # snake case, upper case with underscores, or camel case
 MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
 
 
@@ -39,7 +39,7 @@
 
 
 def repository_files() -> Iterator[Path]:
-    """The files of the tree, without what tools leave behind."""
+    """Yield the files of the repository, without those that tools create."""
     for folder, folders, names in os.walk(ROOT):
         folders[:] = [
             name
@@ -68,13 +68,13 @@
 
 
 def link_target_exists(page: Path, target: str, anchor: str) -> bool:
-    """Whether the target of a link exists, and has a heading with the link's anchor if it has one."""
+    """Whether the target of a link exists, and contains the heading of the link's anchor if there is one."""
     path = page.parent / target if target else page
     return path.exists() and (not anchor or anchor in heading_anchors(path))
 
 
 def heading_anchors(page: Path) -> set[str]:
-    """The anchors of a page's headings, as code hosts derive them from the text."""
+    """Return the anchors of a page's headings, derived from their text as code hosts do."""
     headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
     return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
@@ -89,7 +89,7 @@
 
 
 def identifiers_of(page: Path) -> set[str]:
-    """The names of the code that a page has in backquotes, without the older ones of the glossary."""
+    """Return the code identifiers in backquotes on a page, except for the glossary of older names."""
     lines = page.read_text(encoding="utf-8").partition("| older word or name |")[0].splitlines()
     quoted = re.findall(r"`([A-Za-z_][\w.]*)`", "\n".join(lines))
     names = {name for text in quoted if not FILE_NAME.search(text) for name in text.split(".")}
@@ -131,7 +131,7 @@
 
 
 def message_texts(path: Path) -> Iterator[str]:
-    """The constant texts that a module passes to a function that writes a line."""
+    """Yield the constant texts that a module passes to logging functions."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Call) and node.args:
             function = node.func
@@ -141,7 +141,7 @@
 
 
 def constant_texts(node: ast.AST) -> Iterator[str]:
-    """The texts of a string or of the fixed parts of an f-string."""
+    """Yield the text of a string, or the constant parts of an f-string."""
     for part in node.values if isinstance(node, ast.JoinedStr) else [node]:
         if isinstance(part, ast.Constant) and isinstance(part.value, str):
             yield part.value.strip()
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -1,4 +1,4 @@
-"""The contract types for import-linter that the project defines itself."""
+"""The contract types in `tests.import_contracts`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def graph() -> grimp.ImportGraph:
-    """A package `app` with two subpackages that import from each other, without a cycle of modules."""
+    """A package `app` with two subpackages that import from each other, but no cycle of modules."""
     graph = grimp.ImportGraph()
     for module in ("app", "app.a", "app.a.top", "app.a.bottom", "app.b", "app.b.middle"):
         graph.add_module(module)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README runs, and prints the output shown there."""
 
 from __future__ import annotations
 
