--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -52,9 +52,11 @@
     """The host does not know how it ended; the request may have had an effect."""
 
 
-# A tuple, because a lookup in a set would call `Enum.__hash__`, which is a Python function.
 UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-"""Outcomes of attempts that were certainly not processed, so that any class allows a transparent retry."""
+"""Outcomes of attempts that were certainly not processed, so that any class allows a transparent retry.
+
+This is a tuple because a lookup in a set would call `Enum.__hash__`, which is a Python function.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -16,7 +16,8 @@
     from types import FrameType
 
 REQUESTS = 400
-EVENTS = 2 * REQUESTS  # the arrival of each request and the end of its attempt
+# The arrival of each request, and the end of its attempt.
+EVENTS = 2 * REQUESTS
 # Python calls per event outside the policy: to parse the line, frame the batch and format the reply. With
 # Python 3.11 there are 27.2. A reader with a function around each step took 39.2, and the processor time of a
 # simulated day was then 1.06 to 1.13 times that of the decisions in one module.
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -16,13 +16,13 @@
     from loadbalancer.network.upstream.connection import UpstreamConnection
     from tests.support.proxy_harness import ProxyHarness
 
+# Limits that allow hedged requests, with a connect timeout above any delay of a connect in the tests.
 HEDGING_LIMITS = {
     "attemptsCap": 3,
     "connIdle": 60_000.0,
     "connectTimeout": 5_000.0,
     "mayDuplicate": True,
 }
-"""Limits that allow hedged requests, with a connect timeout above any delay of a connect in these tests."""
 
 
 def request_bytes(path: str, number: int, body: bytes = b"") -> bytes:
--- a/tests/support/fixture_types.py
+++ b/tests/support/fixture_types.py
@@ -19,8 +19,8 @@
         """Stop listening, and close the connections."""
 
 
+# Starts a server and returns its address.
 StartServer = Callable[[ScriptedServer], Awaitable[str]]
-"""Starts a server and returns its address."""
 
+# Starts a proxy; the arguments are those of `ProxyHarness`.
 StartProxy = Callable[..., Awaitable["ProxyHarness"]]
-"""Starts a proxy; its arguments are those of `ProxyHarness`."""
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -9,7 +9,8 @@
 from tests.support.sockets import try_connect
 from tests.support.waiting import wait_until
 
-_REQUEST_NUMBERS = itertools.count(1)  # each request has a new id
+# The numbers from which each request gets a new id.
+_REQUEST_NUMBERS = itertools.count(1)
 
 
 class Client:
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -27,8 +27,10 @@
 # connects late: connects take almost the connect timeout, and calls get no response. silent: calls get no
 # response. error: calls get status 500. truncated: calls get an incomplete response.
 FAULTS = ("refuses", "resets", "unreachable", "connects late", "silent", "error", "truncated")
-CONNECT_FAULTS = ("refuses", "unreachable", "connects late")  # faults that affect new connections
-KNOWN_INDEX = 8  # the initial version of the list
+# The faults that affect new connections.
+CONNECT_FAULTS = ("refuses", "unreachable", "connects late")
+# The initial version of the endpoint list.
+KNOWN_INDEX = 8
 T = TypeVar("T")
 
 
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -12,14 +12,14 @@
 
 T = TypeVar("T")
 
+# Time limit of an asynchronous test; only a hanging test comes near it.
 TEST_TIMEOUT_S = 10.0
-"""Time limit of an asynchronous test; only a hanging test comes near it."""
 
+# Time limit of a wait: below the time limit of a test, so that the failure describes the condition.
 WAIT_TIMEOUT_S = 8.0
-"""Time limit of a wait: below the time limit of a test, so that the failure describes the condition."""
 
+# Sleep between two checks: short compared to any timeout that a test sets.
 POLL_INTERVAL_S = 0.001
-"""Sleep between two checks: short compared to any timeout that a test sets."""
 
 
 async def wait_until(
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -17,7 +17,8 @@
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").glob("*.md"))]
 DECISIONS = sorted((ROOT / "docs" / "decisions").glob("*.md"))
 INCIDENTS = sorted((ROOT / "docs" / "incidents").glob("*.md"))
-OLD_PACKAGE_NAME = "basalt" + "spindle"  # in two parts, since this file must not contain it
+# In two parts, since this file must not contain the name.
+OLD_PACKAGE_NAME = "basalt" + "spindle"
 MAY_CONTAIN_OLD_NAME = ("journal", "docs/incidents", "docs/capacity", "docs/ARCHITECTURE.md")
 IGNORED_FOLDERS = {".git", ".venv", "__pycache__", "found", "journal", "logs"}
 IGNORED_FOLDER_PREFIXES = (
@@ -30,8 +31,10 @@
 )
 LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
 FILE_NAME = re.compile(r"\.(py|toml|md|json|txt)$")
-CODE_IDENTIFIER = re.compile(r"_|[a-z][A-Z]")  # snake case, upper case with underscores, or camel case
-MIN_TEXT_LENGTH = 8  # shorter constants are separators, not messages
+# Snake case, upper case with underscores, or camel case.
+CODE_IDENTIFIER = re.compile(r"_|[a-z][A-Z]")
+# Shorter texts are separators, not messages.
+MIN_TEXT_LENGTH = 8
 
 
 def relative_path(path: Path) -> str:
