--- a/.ci/start_deploy.py
+++ b/.ci/start_deploy.py
@@ -95,7 +95,7 @@
     deadline = time.monotonic() + READY_TIMEOUT_S
     while (status := health_status(port)) != http.HTTPStatus.OK:
         if balancer.poll() is not None:
-            message = f"the balancer ended with status {balancer.returncode} before it served"
+            message = f"the balancer ended with status {balancer.returncode} before it was ready"
             raise DeployFileError(message)
         if time.monotonic() > deadline:
             message = f"/healthz still responds {status} after {READY_TIMEOUT_S:.0f} s"
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -72,7 +72,7 @@
     """A text is not an address of the form `host:port`."""
 
     def __init__(self, text: object) -> None:
-        super().__init__(f"{text!r} is no address of the form host:port")
+        super().__init__(f"{text!r} is not an address of the form host:port")
 
 
 class EndpointListError(LoadBalancerError, ValueError):
@@ -83,14 +83,14 @@
     """A document is not an endpoint list: a key is missing, or a value is of the wrong type."""
 
     def __init__(self, cause: Exception) -> None:
-        super().__init__(f"not a server list: {type(cause).__name__}: {cause}")
+        super().__init__(f"not an endpoint list: {type(cause).__name__}: {cause}")
 
 
 class NonFiniteEntryError(EndpointListError):
     """An entry of an endpoint list has a weight or a start time that is not finite."""
 
     def __init__(self, name: object) -> None:
-        super().__init__(f"entry {name!r} holds figures that are none")
+        super().__init__(f"entry {name!r} has a weight or a start time that is not finite")
 
 
 class EndpointListEntry(NamedTuple):
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -101,7 +101,7 @@
         self.line = line.rstrip(_LINE_END)
         kind, *parts = self.line.split(" ")
         if kind != _SHARED_LIST_ENTRY:
-            reason = "the entries of a ledger are cut short"
+            reason = "a ledger has fewer entries than 'membersList' says"
             raise UnexpectedLineError(reason)
         return parse_endpoint(parse_fields(parts))
 
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -58,7 +58,10 @@
         ("membership who=1 generation=2 mode=8 list=3", "'mode' holds '8'"),
         ("knock who=5 corr=9 remaining=9.0 grade=read", "instance '5' is unknown"),
         ("membership who=1 generation=2 mode=2 list=9", "ledger 9 was never sent"),
-        ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
+        (
+            "ledger list=1 membersList=2\nm upstream=u1 readiness=1",
+            "a ledger has fewer entries than 'membersList' says",
+        ),
         ("knock who=1 corr", "not name=value"),
         (
             instance_started(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("text", ["nowhere", ":80", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:-1", None])
 def test_an_invalid_address_is_rejected(text: str | None) -> None:
-    with pytest.raises(InvalidAddressError, match=r"is no address of the form host:port$"):
+    with pytest.raises(InvalidAddressError, match=r"is not an address of the form host:port$"):
         read_address(text)
 
 
@@ -64,10 +64,14 @@
 @pytest.mark.parametrize(
     ("entries", "error", "reason"),
     [
-        ([{"name": "s0"}], MalformedEndpointListError, "not a server list: KeyError: 'status'"),
-        ([None], MalformedEndpointListError, "not a server list: AttributeError"),
-        ([entry("s0", "127.0.0.1:9", weight=float("inf"))], NonFiniteEntryError, "entry 's0'"),
-        ([entry("s0", "nowhere")], InvalidAddressError, "'nowhere' is no address"),
+        ([{"name": "s0"}], MalformedEndpointListError, "not an endpoint list: KeyError: 'status'"),
+        ([None], MalformedEndpointListError, "not an endpoint list: AttributeError"),
+        (
+            [entry("s0", "127.0.0.1:9", weight=float("inf"))],
+            NonFiniteEntryError,
+            "entry 's0' has a weight or a start time",
+        ),
+        ([entry("s0", "nowhere")], InvalidAddressError, "'nowhere' is not an address"),
     ],
 )
 def test_an_invalid_endpoint_list_entry_is_rejected(
