--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -30,7 +30,7 @@
 # The faults that affect new connections.
 CONNECT_FAULTS = ("refuses", "unreachable", "connects late")
 # The initial version of the endpoint list.
-KNOWN_INDEX = 8
+INITIAL_INDEX = 8
 T = TypeVar("T")
 
 
@@ -128,7 +128,7 @@
         self.port = port
         loop.discoveries[port] = self
         self.fault = ""
-        self.index = KNOWN_INDEX
+        self.index = INITIAL_INDEX
         self._entries: list[dict[str, Any]] = []
         self.connections: set[SimulatedConnection] = set()
         self.attempts: list[float] = []
@@ -176,7 +176,7 @@
             case "error":
                 connection.receive(response(500, b"sorry"))
             case "truncated":
-                connection.receive(list_response(KNOWN_INDEX)[:-5])
+                connection.receive(list_response(INITIAL_INDEX)[:-5])
                 self.loop.call_soon(connection.become_unresponsive)
             case _:
                 self._respond_with_list(connection, call)
--- a/tests/support/test_waiting.py
+++ b/tests/support/test_waiting.py
@@ -22,10 +22,10 @@
 
 async def test_a_true_condition_returns_without_waiting() -> None:
     loop = asyncio.get_running_loop()
-    passed = list[str]()
-    loop.call_soon(passed.append, "an iteration")
+    iterations = list[str]()
+    loop.call_soon(iterations.append, "an iteration")
     await wait_until(lambda: True, "nothing is missing", timeout_s=0.0)
-    assert not passed, "the event loop has not run meanwhile"
+    assert not iterations, "the event loop has not run meanwhile"
 
 
 async def test_the_failure_contains_description_and_state() -> None:
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -84,7 +84,7 @@
                     yield f"{module.location}:{node.lineno}: {node.name}: {lines} lines, limit {limit}"
 
 
-def test_a_long_definition_is_named() -> None:
+def test_a_long_definition_is_reported() -> None:
     source = "def long():\n" + "    pass\n" * MAX_FUNCTION_LINES
     module = Module("long.py", source, ast.parse(source))
     found = [*definitions_over_limit([module], (ast.FunctionDef,), MAX_FUNCTION_LINES)]
