--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -53,7 +53,7 @@
 
 def skip_reuse_delay(harness: ProxyHarness) -> None:
     """Make idle connections to upstreams reusable immediately."""
-    pools = harness.proxy.upstreams
+    pools = harness.proxy.upstream_pools
     for name in pools.endpoint_names:
         for connection in pools.pool(name).idle_connections:
             connection.idle_since -= 1.0
