--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,9 +1,9 @@
-"""Many balancers on one virtual clock, and a count of what all of them send to each warming endpoint.
+"""A simulation of many balancers that measures the work all of them send to each warming endpoint.
 
-A seeded discrete-event simulation around the policy alone: no sockets and no waiting. The rule it checks: in
-the window that ends at any attempt, the work that arrives at a warming endpoint must stay within
-`slow_start_overload_factor` times what its present capacity can do in such a window. Work is counted in
-requests of mean work.
+It is a seeded discrete-event simulation of the policy on a virtual clock, without sockets and without
+waiting. It checks one rule: in the window that ends at any attempt, the work that arrives at a warming
+endpoint must not exceed `slow_start_overload_factor` times what its present capacity can do in such a window.
+Work is measured in requests of mean work.
 """
 
 from __future__ import annotations
@@ -32,22 +32,24 @@
 
 SMALL = RequestClass("small", 1_000, 3_000, Idempotency.SAFE)
 LARGE = RequestClass("large", 1_000, 3_000, Idempotency.SAFE)
-WORK = {"small": 0.75, "large": 2.0}  # in requests of mean work, with the fraction of large ones below
+# Work by class; with LARGE_FRACTION of large requests, the mean is 1.
+WORK = {"small": 0.75, "large": 2.0}
 LARGE_FRACTION = 0.2
 START_MS = 100_000.0
-FAILURE_MS = 2.0  # how long an endpoint that does not serve takes to say so
+# How long an endpoint that does not serve requests takes to respond.
+FAILURE_DURATION_MS = 2.0
 
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint, and the work that has recently arrived at it."""
+    """An endpoint, with the work that has recently arrived there."""
 
-    started_at_ms: float = 0.0  # 0 is long ago
-    outcome: Outcome = Outcome.SUCCEEDED  # of every attempt, but for those that take too long
+    started_at_ms: float = 0.0  # 0 means long ago
+    outcome: Outcome = Outcome.SUCCEEDED  # of all attempts that do not time out
     is_ready: bool = True
     arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # in the last window: time and work
     work_in_window: float = 0.0
-    idle_at_ms: float = 0.0  # when it will have done all the work that it holds
+    idle_at_ms: float = 0.0  # when all its work will be done
 
 
 @dataclass
@@ -68,9 +70,9 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget everything, the open requests included; the endpoint list is sent again."""
+        """Discard all state, including the open requests, and send the endpoint list again."""
         self.policy = LoadBalancer(self._simulation.settings, self._simulation.random.getrandbits(40))
-        self._open: dict[int, SimulatedRequest] = {}
+        self._open_requests: dict[int, SimulatedRequest] = {}
         self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
 
     def schedule_next_request(self) -> None:
@@ -86,7 +88,7 @@
         request_class = LARGE if self._simulation.random.random() < LARGE_FRACTION else SMALL
         self._simulation.requests += 1
         request_id = self._simulation.requests
-        self._open[request_id] = SimulatedRequest(request_class)
+        self._open_requests[request_id] = SimulatedRequest(request_class)
         self.handle(RequestReceived(request_id, request_class.name, request_class.deadline_ms))
 
     def _perform(self, action: Action) -> None:
@@ -97,13 +99,13 @@
                 self._schedule_event(at_ms, TimerFired(timer))
             case RejectRequest(request_id) | FailRequest(request_id):
                 self._simulation.rejected += 1
-                del self._open[request_id]
+                del self._open_requests[request_id]
 
     def _schedule_event(self, at_ms: float, event: Event) -> None:
         self._clock.schedule(at_ms, partial(self._handle_if_current, self.policy), event)
 
     def _handle_if_current(self, policy: LoadBalancer, event: Event) -> None:
-        """Events of before a restart are lost with the process."""
+        """Handle an event unless the balancer has restarted since it was scheduled."""
         if policy is not self.policy:
             return
         if isinstance(event, AttemptFinished):
@@ -111,20 +113,20 @@
         self.handle(event)
 
     def _start_attempt(self, action: StartAttempt) -> None:
-        request = self._open[action.request_id]
+        request = self._open_requests[action.request_id]
         attempt_index = request.attempts
         request.attempts += 1
         work = WORK[request.request_class.name]
-        duration_ms, outcome = self._simulation.attempt(action.endpoint, work, action.timeout_ms)
+        duration_ms, outcome = self._simulation.receive_attempt(action.endpoint, work, action.timeout_ms)
         event = AttemptFinished(action.request_id, attempt_index, action.endpoint, outcome)
         self._schedule_event(self._clock.now + duration_ms, event)
 
     def _finish_attempt(self, event: AttemptFinished) -> AttemptFinished:
-        """Close the request of an attempt that succeeded, and say whether it is closed."""
+        """Close the request of a successful attempt; return the event with `is_request_complete` set."""
         request_id, outcome = event.request_id, event.outcome
-        if outcome is Outcome.SUCCEEDED and self._open.pop(request_id, None) is not None:
+        if outcome is Outcome.SUCCEEDED and self._open_requests.pop(request_id, None) is not None:
             self._simulation.served += 1
-        is_request_complete = request_id not in self._open
+        is_request_complete = request_id not in self._open_requests
         return AttemptFinished(request_id, event.attempt_index, event.endpoint, outcome, is_request_complete)
 
 
@@ -132,20 +134,20 @@
     """Balancers in front of endpoints, some of which are warming up.
 
     Args:
-        balancers: How many balancer instances.
-        endpoints: How many endpoints, all warm at the start.
-        rate_per_s: The requests of mean work a second that a warm endpoint can serve.
+        balancers: The number of balancers.
+        endpoints: The number of endpoints, all warm at the start.
+        rate_per_s: The capacity of a warm endpoint, in requests of mean work per second.
         load: The request rate as a fraction of the capacity of all endpoints, if they are warm.
-        seed: For all that is random.
+        seed: The seed of the random generator.
         slow_start: The slow-start settings.
-        skewed: Whether some balancers get eight times as many requests as others; else all get as many.
+        skewed: Whether some balancers get eight times as many requests as others; otherwise all get the same.
 
     Attributes:
-        tenth: A tenth of the endpoints.
-        requests: How many requests have been received, and of these served and rejected.
+        tenth: A tenth of the number of endpoints.
+        requests: The number of requests received; `served` and `rejected` count the final responses.
         warming_attempts: The number of attempts at warming endpoints.
-        worst_excess: The largest excess of work in any window over its limit, in units of the slack that is
-            left to chance: above 1 an endpoint has been overloaded.
+        max_excess: The largest excess of the work in a window over its limit, relative to the tolerance for
+            random variation; above 1, an endpoint has been overloaded.
     """
 
     def __init__(
@@ -167,9 +169,9 @@
         self.endpoints = {f"s{i}": SimulatedEndpoint() for i in range(endpoints)}
         self.tenth = max(endpoints // 10, 1)
         self.requests, self.served, self.rejected, self.warming_attempts = 0, 0, 0, 0
-        self.worst_excess = -math.inf
+        self.max_excess = -math.inf
         self._rate_per_s = rate_per_s
-        self._added = 0
+        self._added_endpoints = 0
         self.balancers = [SimulatedBalancer(self, 0.0) for _ in range(balancers)]
         self._spread_requests(load * endpoints * rate_per_s / 1_000, skewed=skewed)
         for balancer in self.balancers:
@@ -186,24 +188,24 @@
     # ---- changes --------------------------------------------------------------------------------
 
     def add_endpoints(self, count: int) -> None:
-        names = [f"n{self._added + i}" for i in range(count)]
-        self._added += count
+        names = [f"n{self._added_endpoints + i}" for i in range(count)]
+        self._added_endpoints += count
         self._start_processes(names)
 
     def remove_endpoints(self, names: list[str]) -> None:
         for name in names:
             self.endpoints[name].is_ready = False
-        self._announce(names)
+        self._send_update(names)
 
     def restart_endpoints(self, names: list[str]) -> None:
-        """The same names, as new processes."""
+        """Start new processes under the same names."""
         self._start_processes(names)
 
     def replace_endpoints(self, steps: int, interval_ms: float) -> None:
-        """In each step a tenth of the endpoints goes and as many new ones come; the oldest go first."""
-        old = list(self.endpoints)
+        """In each step, remove a tenth of the endpoints, the oldest first, and add as many new ones."""
+        old_names = list(self.endpoints)
         for step in range(steps):
-            self.remove_endpoints(old[step * self.tenth : (step + 1) * self.tenth])
+            self.remove_endpoints(old_names[step * self.tenth : (step + 1) * self.tenth])
             self.add_endpoints(self.tenth)
             self.run(interval_ms)
 
@@ -222,10 +224,10 @@
     def _start_processes(self, names: list[str]) -> None:
         for name in names:
             self.endpoints[name] = SimulatedEndpoint(self.clock.now)
-        self._announce(names)
+        self._send_update(names)
 
-    def _announce(self, names: list[str]) -> None:
-        """Send all balancers the present entries of some endpoints."""
+    def _send_update(self, names: list[str]) -> None:
+        """Send the current entries of some endpoints to all balancers."""
         update = EndpointListUpdate(EndpointListKind.DELTA, tuple(map(self._entry, names)))
         for balancer in self.balancers:
             balancer.handle(update)
@@ -240,15 +242,15 @@
 
     # ---- attempts -------------------------------------------------------------------------------
 
-    def attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
-        """An attempt arrives at an endpoint now: how long it will take, and how it will end."""
+    def receive_attempt(self, name: str, work: float, timeout_ms: float) -> tuple[float, Outcome]:
+        """Process an attempt that arrives at an endpoint; return its duration and its outcome."""
         endpoint = self.endpoints[name]
-        assert endpoint.is_ready, "sent to an endpoint that has been removed"
+        assert endpoint.is_ready, "attempt at a removed endpoint"
         capacity = self._warmup_fraction(endpoint)
         if capacity < 1:
             self._count_warming_attempt(endpoint, work, capacity)
         if endpoint.outcome is not Outcome.SUCCEEDED:
-            return FAILURE_MS, endpoint.outcome
+            return FAILURE_DURATION_MS, endpoint.outcome
         now = self.clock.now
         endpoint.idle_at_ms = max(endpoint.idle_at_ms, now) + 1_000 / self._rate_per_s * work / capacity
         duration_ms = endpoint.idle_at_ms - now
@@ -257,7 +259,7 @@
         return duration_ms, Outcome.SUCCEEDED
 
     def _warmup_fraction(self, endpoint: SimulatedEndpoint) -> float:
-        """The fraction of its full capacity that an endpoint has now."""
+        """Return the present capacity of an endpoint as a fraction of its full capacity."""
         age_ms = self.clock.now - endpoint.started_at_ms
         if not endpoint.started_at_ms or age_ms >= self.settings.slow_start_ms:
             return 1.0
@@ -274,4 +276,4 @@
         factor = self.settings.slow_start_overload_factor
         limit = factor * capacity * self._rate_per_s * window_ms / 1_000
         slack = 2 * math.sqrt(limit) + 2
-        self.worst_excess = max(self.worst_excess, (endpoint.work_in_window - limit) / slack)
+        self.max_excess = max(self.max_excess, (endpoint.work_in_window - limit) / slack)
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -1,4 +1,4 @@
-"""The runs that load real balancers: added time and real depth."""
+"""The runs that send load through real balancers: added time and real depth."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 LOG = structlog.wrap_logger(
     structlog.testing.CapturingLogger(), processors=[]
-)  # independent of the configuration by other tests
+)  # not affected by how other tests configure logging
 
 
-def test_added_time_measures_both_paths_and_reports_why_the_load_is_invalid() -> None:
+def test_added_time_measures_both_paths_and_reports_late_load() -> None:
     plan = added_time.Plan(
         run="added_time",
         about="A trial.",
         seed=5,
         sizes=(3,),
-        per_s=50.0,  # one at a time: if requests overlap on a slow machine, the balancer sheds some
+        per_s=50.0,  # so few that requests hardly overlap: on a slow machine, the balancer sheds some that do
         class_name="look-up",
         deadline_ms=2_000.0,
         service_ms=0.0,
@@ -44,7 +44,7 @@
     ]
 
 
-def test_real_depth_measures_each_fault_at_the_last_tier_of_a_chain_of_real_balancers() -> None:
+def test_real_depth_measures_each_fault_at_the_last_tier() -> None:
     plan = real_depth.Plan(
         run="real_depth",
         about="A trial.",
@@ -71,6 +71,6 @@
         )
         if phase in ("fails all", "hangs"):
             assert row["served"] == 0
-    calm = rows["calm"]
-    assert calm["served"] == calm["calls"]
-    assert 0 < calm["bottom_deadline_50_ms"] < 1_000
+    no_fault = rows["calm"]
+    assert no_fault["served"] == no_fault["calls"]
+    assert 0 < no_fault["bottom_deadline_50_ms"] < 1_000
