--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -63,7 +63,7 @@
             harness.handle(AttemptFinished(request, attempt, "s0", Outcome.SUCCEEDED))
         assert unknown_attempt.value.request_id == request
         assert unknown_attempt.value.attempt_index == attempt
-    with pytest.raises(DuplicateRequestError, match="arrived before") as duplicate:
+    with pytest.raises(DuplicateRequestError, match="already open") as duplicate:
         harness.handle(RequestReceived(request, "read", 10))
     assert duplicate.value.request_id == request
     with pytest.raises(UnknownClassError, match="unknown class") as unknown_class:
