--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -178,7 +178,7 @@
     assert of_request == [RequestReceived, AttemptFinished, AttemptFinished, ClientDisconnected]
     assert status(await harness.send_request()) == 200
     assert not harness.proxy.open_requests
-    assert "a fault of the policy" in capsys.readouterr().err
+    assert "injected policy error" in capsys.readouterr().err
 
 
 READ = {"name": "read", "target": 2000.0, "deadline": 5000.0, "effect": "retryable"}
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -159,7 +159,7 @@
     replace_policy(harness, raise_for_first_request)
     assert status(await harness.send_request()) == 503
     assert status(await harness.send_request()) == 200
-    assert "a fault of the policy" in capsys.readouterr().err
+    assert "injected policy error" in capsys.readouterr().err
 
 
 async def test_a_request_that_the_policy_ignores_is_failed_before_its_deadline(
--- a/tests/support/policy_hooks.py
+++ b/tests/support/policy_hooks.py
@@ -16,7 +16,7 @@
     """Raised by a test in place of an error in the policy."""
 
     def __init__(self) -> None:
-        super().__init__("a fault of the policy")
+        super().__init__("injected policy error")
 
 
 EventHandler = Callable[[Event, float], list[Action]]
