--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -1,9 +1,9 @@
 """The framing of the simulator's wire: groups the lines of the input into batches of typed messages.
 
-The input is a sequence of batches. A batch begins with a `sync` line, which carries its time, and ends with
-an `eob` line. Between them stands one line for each message, or an endpoint list that later messages refer to
-by its number: a `ledger` line, followed by an `m` line for each of its entries. Empty lines between batches
-are skipped.
+The input is a sequence of batches. A batch begins with a `sync` line, which contains its time, and ends with
+an `eob` line. Each line between them is a message, or belongs to an endpoint list that later messages refer
+to by its number: a `ledger` line, followed by an `m` line for each entry. Empty lines between batches are
+skipped.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from loadbalancer.settings_reader import Fields, Warn, integer, number, required
 from loadbalancer.simulator.codec import (
-    read_endpoint,
-    read_endpoint_list_update,
-    read_event,
-    read_fields,
-    read_instance_started,
+    parse_endpoint,
+    parse_endpoint_list_update,
+    parse_event,
+    parse_fields,
+    parse_instance_started,
 )
 from loadbalancer.simulator.errors import EndOfInputError, UnexpectedLineError
 from loadbalancer.simulator.messages import Batch, InstanceEvent, InstanceKilled, Message
@@ -40,12 +40,12 @@
     """Parses batches from the lines of the wire.
 
     Attributes:
-        batch_id: The batch that was begun last; "?" before the first one.
-        line: The line that was read last, without its line end.
+        batch_id: The id of the batch that was begun last; "?" before the first one.
+        line: The line read last, without its line end.
     """
 
     def __init__(self, lines: Iterable[str], warn: Warn) -> None:
-        """Read from `lines`; `warn` is called with a message about each part of the input that is ignored."""
+        """Read from `lines`; `warn` is called with a message for each part of the input that is ignored."""
         self.batch_id = "?"
         self.line = ""
         self._lines = iter(lines)
@@ -58,7 +58,7 @@
         Raises:
             FieldError: A field of a line is missing or malformed.
             InvalidSettingsError: A setting of an instance is out of range.
-            WireError: A line is not allowed where it stands.
+            WireError: A line is malformed, or not allowed at its position.
         """
         for line in self._lines:
             self.line = line.rstrip(_LINE_END)
@@ -70,7 +70,7 @@
         if kind != _BATCH_START:
             reason = "a batch must begin with 'sync'"
             raise UnexpectedLineError(reason)
-        fields = read_fields(parts)
+        fields = parse_fields(parts)
         self.batch_id = required(fields, "batch")
         return Batch(self.batch_id, number(fields, "time"), self._read_messages())
 
@@ -80,11 +80,11 @@
             kind, *parts = self.line.split(" ")
             if kind == _BATCH_END:
                 return
-            fields = read_fields(parts)
+            fields = parse_fields(parts)
             if kind == _SHARED_LIST:
                 self._read_shared_list(fields)
                 continue
-            message = self._read_message(kind, fields)
+            message = self._parse_message(kind, fields)
             if message is not None:
                 yield message
         raise EndOfInputError
@@ -101,18 +101,18 @@
         self.line = line.rstrip(_LINE_END)
         kind, *parts = self.line.split(" ")
         if kind != _SHARED_LIST_ENTRY:
-            reason = "the entries of a ledger are cut short"
+            reason = "a ledger has fewer entries than 'membersList' says"
             raise UnexpectedLineError(reason)
-        return read_endpoint(read_fields(parts))
+        return parse_endpoint(parse_fields(parts))
 
-    def _read_message(self, kind: str, fields: Fields) -> Message | None:
-        """Return the message of one line; None if no instance has to know of the line."""
+    def _parse_message(self, kind: str, fields: Fields) -> Message | None:
+        """Return the message of one line; None if the line is ignored."""
         if kind == _INSTANCE_STARTED:
-            return read_instance_started(fields, self._warn)
+            return parse_instance_started(fields, self._warn)
         if kind == _INSTANCE_KILLED:
             return InstanceKilled(required(fields, "who"))
         if kind == _ENDPOINT_LIST:
-            update = read_endpoint_list_update(fields, self._shared_lists)
+            update = parse_endpoint_list_update(fields, self._shared_lists)
             return InstanceEvent(required(fields, "who"), update)
-        event = read_event(kind, fields, self._warn)
+        event = parse_event(kind, fields, self._warn)
         return None if event is None else InstanceEvent(required(fields, "who"), event)
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -17,31 +17,32 @@
     from loadbalancer.events import Event
 
 _MAX_LOGGED_LINE_CHARS = 200
-"""How many characters of an invalid line an error message quotes."""
+"""Limit on the length of an invalid line in an error message."""
 
 
 class Host:
     """The balancer instances of one process; they share no state."""
 
-    def __init__(self, errors: TextIO) -> None:
-        """Start without instances; errors, and warnings of ignored input, are written to `errors`."""
-        self._errors = errors
-        self._warnings: set[str] = set()
-        # By identity; None for an instance whose policy has raised an error.
+    def __init__(self, error_output: TextIO) -> None:
+        """Start without instances; errors and warnings are written to `error_output`."""
+        self._error_output = error_output
+        self._written_warnings: set[str] = set()
+        # By instance id; None for an instance whose policy has raised an error.
         self._balancers: dict[str, LoadBalancer | None] = {}
 
-    def run(self, source: TextIO, target: TextIO) -> int:
+    def run(self, input_stream: TextIO, output_stream: TextIO) -> int:
         """Reply to batches until the input ends.
 
         Returns:
-            The exit status: 0 if the input ended between two batches, 1 if it broke off or was invalid.
+            The exit status: 0 if the input ended between two batches; 1 if it ended inside a batch or was
+            invalid, or if the output was closed.
         """
-        reader = BatchReader(source, self._warn)
+        reader = BatchReader(input_stream, self._warn)
         try:
             for batch in reader.batches():
                 reply = self._handle_batch(batch)
-                target.write("\n".join(reply) + "\n")
-                target.flush()
+                output_stream.write("\n".join(reply) + "\n")
+                output_stream.flush()
         except (LoadBalancerError, UnicodeDecodeError) as error:
             self._report(reader, error)
             return 1
@@ -50,15 +51,15 @@
         return 0
 
     def _report(self, reader: BatchReader, error: Exception) -> None:
-        """Write why the input is invalid, and where."""
+        """Write an error message with the position and reason of invalid input."""
         line = reader.line[:_MAX_LOGGED_LINE_CHARS]
-        print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._errors)
+        print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._error_output)
 
     def _warn(self, text: str) -> None:
-        """Write a warning, unless the same text has been written before."""
-        if text not in self._warnings:
-            self._warnings.add(text)
-            print(f"loadbalancer: {text}", file=self._errors)
+        """Write a warning, unless the same one has been written before."""
+        if text not in self._written_warnings:
+            self._written_warnings.add(text)
+            print(f"loadbalancer: {text}", file=self._error_output)
 
     def _handle_batch(self, batch: Batch) -> list[str]:
         """Handle the messages of a batch in order, and return the lines of the reply."""
@@ -71,7 +72,7 @@
                     self._balancers[message.instance] = LoadBalancer(message.settings, message.seed)
                 case InstanceKilled():
                     self._remove_instance(message.instance)
-        reply.append(codec.write_batch_end(batch.batch_id))
+        reply.append(codec.format_batch_end(batch.batch_id))
         return reply
 
     def _remove_instance(self, instance: str) -> None:
@@ -82,8 +83,8 @@
     def _handle_event(self, instance: str, event: Event, now_ms: float) -> list[str]:
         """Pass an event to an instance's policy, and return its actions as lines of the reply.
 
-        An error of the policy is written to the reply, where the simulator shows it beside the event that
-        caused it. The instance then handles no further event: its state can't be relied on.
+        If the policy raises an error, the reply reports it, so that the simulator can show it beside the
+        event that caused it. The instance ignores all later events, because its state may be inconsistent.
         """
         try:
             balancer = self._balancers[instance]
@@ -92,11 +93,11 @@
         if balancer is None:
             return []
         try:
-            return [codec.write_action(instance, action) for action in balancer.handle(event, now_ms)]
+            return [codec.format_action(instance, action) for action in balancer.handle(event, now_ms)]
         except Exception as error:  # noqa: BLE001  whatever the policy raises is reported on the wire
-            traceback.print_exc(file=self._errors)
+            traceback.print_exc(file=self._error_output)
             self._balancers[instance] = None
-            return [codec.write_failure(instance, error)]
+            return [codec.format_failure(instance, error)]
 
 
 def main() -> int:
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -155,7 +155,7 @@
     replace_policy(harness, raise_for_first_request)
     assert status(await harness.send_request()) == 503
     assert status(await harness.send_request()) == 200
-    assert "a fault of the policy" in capsys.readouterr().err
+    assert "injected policy error" in capsys.readouterr().err
 
 
 async def test_watchdog_responds_if_the_policy_does_not(start_proxy: StartProxy) -> None:
--- a/tests/simulator/wire_lines.py
+++ b/tests/simulator/wire_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire that several tests send."""
+"""Lines of the simulator's wire that several tests share."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 )
 
 
-def instance_started(who: int, seed: int = 11) -> str:
+def instance_started(instance: int, seed: int = 11) -> str:
     """Return the line that starts an instance with `SETTINGS`."""
-    return f"up who={who} prng={seed} {SETTINGS}\n"
+    return f"up who={instance} prng={seed} {SETTINGS}\n"
--- a/tests/support/fixture_types.py
+++ b/tests/support/fixture_types.py
@@ -1,4 +1,4 @@
-"""The types of the fixtures that start something."""
+"""The types of the fixtures that start servers and proxies."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class ScriptedServer(Protocol):
-    """An upstream or a discovery."""
+    """A server with scripted responses: an upstream or a discovery service."""
 
     async def start(self) -> str:
-        """Listen and return the address."""
+        """Listen, and return the address."""
 
     def stop(self) -> None:
         """Stop listening, and close the connections."""
 
 
+# Starts a server and returns its address.
 StartServer = Callable[[ScriptedServer], Awaitable[str]]
-"""Starts a server and returns its address."""
 
+# Starts a proxy; the arguments are those of `ProxyHarness`.
 StartProxy = Callable[..., Awaitable["ProxyHarness"]]
-"""Starts a proxy; its arguments are those of `ProxyHarness`."""
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -1,4 +1,4 @@
-"""A client of a balancer on one connection."""
+"""An HTTP client for the tests of the balancer."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 from tests.support.sockets import try_connect
 from tests.support.waiting import wait_until
 
-_REQUEST_NUMBERS = itertools.count(1)  # an id is new with every request
+# The numbers from which each request gets a new id.
+_REQUEST_NUMBERS = itertools.count(1)
 
 
 class Client:
-    """A client on one connection."""
+    """An HTTP client with one connection to a balancer."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     @classmethod
     async def connect_to_program(cls, port: int) -> Client:
-        """Connect to a program that was started just now, as soon as it listens."""
-        connected = await wait_until(
+        """Connect to a program that is starting, as soon as it listens."""
+        connected_socket = await wait_until(
             lambda: try_connect(port), "the program accepts connections", poll_interval_s=0.01
         )
         client = cls()
-        client.reader, client.writer = await asyncio.open_connection(sock=connected)
+        client.reader, client.writer = await asyncio.open_connection(sock=connected_socket)
         return client
 
     def send(
@@ -35,22 +36,26 @@
         deadline: str = "4000m",
         **headers: str,
     ) -> None:
-        """Send a request: POST if it has a body, else GET.
+        """Send a request: POST if it has a body, otherwise GET.
 
         Args:
-            path: Its target; the first part is its class.
-            body: Its body.
-            deadline: Its X-Deadline.
-            headers: Further headers, or other values for the default ones; an empty one is left out.
+            path: The request target; its first segment is the class.
+            body: The body.
+            deadline: The value of X-Deadline.
+            headers: Further headers, or other values for the default ones; an empty value omits the header.
         """
         method = "POST" if body else "GET"
-        named = {
+        all_headers = {
             "x-request-id": f"{next(_REQUEST_NUMBERS):08x}",
             "x-class": path[1:].partition("/")[0],
             "x-deadline": deadline,
         }
-        named |= {n.replace("_", "-"): v for n, v in headers.items()}
-        lines = [f"{method} {path} HTTP/1.1", "Host: h", *[f"{n}: {v}" for n, v in named.items() if v]]
+        all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+        lines = [
+            f"{method} {path} HTTP/1.1",
+            "Host: h",
+            *[f"{name}: {value}" for name, value in all_headers.items() if value],
+        ]
         lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
