--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, request_id: int) -> None:
-        super().__init__(f"request {request_id} is already open")
+        super().__init__(f"request {request_id} has arrived before")
         self.request_id = request_id
 
 
@@ -62,6 +62,6 @@
     """
 
     def __init__(self, request_id: int, attempt_index: int) -> None:
-        super().__init__(f"attempt {attempt_index} of request {request_id} was never started")
+        super().__init__(f"attempt {attempt_index} of request {request_id} was never made")
         self.request_id = request_id
         self.attempt_index = attempt_index
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -52,18 +52,18 @@
     harness = PolicyHarness(2)
     assert harness.handle(ClientDisconnected(99)) == []
     assert harness.handle(TimerFired(HedgeTimer(99))) == []
-    with pytest.raises(UnknownRequestError, match="never started"):
+    with pytest.raises(UnknownRequestError, match="never made"):
         harness.handle(AttemptFinished(99, 0, "s0", Outcome.SUCCEEDED))
-    with pytest.raises(UnknownRequestError, match="never started") as unknown_request:
+    with pytest.raises(UnknownRequestError, match="never made") as unknown_request:
         harness.handle(ResponseStarted(99, 0))
     assert (unknown_request.value.request_id, unknown_request.value.attempt_index) == (99, 0)
     request, _ = harness.request()
     for attempt in (-1, 1):
-        with pytest.raises(UnknownRequestError, match="never started") as unknown_attempt:
+        with pytest.raises(UnknownRequestError, match="never made") as unknown_attempt:
             harness.handle(AttemptFinished(request, attempt, "s0", Outcome.SUCCEEDED))
         assert unknown_attempt.value.request_id == request
         assert unknown_attempt.value.attempt_index == attempt
-    with pytest.raises(DuplicateRequestError, match="already open") as duplicate:
+    with pytest.raises(DuplicateRequestError, match="arrived before") as duplicate:
         harness.handle(RequestReceived(request, "read", 10))
     assert duplicate.value.request_id == request
     with pytest.raises(UnknownClassError, match="unknown class") as unknown_class:
