--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -15,8 +15,8 @@
 from loadbalancer.network.event_dispatcher import EventDispatcher
 from loadbalancer.network.log import RateLimitedLog
 from loadbalancer.network.open_requests import OpenRequests
+from loadbalancer.network.upstream.attempt_factory import UpstreamAttemptFactory
 from loadbalancer.network.upstream.attempt_runner import AttemptRunner
-from loadbalancer.network.upstream.attempt_starter import AttemptStarter
 from loadbalancer.network.upstream.health_checks import HealthChecks
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
@@ -82,12 +82,12 @@
 
     def _make_performer(self) -> ActionPerformer:
         dispatch = self.dispatcher.dispatch
-        starter = AttemptStarter(self._loop, self.upstream_pools)
+        attempt_factory = UpstreamAttemptFactory(self._loop, self.upstream_pools)
         return ActionPerformer(
             self._requests,
             PolicyTimers(self._loop, self.clock, dispatch),
-            AttemptRunner(self._requests, starter, self.clock, dispatch, self.handle_disconnect),
-            HealthChecks(starter, dispatch),
+            AttemptRunner(self._requests, attempt_factory, self.clock, dispatch, self.handle_disconnect),
+            HealthChecks(attempt_factory, dispatch),
             self.upstream_pools,
             self.endpoint_watch,
             self.log,
--- a/loadbalancer/network/upstream/attempt_starter.py
+++ b/loadbalancer/network/upstream/attempt_factory.py
@@ -14,7 +14,7 @@
     from loadbalancer.network.upstream.pool import UpstreamPools
 
 
-class AttemptStarter:
+class UpstreamAttemptFactory:
     """Starts attempts on connections of the pools.
 
     Args:
@@ -26,7 +26,7 @@
         self._loop = loop
         self._upstream_pools = upstream_pools
 
-    def start(
+    def start_attempt(
         self,
         endpoint: str,
         timeout_s: float,
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -18,7 +18,7 @@
     from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
     from loadbalancer.network.response_parser import Response
     from loadbalancer.network.upstream.attempt import UpstreamAttempt
-    from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+    from loadbalancer.network.upstream.attempt_factory import UpstreamAttemptFactory
 
 
 class AttemptRunner:
@@ -27,7 +27,7 @@
     def __init__(
         self,
         requests: OpenRequests,
-        starter: AttemptStarter,
+        attempt_factory: UpstreamAttemptFactory,
         clock: Clock,
         dispatch: Callable[[Event, ProxiedRequest], None],
         on_disconnect: Callable[[IncomingRequest], None],
@@ -36,13 +36,13 @@
 
         Args:
             requests: The open requests, which actions name by number.
-            starter: Starts attempts at endpoints.
+            attempt_factory: Starts attempts at endpoints.
             clock: The clock on which `expires_at_ms` of requests is measured.
             dispatch: Passes an event of a request to the policy.
             on_disconnect: Called with a request whose client is found to have disconnected.
         """
         self._requests = requests
-        self._starter = starter
+        self._attempt_factory = attempt_factory
         self._clock = clock
         self._dispatch = dispatch
         self._on_disconnect = on_disconnect
@@ -80,7 +80,7 @@
     ) -> UpstreamAttempt | None:
         remaining_ms = request.expires_at_ms - self._clock.now()
         timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
-        return self._starter.start(
+        return self._attempt_factory.start_attempt(
             action.endpoint,
             max(timeout_ms, 0.0) / 1000,
             UpstreamRequest(request.incoming, timeout_ms).encode,
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from loadbalancer.network.response_parser import Response
-    from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+    from loadbalancer.network.upstream.attempt_factory import UpstreamAttemptFactory
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0
 """Time limit of a health check, including the time to connect."""
@@ -27,19 +27,19 @@
     """Starts health checks.
 
     Args:
-        starter: Starts attempts at endpoints.
+        attempt_factory: Starts attempts at endpoints.
         dispatch: Passes an event to the policy: one `HealthCheckFinished` for each health check.
     """
 
-    def __init__(self, starter: AttemptStarter, dispatch: Callable[[Event], None]) -> None:
-        self._starter = starter
+    def __init__(self, attempt_factory: UpstreamAttemptFactory, dispatch: Callable[[Event], None]) -> None:
+        self._attempt_factory = attempt_factory
         self._dispatch = dispatch
 
     def start(self, endpoint: str) -> None:
         """Check an endpoint; the outcome is `NOT_SENT` if the endpoint is no longer on the endpoint list."""
         on_end = partial(self._on_end, endpoint)
         timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
-        if self._starter.start(endpoint, timeout_s, _encode_request, on_end) is None:
+        if self._attempt_factory.start_attempt(endpoint, timeout_s, _encode_request, on_end) is None:
             self._on_end(endpoint, Outcome.NOT_SENT, None)
 
     def _on_end(self, endpoint: str, outcome: Outcome, _response: Response | None) -> None:
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -11,7 +11,7 @@
 from loadbalancer.actions import Action, RejectRequest, StartAttempt
 from loadbalancer.events import AttemptFinished, Event, Outcome, RequestReceived
 from loadbalancer.network.sockets import peek
-from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+from loadbalancer.network.upstream.attempt_factory import UpstreamAttemptFactory
 from loadbalancer.network.upstream.pool import REUSE_DELAY_S, UpstreamPool
 from tests.support.configurations import entry
 from tests.support.http_messages import ReceivedMessage, response, status
@@ -104,8 +104,8 @@
     assert len(new_upstream.received) == 1
     pools.update_endpoints(endpoint_list(is_complete=True))
     assert pools.open_connections == 0
-    starter = AttemptStarter(asyncio.get_running_loop(), pools)
-    assert starter.start("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
+    attempt_factory = UpstreamAttemptFactory(asyncio.get_running_loop(), pools)
+    assert attempt_factory.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
 
 
 async def test_connection_limit(start_server: StartServer) -> None:
@@ -114,8 +114,8 @@
     pools.update_endpoints(endpoint_list(entry("s1", await start_server(other_upstream))))
     pools.connection_limit.max_connections = 1
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
-    starter = AttemptStarter(asyncio.get_running_loop(), pools)
-    attempt = starter.start("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
+    attempt_factory = UpstreamAttemptFactory(asyncio.get_running_loop(), pools)
+    attempt = attempt_factory.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
     await other_upstream.request_received.wait()
     assert pools.open_connections == 1
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from loadbalancer.configuration import EndpointList, read_configuration, read_endpoint_list
-from loadbalancer.network.upstream.attempt_starter import AttemptStarter
+from loadbalancer.network.upstream.attempt_factory import UpstreamAttemptFactory
 from loadbalancer.network.upstream.pool import UpstreamPools
 from tests.support.configurations import config_text, entry
 
@@ -42,8 +42,8 @@
     def __init__(self, pools: UpstreamPools, request: bytes = REQUEST, timeout_s: float = 5.0) -> None:
         self.outcomes: list[Outcome] = []
         self.finished = asyncio.Event()
-        starter = AttemptStarter(asyncio.get_running_loop(), pools)
-        attempt = starter.start("s0", timeout_s, lambda: request, self._record)
+        attempt_factory = UpstreamAttemptFactory(asyncio.get_running_loop(), pools)
+        attempt = attempt_factory.start_attempt("s0", timeout_s, lambda: request, self._record)
         assert attempt is not None
         self.attempt: UpstreamAttempt = attempt
 
