--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -97,7 +97,7 @@
         self.is_closed = True
         self._fail(exc or DiscoveryDisconnectedError())
 
-    async def call(self, request: bytes, timeout_s: float) -> Response:
+    async def send_request(self, request: bytes, timeout_s: float) -> Response:
         """Send a request and wait for its response.
 
         Args:
@@ -131,9 +131,11 @@
         if self._timeout is None:
             return
         timeout, self._timeout = self._timeout, None
-        call_ends_at = timeout.when()
-        body_ends_at = asyncio.get_running_loop().time() + BODY_TIMEOUT_S
-        timeout.reschedule(body_ends_at if call_ends_at is None else min(call_ends_at, body_ends_at))
+        request_timeout_at = timeout.when()
+        body_timeout_at = asyncio.get_running_loop().time() + BODY_TIMEOUT_S
+        timeout.reschedule(
+            body_timeout_at if request_timeout_at is None else min(request_timeout_at, body_timeout_at)
+        )
 
     def _fail(self, error: Exception) -> None:
         if self._response is not None and not self._response.done():
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -150,7 +150,7 @@
         host, port = self._address
         connection = await self._connect()
         request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
-        response = await connection.call(request, timeout_s)
+        response = await connection.send_request(request, timeout_s)
         if response.status != 200:
             raise DiscoveryStatusError(response.status)
         return read_endpoint_list(json.loads(response.body))
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -25,16 +25,16 @@
     harness = await start_proxy(upstream)
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
-    request_line = await harness.discovery.calls.get()
+    request_line = await harness.discovery.requests.get()
     assert request_line.startswith("GET /v1/servers?after=7&wait_ms=")
     address = harness.entries[0]["address"]
     harness.discovery.publish(8, entry("s0", address, since_ms=5))
-    assert "after=8&" in await harness.discovery.calls.get()  # the next poll follows at once
+    assert "after=8&" in await harness.discovery.requests.get()  # the next poll follows at once
     await upstream.connection_closed.wait()
     harness.discovery.publish(9, entry("s0", address, since_ms=5), snapshot=True)
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     harness.discovery.responses.put_nowait(response(503, b""))
-    await harness.discovery.calls.get()  # the next poll follows when the policy's timer fires
+    await harness.discovery.requests.get()  # the next poll follows when the policy's timer fires
     assert list_kinds(events) == [
         EndpointListKind.DELTA,
         EndpointListKind.SNAPSHOT,
@@ -46,7 +46,7 @@
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request("/pay/x", b"debit")) == 200
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     harness.discovery.publish(8, entry("s0", harness.entries[0]["address"], status="terminating"))
     await upstream.connection_closed.wait()  # the idle connection is closed
     assert status(await harness.send_request("/pay/x", b"debit")) == 503
@@ -59,9 +59,9 @@
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
     for body in (b"[" * 100_000, b"[]"):
-        await harness.discovery.calls.get()
+        await harness.discovery.requests.get()
         harness.discovery.responses.put_nowait(response(200, body))
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
 
@@ -71,18 +71,18 @@
     """Otherwise requests go on to upstreams that were replaced while the poll was unanswered."""
     harness = await start_proxy(Upstream(reset_connection))
     await harness.send_request()
-    request_line = await harness.discovery.calls.get()
+    request_line = await harness.discovery.requests.get()
     assert float(request_line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
     harness.discovery.responses.put_nowait(response(503, b""))
     monkeypatch.setattr(retry_schedule, "WATCH_WAIT_MS", 100)
-    await harness.discovery.calls.get()  # never answered
+    await harness.discovery.requests.get()  # never answered
     started_at = asyncio.get_running_loop().time()
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     elapsed_s = asyncio.get_running_loop().time() - started_at
     assert elapsed_s < 3, "a missed update has to be requested again by then"
     new_upstream = Upstream()
     harness.discovery.publish(8, entry("s9", await start_server(new_upstream)), snapshot=True)
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     assert status(await harness.send_request()) == 200
     assert new_upstream.received
 
@@ -95,11 +95,11 @@
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for index in (8, 9):
-        await harness.discovery.calls.get()
+        await harness.discovery.requests.get()
         harness.discovery.responses.put_nowait(b"no answer\r\n\r\n")
-        await harness.discovery.calls.get()
+        await harness.discovery.requests.get()
         harness.discovery.publish(index)
-    assert "after=9&" in await harness.discovery.calls.get()
+    assert "after=9&" in await harness.discovery.requests.get()
 
 
 async def test_unresponsive_push_agent_is_detected_in_time(
@@ -108,24 +108,24 @@
 ) -> None:
     """A local agent is cheap to call, so its timeout is shorter than that of a central discovery."""
     harness = await start_proxy(Upstream(), discovery="push")
-    request_line = await harness.discovery.calls.get()
+    request_line = await harness.discovery.requests.get()
     wait_ms = float(request_line.partition("wait_ms=")[2].split(" ")[0])
     assert wait_ms / 1000 + endpoint_watch.WATCH_TIMEOUT_MARGIN_S + endpoint_watch.CONNECT_TIMEOUT_S < 6
     harness.discovery.publish(8)
     monkeypatch.setattr(endpoint_watch, "WATCH_TIMEOUT_MARGIN_S", 0.1)
     monkeypatch.setattr(retry_schedule, "PUSH_WATCH_WAIT_MS", 100)
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     harness.discovery.publish(9)
-    await harness.discovery.calls.get()  # never answered
+    await harness.discovery.requests.get()  # never answered
     await harness.discovery.connection_closed.wait()
-    assert "after=9&" in await harness.discovery.calls.get()
+    assert "after=9&" in await harness.discovery.requests.get()
 
 
 async def test_a_truncated_list_times_out(start_proxy: StartProxy) -> None:
     """Otherwise requests go on to draining upstreams for a whole poll timeout."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
-    request_line = await harness.discovery.calls.get()
+    request_line = await harness.discovery.requests.get()
     assert "wait_ms" in request_line, "a watch call, whose response may begin late"
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
-    await asyncio.wait_for(harness.discovery.calls.get(), 5)
+    await asyncio.wait_for(harness.discovery.requests.get(), 5)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -79,12 +79,12 @@
             discovery.drain_upstream()
             recovered.set_result(loop.time())
 
-    def end_after_failed_call() -> None:
+    def end_after_failed_attempt() -> None:
         if loop.time() >= started_at + outage.min_duration_s and discovery.fault:
             discovery.on_attempt = lambda: None
             loop.call_later(outage.end_delay_s, end)
 
-    discovery.on_attempt = end_after_failed_call
+    discovery.on_attempt = end_after_failed_attempt
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
     return await proxy.wait_for_drain() - recovered_at
 
@@ -103,11 +103,13 @@
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
-async def check_missed_change(loop: SimulatedLoop, *, discovery_mode: str, seed: int, calls: int) -> None:
+async def check_missed_change(
+    loop: SimulatedLoop, *, discovery_mode: str, seed: int, watch_count: int
+) -> None:
     """Change the list after the connections of some watch calls have become unresponsive."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, seed, 10_000.0, discovery_mode)
-    for _ in range(calls):
+    for _ in range(watch_count):
         started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
     discovery.begin_outage("silent")
     discovery.fault = ""  # only the existing connections are unresponsive
@@ -119,8 +121,10 @@
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 def test_change_missed_by_an_open_watch_is_learned_in_time(discovery_mode: str) -> None:
     """The times to detect the failure and to retry must leave time to transfer the list."""
-    for seed, calls in itertools.product(range(1, 30), (1, 3)):
-        run_simulated(partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, calls=calls))
+    for seed, watch_count in itertools.product(range(1, 30), (1, 3)):
+        run_simulated(
+            partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, watch_count=watch_count)
+        )
 
 
 async def check_switch_after_failures(
@@ -193,12 +197,12 @@
     last_discovery.fault = ""
     last_discovery.drain_upstream()
     learned_at = await proxy.wait_for_drain()
-    calls = len(last_discovery.calls)
+    requests_before = len(last_discovery.requests)
     await asyncio.sleep(30.0)  # no timer from an earlier switch may interrupt the watch
     assert loop.time() >= learned_at + 30.0
     assert [connection.after for connection in last_discovery.connections] == [last_discovery.index]
     shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
-    assert len(last_discovery.calls) - calls <= 30.0 / shortest_wait_s + 1
+    assert len(last_discovery.requests) - requests_before <= 30.0 / shortest_wait_s + 1
 
 
 def test_switches_during_an_outage_leave_one_watch() -> None:
@@ -211,7 +215,7 @@
     await harness.send_request()
 
     async def wait_ms() -> float:
-        return float((await harness.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
+        return float((await harness.discovery.requests.get()).partition("wait_ms=")[2].split(" ")[0])
 
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
     harness.discovery.responses.put_nowait(response(500, b"sorry"))
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -86,9 +86,9 @@
                 "the rest is for upstreams and discovery"
             )
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
-            await discovery.calls.get()
+            await discovery.requests.get()
             discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
-            assert "after=8&" in await discovery.calls.get()
+            assert "after=8&" in await discovery.requests.get()
             client = Client()
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -54,10 +54,10 @@
 async def test_indented_list_with_a_lower_index_is_applied(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
-    assert "after=7&" in await harness.discovery.calls.get()
+    assert "after=7&" in await harness.discovery.requests.get()
     endpoint = entry("s9", harness.entries[0]["address"])
     harness.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
-    assert "after=2&" in await harness.discovery.calls.get()
+    assert "after=2&" in await harness.discovery.requests.get()
     assert harness.proxy.upstream_pools.endpoint_names == {"s9"}
 
 
@@ -66,7 +66,7 @@
 ) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     list_bytes = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
     harness.discovery.responses.put_nowait(list_bytes[:-5])
     connection = harness.proxy.endpoint_watch.connection
@@ -76,9 +76,9 @@
     text = config_text(await start_server(new_discovery), [])
     connection.data_received(list_bytes[-5:])  # read in the same iteration of the event loop as the signal
     harness.proxy.reconfigure(configuration(text))
-    await new_discovery.calls.get()
+    await new_discovery.requests.get()
     new_discovery.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
-    assert "after=3&" in await new_discovery.calls.get()
+    assert "after=3&" in await new_discovery.requests.get()
     await harness.discovery.connection_closed.wait()
     assert harness.proxy.upstream_pools.endpoint_names == {"new"}
 
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -27,13 +27,13 @@
     harness = await start_proxy(first)
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     for index in (3, 1):  # two switches, each to a list with a lower index
         new_discovery = DiscoveryServer()
         harness.proxy.reconfigure(configuration(config_text(await start_server(new_discovery), [])))
-        assert await new_discovery.calls.get() == "GET /v1/servers HTTP/1.1"
+        assert await new_discovery.requests.get() == "GET /v1/servers HTTP/1.1"
         new_discovery.publish(index, entry("s1", await start_server(second)), snapshot=True)
-        assert f"?after={index}&" in await new_discovery.calls.get()
+        assert f"?after={index}&" in await new_discovery.requests.get()
     await harness.discovery.connection_closed.wait()
     harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
     kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
@@ -51,7 +51,7 @@
     assert b"configuration not reloaded" in await read_log_line(program.process)
     program.path.write_text(config_text(await start_server(new_discovery), program.entries))
     program.process.send_signal(signal.SIGHUP)
-    assert await new_discovery.calls.get() == "GET /v1/servers HTTP/1.1"
+    assert await new_discovery.requests.get() == "GET /v1/servers HTTP/1.1"
     await program.respond_and_check()
     program.process.send_signal(signal.SIGTERM)
     program.client.writer.close()
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -103,11 +103,11 @@
         env=os.environ | {"LB_CONFIG": str(path)},
     )
     try:
-        call = asyncio.ensure_future(new_discovery.calls.get())
+        request_line = asyncio.ensure_future(new_discovery.requests.get())
         exit_code = asyncio.ensure_future(process.wait())
-        await asyncio.wait((call, exit_code), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((request_line, exit_code), return_when=asyncio.FIRST_COMPLETED)
         assert not exit_code.done(), f"ended with {process.returncode}"
-        assert call.result() == "GET /v1/servers HTTP/1.1"
+        assert request_line.result() == "GET /v1/servers HTTP/1.1"
         process.terminate()
         assert await exit_code == 0
     finally:
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -149,7 +149,7 @@
 async def test_cached_endpoint_list_is_applied_before_discovery_is_called(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     assert harness.proxy.balancer.ready_endpoints  # before the first iteration of the event loop
-    assert harness.discovery.calls.empty()
+    assert harness.discovery.requests.empty()
 
 
 @pytest.mark.parametrize(
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -15,14 +15,14 @@
 
     Attributes:
         responses: The queued responses, encoded.
-        calls: The request lines of the received calls.
+        requests: The request lines of the received requests.
         connection_closed: Set once a connection has been closed.
         writers: The writer of each connection.
     """
 
     def __init__(self) -> None:
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
-        self.calls: asyncio.Queue[str] = asyncio.Queue()
+        self.requests: asyncio.Queue[str] = asyncio.Queue()
         self.connection_closed = asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -42,8 +42,8 @@
         self.writers.append(writer)
         try:
             while True:
-                call = await read_message(reader)
-                self.calls.put_nowait(call.start_line)
+                request = await read_message(reader)
+                self.requests.put_nowait(request.start_line)
                 reply = asyncio.ensure_future(self.responses.get())
                 # The balancer sends nothing before it has the response: the read ends only at a disconnect.
                 disconnect = asyncio.ensure_future(reader.read(1))
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -73,7 +73,7 @@
     Attributes:
         is_unresponsive: Whether the balancer receives nothing more on it.
         after: The list version in the watch call that waits on it; None if no call waits.
-        calls: The number of calls on it.
+        request_count: The number of requests on it.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, protocol: asyncio.Protocol) -> None:
@@ -83,11 +83,11 @@
         self._is_open = True
         self.is_unresponsive = False
         self.after: int | None = None
-        self.calls = 0
+        self.request_count = 0
 
     def write(self, data: Any) -> None:
         if self._is_open:
-            self._discovery.on_call(self, bytes(data).split(b"\r\n")[0].decode())
+            self._discovery.on_request(self, bytes(data).split(b"\r\n")[0].decode())
 
     def abort(self) -> None:
         if self._is_open:
@@ -118,7 +118,7 @@
         index: The version of its endpoint list.
         connections: The open connections.
         attempts: The times of connects under a fault of `CONNECT_FAULTS`, and of received calls, in seconds.
-        calls: The request lines of the calls.
+        requests: The request lines of the requests.
         watches: The start and the wait time of each watch, in seconds.
         on_attempt: Called after each of these connects and each call.
     """
@@ -132,7 +132,7 @@
         self._entries: list[dict[str, Any]] = []
         self.connections: set[SimulatedConnection] = set()
         self.attempts: list[float] = []
-        self.calls: list[str] = []
+        self.requests: list[str] = []
         self.watches: asyncio.Queue[tuple[float, float]] = asyncio.Queue()
         self.on_attempt: Callable[[], object] = lambda: None
 
@@ -156,16 +156,16 @@
         protocol.connection_made(connection)
         return connection, protocol
 
-    def on_call(self, connection: SimulatedConnection, call: str) -> None:
+    def on_request(self, connection: SimulatedConnection, request_line: str) -> None:
         """Handle the call with a request line."""
         if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
-        self.calls.append(call)
-        connection.calls += 1
-        self._respond(connection, call)
+        self.requests.append(request_line)
+        connection.request_count += 1
+        self._respond(connection, request_line)
         self.on_attempt()
 
-    def _respond(self, connection: SimulatedConnection, call: str) -> None:
+    def _respond(self, connection: SimulatedConnection, request_line: str) -> None:
         match self.fault:
             case _ if connection.is_unresponsive:
                 pass
@@ -179,21 +179,21 @@
                 connection.receive(list_response(INITIAL_INDEX)[:-5])
                 self.loop.call_soon(connection.become_unresponsive)
             case _:
-                self._respond_with_list(connection, call)
+                self._respond_with_list(connection, request_line)
 
-    def _respond_with_list(self, connection: SimulatedConnection, call: str) -> None:
-        _, _, query_text = call.split(" ")[1].partition("?")
+    def _respond_with_list(self, connection: SimulatedConnection, request_line: str) -> None:
+        _, _, query_text = request_line.split(" ")[1].partition("?")
         query = dict(part.split("=") for part in query_text.split("&") if part)
         if "after" not in query or int(query["after"]) < self.index:
             connection.receive(self._list(snapshot="after" not in query))
             return
         connection.after = int(query["after"])
         wait_s = float(query["wait_ms"]) / 1000
-        self.loop.call_later(wait_s, self._on_wait_ended, connection, connection.calls)
+        self.loop.call_later(wait_s, self._on_wait_ended, connection, connection.request_count)
         self.watches.put_nowait((self.loop.time(), wait_s))
 
-    def _on_wait_ended(self, connection: SimulatedConnection, call_number: int) -> None:
-        if connection.after is not None and call_number == connection.calls:
+    def _on_wait_ended(self, connection: SimulatedConnection, request_number: int) -> None:
+        if connection.after is not None and request_number == connection.request_count:
             connection.receive(self._list(snapshot=False))
 
     def _list(self, *, snapshot: bool) -> bytes:
