--- a/loadbalancer/network/action_performer.py
+++ b/loadbalancer/network/action_performer.py
@@ -61,7 +61,7 @@
     Args:
         requests: The open requests, which actions name by number.
         timers: The timers of the policy.
-        attempts: Starts and cancels attempts.
+        attempt_runner: Starts and cancels attempts.
         health_checks: Starts health checks.
         upstream_pools: The connection pools.
         endpoint_watch: Watches the endpoint list of discovery.
@@ -72,7 +72,7 @@
         self,
         requests: OpenRequests,
         timers: PolicyTimers,
-        attempts: AttemptRunner,
+        attempt_runner: AttemptRunner,
         health_checks: HealthChecks,
         upstream_pools: UpstreamPools,
         endpoint_watch: EndpointWatch,
@@ -80,7 +80,7 @@
     ) -> None:
         self._requests = requests
         self._timers = timers
-        self._attempts = attempts
+        self._attempt_runner = attempt_runner
         self._health_checks = health_checks
         self._upstream_pools = upstream_pools
         self._endpoint_watch = endpoint_watch
@@ -90,7 +90,7 @@
         """Perform an action."""
         match action:
             case StartAttempt():
-                self._attempts.start(action)
+                self._attempt_runner.start(action)
             case SetTimer():
                 self._timers.set(action)
             case RejectRequest():
@@ -98,7 +98,7 @@
             case FailRequest(number):
                 self._respond(number, 502)
             case CancelAttempt():
-                self._attempts.cancel(action)
+                self._attempt_runner.cancel(action)
             case StartHealthCheck(endpoint):
                 self._health_checks.start(endpoint)
             case CloseIdleConnections(endpoint):
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -42,7 +42,7 @@
     ]
 
 
-async def test_a_draining_upstream_gets_no_new_requests(start_proxy: StartProxy) -> None:
+async def test_draining_upstream_gets_no_new_requests(start_proxy: StartProxy) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request("/pay/x", b"debit")) == 200
@@ -53,7 +53,7 @@
     assert len(upstream.received) == 1
 
 
-async def test_watch_continues_after_a_malformed_response(start_proxy: StartProxy) -> None:
+async def test_watch_continues_after_malformed_response(start_proxy: StartProxy) -> None:
     """Any exception from reading a response counts as a failed call."""
     harness = await start_proxy(Upstream())
     events = record_events(harness)
@@ -121,7 +121,7 @@
     assert "after=9&" in await harness.discovery.requests.get()
 
 
-async def test_a_truncated_list_times_out(start_proxy: StartProxy) -> None:
+async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
     """Otherwise requests go on to draining upstreams for a whole poll timeout."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -55,13 +55,13 @@
         poll_deadline_ms: The balancer's `askWithin`.
         min_duration_s: Minimum duration of the outage.
         seed: The balancer's seed.
-        end_delay_s: Time from a failed call to the end of the outage.
+        recovery_delay_s: Time from a failed call to the end of the outage.
     """
 
     poll_deadline_ms: float
     min_duration_s: float
     seed: int
-    end_delay_s: float
+    recovery_delay_s: float
 
 
 async def delay_after_outage(loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage) -> float:
@@ -73,25 +73,25 @@
     started_at = loop.time()
     recovered = loop.create_future()
 
-    def end() -> None:
+    def recover() -> None:
         if not recovered.done():
             discovery.fault = ""
             discovery.drain_upstream()
             recovered.set_result(loop.time())
 
-    def end_after_failed_attempt() -> None:
+    def recover_after_failed_attempt() -> None:
         if loop.time() >= started_at + outage.min_duration_s and discovery.fault:
             discovery.on_attempt = lambda: None
-            loop.call_later(outage.end_delay_s, end)
+            loop.call_later(outage.recovery_delay_s, recover)
 
-    discovery.on_attempt = end_after_failed_attempt
+    discovery.on_attempt = recover_after_failed_attempt
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
     return await proxy.wait_for_drain() - recovered_at
 
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_change_during_an_outage_is_learned_in_time(fault: str, discovery_mode: str) -> None:
+def test_change_during_outage_is_received_in_time(fault: str, discovery_mode: str) -> None:
     """A retry delay of a minute (`askWithin` is 120 s) or a call timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
     pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
-def test_change_missed_by_an_open_watch_is_learned_in_time(discovery_mode: str) -> None:
+def test_change_missed_by_open_watch_is_received_in_time(discovery_mode: str) -> None:
     """The times to detect the failure and to retry must leave time to transfer the list."""
     for seed, watch_count in itertools.product(range(1, 30), (1, 3)):
         run_simulated(
@@ -155,13 +155,13 @@
     learned_at = await proxy.wait_for_drain()
     assert new_discovery.attempts[0] == switched_at
     # A connection that is established late takes up both timeouts, that of the connect and of the response.
-    allowed = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
-    assert learned_at + LIST_TRANSFER_S < switched_at + allowed
+    max_delay_s = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
+    assert learned_at + LIST_TRANSFER_S < switched_at + max_delay_s
 
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_failures_before_a_switch_do_not_delay_the_list(fault: str, discovery_mode: str) -> None:
+def test_failures_before_switch_do_not_delay_new_list(fault: str, discovery_mode: str) -> None:
     """The backoff from the outage of the old discovery must not apply to the new one."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
         run_simulated(
@@ -205,12 +205,12 @@
     assert len(last_discovery.requests) - requests_before <= 30.0 / shortest_wait_s + 1
 
 
-def test_switches_during_an_outage_leave_one_watch() -> None:
+def test_switches_during_outage_leave_one_watch() -> None:
     """Each switch must not add a poll timer, which would be set again for ever."""
     run_simulated(check_switches_during_outage)
 
 
-async def test_first_watch_after_a_failure_has_a_short_wait(start_proxy: StartProxy) -> None:
+async def test_first_watch_after_failure_has_short_wait(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
 
@@ -224,8 +224,8 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
-async def attempts_in_outage(
-    loop: SimulatedLoop, *, fault: str, balancers: int, span_s: float
+async def attempt_times_in_outage(
+    loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
 ) -> list[float]:
     """Return the times of the calls of several balancers while discovery has a fault."""
     discovery = SimulatedDiscovery(loop, 1)
@@ -234,30 +234,32 @@
     discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
     discovery.attempts.clear()
-    await asyncio.sleep(span_s)
+    await asyncio.sleep(duration_s)
     for proxy in proxies:
         proxy.stop()
     return discovery.attempts
 
 
-def test_retries_in_an_outage_are_spread_and_limited() -> None:
+def test_retries_in_outage_are_spread_and_limited() -> None:
     """Simultaneous retries would overload discovery as it recovers."""
-    span_s, balancers = 60.0, 20
+    duration_s, balancers = 60.0, 20
     for fault in FAULTS:
-        attempts = run_simulated(partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s))
+        attempts = run_simulated(
+            partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+        )
         mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
-        assert len(attempts) / (balancers * span_s) < 1.1 / mean_delay_s, fault
+        assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < balancers / 3, (
             "within a tenth of a second, fewer than a third of the balancers call"
         )
     repeated_attempts = run_simulated(
-        partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s)
+        partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
     )
     assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
 
-def test_delays_add_up_to_less_than_the_limits() -> None:
+def test_sum_of_delays_is_below_limits() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     timeout_margin_s = endpoint_watch.WATCH_TIMEOUT_MARGIN_S
@@ -289,9 +291,9 @@
     assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
 
 
-async def test_connection_close_from_discovery_is_honoured() -> None:
+async def test_connection_close_from_discovery_is_respected() -> None:
     """Otherwise each response with `Connection: close` leaks a connection that discovery leaves open."""
-    open_connections, index, served = 0, 7, asyncio.Event()
+    open_connections, index, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal open_connections, index
@@ -300,7 +302,7 @@
             await read_message(reader)
             index += 1
             if index == 40:
-                served.set()
+                all_served.set()
                 return
             body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
@@ -313,5 +315,5 @@
     config = configuration(config_text(f"{host}:{port}", [entry("s0", "127.0.0.1:9")]))
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
-    await served.wait()
+    await all_served.wait()
     assert open_connections < 10, "of 33 connections, only the one in use and those being closed"
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -46,7 +46,7 @@
     ],
 )
 @pytest.mark.parametrize("draw", [0.0, 0.25, MAX_DRAW])
-def test_watch_wait_is_jittered_and_short_after_a_failure(
+def test_watch_wait_is_jittered_and_short_after_failure(
     consecutive_failures: int, wait_ms: float, draw: float, *, polls_discovery: bool
 ) -> None:
     schedule = RetrySchedule(constant_draw(draw), polls_discovery=polls_discovery)
@@ -57,7 +57,7 @@
     ("consecutive_failures", "delay_s"), [(1, 0.0), (2, PUSH_RETRY_DELAY_S), (50, PUSH_RETRY_DELAY_S)]
 )
 @pytest.mark.parametrize("switched_at_s", [NEVER_SWITCHED, SWITCHED_AT_S])
-def test_push_watch_repeats_each_failed_call(
+def test_push_watch_retries_each_failed_request(
     consecutive_failures: int, delay_s: float, switched_at_s: float
 ) -> None:
     schedule = RetrySchedule(fail_on_draw, polls_discovery=False)
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize("consecutive_failures", [1, 2, 50])
 @pytest.mark.parametrize("since_switch_s", [0.0, 1.0, SWITCH_PERIOD_S - 0.001])
 @pytest.mark.parametrize(("draw", "factor"), [(0.0, 0.5), (0.5, 1.0), (MAX_DRAW, 0.5 + MAX_DRAW)])
-def test_failed_polls_are_repeated_shortly_after_a_switch(
+def test_failed_polls_are_retried_shortly_after_switch(
     since_switch_s: float, consecutive_failures: int, draw: float, factor: float
 ) -> None:
     """The number of failures has no effect, since it includes those of the previous discovery."""
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -19,7 +19,7 @@
     from tests.support.fixture_types import StartProxy
 
 
-async def test_pipelined_requests_get_their_responses_in_order(start_proxy: StartProxy) -> None:
+async def test_pipelined_requests_get_responses_in_order(start_proxy: StartProxy) -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, received.start_line.encode()))
 
@@ -45,7 +45,7 @@
     assert not errors
 
 
-async def test_upstream_connections_are_reused_unless_they_are_closed(
+async def test_open_upstream_connections_are_reused(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -76,7 +76,7 @@
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_a_graceful_close_reaches_an_idle_client_at_once(start_proxy: StartProxy) -> None:
+async def test_graceful_close_reaches_idle_client_at_once(start_proxy: StartProxy) -> None:
     """Otherwise a request that arrives before the event loop closes the socket is read and discarded."""
     harness = await start_proxy(Upstream())
     client = harness.connect_socket()
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -65,9 +65,7 @@
     path.write_text(json.dumps(document))
 
 
-async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
-    start_server: StartServer, tmp_path: Path
-) -> None:
+async def test_idle_clients_do_not_exhaust_descriptors(start_server: StartServer, tmp_path: Path) -> None:
     """Idle clients must not use up the descriptors for discovery and upstreams while discovery is down."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
@@ -99,7 +97,7 @@
                 task.cancel()
 
 
-async def test_simultaneous_attempts_respect_the_connection_limit(start_server: StartServer) -> None:
+async def test_simultaneous_attempts_respect_connection_limit(start_server: StartServer) -> None:
     """The limit also counts connections that are not established yet."""
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -38,9 +38,7 @@
     return EventDispatcher(balancer, Clock(), OpenRequests(), RateLimitedLog("test"))
 
 
-def test_event_from_an_action_waits_for_the_other_actions(
-    dispatcher: EventDispatcher, order: list[str]
-) -> None:
+def test_event_from_action_waits_for_other_actions(dispatcher: EventDispatcher, order: list[str]) -> None:
     def perform(action: Action) -> None:
         assert isinstance(action, LogMessage)
         order.append(action.text)
@@ -52,7 +50,7 @@
     assert order == ["EndpointListUpdate", "one", "two", "HealthCheckFinished", "one", "two"]
 
 
-def test_next_action_is_performed_after_a_failed_one(
+def test_action_failure_does_not_prevent_next_action(
     dispatcher: EventDispatcher, order: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     failed_requests: list[int | None] = []
@@ -70,6 +68,6 @@
     assert "could not perform LogMessage(text='one')" in capsys.readouterr().err
 
 
-def test_dispatch_without_handlers_is_an_error(dispatcher: EventDispatcher) -> None:
+def test_dispatch_without_handlers_raises(dispatcher: EventDispatcher) -> None:
     with pytest.raises(InvalidStateError):
         dispatcher.dispatch(FIRST_EVENT)
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -28,7 +28,7 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-def is_refused(port: int) -> bool:
+def is_port_closed(port: int) -> bool:
     """Return whether a connection to the port is refused; any result but refusal and success is an error."""
     with socket.socket() as client:
         error = client.connect_ex(("127.0.0.1", port))
@@ -45,13 +45,13 @@
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
     assert b"configuration reloaded" in await read_log_line(program.process)
-    await wait_until(lambda: is_refused(program.port), "connections are refused", poll_interval_s=0.02)
+    await wait_until(lambda: is_port_closed(program.port), "connections are refused", poll_interval_s=0.02)
     await program.respond_and_check()
     program.client.writer.close()
     assert await program.process.wait() == 0
 
 
-async def test_indented_list_with_a_lower_index_is_applied(start_proxy: StartProxy) -> None:
+async def test_indented_list_with_lower_index_is_applied(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
     assert "after=7&" in await harness.discovery.requests.get()
@@ -61,7 +61,7 @@
     assert harness.proxy.upstream_pools.endpoint_names == {"s9"}
 
 
-async def test_list_received_during_a_sighup_is_ignored(
+async def test_list_received_during_reload_is_ignored(
     start_proxy: StartProxy, start_server: StartServer
 ) -> None:
     harness = await start_proxy(Upstream())
@@ -83,7 +83,7 @@
     assert harness.proxy.upstream_pools.endpoint_names == {"new"}
 
 
-async def test_timeout_and_response_end_the_attempt_once(start_server: StartServer) -> None:
+async def test_timeout_and_response_end_attempt_once(start_server: StartServer) -> None:
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(pools)
@@ -97,7 +97,7 @@
     assert pools.open_connections == 0
 
 
-async def test_connection_end_after_the_liveness_check_is_a_reset(
+async def test_disconnect_after_liveness_check_is_reset(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -108,25 +108,25 @@
     (idle_connection,) = harness.proxy.upstream_pools.pool("s0").idle_connections
     idle_connection.idle_since -= 1.0
     is_alive = UpstreamConnection.is_alive
-    alive_results: list[bool] = []
+    liveness_results: list[bool] = []
 
-    def check_then_end(connection: UpstreamConnection) -> bool:
-        alive_results.append(is_alive(connection))
+    def check_then_disconnect(connection: UpstreamConnection) -> bool:
+        liveness_results.append(is_alive(connection))
         upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
         with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
             upstream_end.shutdown(socket.SHUT_RDWR)
-        return alive_results[-1]
+        return liveness_results[-1]
 
-    monkeypatch.setattr(UpstreamConnection, "is_alive", check_then_end)
+    monkeypatch.setattr(UpstreamConnection, "is_alive", check_then_disconnect)
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == 502
-    assert alive_results == [True]
+    assert liveness_results == [True]
     outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
     assert outcomes == [Outcome.RESET]
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "moved", "restarted"])
-async def test_endpoint_change_during_the_connect_prevents_the_send(
+async def test_endpoint_change_during_connect_prevents_send(
     start_server: StartServer, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     upstream = Upstream()
@@ -153,7 +153,7 @@
     assert pools.open_connections == 0
 
 
-async def test_queued_events_survive_a_policy_exception(
+async def test_queued_events_survive_policy_exception(
     start_proxy: StartProxy, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -38,7 +38,7 @@
         assert len(completed.stderr.splitlines()) == 1, completed.stderr
 
 
-def test_signals_after_the_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
+def test_signals_after_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
     """Closing the event loop must not restore the default action of the signals, which ends the process."""
     program = """if True:
         import asyncio, os, signal
@@ -105,7 +105,7 @@
     assert "unknownSetting" in completed.stdout
 
 
-def test_null_in_the_configuration_means_absent() -> None:
+def test_null_in_configuration_means_absent() -> None:
     raw = json.loads(config_text("127.0.0.1:9", []))
     for limits in (None, {"cores": None, "memory_mb": None, "sockets": None}):
         text = json.dumps(raw | {"limits": limits, "name": None, "seed": None, "known": None})
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -88,11 +88,11 @@
     assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
 
 
-async def test_a_refused_connection_is_retried_on_another_upstream(start_proxy: StartProxy) -> None:
-    refusing, upstream = Upstream(), Upstream()
-    harness = await start_proxy(refusing, upstream)
-    refusing.server.close()
-    await refusing.server.wait_closed()
+async def test_failed_connect_is_retried_on_another_upstream(start_proxy: StartProxy) -> None:
+    stopped_upstream, upstream = Upstream(), Upstream()
+    harness = await start_proxy(stopped_upstream, upstream)
+    stopped_upstream.server.close()
+    await stopped_upstream.server.wait_closed()
     events = record_events(harness)
     replies = [await harness.send_request("/pay/x", b"debit") for _ in range(8)]
     assert {status(reply) for reply in replies} == {200}
@@ -100,7 +100,7 @@
     assert outcomes(events).count(Outcome.SUCCEEDED) == len(upstream.received) == 8
 
 
-async def test_unresponsive_upstream_fails_the_request_by_its_deadline(start_proxy: StartProxy) -> None:
+async def test_unresponsive_upstream_fails_request_by_deadline(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
     events = record_events(harness)
@@ -112,7 +112,7 @@
     await upstream.connection_closed.wait()  # the timeout closes the connection
 
 
-async def test_response_cancels_the_other_hedged_attempt(start_proxy: StartProxy) -> None:
+async def test_response_cancels_other_hedged_attempt(start_proxy: StartProxy) -> None:
     first, second = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(first, second)
     events = record_events(harness)
@@ -126,7 +126,7 @@
     assert not harness.proxy.open_requests
 
 
-async def test_client_disconnect_cancels_the_attempt(start_proxy: StartProxy) -> None:
+async def test_client_disconnect_cancels_attempt(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
     events = record_events(harness)
@@ -158,7 +158,7 @@
     assert "injected policy error" in capsys.readouterr().err
 
 
-async def test_watchdog_responds_if_the_policy_does_not(start_proxy: StartProxy) -> None:
+async def test_watchdog_responds_if_policy_does_not(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     replace_policy(harness, lambda event, now: [])
     loop = asyncio.get_running_loop()
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -99,7 +99,7 @@
             client.writer.close()
 
 
-def test_start_imports_only_what_it_needs(tmp_path: Path) -> None:
+def test_startup_imports_only_needed_modules(tmp_path: Path) -> None:
     """Imports delay the start: when twenty programs start on one core, each of them waits for all imports."""
     loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
     new_interpreter = subprocess.run(
@@ -141,7 +141,7 @@
     assert not top_level_packages.intersection(slow_imports)
 
 
-def test_the_build_compiles_every_file(tmp_path: Path) -> None:
+def test_build_compiles_every_file(tmp_path: Path) -> None:
     """The file system is read-only at run time: without bytecode files each start compiles the sources."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     package = tmp_path / "loadbalancer"
@@ -179,7 +179,7 @@
     assert counts == {"files": 1, "entries": MAX_LIST_ENTRIES, "updates": 1}
 
 
-def test_no_garbage_collection_runs_during_the_start(tmp_path: Path) -> None:
+def test_no_garbage_collection_runs_during_startup(tmp_path: Path) -> None:
     """Each collection would traverse the long-lived objects of thousands of entries, and free nothing."""
     before = """if True:
         def collections():
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -20,9 +20,7 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-async def test_reload_switches_to_the_new_discovery(
-    start_proxy: StartProxy, start_server: StartServer
-) -> None:
+async def test_reload_switches_to_new_discovery(start_proxy: StartProxy, start_server: StartServer) -> None:
     first, second = Upstream(), Upstream(never_respond)
     harness = await start_proxy(first)
     events = record_events(harness)
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -89,7 +89,7 @@
 
 
 @AT_EACH_STEP
-async def test_a_sighup_during_the_start_reloads_the_configuration(
+async def test_sighup_during_startup_reloads_configuration(
     start_server: StartServer, step: str, tmp_path: Path
 ) -> None:
     """The signal must neither end the program nor be lost."""
@@ -116,7 +116,7 @@
 
 
 @AT_EACH_STEP
-def test_a_sigterm_during_the_start_ends_the_program_silently(step: str, tmp_path: Path) -> None:
+def test_sigterm_during_startup_ends_program_silently(step: str, tmp_path: Path) -> None:
     """The signal itself ends the program or, once the event loop runs, a graceful shutdown does."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
@@ -127,7 +127,7 @@
     assert completed.stdout == ""
 
 
-def test_request_during_an_early_sigterm_gets_a_response(tmp_path: Path) -> None:
+def test_request_during_early_sigterm_gets_response(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
     completed = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -23,20 +23,20 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-async def test_connect_timeout_is_a_failed_connect() -> None:
+async def test_connect_timeout_is_connect_failure() -> None:
     async with full_backlog() as address:
         pools = make_pools(address)
         assert await ObservedAttempt(pools).outcome() is Outcome.CONNECT_FAILED
         assert pools.open_connections == 0
 
 
-async def test_attempt_timeout_while_connecting_is_a_failed_connect() -> None:
+async def test_attempt_timeout_while_connecting_is_connect_failure() -> None:
     async with full_backlog() as address:
         pools = make_pools(address, connectTimeout=60_000.0)
         assert await ObservedAttempt(pools, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_reset_during_the_write_is_a_failed_connect() -> None:
+async def test_reset_during_write_is_connect_failure() -> None:
     """The upstream resets the connection while part of the request is still in the balancer's buffer."""
     accepted = asyncio.Event()
 
@@ -52,7 +52,7 @@
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_cancel_and_response_end_the_attempt_once(start_server: StartServer) -> None:
+async def test_cancel_and_response_end_attempt_once(start_server: StartServer) -> None:
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(pools)
@@ -65,7 +65,7 @@
     assert pools.open_connections == 0
 
 
-async def test_connection_opened_after_the_drain_grace_is_not_used(start_server: StartServer) -> None:
+async def test_connection_opened_after_drain_grace_is_not_used(start_server: StartServer) -> None:
     upstream = Upstream()
     address = await start_server(upstream)
     pools = make_pools(address)
@@ -124,7 +124,7 @@
     attempt.cancel()
 
 
-async def test_attempt_after_the_response_is_not_sent(start_proxy: StartProxy) -> None:
+async def test_attempt_after_response_is_not_sent(start_proxy: StartProxy) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     proxy, events = harness.proxy, list[Event]()
@@ -146,7 +146,7 @@
     assert not proxy.open_requests
 
 
-async def test_cached_endpoint_list_is_applied_before_discovery_is_called(start_proxy: StartProxy) -> None:
+async def test_cached_endpoint_list_is_applied_first(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     assert harness.proxy.balancer.ready_endpoints  # before the first iteration of the event loop
     assert harness.discovery.requests.empty()
@@ -161,7 +161,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
 )
-async def test_extra_bytes_after_a_response_are_ignored(start_proxy: StartProxy, extra_bytes: bytes) -> None:
+async def test_extra_bytes_after_response_are_ignored(start_proxy: StartProxy, extra_bytes: bytes) -> None:
     """The bytes must not replace the response, turn it into a reset, or be taken for the next response."""
     upstream = Upstream(response(200, b"the answer") + extra_bytes, response(200, b"the next"))
     harness = await start_proxy(upstream)
@@ -182,19 +182,19 @@
     assert upstream.connections == 1
 
 
-async def test_timed_out_attempt_is_closed_before_the_policy_is_notified(start_proxy: StartProxy) -> None:
+async def test_timed_out_attempt_is_closed_before_policy_event(start_proxy: StartProxy) -> None:
     """Otherwise the next attempt could run at the same time, until the event loop closes the connection."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
-    saw_disconnect = list[bool]()
+    disconnect_results = list[bool]()
 
     def record_disconnect(event: AttemptFinished) -> None:
-        seen = peek(next(u for u in upstreams if u.received).writers[0].transport)
-        saw_disconnect.append(seen == b"")
+        next_byte = peek(next(u for u in upstreams if u.received).writers[0].transport)
+        disconnect_results.append(next_byte == b"")
 
     before_event(harness, AttemptFinished, record_disconnect)
     assert status(await harness.send_request("/pay/x", b"debit", deadline="200m")) == 502
-    assert saw_disconnect == [True]
+    assert disconnect_results == [True]
 
 
 async def test_interim_responses_are_ignored(start_proxy: StartProxy) -> None:
@@ -203,7 +203,7 @@
     assert (await harness.send_request()).body == b"final"
 
 
-async def test_response_before_the_whole_request_is_rejected() -> None:
+async def test_response_to_incomplete_request_is_rejected() -> None:
     async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
         writer.write(response(200, b"to what?"))
@@ -214,7 +214,7 @@
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
 
 
-async def test_lack_of_descriptors_is_not_blamed_on_the_upstream(
+async def test_descriptor_shortage_is_not_an_upstream_failure(
     start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     upstream = Upstream()
@@ -247,10 +247,10 @@
 async def test_ejection_is_per_request_class(start_proxy: StartProxy, failure: Script) -> None:
     """Good responses to one class must not hide the failures of another."""
 
-    async def by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
+    async def respond_by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (failure if received.headers["x-class"] == "read" else respond_after_20_ms)(received, writer)
 
-    failing_upstream = Upstream(by_class)
+    failing_upstream = Upstream(respond_by_class)
 
     def count_received(class_name: str) -> int:
         return sum(request.headers["x-class"] == class_name for request in failing_upstream.received)
