--- a/loadbalancer/network/action_performer.py
+++ b/loadbalancer/network/action_performer.py
@@ -59,7 +59,7 @@
     """Performs the policy's actions, one at a time.
 
     Args:
-        requests: The open requests, which actions name by number.
+        requests: The open requests, which actions refer to by number.
         timers: The timers of the policy.
         attempt_runner: Starts and cancels attempts.
         health_checks: Starts health checks.
--- a/loadbalancer/network/deadline_watchdog.py
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -52,7 +52,7 @@
         """Start the timer that responds to a request shortly before its client's deadline.
 
         Args:
-            request: The request; it cancels the timer when it is closed.
+            request: The request, which cancels the timer when it is closed.
             deadline_budget_ms: The time until the client's deadline.
         """
         delay_s = max(deadline_budget_ms - WATCHDOG_MARGIN_MS, 0.0) / 1000
@@ -70,7 +70,8 @@
         if request is None or not request.is_open:
             return
         request.respond(502 if request.may_have_run or request.running_attempts else 503)
-        self._dispatch(ClientDisconnected(request.number), request)  # has the policy cancel running attempts
+        # Makes the policy cancel the running attempts.
+        self._dispatch(ClientDisconnected(request.number), request)
         request.drop_unsent_attempts()
 
     def respond_to_all(self) -> None:
--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to discovery, and the errors of its calls."""
+"""One HTTP connection to discovery, and the errors of its requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 BODY_TIMEOUT_S = 0.5
 """Time limit from the first byte of a response to its last.
 
-A truncated response is then detected before the timeout of the call, which includes a long wait.
+Detects a truncated response before the timeout of the request, which includes a long wait.
 """
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
@@ -20,7 +20,7 @@
 
 
 class DiscoveryError(LoadBalancerError):
-    """A call to discovery has failed."""
+    """A request to discovery has failed."""
 
 
 class DiscoveryProtocolError(DiscoveryError):
@@ -55,10 +55,10 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to discovery; it carries one call at a time.
+    """One connection to discovery; it carries one request at a time.
 
     Attributes:
-        is_closed: Whether the connection cannot carry another call.
+        is_closed: Whether the connection cannot carry another request.
     """
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         self._transport: asyncio.Transport | None = None
         self._parser = ResponseParser(MAX_RESPONSE_BYTES)
         self._response: asyncio.Future[Response] | None = None
-        self._timeout: asyncio.Timeout | None = None  # of a call whose response has not begun
+        self._timeout: asyncio.Timeout | None = None  # of a request whose response has not begun
 
     @property
     def is_receiving(self) -> bool:
@@ -93,16 +93,16 @@
             self._response.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call in progress, if there is one."""
+        """Fail the request in progress, if there is one."""
         self.is_closed = True
         self._fail(exc or DiscoveryDisconnectedError())
 
     async def send_request(self, request: bytes, timeout_s: float) -> Response:
-        """Send a request and wait for its response.
+        """Send a request and return its response.
 
         Args:
             request: The bytes of the request.
-            timeout_s: The time limit of the call. The response also has to be complete within
+            timeout_s: The time limit of the request. The response also has to be complete within
                 `BODY_TIMEOUT_S` of its first byte.
 
         Raises:
@@ -127,7 +127,7 @@
             self._transport.abort()
 
     def _start_body_timeout(self) -> None:
-        """Shorten the timeout of the call when the first bytes of its response arrive."""
+        """Shorten the timeout of the request when the first bytes of its response arrive."""
         if self._timeout is None:
             return
         timeout, self._timeout = self._timeout, None
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,9 +1,9 @@
 """Watches the endpoint list of discovery by long polling.
 
-The watch makes one HTTP call after another. As long as no list of this discovery service is known, a call
-returns the complete list immediately. Otherwise a call states the version of the known list and a wait:
-discovery responds when the list changes, or when the wait has ended. The list in the configuration counts as
-known.
+The watch sends one HTTP request after another. As long as no list of this discovery service is known, it
+requests the complete list, which is returned immediately. After that it sends watch requests, which state
+the version of the known list and a wait: discovery responds when the list changes, or when the wait has
+ended. The list in the configuration counts as known.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
 WATCH_TIMEOUT_MARGIN_S = 1.0
-"""Time from the end of a watch call's wait to the timeout of the call.
+"""Time from the end of a watch request's wait to the timeout of the request.
 
-A list that the call should have returned has to be known one second after the timeout.
+A list that the request should have returned must be received within one second of the timeout.
 """
 
 RESPONSE_TIMEOUT_S = 2.5
-"""Timeout of a call without a wait.
+"""Timeout of a request for the complete list, which discovery returns immediately.
 
-After a switch to another discovery service, its list has to be known within 4 s.
+After a switch to another discovery service, its list must be received within 4 s.
 """
 
 CONNECT_TIMEOUT_S = 1.0
-"""Timeout of a connect: shorter than that of a call, since a host that is down never responds."""
+"""Timeout for connecting: shorter than that of a request, since a host that is down never responds."""
 
 _NO_VERSION = -1  # while no list of the discovery service is known
 
@@ -44,8 +44,8 @@
 class EndpointWatch:
     """Watches the endpoint list of discovery.
 
-    Once started, it calls discovery again after each response. After a failed call, the retry schedule
-    decides whether the watch continues or ends; if it has ended, `start_watch` starts it again.
+    Once started, it sends the next request after each response. After a failed request, the retry schedule
+    decides whether the watch continues or ends; `start_watch` restarts a watch that has ended.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         on_update: Callable[[EndpointList], None],
         on_failed: Callable[[], None],
     ) -> None:
-        """Prepare the watch; no call is made before `start_if_pushed` or `start_watch`.
+        """Prepare the watch; no request is sent before `start_if_pushed` or `start_watch`.
 
         Args:
             configuration: Has the address of discovery, and the endpoint list that is known at the start.
             on_update: Called with the list in each response: a snapshot or a delta.
-            on_failed: Called when a failed call has ended the watch.
+            on_failed: Called when a failed request has ended the watch.
         """
         self._on_update = on_update
         self._on_failed = on_failed
@@ -78,7 +78,7 @@
 
     @property
     def connection(self) -> DiscoveryConnection | None:
-        """The connection of the latest call; None before the first one is established."""
+        """The connection of the latest request; None before the first one is established."""
         return self._connection
 
     def start_if_pushed(self) -> None:
@@ -113,8 +113,8 @@
             started_at_s = asyncio.get_running_loop().time()
             try:
                 endpoint_list = await self._fetch()
-            except Exception:  # noqa: BLE001  a call may fail in any way
-                # Any exception counts as a failed call: the watch must not end without notice.
+            except Exception:  # noqa: BLE001  a request may raise any exception
+                # Any exception counts as a failed request: the watch must not end unnoticed.
                 retry_delay_s = self._record_failure(started_at_s)
                 if retry_delay_s is None:
                     self._task = None
@@ -127,13 +127,13 @@
             self._on_update(endpoint_list)
 
     def _record_failure(self, started_at_s: float) -> float | None:
-        """Count a failed call and close its connection.
+        """Count a failed request and close its connection.
 
         Args:
-            started_at_s: When the call started, on the event loop's clock.
+            started_at_s: When the request started, on the event loop's clock.
 
         Returns:
-            The delay in seconds before the next call; None if the policy decides when to call again.
+            The delay in seconds before the retry; None if the policy decides when to retry.
         """
         self._consecutive_failures += 1
         if self._connection is not None:
@@ -141,7 +141,7 @@
         return self._schedule.retry_delay_s(self._consecutive_failures, started_at_s, self._switched_at_s)
 
     async def _fetch(self) -> EndpointList:
-        """Make one call: for the complete list, or for the entries that changed after the known version."""
+        """Request the complete list, or the entries that changed after the known version."""
         path, timeout_s = "/v1/servers", RESPONSE_TIMEOUT_S
         if self._version >= 0:
             wait_s = self._schedule.watch_wait_s(self._consecutive_failures)
@@ -160,8 +160,8 @@
         if self._connection is not None and not self._connection.is_closed:
             return self._connection
         if self._connection is not None:
-            # Discovery may announce after each call that it closes the connection, and yet leave it open;
-            # such connections must not accumulate.
+            # Discovery may announce in each response that it closes the connection, but leave it open; such
+            # connections must not accumulate.
             self._connection.close()
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, self._connection = await asyncio.get_running_loop().create_connection(
--- a/loadbalancer/network/endpoint_list_updater.py
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -1,6 +1,6 @@
 """Applies endpoint lists to the connection pools, and then to the policy.
 
-The order matters: every endpoint that the policy may select has a pool by then.
+The pools come first, so that every endpoint that the policy may select has a pool.
 """
 
 from __future__ import annotations
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes events to the policy one at a time, and has the resulting actions performed in order."""
+"""Passes events to the policy one at a time, and performs the resulting actions in order."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     """Queues events for the policy.
 
     An event that is dispatched while another one is being handled, for example by an action that completes
-    immediately, stays in the queue until all actions for the current event have been performed. An exception
-    in the policy or in an action is logged, and ends only the request that it concerns.
+    immediately, remains in the queue until all actions for the current event have been performed. An
+    exception in the policy or in an action is logged, and ends only the request that it concerns.
 
     Args:
         balancer: The policy.
@@ -88,7 +88,7 @@
         for action in self._decide(event, request):
             try:
                 self._perform(action)
-            except Exception:  # noqa: BLE001  an action may fail in any way
+            except Exception:  # noqa: BLE001  an action may raise any exception
                 # An exception in one action must not prevent the actions after it.
                 self._log.exception(f"could not perform {action!r}")
                 self._end_failed_request(_request_number(action))
@@ -99,7 +99,7 @@
     def _decide(self, event: Event, request: ProxiedRequest | None) -> list[Action]:
         try:
             return self._balancer.handle(event, self._clock.now())
-        except Exception:  # noqa: BLE001  the policy may fail in any way
+        except Exception:  # noqa: BLE001  the policy may raise any exception
             # An exception in the policy must end only this request, not the process.
             self._log.exception(f"the policy failed at {event!r}"[:MAX_LOGGED_EVENT_CHARS])
             self._end_failed_request(request.number if request is not None else None)
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -101,7 +101,7 @@
         return self._by_number[number]
 
     def get(self, number: int | None) -> ProxiedRequest | None:
-        """Return the request with a number; None if it is finished, or no request has the number."""
+        """Return the request with this number; None if it is finished, or the number is unknown."""
         return self._by_number.get(number) if number is not None else None
 
     def add(self, incoming: IncomingRequest, expires_at_ms: float) -> ProxiedRequest | None:
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -153,6 +153,6 @@
             request.drop_unsent_attempts()
 
     def abort_open_requests(self) -> None:
-        """Respond to all open requests, and to later ones on arrival: the graceful shutdown is over."""
+        """Respond to all open requests at the end of the graceful shutdown, and to later ones on arrival."""
         self._is_shut_down = True
         self._watchdog.respond_to_all()
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -14,9 +14,8 @@
 class RequestIds:
     """The X-Request-Ids in use: those of open requests, and of requests that finished recently.
 
-    A second request with the same id, from the same client or another one, is rejected: if it is a duplicate,
-    its effect could happen twice. Finished ids are remembered in two generations, which bounds their number
-    and age.
+    A second request with the same id, from the same client or another one, is rejected: a duplicate could
+    take effect twice. Finished ids are remembered in two generations, which bounds their number and age.
     """
 
     def __init__(self) -> None:
@@ -43,7 +42,7 @@
         return True
 
     def finish(self, request_id: bytes) -> None:
-        """Move the id of a request, which must have no running attempt, to the finished ones."""
+        """Move an id from the open to the finished ones; its request must have no running attempt."""
         self._open.discard(request_id)
         now_s = time.monotonic()
         age_s = now_s - self._generation_started_at_s
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -10,7 +10,7 @@
     import asyncio
 
 RESERVED_DESCRIPTORS = 24
-"""Number of file descriptors that client connections, and likewise upstream connections, leave unused.
+"""Number of file descriptors kept free, both in the share of client connections and in that of upstreams.
 
 They are for the event loop, the log, the connection to discovery and connections that are being closed.
 """
@@ -38,7 +38,7 @@
     """Look at the next byte that the kernel has received and the event loop has not read yet.
 
     Returns:
-        The byte; `b""` if the connection has ended; None if there is neither a byte nor an end.
+        The byte; `b""` if the connection has ended; None if nothing has been received.
     """
     with _BorrowedSocket(transport) as borrowed:
         try:
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -1,7 +1,7 @@
 """One attempt to have an upstream process a request, and its outcome.
 
 Each attempt ends exactly once. If it is uncertain whether the upstream processed the request, the outcome is
-none of `UNPROCESSED_OUTCOMES`, since a request that is not idempotent must not be processed twice.
+not one of `UNPROCESSED_OUTCOMES`, since a request that is not idempotent must not be processed twice.
 """
 
 from __future__ import annotations
@@ -145,7 +145,8 @@
         if self._on_end is None:  # the attempt ended while the connection was being established
             connection.close()
         elif not self._connection_source.may_send():
-            # The upstream began to drain while the connection was being opened; it is too late for a request.
+            # The upstream began to drain while the connection was being opened, and the drain grace leaves no
+            # time for a request.
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
         elif not self._is_response_needed():
@@ -186,8 +187,8 @@
 
 
 def _outcome_of_failed_connect(error: Exception) -> Outcome:
-    # If this process lacks a resource, the outcome must not blame the upstream: the policy would count it
-    # against the endpoint.
+    # A lack of resources in this process must not be reported as a failed connect, which the policy would
+    # count against the endpoint.
     if isinstance(error, ConnectionLimitError):
         return Outcome.NOT_SENT
     if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
--- a/loadbalancer/network/upstream/attempt_factory.py
+++ b/loadbalancer/network/upstream/attempt_factory.py
@@ -1,4 +1,4 @@
-"""Starts attempts at endpoints, which are given by their names."""
+"""Starts attempts at endpoints, on connections of their pools."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class UpstreamAttemptFactory:
-    """Starts attempts on connections of the pools.
+    """Creates attempts, and starts each on a connection of its endpoint's pool.
 
     Args:
         loop: The event loop.
@@ -34,7 +34,7 @@
         on_end: OnAttemptEnd,
         is_response_needed: Callable[[], bool] = lambda: True,
     ) -> UpstreamAttempt | None:
-        """Start an attempt at an endpoint.
+        """Create and start an attempt at an endpoint.
 
         Args:
             endpoint: The name of the endpoint.
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -35,7 +35,7 @@
         """Create a runner without attempts.
 
         Args:
-            requests: The open requests, which actions name by number.
+            requests: The open requests, which actions refer to by number.
             attempt_factory: Starts attempts at endpoints.
             clock: The clock on which `expires_at_ms` of requests is measured.
             dispatch: Passes an event of a request to the policy.
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -96,7 +96,7 @@
             handler.handle_response(response)
 
     def eof_received(self) -> None:
-        """Report that the upstream has ended the connection; the transport closes by itself."""
+        """Report that the upstream has ended the connection; the transport then closes itself."""
         if self._handler is not None:
             self._handler.handle_reset()
 
@@ -154,8 +154,8 @@
     def close(self) -> None:
         """Close the connection; its sending side is shut down before this returns.
 
-        The event loop closes the socket only in its next iteration. The next attempt of the request may have
-        been sent by then, and both would run at the same time.
+        The event loop closes the socket only in its next iteration. By then the next attempt of the request
+        may have been sent, and both would be processed at the same time.
         """
         self._report_closed()
         if self._transport is not None:
--- a/loadbalancer/network/upstream/connection_limit.py
+++ b/loadbalancer/network/upstream/connection_limit.py
@@ -14,7 +14,7 @@
 """Fraction of the file descriptors for upstream connections; the rest is for client connections."""
 
 MIN_CONNECTION_LIMIT = 4
-"""Number of connections that may always be open, even with very few descriptors."""
+"""Lower bound of the connection limit, which applies if very few descriptors are available."""
 
 
 class ConnectionLimit:
@@ -37,7 +37,7 @@
         self._close_idle_connection = close_idle_connection
 
     def acquire(self) -> None:
-        """Count a connection that is about to be opened; at the limit, close an idle one to make room.
+        """Count a connection that is about to be opened; close an idle one if the limit is reached.
 
         Raises:
             ConnectionLimitError: The limit is reached, and no connection is idle.
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -27,10 +27,10 @@
 """
 
 DRAIN_GRACE_FRACTION = 0.5
-"""Fraction of the drain grace in which a request may be sent on a connection that was still being opened.
+"""Fraction of the drain grace during which a request may be sent on a connection that is established late.
 
-For the upstream, the grace began before this process learned of it: the endpoint list may have waited in a
-buffer.
+For the upstream, the grace period began before this process received the endpoint list, which may have been
+delayed in a buffer.
 """
 
 
@@ -59,7 +59,7 @@
 
 
 class UpstreamPool:
-    """The connections to one process of an upstream.
+    """The connections to one upstream process.
 
     Args:
         address: The address at which the upstream listens.
@@ -70,8 +70,8 @@
 
     Attributes:
         connect_timeout_s: How long opening a connection may take.
-        draining_since: When the upstream was first seen to drain, or was removed, in seconds of
-            `time.monotonic`; None if neither.
+        draining_since: When this process learned that the upstream drains or was removed, in seconds of
+            `time.monotonic`; None if neither is the case.
     """
 
     def __init__(
@@ -147,23 +147,23 @@
         self._idle_connections.append(connection)
 
     def may_send(self) -> bool:
-        """Return whether the upstream does not drain, or its drain grace leaves time for a request."""
+        """Return whether the upstream does not drain, or the drain grace leaves time for a request."""
         if self.draining_since is None:
             return True
         return time.monotonic() < self.draining_since + self._timeouts.send_while_draining_s
 
     def stop_draining(self) -> None:
-        """Reuse connections from now on: the upstream is ready."""
+        """Allow connections to be reused again: the upstream is ready."""
         self.draining_since = None
 
     def start_draining(self) -> None:
-        """Close the idle connections and reuse none from now on: the upstream drains."""
+        """Close the idle connections, and keep connections from being reused: the upstream drains."""
         if self.draining_since is None:
             self.draining_since = time.monotonic()
             self.close_idle_connections()
 
     def retire(self) -> None:
-        """Close the idle connections and reuse none later: the upstream was removed, moved or restarted."""
+        """Close the idle connections, and prevent any reuse: the upstream was removed, moved or restarted."""
         self._is_retired = True
         if self.draining_since is None:
             self.draining_since = time.monotonic()
@@ -175,7 +175,7 @@
             connection.close()
 
     def close_idle_before(self, cutoff: float) -> None:
-        """Close the connections that became idle before `limit`, in seconds of `time.monotonic`."""
+        """Close the connections that became idle before `cutoff`, in seconds of `time.monotonic`."""
         while self._idle_connections and self._idle_connections[0].idle_since < cutoff:
             self._idle_connections[0].close()
 
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -29,7 +29,7 @@
     def encode(self) -> bytes:
         """Return the bytes to send.
 
-        To be called just before they are sent, since X-Deadline is the time that is left now.
+        Must be called just before they are sent, since X-Deadline is the time that remains at that moment.
         """
         incoming = self._incoming
         remaining_us = max((self._expires_at_s - time.monotonic()) * 1_000_000, MIN_DEADLINE_US)
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -54,7 +54,7 @@
 
 
 async def test_watch_continues_after_malformed_response(start_proxy: StartProxy) -> None:
-    """Any exception from reading a response counts as a failed call."""
+    """Any exception while a response is read counts as a failed request."""
     harness = await start_proxy(Upstream())
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
@@ -68,7 +68,7 @@
 async def test_unanswered_poll_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise requests go on to upstreams that were replaced while the poll was unanswered."""
+    """Otherwise upstreams that were replaced in the meantime would still be sent requests."""
     harness = await start_proxy(Upstream(reset_connection))
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
@@ -91,7 +91,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A retry delay could be as long as the grace period of a draining upstream."""
+    """A retry delay could exceed the drain grace of an upstream, which would then be sent requests."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for index in (8, 9):
@@ -106,7 +106,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A local agent is cheap to call, so its timeout is shorter than that of a central discovery."""
+    """Frequent requests to a local agent are cheap, so its timeout is shorter than a central service's."""
     harness = await start_proxy(Upstream(), discovery="push")
     request_line = await harness.discovery.requests.get()
     wait_ms = float(request_line.partition("wait_ms=")[2].split(" ")[0])
@@ -122,7 +122,7 @@
 
 
 async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """Otherwise requests go on to draining upstreams for a whole poll timeout."""
+    """Otherwise draining upstreams would be sent requests until the poll times out."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint list is learned in time after failures of discovery.
+"""After failures of discovery, the policy gets the endpoint list in time.
 
 Most tests simulate discovery and the clock (`simulated_discovery`).
 """
@@ -34,11 +34,11 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# Time limit for the policy to learn of a list, or of a change, after discovery has it and is reachable.
+# Time limit for the policy to get a list, or a change, after discovery has it and is reachable.
 MAX_LIST_DELAY_S = 6.0
-# The same from the end of the wait of a watch that became unresponsive, if that is later.
+# The same limit, measured from the end of the wait of an unresponsive watch request, if that is later.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
-# The same from a SIGHUP.
+# The same limit, measured from a SIGHUP that switches to another discovery service.
 MAX_SWITCH_DELAY_S = 4.0
 MARGIN_S = 1.0
 # Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
@@ -55,7 +55,7 @@
         poll_deadline_ms: The balancer's `askWithin`.
         min_duration_s: Minimum duration of the outage.
         seed: The balancer's seed.
-        recovery_delay_s: Time from a failed call to the end of the outage.
+        recovery_delay_s: Time from a failed attempt to the end of the outage.
     """
 
     poll_deadline_ms: float
@@ -65,7 +65,7 @@
 
 
 async def delay_after_outage(loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage) -> float:
-    """Return how long after an outage, in seconds, the policy learns of a change made during it."""
+    """Return the time in seconds from an outage's end until the policy learns of a change made during it."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, discovery_mode)
     await asyncio.sleep(1.0)
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_during_outage_is_received_in_time(fault: str, discovery_mode: str) -> None:
-    """A retry delay of a minute (`askWithin` is 120 s) or a call timeout of 11 s would be too long."""
+    """A retry delay of a minute (`askWithin` is 120 s) or a request timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
     pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
     for values in itertools.product(*(polled if discovery_mode == "ask" else pushed), (0.0, 0.3, 2.0)):
@@ -106,7 +106,7 @@
 async def check_missed_change(
     loop: SimulatedLoop, *, discovery_mode: str, seed: int, watch_count: int
 ) -> None:
-    """Change the list after the connections of some watch calls have become unresponsive."""
+    """Make the connection unresponsive during a watch request, and then change the list."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, seed, 10_000.0, discovery_mode)
     for _ in range(watch_count):
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 def test_change_missed_by_open_watch_is_received_in_time(discovery_mode: str) -> None:
-    """The times to detect the failure and to retry must leave time to transfer the list."""
+    """The failure must be detected, and the request retried, early enough to transfer the list."""
     for seed, watch_count in itertools.product(range(1, 30), (1, 3)):
         run_simulated(
             partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, watch_count=watch_count)
@@ -130,14 +130,14 @@
 async def check_switch_after_failures(
     loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, phase: float
 ) -> None:
-    """Switch to a discovery with a fault during an outage of the old one, and change its list."""
+    """Switch to a discovery service with a fault during an outage of the old one, and change its list."""
     old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
     proxy = WatchingProxy(old_discovery, seed, 120_000.0, discovery_mode)
     await asyncio.sleep(1.0)
     old_discovery.begin_outage("refuses")
     await asyncio.sleep(40.0)
     attempts = len(old_discovery.attempts)
-    # The policy sets its timer anew at the next call.
+    # Wait for the next attempt, after which the policy sets its timer again.
     await wait_until(
         lambda: len(old_discovery.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
     )
@@ -150,11 +150,12 @@
         new_discovery.on_attempt = lambda: None
         new_discovery.drain_upstream()
 
-    new_discovery.on_attempt = lambda: loop.call_soon(recover)  # after the first call was received or failed
+    # Recovers after the first request was received or failed.
+    new_discovery.on_attempt = lambda: loop.call_soon(recover)
     proxy.switch_to(new_discovery)
     learned_at = await proxy.wait_for_drain()
     assert new_discovery.attempts[0] == switched_at
-    # A connection that is established late takes up both timeouts, that of the connect and of the response.
+    # If a connection is established late, the connect timeout and the response timeout add up.
     max_delay_s = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
     assert learned_at + LIST_TRANSFER_S < switched_at + max_delay_s
 
@@ -162,7 +163,7 @@
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
 def test_failures_before_switch_do_not_delay_new_list(fault: str, discovery_mode: str) -> None:
-    """The backoff from the outage of the old discovery must not apply to the new one."""
+    """The backoff from the outage of the old discovery service must not apply to the new one."""
     for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
         run_simulated(
             partial(
@@ -176,7 +177,7 @@
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
-    """Switch seven times while all discoveries refuse connections; the last one recovers."""
+    """Switch seven times while all discovery services refuse connections; the last one recovers."""
     discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
     proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
@@ -206,7 +207,7 @@
 
 
 def test_switches_during_outage_leave_one_watch() -> None:
-    """Each switch must not add a poll timer, which would be set again for ever."""
+    """No switch may add a second poll timer, which would be set again each time it fires."""
     run_simulated(check_switches_during_outage)
 
 
@@ -227,7 +228,7 @@
 async def attempt_times_in_outage(
     loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
 ) -> list[float]:
-    """Return the times of the calls of several balancers while discovery has a fault."""
+    """Return the times of the attempts of several balancers while discovery has a fault."""
     discovery = SimulatedDiscovery(loop, 1)
     proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
     await asyncio.sleep(1.0)
@@ -267,7 +268,7 @@
     max_backoff_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
-    # Discovery recovers, or gets the change, just after the start of a call that fails.
+    # Discovery recovers, or gets the change, just after the start of a request that fails.
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
         "the call fails at once, and the next one starts a backoff period after it"
     )
@@ -280,7 +281,7 @@
     # An open watch becomes unresponsive.
     assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
-    # After SIGHUP the first call to the new discovery fails.
+    # After SIGHUP the first request to the new discovery service fails.
     retry_delay_s = retry_schedule.SWITCH_RETRY_DELAY_S * MAX_DELAY_JITTER
     assert retry_schedule.SWITCH_PERIOD_S <= MAX_SWITCH_DELAY_S
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_SWITCH_DELAY_S
@@ -292,7 +293,7 @@
 
 
 async def test_connection_close_from_discovery_is_respected() -> None:
-    """Otherwise each response with `Connection: close` leaks a connection that discovery leaves open."""
+    """Otherwise each response with `Connection: close` would leak a connection that discovery keeps open."""
     open_connections, index, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -1,4 +1,4 @@
-"""The waits of watch calls, and the retry delays after failed ones, for each kind of discovery."""
+"""The waits of watch requests and the delays of retries, where discovery is polled and where it pushes."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 def test_failed_polls_are_retried_shortly_after_switch(
     since_switch_s: float, consecutive_failures: int, draw: float, factor: float
 ) -> None:
-    """The number of failures has no effect, since it includes those of the previous discovery."""
+    """The number of failures has no effect, since it includes those of the previous discovery service."""
     schedule = RetrySchedule(constant_draw(draw), polls_discovery=True)
     delay_s = schedule.retry_delay_s(consecutive_failures, SWITCHED_AT_S + since_switch_s, SWITCHED_AT_S)
     assert delay_s == SWITCH_RETRY_DELAY_S * factor
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Limits on file descriptors, which keep some free for upstreams and discovery."""
+"""The limits on connections keep file descriptors free for upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
+    """Wait until `min_count` descriptors are open and one second more; return the maximum number."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -77,7 +77,7 @@
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
-            # More than three times as many clients as are accepted keep connecting.
+            # Of these clients, which keep connecting, the balancer accepts less than a third.
             client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
             assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The event dispatcher alone: the order of events and actions, and dispatch without handlers."""
+"""The event dispatcher in isolation: the order of events and actions, and dispatch without handlers."""
 
 from __future__ import annotations
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -1,4 +1,4 @@
-"""Concurrent events, forced into the order that is harder to handle."""
+"""Races between events, each forced into the order that is harder to handle."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def is_port_closed(port: int) -> bool:
-    """Return whether a connection to the port is refused; any result but refusal and success is an error."""
+    """Return whether nothing listens on the port; any other connect error fails the test."""
     with socket.socket() as client:
         error = client.connect_ex(("127.0.0.1", port))
     assert error in (0, errno.ECONNREFUSED)
@@ -91,7 +91,7 @@
     connection = attempt.attempt.connection
     assert connection is not None
     attempt.attempt.handle_timeout()
-    connection.data_received(response())  # was read before the timeout, but is delivered only now
+    connection.data_received(response())  # read before the timeout, but delivered after it
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.TIMED_OUT]
     assert pools.open_connections == 0
@@ -101,7 +101,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request may have run, so it fails after one attempt if it is not idempotent."""
+    """The upstream may have processed the request, which must not be retried unless it is idempotent."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
@@ -158,7 +158,7 @@
 ) -> None:
     monkeypatch.setattr(
         "loadbalancer.network.deadline_watchdog.WATCHDOG_MARGIN_MS", -1e6
-    )  # so that the watchdog responds too late to matter
+    )  # so that the watchdog does not respond during the test
     harness = await start_proxy(Upstream())
     handle = harness.proxy.balancer.handle
     events: list[Event] = []
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -83,7 +83,7 @@
     harness = await start_proxy(upstream)
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == client_status
-    # A rejected attempt did not run, so the policy may retry; after any other outcome here it must not.
+    # The policy may retry a rejected attempt, which had no effect; the other outcomes here forbid a retry.
     assert set(outcomes(events)) == {outcome}
     assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
 
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -1,6 +1,6 @@
-"""Readiness: what the program does before it accepts clients, and what it does not wait for.
+"""Readiness: the work of the program before it accepts clients, and what it must not wait for.
 
-The tests check what is done, not how long it takes, and so do not depend on the speed of the machine.
+The tests check the steps of the startup instead of its duration, which depends on the machine.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 @contextmanager
 def unresponsive_discovery(state: str) -> Iterator[str]:
-    """Yield the address of a discovery that responds to no call."""
+    """Yield the address of a discovery service that does not respond."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         if state == "silent":
@@ -100,7 +100,7 @@
 
 
 def test_startup_imports_only_needed_modules(tmp_path: Path) -> None:
-    """Imports delay the start: when twenty programs start on one core, each of them waits for all imports."""
+    """Imports delay startup: when twenty programs start on one core, each waits for the imports of all."""
     loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
     new_interpreter = subprocess.run(
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
@@ -142,7 +142,7 @@
 
 
 def test_build_compiles_every_file(tmp_path: Path) -> None:
-    """The file system is read-only at run time: without bytecode files each start compiles the sources."""
+    """The file system is read-only at run time: without bytecode files, each start would compile the code."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     package = tmp_path / "loadbalancer"
     for source in (ROOT / "loadbalancer").rglob("*.py"):
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -57,7 +57,7 @@
 
 
 async def test_connect_to_discovery_times_out() -> None:
-    """The timeout of a connect is shorter than that of a call."""
+    """The timeout for connecting is shorter than that of a request."""
     async with full_backlog() as address:
         failed = asyncio.Event()
         config = configuration(config_text(address, [entry("s0", "127.0.0.1:9")]))
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and connection pools on loopback sockets: the outcome of each way in which an attempt can end."""
+"""Attempts and connection pools on loopback sockets: each way in which an attempt can end."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def test_reset_during_write_is_connect_failure() -> None:
-    """The upstream resets the connection while part of the request is still in the balancer's buffer."""
+    """The upstream resets the connection while a part of the request is still in the balancer's buffer."""
     accepted = asyncio.Event()
 
     async def read_ten_bytes_and_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -162,7 +162,7 @@
     ],
 )
 async def test_extra_bytes_after_response_are_ignored(start_proxy: StartProxy, extra_bytes: bytes) -> None:
-    """The bytes must not replace the response, turn it into a reset, or be taken for the next response."""
+    """The bytes must not replace the response, turn it into a reset, or be parsed as the next response."""
     upstream = Upstream(response(200, b"the answer") + extra_bytes, response(200, b"the next"))
     harness = await start_proxy(upstream)
     assert (await harness.send_request()).body == b"the answer"
@@ -174,8 +174,8 @@
     upstream = Upstream()
     pools = make_pools(await start_server(upstream))
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
-    assert pools.pool("s0").take_idle_connection() is None  # not immediately
-    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor 10 ms later
+    assert pools.pool("s0").take_idle_connection() is None  # not immediately after the response
+    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # and not 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
@@ -183,7 +183,7 @@
 
 
 async def test_timed_out_attempt_is_closed_before_policy_event(start_proxy: StartProxy) -> None:
-    """Otherwise the next attempt could run at the same time, until the event loop closes the connection."""
+    """Otherwise upstreams could process two attempts at once until the event loop closes the connection."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
     disconnect_results = list[bool]()
@@ -234,7 +234,7 @@
 
 
 async def respond_after_20_ms(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
-    """Respond after 20 ms, so that the ratio of failed requests to good responses is as in production."""
+    """Respond after 20 ms, so that the ratio of failed to successful requests is realistic."""
     await asyncio.sleep(0.02)
     writer.write(response())
 
@@ -245,7 +245,7 @@
 
 @pytest.mark.parametrize("failure", [never_respond, reject])
 async def test_ejection_is_per_request_class(start_proxy: StartProxy, failure: Script) -> None:
-    """Good responses to one class must not hide the failures of another."""
+    """Successful requests of one class must not hide the failures of another."""
 
     async def respond_by_class(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         await (failure if received.headers["x-class"] == "read" else respond_after_20_ms)(received, writer)
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -11,7 +11,7 @@
 
 
 class DiscoveryServer:
-    """A discovery service that answers each call with the next queued response, once there is one.
+    """A discovery service that answers each request with the next queued response, once there is one.
 
     Attributes:
         responses: The queued responses, encoded.
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -23,9 +23,9 @@
 
     from loadbalancer.actions import Action
 
-# refuses: connects are refused. resets: calls are answered by a reset. unreachable: connects never complete.
-# connects late: connects take almost the connect timeout, and calls get no response. silent: calls get no
-# response. error: calls get status 500. truncated: calls get an incomplete response.
+# refuses: connects are refused. resets: requests are answered by a reset. unreachable: connects never
+# complete. connects late: connects take almost the connect timeout, and requests get no response. silent:
+# requests get no response. error: requests get status 500. truncated: requests get an incomplete response.
 FAULTS = ("refuses", "resets", "unreachable", "connects late", "silent", "error", "truncated")
 # The faults that affect new connections.
 CONNECT_FAULTS = ("refuses", "unreachable", "connects late")
@@ -72,7 +72,7 @@
 
     Attributes:
         is_unresponsive: Whether the balancer receives nothing more on it.
-        after: The list version in the watch call that waits on it; None if no call waits.
+        after: The list version in the watch request that waits on it; None if none waits.
         request_count: The number of requests on it.
     """
 
@@ -117,10 +117,11 @@
         fault: The current fault, one of `FAULTS`; empty if there is none.
         index: The version of its endpoint list.
         connections: The open connections.
-        attempts: The times of connects under a fault of `CONNECT_FAULTS`, and of received calls, in seconds.
+        attempts: The times of connects under a fault of `CONNECT_FAULTS` and of received requests, in
+            seconds.
         requests: The request lines of the requests.
         watches: The start and the wait time of each watch, in seconds.
-        on_attempt: Called after each of these connects and each call.
+        on_attempt: Called after each of these connects and each request.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -147,7 +148,7 @@
         if fault == "unreachable":
             await self.loop.create_future()  # never established
         if fault == "connects late":
-            # The connection is unresponsive too: its calls get no response.
+            # The connection is unresponsive too: its requests get no response.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -157,7 +158,7 @@
         return connection, protocol
 
     def on_request(self, connection: SimulatedConnection, request_line: str) -> None:
-        """Handle the call with a request line."""
+        """Handle the request with a request line."""
         if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
         self.requests.append(request_line)
