--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -178,23 +178,23 @@
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
     """Switch seven times while all discovery services refuse connections; the last one recovers."""
-    discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
-    proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
+    discovery_services = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
+    proxy = WatchingProxy(discovery_services[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
-    for discovery in discoveries:
+    for discovery in discovery_services:
         discovery.begin_outage("refuses")
     await asyncio.sleep(30.0)
-    for discovery in discoveries[1:]:
+    for discovery in discovery_services[1:]:
         proxy.switch_to(discovery)
         await asyncio.sleep(0.2)
     await asyncio.sleep(10.0)
-    last_discovery = discoveries[-1]
+    last_discovery = discovery_services[-1]
     attempts_before = len(last_discovery.attempts)
     await asyncio.sleep(60.0)
     shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
     assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
-    earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
-    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next switch"
+    earlier_attempts = sum(len(discovery.attempts) for discovery in discovery_services[1:-1])
+    assert earlier_attempts == len(discovery_services) - 2, "no discovery is called after the next switch"
     last_discovery.fault = ""
     last_discovery.drain_upstream()
     learned_at = await proxy.wait_for_drain()
@@ -272,12 +272,14 @@
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
         "the call fails at once, and the next one starts a backoff period after it"
     )
-    call_s = max(recovery_s, response_s)
-    assert connect_s + call_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
+    max_request_s = max(recovery_s, response_s)
+    assert connect_s + max_request_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
         "the call fails by the timeouts of the connect and of the response"
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
-    assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
+    assert connect_s + max_request_s + push_delay_s + LIST_TRANSFER_S < limit_s, (
+        "the same where lists are pushed"
+    )
     # An open watch becomes unresponsive.
     assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
@@ -289,7 +291,7 @@
     assert max_backoff_s < retry_schedule.SWITCH_PERIOD_S, (
         "an earlier timer fires while the watch itself retries"
     )
-    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
+    assert max_request_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
 
 
 async def test_connection_close_from_discovery_is_respected() -> None:
