--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -126,6 +126,6 @@
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
-    assert "wait_ms" in request_line, "a watch call, whose response may begin late"
+    assert "wait_ms" in request_line, "a watch request, whose response may begin late"
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.requests.get(), 5)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -139,7 +139,7 @@
     attempts = len(old_discovery.attempts)
     # Wait for the next attempt, after which the policy sets its timer again.
     await wait_until(
-        lambda: len(old_discovery.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
+        lambda: len(old_discovery.attempts) > attempts, "discovery gets another attempt", poll_interval_s=0.01
     )
     await asyncio.sleep(phase)
     new_discovery.fault = fault
@@ -194,7 +194,7 @@
     shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
     assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
     earlier_attempts = sum(len(discovery.attempts) for discovery in discovery_services[1:-1])
-    assert earlier_attempts == len(discovery_services) - 2, "no discovery is called after the next switch"
+    assert earlier_attempts == len(discovery_services) - 2, "no service gets an attempt after the next switch"
     last_discovery.fault = ""
     last_discovery.drain_upstream()
     learned_at = await proxy.wait_for_drain()
@@ -252,7 +252,7 @@
         assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < balancers / 3, (
-            "within a tenth of a second, fewer than a third of the balancers call"
+            "within a tenth of a second, fewer than a third of the balancers make an attempt"
         )
     repeated_attempts = run_simulated(
         partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
@@ -270,11 +270,11 @@
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
     # Discovery recovers, or gets the change, just after the start of a request that fails.
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
-        "the call fails at once, and the next one starts a backoff period after it"
+        "the request fails at once, and the next one starts after a backoff period"
     )
     max_request_s = max(recovery_s, response_s)
     assert connect_s + max_request_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
-        "the call fails by the timeouts of the connect and of the response"
+        "the request fails after the connect timeout and the response timeout"
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + max_request_s + push_delay_s + LIST_TRANSFER_S < limit_s, (
@@ -319,4 +319,4 @@
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
     await all_served.wait()
-    assert open_connections < 10, "of 33 connections, only the one in use and those being closed"
+    assert open_connections < 10, "of 33 connections, only the one in use and those being closed are open"
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -45,7 +45,7 @@
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
     assert b"configuration reloaded" in await read_log_line(program.process)
-    await wait_until(lambda: is_port_closed(program.port), "connections are refused", poll_interval_s=0.02)
+    await wait_until(lambda: is_port_closed(program.port), "the listener is closed", poll_interval_s=0.02)
     await program.respond_and_check()
     program.client.writer.close()
     assert await program.process.wait() == 0
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -44,7 +44,7 @@
 ) -> None:
     program = program_with_open_request
     new_discovery = DiscoveryServer()
-    program.path.write_text("{ not whole")
+    program.path.write_text("{ truncated")
     program.process.send_signal(signal.SIGHUP)
     assert b"configuration not reloaded" in await read_log_line(program.process)
     program.path.write_text(config_text(await start_server(new_discovery), program.entries))
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -206,7 +206,7 @@
 async def test_response_to_incomplete_request_is_rejected() -> None:
     async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
-        writer.write(response(200, b"to what?"))
+        writer.write(response(200, b"too early"))
 
     server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
     port = server.sockets[0].getsockname()[1]
