--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -128,7 +128,7 @@
 
 
 async def check_switch_after_failures(
-    loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, phase: float
+    loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, delay_before_switch_s: float
 ) -> None:
     """Switch to a discovery service with a fault during an outage of the old one, and change its list."""
     old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
@@ -141,7 +141,7 @@
     await wait_until(
         lambda: len(old_discovery.attempts) > attempts, "discovery gets another attempt", poll_interval_s=0.01
     )
-    await asyncio.sleep(phase)
+    await asyncio.sleep(delay_before_switch_s)
     new_discovery.fault = fault
     switched_at = loop.time()
 
@@ -164,14 +164,14 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_failures_before_switch_do_not_delay_new_list(fault: str, discovery_mode: str) -> None:
     """The backoff from the outage of the old discovery service must not apply to the new one."""
-    for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
+    for seed, delay_before_switch_s in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
         run_simulated(
             partial(
                 check_switch_after_failures,
                 fault=fault,
                 discovery_mode=discovery_mode,
                 seed=seed,
-                phase=phase,
+                delay_before_switch_s=delay_before_switch_s,
             )
         )
 
