--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -94,8 +94,8 @@
     def switch_to(self, address: Address) -> None:
         """Switch to another discovery service immediately, beginning with its complete list.
 
-        Versions of the old service's list have no meaning there. The watch is restarted, so that neither a
-        late list of the old service nor a retry delay after its failures has an effect.
+        The versions of the old service's list have no meaning for the new one. The watch is restarted, so
+        that neither a late list of the old service nor a retry delay after its failures has an effect.
         """
         if self._task is not None:
             self._task.cancel()
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -27,7 +27,7 @@
 """
 
 DRAIN_GRACE_FRACTION = 0.5
-"""Fraction of the drain grace during which a request may be sent on a connection that is established late.
+"""Fraction of the drain grace during which a request may still be sent on a new connection.
 
 For the upstream, the grace period began before this process received the endpoint list, which may have been
 delayed in a buffer.
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the network tests; what they start is stopped after the test."""
+"""Fixtures of the network tests; everything that they start is stopped after the test."""
 
 from __future__ import annotations
 
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -106,7 +106,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Frequent requests to a local agent are cheap, so its timeout is shorter than a central service's."""
+    """Requests to a local agent cost little, so its timeout is shorter than that of a central service."""
     harness = await start_proxy(Upstream(), discovery="push")
     request_line = await harness.discovery.requests.get()
     wait_ms = float(request_line.partition("wait_ms=")[2].split(" ")[0])
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -94,7 +94,7 @@
 def test_change_during_outage_is_received_in_time(fault: str, discovery_mode: str) -> None:
     """A retry delay of a minute (`askWithin` is 120 s) or a request timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
+    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait is random
     for values in itertools.product(*(polled if discovery_mode == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
         delay_s = run_simulated(
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -1,4 +1,4 @@
-"""The waits of watch requests and the delays of retries, where discovery is polled and where it pushes."""
+"""The waits of watch requests and the delays of retries, where lists are polled and where they are pushed."""
 
 from __future__ import annotations
 
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Wait until `min_count` descriptors are open and one second more; return the maximum number."""
+    """Return the maximum number of descriptors open until one second after `min_count` are reached."""
     counts = list[int]()
 
     def has_reached() -> bool:
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive at a given step of the program's start."""
+"""Signals that arrive at a given step of the program's startup."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     print(clients[0].makefile("rb").read().partition(b"\\r\\n")[0].decode())
 """
 
-# The audit event and its first argument for each step of the start.
+# The audit event and its first argument for each step of the startup.
 START_STEPS = {
     "imports the event loop": ("import", "uvloop"),
     "opens its configuration": ("open", "config.json"),
@@ -69,7 +69,7 @@
 
 
 def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
-    """Return a command that runs the program and sends it a signal at a step of its start."""
+    """Return a command that runs the program and sends it a signal at a step of its startup."""
     event, first_argument = START_STEPS[step]
     if event == "open":
         first_argument = str(path)
