--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -125,7 +125,7 @@
     assert outcomes == [Outcome.RESET]
 
 
-@pytest.mark.parametrize("change", ["draining", "gone", "moved", "restarted"])
+@pytest.mark.parametrize("change", ["draining", "removed", "moved", "restarted"])
 async def test_endpoint_change_during_connect_prevents_send(
     start_server: StartServer, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -138,7 +138,7 @@
         connection = await connect(pool)
         update = {
             "draining": endpoint_list(entry("s0", address, status="terminating")),
-            "gone": endpoint_list(is_complete=True),
+            "removed": endpoint_list(is_complete=True),
             "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
             "restarted": endpoint_list(entry("s0", address, since_ms=5)),
         }[change]
