--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -38,7 +38,7 @@
     """Look at the next byte that the kernel has received and the event loop has not read yet.
 
     Returns:
-        The byte; `b""` if the connection has ended; None if nothing has been received.
+        The byte; `b""` if the connection has ended; None if it is open and has no unread byte.
     """
     with _BorrowedSocket(transport) as borrowed:
         try:
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -80,7 +80,7 @@
 
 
 def test_configuration_warning_without_stderr(tmp_path: Path) -> None:
-    """Python sets `sys.stderr` to None if descriptor 2 is closed at startup; here only the object is None."""
+    """Python sets `sys.stderr` to None if descriptor 2 is closed at startup; here it stays open."""
     program = """if True:
         import asyncio, os, signal, sys
         from loadbalancer import __main__ as program
