--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -208,11 +208,11 @@
         memory_limit_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_LIMIT_MB)),
         known_endpoints=read_endpoint_list(document.get("known") or _EMPTY_ENDPOINT_LIST),
         settings=settings_reader.read_settings(fields, warn),
-        connect_timeout_ms=settings_reader.number(
+        connect_timeout_ms=settings_reader.read_number(
             fields, "limits.connectTimeout", settings_reader.DEFAULT_CONNECT_TIMEOUT_MS
         ),
-        idle_timeout_ms=settings_reader.number(fields, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
-        drain_grace_ms=settings_reader.number(fields, "contract.drainGrace", DEFAULT_DRAIN_GRACE_MS),
+        idle_timeout_ms=settings_reader.read_number(fields, "limits.connIdle", DEFAULT_IDLE_TIMEOUT_MS),
+        drain_grace_ms=settings_reader.read_number(fields, "contract.drainGrace", DEFAULT_DRAIN_GRACE_MS),
     )
 
 
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,8 +1,9 @@
 """Reads settings from flat `path=value` fields, for both the simulator's wire and the file of `LB_CONFIG`.
 
 The names of the settings, and the words for enum values, are those of the wire. No other module contains
-them, except for the settings that `loadbalancer.configuration` uses itself. Each field is text: `number`,
-`integer`, `flag` and `lookup` convert it to a typed value. Errors are `FieldError`s with the field's name.
+them, except for the settings that `loadbalancer.configuration` uses itself. Each field is text:
+`read_number`, `read_integer`, `read_flag` and `read_enum` convert it to a typed value. Errors are
+`FieldError`s with the field's name.
 """
 
 from __future__ import annotations
@@ -90,7 +91,7 @@
         self.reason = reason
 
 
-def required(fields: Fields, name: str) -> str:
+def read_text(fields: Fields, name: str) -> str:
     """Return the text of a required field.
 
     Raises:
@@ -102,7 +103,7 @@
         raise MissingFieldError(name) from None
 
 
-def number(fields: Fields, name: str, default: float | None = None) -> float:
+def read_number(fields: Fields, name: str, default: float | None = None) -> float:
     """Return the value of a field as a finite number.
 
     Args:
@@ -128,7 +129,7 @@
     return value
 
 
-def integer(fields: Fields, name: str) -> int:
+def read_integer(fields: Fields, name: str) -> int:
     """Return the value of a required field as an integer.
 
     Raises:
@@ -143,19 +144,19 @@
         raise InvalidFieldError(name, fields[name], "is no whole number") from None
 
 
-def flag(fields: Fields, name: str) -> bool:
+def read_flag(fields: Fields, name: str) -> bool:
     """Return whether a field is true; a missing field is false."""
     return fields.get(name) in ("1", "true")
 
 
-def lookup(value_by_word: dict[str, T], fields: Fields, name: str) -> T:
+def read_enum(value_by_word: dict[str, T], fields: Fields, name: str) -> T:
     """Return the value to which `value_by_word` maps the text of a required field.
 
     Raises:
         MissingFieldError: The field is missing.
         InvalidFieldError: The text is not a key of `value_by_word`.
     """
-    word = required(fields, name)
+    word = read_text(fields, name)
     try:
         return value_by_word[word]
     except KeyError:
@@ -187,43 +188,43 @@
     return Settings(
         classes=_read_classes(fields),
         tenants=_read_tenants(fields),
-        balancers=int(number(fields, "balancers", 1.0)),
-        tier=int(number(fields, "tier", 0.0)),
+        balancers=int(read_number(fields, "balancers", 1.0)),
+        tier=int(read_number(fields, "tier", 0.0)),
         zone=fields.get("zone", ""),
         polls_discovery=fields.get("discovery") == "ask",
-        poll_deadline_ms=number(fields, "contract.askWithin", 10_000.0),
-        max_attempts=int(number(fields, "limits.attemptsCap", 1.0)),
-        connect_timeout_ms=number(fields, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT_MS),
-        may_cancel=flag(fields, "limits.mayCancel"),
-        may_hedge=flag(fields, "limits.mayDuplicate"),
-        may_health_check=flag(fields, "limits.probes"),
+        poll_deadline_ms=read_number(fields, "contract.askWithin", 10_000.0),
+        max_attempts=int(read_number(fields, "limits.attemptsCap", 1.0)),
+        connect_timeout_ms=read_number(fields, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT_MS),
+        may_cancel=read_flag(fields, "limits.mayCancel"),
+        may_hedge=read_flag(fields, "limits.mayDuplicate"),
+        may_health_check=read_flag(fields, "limits.probes"),
         max_retry_after_ms=_read_max_retry_after_ms(fields),
-        slow_start_ms=number(fields, "contract.cold", 0.0),
-        slow_start_initial_fraction=number(fields, "contract.coldFrom", 1.0),
-        slow_start_overload_factor=number(fields, "contract.overloadFactor", 1.0),
-        slow_start_window_ms=number(fields, "contract.tipAfter", 1_000.0),
-        over_quota_weight=number(fields, "overShareWorth", 1.0),
-        tick_ms=number(fields, "tick", 1.0),
+        slow_start_ms=read_number(fields, "contract.cold", 0.0),
+        slow_start_initial_fraction=read_number(fields, "contract.coldFrom", 1.0),
+        slow_start_overload_factor=read_number(fields, "contract.overloadFactor", 1.0),
+        slow_start_window_ms=read_number(fields, "contract.tipAfter", 1_000.0),
+        over_quota_weight=read_number(fields, "overShareWorth", 1.0),
+        tick_ms=read_number(fields, "tick", 1.0),
         load_report_fields=_read_load_report_fields(fields),
     )
 
 
 def _read_classes(fields: Fields) -> tuple[RequestClass, ...]:
-    count = integer(fields, "classes.count")
+    count = read_integer(fields, "classes.count")
     return tuple([_read_class(fields, f"classes.{index}.") for index in range(count)])
 
 
 def _read_class(fields: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=required(fields, prefix + "name"),
-        latency_objective_ms=number(fields, prefix + "target"),
-        deadline_ms=number(fields, prefix + "deadline"),
-        idempotency=lookup(_IDEMPOTENCY_BY_WORD, fields, prefix + "effect"),
+        name=read_text(fields, prefix + "name"),
+        latency_objective_ms=read_number(fields, prefix + "target"),
+        deadline_ms=read_number(fields, prefix + "deadline"),
+        idempotency=read_enum(_IDEMPOTENCY_BY_WORD, fields, prefix + "effect"),
         idempotency_scope=_read_idempotency_scope(fields, prefix + "keyScope"),
-        idempotency_window_ms=number(fields, prefix + "repeatWindow", 0.0),
-        priority_weight=number(fields, prefix + "worth", 1.0),
-        late_value=number(fields, prefix + "lateShare", 0.0),
-        is_streaming=flag(fields, prefix + "stream"),
+        idempotency_window_ms=read_number(fields, prefix + "repeatWindow", 0.0),
+        priority_weight=read_number(fields, prefix + "worth", 1.0),
+        late_value=read_number(fields, prefix + "lateShare", 0.0),
+        is_streaming=read_flag(fields, prefix + "stream"),
     )
 
 
@@ -233,18 +234,18 @@
 
 
 def _read_tenants(fields: Fields) -> tuple[Tenant, ...]:
-    count = int(number(fields, "orgs.count", 0.0))
+    count = int(read_number(fields, "orgs.count", 0.0))
     return tuple([_read_tenant(fields, f"orgs.{index}.") for index in range(count)])
 
 
 def _read_tenant(fields: Fields, prefix: str) -> Tenant:
-    return Tenant(required(fields, prefix + "name"), number(fields, prefix + "quotaPerS"))
+    return Tenant(read_text(fields, prefix + "name"), read_number(fields, prefix + "quotaPerS"))
 
 
 def _read_max_retry_after_ms(fields: Fields) -> float:
-    if not flag(fields, "limits.retryAfter"):
+    if not read_flag(fields, "limits.retryAfter"):
         return 0.0
-    return number(fields, "limits.maxRetryAfter", 0.0)
+    return read_number(fields, "limits.maxRetryAfter", 0.0)
 
 
 def _read_load_report_fields(fields: Fields) -> tuple[str, ...]:
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from loadbalancer.settings_reader import Fields, Warn, integer, number, required
+from loadbalancer.settings_reader import Fields, Warn, read_integer, read_number, read_text
 from loadbalancer.simulator.codec import (
     parse_endpoint,
     parse_endpoint_list_update,
@@ -71,8 +71,8 @@
             reason = "a batch must begin with 'sync'"
             raise UnexpectedLineError(reason)
         fields = parse_fields(parts)
-        self.batch_id = required(fields, "batch")
-        return Batch(self.batch_id, number(fields, "time"), self._read_messages())
+        self.batch_id = read_text(fields, "batch")
+        return Batch(self.batch_id, read_number(fields, "time"), self._read_messages())
 
     def _read_messages(self) -> Iterator[Message]:
         for line in self._lines:
@@ -90,9 +90,9 @@
         raise EndOfInputError
 
     def _read_shared_list(self, fields: Fields) -> None:
-        size = integer(fields, "membersList")
+        size = read_integer(fields, "membersList")
         endpoints = tuple([self._read_shared_list_entry() for _ in range(size)])
-        self._shared_lists[integer(fields, "list")] = endpoints
+        self._shared_lists[read_integer(fields, "list")] = endpoints
 
     def _read_shared_list_entry(self) -> Endpoint:
         line = next(self._lines, None)
@@ -110,9 +110,9 @@
         if kind == _INSTANCE_STARTED:
             return parse_instance_started(fields, self._warn)
         if kind == _INSTANCE_KILLED:
-            return InstanceKilled(required(fields, "who"))
+            return InstanceKilled(read_text(fields, "who"))
         if kind == _ENDPOINT_LIST:
             update = parse_endpoint_list_update(fields, self._shared_lists)
-            return InstanceEvent(required(fields, "who"), update)
+            return InstanceEvent(read_text(fields, "who"), update)
         event = parse_event(kind, fields, self._warn)
-        return None if event is None else InstanceEvent(required(fields, "who"), event)
+        return None if event is None else InstanceEvent(read_text(fields, "who"), event)
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -39,11 +39,11 @@
     Fields,
     InvalidFieldError,
     Warn,
-    integer,
-    lookup,
-    number,
+    read_enum,
+    read_integer,
+    read_number,
     read_settings,
-    required,
+    read_text,
 )
 from loadbalancer.simulator.errors import MalformedPartError, UnknownEndpointListError
 from loadbalancer.simulator.messages import InstanceStarted
@@ -90,12 +90,12 @@
 def parse_endpoint(fields: Fields) -> Endpoint:
     """Return one entry of an endpoint list."""
     return Endpoint(
-        name=required(fields, "upstream"),
-        state=lookup(_STATE_BY_CODE, fields, "readiness"),
+        name=read_text(fields, "upstream"),
+        state=read_enum(_STATE_BY_CODE, fields, "readiness"),
         zone=fields.get("rackZone", ""),
-        cell=int(number(fields, "cell", 0.0)),
-        weight=number(fields, "nominal", 1.0),
-        started_at_ms=number(fields, "upSince", 0.0),
+        cell=int(read_number(fields, "cell", 0.0)),
+        weight=read_number(fields, "nominal", 1.0),
+        started_at_ms=read_number(fields, "upSince", 0.0),
     )
 
 
@@ -112,10 +112,10 @@
         FieldError: A field is missing or malformed.
         UnknownEndpointListError: No list with this number was received.
     """
-    kind = lookup(_LIST_KIND_BY_CODE, fields, "mode")
+    kind = read_enum(_LIST_KIND_BY_CODE, fields, "mode")
     if kind is EndpointListKind.FAILED:
         return EndpointListUpdate(kind)
-    list_id = integer(fields, "list")
+    list_id = read_integer(fields, "list")
     if list_id not in shared_lists:
         raise UnknownEndpointListError(list_id)
     return EndpointListUpdate(kind, shared_lists[list_id])
@@ -123,10 +123,10 @@
 
 def parse_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
     """Return the start of an instance. All fields except for its id and seed are settings."""
-    seed = integer(fields, "prng")
+    seed = read_integer(fields, "prng")
     settings_fields = {name: value for name, value in fields.items() if name not in ("who", "prng")}
     settings = read_settings(settings_fields, warn)
-    return InstanceStarted(required(fields, "who"), seed, settings)
+    return InstanceStarted(read_text(fields, "who"), seed, settings)
 
 
 def parse_event(kind: str, fields: Fields, warn: Warn) -> Event | None:
@@ -152,20 +152,20 @@
 
 def _parse_request_received(fields: Fields, _warn: Warn) -> RequestReceived:
     return RequestReceived(
-        request_id=integer(fields, "corr"),
-        class_name=required(fields, "grade"),
-        remaining_ms=number(fields, "remaining"),
+        request_id=read_integer(fields, "corr"),
+        class_name=read_text(fields, "grade"),
+        remaining_ms=read_number(fields, "remaining"),
         tenant=fields.get("customer"),
         is_client_retry=fields.get("repeat") == "1",
-        cost_hint_ms=number(fields, "weightHint", 0.0),
+        cost_hint_ms=read_number(fields, "weightHint", 0.0),
     )
 
 
 def _parse_attempt_finished(fields: Fields, warn: Warn) -> AttemptFinished:
     return AttemptFinished(
-        request_id=integer(fields, "corr"),
-        attempt_index=integer(fields, "shot"),
-        endpoint=required(fields, "upstream"),
+        request_id=read_integer(fields, "corr"),
+        attempt_index=read_integer(fields, "shot"),
+        endpoint=read_text(fields, "upstream"),
         outcome=_parse_outcome(fields, warn),
         is_request_complete=fields.get("complete") == "1",
         load_report=_parse_load_report(fields),
@@ -173,7 +173,7 @@
 
 
 def _parse_timer_fired(fields: Fields, warn: Warn) -> TimerFired | None:
-    timer = _parse_timer(required(fields, "ctx"))
+    timer = _parse_timer(read_text(fields, "ctx"))
     if timer is None:
         warn(f"timer {fields['ctx']!r} is unknown and ignored")
         return None
@@ -181,16 +181,16 @@
 
 
 def _parse_client_disconnected(fields: Fields, _warn: Warn) -> ClientDisconnected:
-    return ClientDisconnected(integer(fields, "corr"))
+    return ClientDisconnected(read_integer(fields, "corr"))
 
 
 def _parse_response_started(fields: Fields, _warn: Warn) -> ResponseStarted:
-    return ResponseStarted(integer(fields, "corr"), integer(fields, "shot"))
+    return ResponseStarted(read_integer(fields, "corr"), read_integer(fields, "shot"))
 
 
 def _parse_health_check_finished(fields: Fields, warn: Warn) -> HealthCheckFinished:
     return HealthCheckFinished(
-        endpoint=required(fields, "upstream"),
+        endpoint=read_text(fields, "upstream"),
         outcome=_parse_outcome(fields, warn),
         load_report=_parse_load_report(fields),
     )
@@ -212,7 +212,7 @@
 
 
 def _parse_outcome(fields: Fields, warn: Warn) -> Outcome:
-    code = required(fields, "verdict")
+    code = read_text(fields, "verdict")
     outcome = _OUTCOME_BY_CODE.get(code)
     if outcome is None:
         warn(f"outcome code {code!r} is unknown; taken as one that may have run")
