--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -82,9 +82,9 @@
         """Return whether no request is open, and the first request or the rest of a request is awaited."""
         return self.expiry.is_awaiting_request()
 
-    def may_close(self) -> bool:
+    def can_close_without_loss(self) -> bool:
         """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
-        return self.expiry.may_close()
+        return self.expiry.can_close_without_loss()
 
     # ---- callbacks of asyncio.Protocol ----------------------------------------------------------
 
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -33,7 +33,7 @@
         is_awaited = arrival.is_arriving or not arrival.has_received_request
         return is_awaited and not self._pipeline.has_open_request()
 
-    def may_close(self) -> bool:
+    def can_close_without_loss(self) -> bool:
         """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
         if not self._transport.is_open or not self.is_idle():
             return False
@@ -61,7 +61,7 @@
         if self.is_awaiting_request():
             return self._close_if_request_timed_out(now, request_timeout_s)
         if self.is_idle():
-            if now - self._pipeline.idle_since < idle_timeout_s or not self.may_close():
+            if now - self._pipeline.idle_since < idle_timeout_s or not self.can_close_without_loss():
                 return False
             self._transport.close_gracefully(timeouts.LINGER_TIMEOUT_S)
             return True
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -81,7 +81,7 @@
     harness = await start_proxy(Upstream())
     client = harness.connect_socket()
     (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
-    await wait_until(connection.may_close, "the connection may be closed")
+    await wait_until(connection.can_close_without_loss, "the connection may be closed")
     connection.close_gracefully()
     assert client.recv(1, socket.MSG_DONTWAIT) == b""
     client.close()
