--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -104,7 +104,7 @@
     return " ".join(str(error).split())
 
 
-def _write_error(text: str) -> None:
+def _write_to_stderr(text: str) -> None:
     """Write a line to standard error, for use while there is no proxy log yet."""
     # `sys.stderr` is None if standard error is closed. `print` accepts that and uses standard output, whereas
     # `sys.stderr.write` would raise an exception.
@@ -125,15 +125,15 @@
     try:
         path, configuration = _load_configuration_from_environment(warnings.append)
     except (OSError, LoadBalancerError) as error:
-        _write_error(f"configuration: {_one_line(error)}")
+        _write_to_stderr(f"configuration: {_one_line(error)}")
         return EXIT_INVALID_CONFIGURATION
     for warning in warnings:
-        _write_error(warning)
+        _write_to_stderr(warning)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(configuration, path, early_reloads))
     except OSError as error:
-        _write_error(f"can't serve on {configuration.listen}: {error}")
+        _write_to_stderr(f"can't serve on {configuration.listen}: {error}")
         return EXIT_CANNOT_SERVE
     return EXIT_OK
 
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -252,10 +252,10 @@
         for i, item in enumerate(value):
             _flatten(item, f"{path}.{i}", fields)
     elif isinstance(value, list):
-        fields[path] = ",".join(map(_wire_text, value))
+        fields[path] = ",".join(map(_to_wire_text, value))
     elif value is not None:
-        fields[path] = _wire_text(value)
+        fields[path] = _to_wire_text(value)
 
 
-def _wire_text(value: object) -> str:
+def _to_wire_text(value: object) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -25,7 +25,7 @@
     request_age_s: float
 
 
-def queue_ages(accepted: socket.socket) -> QueueAges:
+def measure_queue_ages(accepted: socket.socket) -> QueueAges:
     """Return how long a newly accepted connection and its first bytes waited, as reported by the kernel.
 
     Both ages are 0 where the kernel does not report them.
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -74,9 +74,9 @@
         return self._transport.is_reading_paused
 
     @property
-    def is_lingering(self) -> bool:
+    def is_abort_scheduled(self) -> bool:
         """Whether one side of the connection is closed and a timer will abort it."""
-        return self._transport.is_lingering
+        return self._transport.is_abort_scheduled
 
     def is_awaiting_request(self) -> bool:
         """Return whether no request is open, and the first request or the rest of a request is awaited."""
--- a/loadbalancer/network/client/connection_table.py
+++ b/loadbalancer/network/client/connection_table.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Iterator
 from typing import TYPE_CHECKING
 
-from loadbalancer.network.client.accept_queue import queue_ages
+from loadbalancer.network.client.accept_queue import measure_queue_ages
 from loadbalancer.network.client.connection import ClientConnection
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
         """Add a connection for a newly accepted socket, and start to set it up."""
         accepted.settimeout(0.0)  # non-blocking
         now = time.monotonic()
-        ages = queue_ages(accepted)
+        ages = measure_queue_ages(accepted)
         request_received_at = now - ages.request_age_s if ages.request_age_s else None
         connection = ClientConnection(
             self._context, self._remove, now - ages.connection_age_s, request_received_at
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -26,11 +26,11 @@
         self.used_bytes = 0
         self.limit_bytes = limit_bytes
 
-    def add(self, change_bytes: int) -> None:
+    def adjust(self, change_bytes: int) -> None:
         """Change the number of buffered bytes; a negative change reduces it."""
         self.used_bytes += change_bytes
 
-    def is_exceeded(self) -> bool:
+    def is_limit_exceeded(self) -> bool:
         """Return whether more bytes are buffered than the limit allows."""
         return self.used_bytes > self.limit_bytes
 
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -88,5 +88,5 @@
     def _abort_if_stalled(self, now: float) -> None:
         """Abort if the client does not read its responses, since queued requests would never be handled."""
         stalled_s = now - self._pipeline.idle_since
-        if self._pipeline.has_waiting_request() and stalled_s > timeouts.WRITE_STALL_TIMEOUT_S:
+        if self._pipeline.has_only_queued_requests() and stalled_s > timeouts.WRITE_STALL_TIMEOUT_S:
             self._transport.abort()
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -45,7 +45,7 @@
         """Return whether a request is being handled or is queued."""
         return self._current_request is not None or bool(self.reader.requests)
 
-    def has_waiting_request(self) -> bool:
+    def has_only_queued_requests(self) -> bool:
         """Return whether requests are queued and none is being handled."""
         return self._current_request is None and bool(self.reader.requests)
 
@@ -57,7 +57,7 @@
         """Parse the received bytes, up to the limit on queued requests."""
         self._update_buffer_account()
         # Clients could together exhaust the memory: connections with large buffers are rejected.
-        if self._context.buffers.is_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
+        if self._context.buffers.is_limit_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
             rejection = self.reader.parse_slice()
@@ -121,7 +121,7 @@
         self._is_dispatching = True
         try:
             # At most one response is buffered for a client that sends requests and never reads.
-            while self.has_waiting_request() and not self._transport.has_unsent_bytes():
+            while self.has_only_queued_requests() and not self._transport.has_unsent_bytes():
                 request = self.reader.requests.popleft()
                 request.set_responder(self)
                 self._current_request = request
@@ -151,5 +151,5 @@
     def _update_buffer_account(self) -> None:
         current_bytes = self._current_request.size_bytes if self._current_request is not None else 0
         buffered_bytes = self.reader.buffered_bytes + current_bytes
-        self._context.buffers.add(buffered_bytes - self._accounted_bytes)
+        self._context.buffers.adjust(buffered_bytes - self._accounted_bytes)
         self._accounted_bytes = buffered_bytes
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -55,7 +55,7 @@
         return self._transport is not None and not self.is_disconnected
 
     @property
-    def is_lingering(self) -> bool:
+    def is_abort_scheduled(self) -> bool:
         """Whether one side is closed and a timer will abort the connection."""
         return self._abort_timer is not None
 
@@ -118,7 +118,7 @@
         Args:
             linger_s: How long input is read and discarded.
         """
-        if self._transport is None or self.is_disconnected or self.is_lingering:
+        if self._transport is None or self.is_disconnected or self.is_abort_scheduled:
             return
         if self._transport.is_closing():
             return
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -102,7 +102,7 @@
     assert [request.headers["x-request-id"] for request in upstream.received].count("2") == 0
 
 
-async def client_with_unread_response(harness: ProxyHarness) -> socket.socket:
+async def connect_without_reading_response(harness: ProxyHarness) -> socket.socket:
     """Return a client that has sent two requests and has not read the response to the first."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -122,7 +122,7 @@
     """Sending the response starts the next request, which must not wait for further bytes from the client."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
-    client, received_bytes = await client_with_unread_response(harness), b""
+    client, received_bytes = await connect_without_reading_response(harness), b""
     while not received_bytes.endswith(b"the second"):
         received_bytes += await asyncio.get_running_loop().sock_recv(client, 65_536)
     client.close()
@@ -134,7 +134,7 @@
     """The balancer has read the disconnect before the client reads the response, which frees the pipeline."""
     upstream = Upstream(response(200, b"x" * 60_000))
     harness = await start_proxy(upstream)
-    client = await client_with_unread_response(harness)
+    client = await connect_without_reading_response(harness)
     (connection,) = harness.proxy.listener.connections
     client.shutdown(socket.SHUT_WR)
     await wait_until(
@@ -183,7 +183,7 @@
     assert len(upstream.received) == 1
 
 
-async def test_disconnect_as_connect_completes_keeps_connection(
+async def test_upstream_connection_outlives_client_disconnect(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -226,7 +226,7 @@
     assert sum(len(upstream.received) for upstream in upstreams) == 1
 
 
-async def test_hedged_request_still_connecting_is_not_sent_after_response(
+async def test_connecting_hedged_request_is_dropped_after_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -75,7 +75,7 @@
         duplicate.sendall(data)
 
 
-async def test_connection_not_set_up_by_end_of_shutdown_gets_response(
+async def test_connection_set_up_at_end_of_shutdown_gets_response(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -117,24 +117,24 @@
     upstream = Upstream()
     harness = await start_proxy(upstream)
     await asyncio.sleep(0)  # let the listener start to accept and sweep
-    response_starts = {
+    expected_prefixes = {
         b"BAD\r\n\r\n": b"HTTP/1.1 400 ",
         b"": b"",
         b"GET /read HT": b"HTTP/1.1 408 ",
         request_bytes("/read", 1)[:-2]: b"HTTP/1.1 408 ",
         request_bytes("/pay", 2, b"debit")[:-1]: b"HTTP/1.1 408 ",
     }
-    clients = [harness.connect_socket() for _ in response_starts]
-    for client, sent in zip(clients, response_starts, strict=True):
+    clients = [harness.connect_socket() for _ in expected_prefixes]
+    for client, sent in zip(clients, expected_prefixes, strict=True):
         client.sendall(sent)
     block_event_loop(0.3)
     for client in clients:
         client.settimeout(0.0)
     loop = asyncio.get_running_loop()
     replies = [await loop.sock_recv(client, 65_536) for client in clients]
-    for reply, start in zip(replies, response_starts.values(), strict=True):
-        assert reply.startswith(start)
-        assert bool(reply) == bool(start)
+    for reply, prefix in zip(replies, expected_prefixes.values(), strict=True):
+        assert reply.startswith(prefix)
+        assert bool(reply) == bool(prefix)
     # If the timeout ran from accepting, there would be ten sweeps.
     assert len(sweeps) <= 6
     assert not upstream.connections
@@ -152,12 +152,12 @@
     client = harness.connect_socket()
     client.sendall(b"GET /read?")
 
-    def send_a_byte(connection: ClientConnection, now: float) -> None:
+    def send_byte(connection: ClientConnection, now: float) -> None:
         if has_request_timed_out(connection, now) and not connection.discards_input:
             checks.append(now)
             client.send(b"x")
 
-    before_each_timeout_check(monkeypatch, send_a_byte)
+    before_each_timeout_check(monkeypatch, send_byte)
     client.settimeout(0.0)
     reply = await asyncio.get_running_loop().sock_recv(client, 65_536)
     assert reply.startswith(b"HTTP/1.1 408 ")
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -102,7 +102,7 @@
     skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     ids = received_ids(harness)
-    return sorted(name for name in ids if len(name) < 8)
+    return sorted(request_id for request_id in ids if len(request_id) < 8)
 
 
 @WAYS_TO_DISCONNECT
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-async def test_disconnect_while_body_is_written_withdraws_request(
+async def test_disconnect_while_body_is_written_aborts_request(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """The upstream never receives the end of the body, so it does not process the request."""
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from loadbalancer.network.client import connection_table, timeouts
-from loadbalancer.network.client.accept_queue import QueueAges, queue_ages
+from loadbalancer.network.client.accept_queue import QueueAges, measure_queue_ages
 from tests.support.busy_event_loop import block_event_loop
 from tests.support.http_messages import response, status
 from tests.support.scripted_upstream import Upstream, never_respond
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "response_start"),
+    ("sent", "expected_prefix"),
     [
         (b"", b""),
         (b"GET /read HT", b"HTTP/1.1 408"),
@@ -33,7 +33,7 @@
     ],
 )
 async def test_connection_without_complete_request_times_out(
-    start_proxy: StartProxy, sent: bytes, response_start: bytes, monkeypatch: pytest.MonkeyPatch
+    start_proxy: StartProxy, sent: bytes, expected_prefix: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients that send no complete request are disconnected within 3 s."""
     max_duration_s = timeouts.REQUEST_TIMEOUT_S + timeouts.SWEEP_INTERVAL_S
@@ -43,7 +43,7 @@
     harness = await start_proxy(Upstream())
     client = await harness.client()
     client.writer.write(sent)
-    assert (await client.reader.read())[:12] == response_start
+    assert (await client.reader.read())[:12] == expected_prefix
     client.writer.close()
 
 
@@ -54,10 +54,10 @@
     recorded = list[QueueAges]()
 
     def record_queue_ages(accepted: socket.socket) -> QueueAges:
-        recorded.append(queue_ages(accepted))
+        recorded.append(measure_queue_ages(accepted))
         return recorded[-1]
 
-    monkeypatch.setattr(connection_table, "queue_ages", record_queue_ages)
+    monkeypatch.setattr(connection_table, "measure_queue_ages", record_queue_ages)
     client = harness.connect_socket()
     client.sendall(b"x")
     block_event_loop(0.1)
@@ -66,7 +66,7 @@
     assert ages.request_age_s >= 0.05
 
 
-async def test_idle_timeout_spares_open_requests(
+async def test_open_requests_are_exempt_from_idle_timeout(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -39,7 +39,7 @@
             monkeypatch.setattr(graceful_shutdown, name, value)
 
 
-async def client_with_response(harness: ProxyHarness) -> Client:
+async def connect_and_get_response(harness: ProxyHarness) -> Client:
     """Return a client that has received the response to its first request."""
     client = await harness.client()
     client.send()
@@ -47,7 +47,7 @@
     return client
 
 
-async def test_connections_are_kept_open_for_keep_alive_time(
+async def test_connections_stay_open_for_keep_alive_time(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """While another balancer restarts, clients would otherwise have none to use."""
@@ -55,7 +55,7 @@
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
     listener.max_deadline_s = 120.0
-    client = await client_with_response(harness)
+    client = await connect_and_get_response(harness)
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: listener.is_closed, "the listener is closed")
     for _ in range(2):
@@ -76,7 +76,7 @@
     """The platform kills the process soon after the maximum deadline, which would lose requests."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
-    client = await client_with_response(harness)
+    client = await connect_and_get_response(harness)
     harness.proxy.listener.max_deadline_s = 0.2
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     assert await client.reader.read() == b""  # closed without a reset
@@ -204,18 +204,18 @@
     """The request arrives, unread, while the connection is being checked for idleness."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
-    client = await client_with_response(harness)
+    client = await connect_and_get_response(harness)
     (connection,) = harness.proxy.listener.connections
     is_idle = connection.expiry.is_idle
     request_sent = asyncio.Event()
 
-    def send_then_is_idle() -> bool:
+    def send_then_check_idle() -> bool:
         if not request_sent.is_set():
             request_sent.set()
             client.send()  # sent at once, and read only after the check
         return is_idle()
 
-    monkeypatch.setattr(connection.expiry, "is_idle", send_then_is_idle)
+    monkeypatch.setattr(connection.expiry, "is_idle", send_then_check_idle)
     shutdown = asyncio.ensure_future(harness.proxy.listener.shut_down())
     reply = await client.read_response()
     assert status(reply) == 200
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -48,7 +48,7 @@
     )
 
 
-async def test_finished_requests_and_connections_do_not_leak(
+async def test_finished_requests_and_connections_are_freed(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A leak grows with the number of requests and connections."""
@@ -62,8 +62,8 @@
 
     harness = await start_proxy(Upstream(), max_attempts=3)
 
-    async def send_requests(times: int) -> None:
-        for _ in range(times):
+    async def send_requests(count: int) -> None:
+        for _ in range(count):
             assert status(await harness.send_request()) == 200
         await wait_until_disconnected(harness)
 
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -66,7 +66,7 @@
         ),
     ],
 )
-async def test_rejection_closes_connection_without_upstream(
+async def test_rejection_closes_client_connection(
     start_proxy: StartProxy, raw: bytes, expected_status: int
 ) -> None:
     upstream = Upstream()
