--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,8 +1,8 @@
 """`python -m loadbalancer`: run a balancer with the configuration file that `LB_CONFIG` names.
 
-The network modules are imported only once SIGHUP is handled: the import is slow, and a SIGHUP without a
-handler would end the process. Exit status: 0 after SIGTERM or SIGINT, 1 if the program can't serve, 2 if the
-configuration can't be used.
+The network modules are imported only after the SIGHUP handler is installed: the import is slow, and a
+SIGHUP without a handler would end the process. Exit status: 0 after SIGTERM or SIGINT, 1 if the program
+can't serve, 2 if the configuration can't be used.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 EXIT_INVALID_CONFIGURATION = 2
 
 MAX_LOGGED_CONTEXT_CHARS = 2000
-"""Limit on the logged length of the context that the event loop gives for an unhandled exception."""
+"""Length to which the event loop's description of an unhandled exception is truncated in the log."""
 
 
 def load_configuration(path: str, warn: Callable[[str], None]) -> Configuration:
@@ -39,7 +39,7 @@
     """
     from loadbalancer.configuration import ConfigurationError, read_configuration
 
-    with open(path, encoding="utf-8") as file:  # noqa: PTH123  importing pathlib would slow down the start
+    with open(path, encoding="utf-8") as file:  # noqa: PTH123  importing pathlib would slow down startup
         try:
             text = file.read()
         except UnicodeDecodeError as error:
@@ -69,7 +69,7 @@
     proxy.start()
     if early_reloads:
         _reload(proxy, path)
-    gc.freeze()  # objects created at start live as long as the process: no collection needs to visit them
+    gc.freeze()  # startup objects live as long as the process: the collector need not scan them
     gc.enable()
     await stop.wait()
     await proxy.listener.shut_down()
@@ -116,7 +116,7 @@
     # A SIGHUP that arrives before the event loop runs must neither end the process nor be lost.
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
-    gc.disable()  # until the start is complete, since it creates hardly any garbage
+    gc.disable()  # until startup is complete, since it creates hardly any garbage
     import asyncio
 
     import uvloop
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -24,13 +24,13 @@
 """Host and port."""
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024
-"""Limit on open file descriptors if the configuration has none."""
+"""Limit on open file descriptors if the configuration sets none."""
 DEFAULT_MEMORY_LIMIT_MB = 192
-"""Limit on memory if the configuration has none."""
+"""Limit on memory if the configuration sets none."""
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
-"""Idle time after which upstreams close a connection if the settings have none."""
+"""Idle time after which upstreams close a connection, if `limits.connIdle` is not set."""
 DEFAULT_DRAIN_GRACE_MS = 0.0
-"""Time for which a draining upstream still accepts requests if the settings have none."""
+"""Time for which a draining upstream still accepts requests, if `contract.drainGrace` is not set."""
 MAX_PORT = 65_535
 """The highest TCP port."""
 
@@ -46,7 +46,7 @@
     """The configuration is invalid.
 
     Attributes:
-        reason: What is wrong with it, in one line.
+        reason: The cause, as a single line of text.
     """
 
     def __init__(self, reason: str) -> None:
@@ -124,14 +124,14 @@
 
     Attributes:
         name: The name of the balancer in log lines; may be empty.
-        listen: The address to accept client connections at.
+        listen: The address on which client connections are accepted.
         discovery: The address of the discovery service.
         seed: The seed of the policy's random draws.
         descriptor_limit: The number of file descriptors that the process may have open.
         memory_limit_mb: The amount of memory that the process may use.
         known_endpoints: The endpoint list to use until discovery responds; may be empty.
         settings: The settings of the policy.
-        connect_timeout_ms: The timeout of a connect to an upstream.
+        connect_timeout_ms: The timeout for connecting to an upstream.
         idle_timeout_ms: The idle time after which an upstream closes a connection.
         drain_grace_ms: The time for which a draining upstream still accepts requests.
     """
@@ -187,7 +187,7 @@
     """Split an address of the form `host:port`; the host is not resolved.
 
     Raises:
-        InvalidAddressError: The text has another form.
+        InvalidAddressError: The text is not of this form.
     """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
@@ -240,7 +240,7 @@
     joined by commas.
 
     Args:
-        value: The setting: an object, a list or a scalar; null stands for an absent setting.
+        value: The setting: an object, a list or a scalar; null means that the setting is absent.
         path: The path of the setting; empty for the object that holds all settings.
         fields: The fields to add to.
     """
--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -12,12 +12,12 @@
 
 
 class InvalidSettingsError(LoadBalancerError, ValueError):
-    """A value of the settings is out of its range.
+    """The value of a setting is out of range.
 
     Attributes:
         field: The name of the field that holds the value.
         value: The value.
-        requirement: What the value must fulfil, as the end of a sentence, such as "must not be negative".
+        requirement: The requirement that the value violates, such as "must not be negative".
     """
 
     def __init__(self, field: str, value: object, requirement: str) -> None:
@@ -28,7 +28,7 @@
 
 
 class DuplicateRequestError(LoadBalancerError, ValueError):
-    """A request has arrived with the id of one that is still open: a bug in the host of the policy.
+    """A request has the id of an earlier one that is still open: a bug in the host of the policy.
 
     Attributes:
         request_id: The id of both requests.
--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -81,8 +81,8 @@
         class_name: The name of its `RequestClass`.
         remaining_ms: The time from now until its deadline.
         tenant: The name of the tenant whose quota it counts against; None if it has no tenant.
-        is_client_retry: Whether the client marks it as a retry. The policy does not use it: it infers a late
-            retry from `remaining_ms`.
+        is_client_retry: Whether the client marks the request as a retry. The policy does not use the mark:
+            it infers a late retry from `remaining_ms`.
         cost_hint_ms: Its expected processing time on one standard core; 0 if unknown.
     """
 
--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -10,7 +10,7 @@
 """Upper bound of the reported ages."""
 
 MS_PER_S = 1000
-_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv, in milliseconds before now
+_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv: elapsed milliseconds
 
 
 class QueueAges(NamedTuple):
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -79,11 +79,11 @@
         return self._transport.is_abort_scheduled
 
     def is_awaiting_request(self) -> bool:
-        """Return whether no request is open, and the first request or the rest of a request is awaited."""
+        """Return whether the first request or the rest of a request is awaited, and no other is open."""
         return self.expiry.is_awaiting_request()
 
     def can_close_without_loss(self) -> bool:
-        """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
+        """Return whether closing loses no request: the connection is idle, and has no unread input."""
         return self.expiry.can_close_without_loss()
 
     # ---- callbacks of asyncio.Protocol ----------------------------------------------------------
@@ -93,7 +93,10 @@
         self._transport.attach(cast("asyncio.Transport", transport))
 
     def data_received(self, data: bytes) -> None:
-        """Parse the input; after a rejection discard it, so that no reset overtakes the response."""
+        """Parse the input, or discard it after a rejection or a graceful close.
+
+        Unread input would make the kernel send a reset, which could overtake the last response.
+        """
         if self._transport.discards_input:
             self._transport.discard(data)
         else:
@@ -131,5 +134,5 @@
         return self.expiry.close_if_timed_out(now, request_timeout_s, idle_timeout_s)
 
     def close_gracefully(self) -> None:
-        """Close the sending side and discard input for a short time; see `ClientTransport`."""
+        """Close the sending side and discard input for a time; see `ClientTransport.close_gracefully`."""
         self._transport.close_gracefully(timeouts.LINGER_TIMEOUT_S)
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -15,10 +15,10 @@
     from loadbalancer.network.client.connection import ClientConnection
 
 EVICTION_DIVISOR = 4
-"""An eviction closes idle connections until it has closed 1/4 of all connections.
+"""An eviction closes idle connections until 1/4 of all connections are closed.
 
-All connections whose request did not arrive in time are closed. They count towards the 1/4, but may
-exceed it.
+Connections whose request did not arrive in time count towards the 1/4; all of them are closed, even if that
+is more than 1/4.
 """
 
 
@@ -33,7 +33,8 @@
     def sweep(self) -> None:
         """Close connections that have exceeded a timeout, now and every `SWEEP_INTERVAL_S` from now on.
 
-        The first timeout of a connection runs from connecting, so it includes the time in the accept queue.
+        The timeout of the first request starts when the client connects, so it includes the time in the
+        accept queue.
         """
         self._loop.call_later(timeouts.SWEEP_INTERVAL_S, self.sweep)
         now = time.monotonic()
@@ -41,12 +42,13 @@
             connection.close_if_timed_out(now, timeouts.REQUEST_TIMEOUT_S, timeouts.KEEP_ALIVE_TIMEOUT_S)
 
     def evict(self) -> None:
-        """Close connections to make room for new ones, with shorter timeouts than `sweep`.
+        """Close connections to free capacity for new ones, with shorter timeouts than `sweep`.
 
         All connections whose request did not arrive in time are closed, then the longest idle ones, so that
         a flood of connections without requests cannot block new clients. A connection with an open request
-        is not closed, unless its client has stopped reading responses. A call within
-        `MIN_EVICTION_INTERVAL_S` of the last eviction has no effect.
+        is not closed, unless its client has stopped reading responses, or has disconnected while reading
+        from the connection was paused. A call within `MIN_EVICTION_INTERVAL_S` of the last eviction has no
+        effect.
         """
         now = time.monotonic()
         if now - self._last_eviction_at < timeouts.MIN_EVICTION_INTERVAL_S:
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -1,4 +1,4 @@
-"""The timeouts of one client connection: closes the connection when it has exceeded one."""
+"""Closes a client connection that has exceeded a timeout."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
         self._pipeline = pipeline
 
     def is_idle(self) -> bool:
-        """Return whether no request is being handled, is queued or has begun to arrive."""
+        """Return whether no request is being handled, queued or arriving."""
         return not self._pipeline.has_open_request() and not self._reader.arrival.is_arriving
 
     def is_awaiting_request(self) -> bool:
-        """Return whether no request is open, and the first request or the rest of a request is awaited."""
+        """Return whether the first request or the rest of a request is awaited, and no other is open."""
         arrival = self._reader.arrival
         is_awaited = arrival.is_arriving or not arrival.has_received_request
         return is_awaited and not self._pipeline.has_open_request()
 
     def can_close_without_loss(self) -> bool:
-        """Return whether closing loses no request: none is open, and the kernel holds no unread bytes."""
+        """Return whether closing loses no request: the connection is idle, and has no unread input."""
         if not self._transport.is_open or not self.is_idle():
             return False
         return self._transport.discards_input or not self._transport.has_unread_bytes()
 
     def close_if_timed_out(self, now: float, request_timeout_s: float, idle_timeout_s: float) -> bool:
-        """Close the connection if it has been open for too long without a complete request.
+        """Close the connection if it has exceeded a timeout.
 
-        This ends the connections of clients that send nothing, never finish a request, or stay connected
-        after one. A request that has arrived but has not been read is not lost: the kernel is queried for
+        This disconnects clients that send nothing, never complete a request, stay idle, or stop reading
+        responses. A request that has arrived but has not been read is not lost: the kernel is queried for
         unread bytes first, and a request found there is read although the timeout has passed.
 
         Args:
@@ -52,12 +52,12 @@
             idle_timeout_s: How long the connection may stay idle.
 
         Returns:
-            Whether the connection was closed, or its request rejected, because of one of these timeouts.
+            Whether the connection was closed, or its request rejected, because of one of these two timeouts.
         """
         if not self._transport.is_open or self._transport.discards_input:
             return False
         if self._transport.is_reading_paused and self._transport.has_client_disconnected():
-            return False  # the event loop detects no disconnect while reading is paused
+            return False  # aborted by the check: the event loop detects no disconnect while reading is paused
         if self.is_awaiting_request():
             return self._close_if_request_timed_out(now, request_timeout_s)
         if self.is_idle():
@@ -86,7 +86,7 @@
         return True
 
     def _abort_if_stalled(self, now: float) -> None:
-        """Abort if the client does not read its responses, since queued requests would never be handled."""
+        """Abort if the client does not read its responses: its queued requests would never be handled."""
         stalled_s = now - self._pipeline.idle_since
         if self._pipeline.has_only_queued_requests() and stalled_s > timeouts.WRITE_STALL_TIMEOUT_S:
             self._transport.abort()
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -13,13 +13,14 @@
     from loadbalancer.network.client.context import ConnectionContext
 
 SHUTDOWN_MAX_DEADLINE_S = 3.0
-"""Upper bound of the deadline from which the time limits of the shutdown are derived.
+"""Limit on the deadline that determines how long the shutdown may take.
 
-The platform that runs the process waits no longer than this for responses, even if deadlines are longer.
+That deadline is the longest one of the request classes. The platform that runs the process waits no longer
+than this limit for responses, even if deadlines are longer.
 """
 
 SHUTDOWN_ACCEPT_S = 0.5
-"""How long new connections are accepted after SIGTERM, since some still arrive."""
+"""How long new connections are accepted after SIGTERM, since clients may still open some."""
 
 SHUTDOWN_KEEP_ALIVE_S = 1.5
 """How long connections are kept open after SIGTERM, since another balancer may still be restarting."""
@@ -57,7 +58,7 @@
     """Shuts a listener down.
 
     New connections are accepted for a short time. The listening socket is then closed as soon as its accept
-    queue is empty, since the kernel resets connections that are still queued. Open connections are kept
+    queue is empty, since the kernel resets connections that are still queued. Connections are kept open
     while there is time to respond to further requests on them; after that, each response closes its
     connection.
     """
@@ -70,7 +71,7 @@
         self._max_deadline_s = min(listener.max_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
 
     async def run(self) -> None:
-        """Shut down; return when all connections are closed or the time is up."""
+        """Shut down; return when all connections are closed or the time limit is exceeded."""
         self._context.is_shutting_down = True
         await self._accept_last_connections()
         self._listener.close()
@@ -107,7 +108,7 @@
             await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
     async def _poll_until(self, is_satisfied: Callable[[], bool], max_elapsed_s: float) -> None:
-        """Wait until a condition holds, at most `max_elapsed_s` seconds after the start of the shutdown."""
+        """Wait until a condition holds, or until `max_elapsed_s` seconds after the shutdown started."""
         while True:
             if is_satisfied() or self._elapsed_s() >= max_elapsed_s:
                 return
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -28,7 +28,7 @@
         received_at: When the request arrived (seconds of the monotonic clock).
         keep_alive: Whether the connection may stay open after the response.
         size_bytes: The memory that the request occupies.
-        number: Assigned by the handler; -1 before.
+        number: Identifies the request to the handler, which assigns it; -1 until then.
     """
 
     __slots__ = (
@@ -70,7 +70,7 @@
             self._responder.respond(self, status, headers or [], body)
 
     def has_client_disconnected(self) -> bool:
-        """Return whether the client has disconnected, as far as the kernel knows."""
+        """Return whether the client has disconnected, as the kernel reports it; true without a responder."""
         return self._responder is None or self._responder.has_client_disconnected()
 
 
@@ -78,7 +78,7 @@
     """Receives the requests of all client connections."""
 
     def handle_request(self, request: IncomingRequest) -> None:
-        """Handle a request; the handler calls its `respond` now or later."""
+        """Handle a request; the handler calls `request.respond` now or later."""
 
     def handle_disconnect(self, request: IncomingRequest) -> None:
         """Handle the disconnect of the client of an open request; no response can reach it any more."""
--- a/loadbalancer/network/client/listener.py
+++ b/loadbalancer/network/client/listener.py
@@ -110,7 +110,7 @@
                     break
                 continue
             self.connections.add(accepted)
-        # The socket stays readable at the limit: retrying at once would only spin or fail again.
+        # The socket stays readable: an immediate retry would spin at the limit, or fail again.
         self.eviction.evict()
         self._stop_accepting()
         self.loop.call_later(timeouts.ACCEPT_RETRY_INTERVAL_S, self._resume_accepting)
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -56,7 +56,7 @@
     def parse_input(self) -> None:
         """Parse the received bytes, up to the limit on queued requests."""
         self._update_buffer_account()
-        # Clients could together exhaust the memory: connections with large buffers are rejected.
+        # Otherwise many clients together could exhaust the memory.
         if self._context.buffers.is_limit_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
@@ -120,7 +120,7 @@
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
         try:
-            # At most one response is buffered for a client that sends requests and never reads.
+            # Buffers no more than one response for a client that sends requests and never reads.
             while self.has_only_queued_requests() and not self._transport.has_unsent_bytes():
                 request = self.reader.requests.popleft()
                 request.set_responder(self)
@@ -131,7 +131,7 @@
 
     def _handle_request(self, request: IncomingRequest) -> None:
         if request.head.is_health_check():
-            # It fails during the shutdown, so that clients that rely on it use another balancer.
+            # Health checks fail during the shutdown, so that clients that rely on them use another balancer.
             is_shutting_down = self._context.is_shutting_down
             status, body = (503, b"ending\n") if is_shutting_down else (200, b"ok\n")
             request.respond(status, body=body)
--- a/loadbalancer/network/client/request_arrival.py
+++ b/loadbalancer/network/client/request_arrival.py
@@ -45,8 +45,8 @@
         """Record that the current request is complete.
 
         Returns:
-            When it arrived. For the first request of a connection that is when it reached the kernel, so
-            that its time in the accept queue counts against its deadline.
+            When the request arrived. If the first request of a connection arrived before the connection was
+            accepted, this is when it reached the kernel, so that the wait counts against the deadline.
         """
         received_at = self._first_request_received_at
         if received_at is None:
--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -52,7 +52,7 @@
         deadline_ms: How long the client waits for the response, from when the request was sent.
         tenant: The value of X-Tenant; None if there is none.
         is_client_retry: Whether the client marks the request as a retry.
-        cost_hint_ms: The client's estimate of the service time; 0 if it gave none.
+        cost_hint_ms: The client's estimate of the service time; 0 if there is none.
         forwarded: The head as it is forwarded: the request line and the end-to-end headers. X-Deadline,
             Content-Length and the empty line are added for each attempt.
     """
@@ -86,7 +86,7 @@
         classes: The request classes of the settings, by name.
 
     Raises:
-        RequestRejectedError: If the request is not acceptable.
+        RequestRejectedError: The request is not acceptable.
     """
     header_map = dict(headers)
     if len(header_map) < len(headers):
@@ -98,7 +98,7 @@
     _check_method(method, request_class, header_map)
     _check_class_header(header_map, request_class)
     request_id = _read_request_id(header_map)
-    # No client waits longer than the deadline of its class: a later one would only keep state for longer.
+    # No client waits longer than the deadline of its class: a longer one would only retain state needlessly.
     deadline_ms = min(_read_deadline_ms(header_map), request_class.deadline_ms)
     return RequestHead(
         method,
@@ -207,7 +207,7 @@
 
 
 def _read_cost_hint_ms(header_map: HeaderMap) -> float:
-    """Return the value of X-Cost-Hint, which is in microseconds, in milliseconds; 0 if it is malformed."""
+    """Convert X-Cost-Hint from microseconds to milliseconds; return 0 if it is missing or malformed."""
     cost_hint = header_map.get(b"x-cost-hint", b"")
     return float(cost_hint) / US_PER_MS if _DECIMAL_NUMBER.fullmatch(cost_hint) else 0.0
 
--- a/loadbalancer/network/client/request_parser.py
+++ b/loadbalancer/network/client/request_parser.py
@@ -44,7 +44,7 @@
 
         Args:
             classes: The request classes of the settings, by name.
-            arrival: Is notified when a request begins and when it is complete.
+            arrival: Notified when a request begins and when it is complete.
             on_request: Called with each complete request.
         """
         self._classes = classes
@@ -59,7 +59,7 @@
 
     @property
     def partial_body_bytes(self) -> int:
-        """Size of the received part of the body of the incomplete request; 0 if there is none."""
+        """Number of body bytes received for the incomplete request; 0 if there is none."""
         return self._body_bytes if self._head is not None else 0
 
     def feed(self, data: bytes) -> Rejection | None:
@@ -97,7 +97,7 @@
     # ---- callbacks of httptools -----------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Start with an empty request."""
+        """Reset the state for a new request."""
         if not self._arrival.is_arriving:
             self._arrival.begin(time.monotonic())
         self._target = b""
@@ -117,7 +117,7 @@
         """Validate the head: an unacceptable request is rejected before its body is read.
 
         Raises:
-            RequestRejectedError: If the request is not acceptable.
+            RequestRejectedError: The request is not acceptable.
         """
         headers_bytes = sum(len(name) + len(value) for name, value in self._headers)
         if headers_bytes + len(self._target) > MAX_HEAD_BYTES:
@@ -129,7 +129,7 @@
         """Append a part of the body.
 
         Raises:
-            RequestRejectedError: If the body is larger than the protocol allows.
+            RequestRejectedError: The body is larger than `MAX_BODY_BYTES`.
         """
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
@@ -137,10 +137,10 @@
         self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Pass the complete request on.
+        """Pass the complete request to `on_request`.
 
         Raises:
-            RequestRejectedError: If the request has no complete head.
+            RequestRejectedError: The request has no complete head.
         """
         head = self._head
         if head is None:
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -17,7 +17,7 @@
     from loadbalancer.settings import RequestClass
 
 MAX_PIPELINED_REQUESTS = 16
-"""Limit on the queued requests of one connection; parsing pauses while there are more."""
+"""Limit on the queued requests of one connection; no input is parsed while it is exceeded."""
 
 SLICE_BYTES = 8_192
 """Number of bytes parsed at a time; the requests in one slice may exceed `MAX_PIPELINED_REQUESTS`."""
@@ -31,7 +31,7 @@
 
     Attributes:
         requests: The complete requests that have not been removed yet, the oldest first.
-        arrival: When the current request began to arrive, and whether it is complete.
+        arrival: Tracks when the current request began to arrive, and whether it is complete.
         last_received_at: When bytes were last received (seconds of the monotonic clock); -inf before the
             first.
     """
@@ -101,10 +101,10 @@
         if rejection is not None:
             return rejection
         if len(self.requests) > queued_before:
-            # A request ended in this slice: no more than the slice can belong to the next one.
+            # A request ended in this slice, so any incomplete one lies within the slice.
             self._partial_bytes = len(data) if self.arrival.is_arriving else 0
         elif self._partial_bytes - self._parser.partial_body_bytes > MAX_HEAD_BYTES:
-            # The parser would buffer a head, chunk extensions or trailers of any length.
+            # Otherwise the parser would buffer a head, chunk extensions or trailers of any length.
             return HEAD_TOO_LARGE
         return None
 
--- a/loadbalancer/network/client/timeouts.py
+++ b/loadbalancer/network/client/timeouts.py
@@ -5,19 +5,20 @@
 REQUEST_TIMEOUT_S = 1.8
 """How long a complete request may take to arrive.
 
-For the first request of a connection the time runs from connecting, for later ones from their first byte.
+The time starts when the client connects, or with the first byte for later requests on the connection.
 """
 
 REQUEST_TIMEOUT_UNDER_PRESSURE_S = 0.25
 """Replaces `REQUEST_TIMEOUT_S` while new connections wait to be accepted."""
 
 KEEP_ALIVE_TIMEOUT_S = 2.5
-"""How long an idle connection is kept open; clients open new ones afterwards."""
+"""How long a connection may stay idle before it is closed; clients then open new ones."""
 
 IDLE_TIMEOUT_UNDER_PRESSURE_S = 0.2
 """Replaces `KEEP_ALIVE_TIMEOUT_S` while new connections wait to be accepted.
 
-A longer timeout would limit the requests per second, since idle connections count towards the limit.
+A longer timeout would limit the requests per second, since idle connections count towards the connection
+limit.
 """
 
 SWEEP_INTERVAL_S = 0.1
@@ -36,7 +37,7 @@
 """Replaces `LINGER_TIMEOUT_S` on a connection on which no request began to arrive in time."""
 
 ACCEPT_RETRY_INTERVAL_S = 0.05
-"""Delay before accepting is retried after descriptors or connections have run out."""
+"""Delay before accepting is retried at the connection limit or after a shortage of descriptors."""
 
 MIN_EVICTION_INTERVAL_S = ACCEPT_RETRY_INTERVAL_S / 2
 """Minimum interval between evictions, each of which sorts all connections."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -11,7 +11,7 @@
     import asyncio
 
 MAX_LINGER_BYTES = 1 << 20
-"""Limit on discarded input; above it reading stops, and the client cannot send more until the linger ends."""
+"""Limit on discarded input; above it, nothing more is read until the connection is aborted."""
 
 
 class ClientTransport:
@@ -100,20 +100,20 @@
             self._transport.resume_reading()
 
     def discard(self, data: bytes) -> None:
-        """Drop input; above `MAX_LINGER_BYTES` in all, reading stops until the connection ends."""
+        """Drop input; once the total exceeds `MAX_LINGER_BYTES`, nothing more is read."""
         self._discarded_bytes += len(data)
         is_limit_exceeded = self._discarded_bytes > MAX_LINGER_BYTES
         if is_limit_exceeded and self._transport is not None and not self.is_disconnected:
             self._transport.pause_reading()
 
-    # ---- the end of the connection --------------------------------------------------------------
+    # ---- closing --------------------------------------------------------------------------------
 
     def close_gracefully(self, linger_s: float) -> None:
         """Close the sending side, then read and discard input for a short time.
 
-        Closing both sides could cause a reset that overtakes the last response, or a reset for a request that
-        arrives after the close. This way, the client sees the connection end between two requests, and
-        sends the request again on another connection.
+        Closing both sides could cause a reset that overtakes the last response, or a reset in reply to a
+        request that arrives after the close. With only the sending side closed, the client sees the
+        connection end between two requests, and sends the request again on another connection.
 
         Args:
             linger_s: How long input is read and discarded.
@@ -150,7 +150,7 @@
     first_byte = peek(transport)
     if not first_byte:
         return first_byte == b""
-    # The end of the stream may come after unread bytes.
+    # The end of the stream may follow unread bytes.
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,8 +1,8 @@
 """The settings of a balancer instance: request classes, tenants, limits and slow start.
 
 An instance receives them at its start, over the simulator's wire or in the file that `LB_CONFIG` names;
-`loadbalancer.settings_reader` reads both. All durations are in milliseconds. All types are frozen, and raise
-`InvalidSettingsError` for a value out of range.
+`loadbalancer.settings_reader` reads both. All durations are in milliseconds. The dataclasses are frozen, and
+raise `InvalidSettingsError` when they are created with a value out of range.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     SAFE = "safe"
     """Repeated processing has no further effect, at any endpoint."""
     KEYED = "keyed"
-    """It has an idempotency key, by which the endpoints of a scope drop duplicates within a time window."""
+    """Each request has an idempotency key, by which endpoints drop duplicates within a time window."""
     NOT_IDEMPOTENT = "unsafe"
     """It must not be processed twice: only transparent retries are allowed."""
 
@@ -106,12 +106,12 @@
             balancers of tier 0 shed load.
         zone: The zone that the instance runs in; empty if unknown.
         polls_discovery: Whether the policy must request the endpoint list with `WatchEndpoints`; otherwise
-            the host sends it unasked.
+            the host sends updates on its own.
         poll_deadline_ms: The maximum time between two polls of discovery. The backoff after failures is at
-            most a third of it.
+            most a third of this time.
         max_attempts: The maximum number of attempts of a request, including the first one and hedged ones.
-        connect_timeout_ms: The time after which a connect fails. An attempt that needs a new connection is
-            sent up to this much later than it starts.
+        connect_timeout_ms: The time after which a connect fails. An attempt that needs a new connection may
+            be sent up to this much later than it starts.
         may_cancel: Whether an attempt in flight may be cancelled.
         may_hedge: Whether an attempt may start while an earlier one of the same request is in flight.
         may_health_check: Whether health checks are allowed. The policy sends none and does not use it.
@@ -119,8 +119,8 @@
         slow_start_ms: The time from its start for which an endpoint warms up; 0 if endpoints start warm.
         slow_start_initial_fraction: The fraction of its full capacity that an endpoint has at its start,
             above 0. The fraction grows linearly to 1 over `slow_start_ms`.
-        slow_start_overload_factor: The amount of work within one window, as a multiple of its current
-            capacity, above which a warming endpoint fails.
+        slow_start_overload_factor: The amount of work within one window above which a warming endpoint fails,
+            as a multiple of the endpoint's current capacity.
         slow_start_window_ms: The length of that window.
         over_quota_weight: The value of a response to a request over its tenant's quota, as a fraction of the
             value of one within the quota, from 0 to 1.
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,9 +1,9 @@
-"""Reads settings from flat `path=value` fields, for both the simulator's wire and the file of `LB_CONFIG`.
+"""Reads settings from flat `path=value` fields, for the simulator's wire and the file that `LB_CONFIG` names.
 
 The names of the settings, and the words for enum values, are those of the wire. No other module contains
-them, except for the settings that `loadbalancer.configuration` uses itself. Each field is text:
-`read_number`, `read_integer`, `read_flag` and `read_enum` convert it to a typed value. Errors are
-`FieldError`s with the field's name.
+them, except for the settings that `loadbalancer.configuration` uses itself. Each field is text, which
+`read_number`, `read_integer`, `read_flag` and `read_enum` convert to a typed value. Each error is a
+`FieldError` that names the field.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from loadbalancer.settings import Idempotency, IdempotencyScope, RequestClass, Settings, Tenant
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
-"""Connect timeout if the settings have none."""
+"""Connect timeout if `limits.connectTimeout` is not set."""
 
 Fields = dict[str, str]
 """The fields of a line or of a configuration: maps the path of each field to its text."""
@@ -81,7 +81,7 @@
     Attributes:
         name: The name of the field.
         text: The text of the field.
-        reason: Why the text is invalid, as the end of a sentence, such as "is no number".
+        reason: Why the text is invalid, such as "is no number".
     """
 
     def __init__(self, name: str, text: str, reason: str) -> None:
@@ -229,7 +229,7 @@
 
 
 def _read_idempotency_scope(fields: Fields, name: str) -> IdempotencyScope:
-    """Return the idempotency scope of a class: for an unknown word the narrowest, which is always safe."""
+    """Return the idempotency scope of a class; for an unknown word the narrowest, which is always safe."""
     return _SCOPE_BY_WORD.get(fields.get(name, "all"), IdempotencyScope.CELL)
 
 
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -40,12 +40,12 @@
     """Parses batches from the lines of the wire.
 
     Attributes:
-        batch_id: The id of the batch that was begun last; "?" before the first one.
+        batch_id: The id of the latest batch; "?" before the first one.
         line: The line read last, without its line end.
     """
 
     def __init__(self, lines: Iterable[str], warn: Warn) -> None:
-        """Read from `lines`; `warn` is called with a message for each part of the input that is ignored."""
+        """Create a reader of `lines`; `warn` is called with a message for each ignored part of the input."""
         self.batch_id = "?"
         self.line = ""
         self._lines = iter(lines)
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -75,7 +75,7 @@
 
 
 def parse_fields(parts: list[str]) -> Fields:
-    """Return a dict of the `name=value` parts of a line.
+    """Return the names and values of the `name=value` parts of a line.
 
     Raises:
         MalformedPartError: A part has no equals sign.
@@ -122,7 +122,7 @@
 
 
 def parse_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
-    """Return the start of an instance. All fields except for its id and seed are settings."""
+    """Return the message that starts an instance. All fields except for its id and seed are settings."""
     seed = read_integer(fields, "prng")
     settings_fields = {name: value for name, value in fields.items() if name not in ("who", "prng")}
     settings = read_settings(settings_fields, warn)
@@ -138,7 +138,7 @@
         warn: Called with a message for an unknown kind, timer or outcome.
 
     Returns:
-        The event; None if the line is unknown, or the policy has no use for it.
+        The event; None if the line is of an unknown kind, or of one that the policy does not use.
 
     Raises:
         FieldError: A field is missing or malformed.
@@ -197,7 +197,7 @@
 
 
 def _ignore(_fields: Fields, _warn: Warn) -> None:
-    """Ignore a known line that the policy has no use for."""
+    """Ignore a line of a known kind that the policy does not use."""
 
 
 _EVENT_PARSERS: dict[str, Callable[[Fields, Warn], Event | None]] = {
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs the policy of many balancer instances in one process, on the simulator's wire."""
+"""Runs many balancer instances in one process, which a simulator controls over the wire."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
             return []
         try:
             return [codec.format_action(instance, action) for action in balancer.handle(event, now_ms)]
-        except Exception as error:  # noqa: BLE001  whatever the policy raises is reported on the wire
+        except Exception as error:  # noqa: BLE001  any error of the policy is reported on the wire
             traceback.print_exc(file=self._error_output)
             self._balancers[instance] = None
             return [codec.format_failure(instance, error)]
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -1,4 +1,4 @@
-"""After a client has disconnected, its delayed, queued or connecting requests are not sent."""
+"""Requests that are delayed, queued or waiting for a connection are not sent once the client disconnects."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
 async def test_pipelined_request_starts_once_previous_response_is_read(
     start_proxy: StartProxy,
 ) -> None:
-    """Sending the response starts the next request, which must not wait for further bytes from the client."""
+    """The next request must start without further bytes from the client."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
     client, received_bytes = await connect_without_reading_response(harness), b""
@@ -131,7 +131,7 @@
 async def test_disconnect_behind_unread_response_drops_pipelined_request(
     start_proxy: StartProxy,
 ) -> None:
-    """The balancer has read the disconnect before the client reads the response, which frees the pipeline."""
+    """Otherwise the next request would start once the client reads the response, despite the disconnect."""
     upstream = Upstream(response(200, b"x" * 60_000))
     harness = await start_proxy(upstream)
     client = await connect_without_reading_response(harness)
@@ -230,7 +230,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first attempt brings the response before the hedged request is connected."""
+    """The first attempt succeeds before the hedged request has a connection."""
     connects = DelayedConnects(monkeypatch, undelayed=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -1,4 +1,4 @@
-"""Clients of a balancer whose event loop is busy, so that the kernel holds what they send."""
+"""Clients are served correctly although the event loop is busy and the kernel buffers what they send."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The last interval is busy; the program must still read the request, which it would otherwise reset."""
+    """The request must be read, not reset, although the event loop is busy as the shutdown ends."""
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_ACCEPT_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_KEEP_ALIVE_S", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_MAX_DEADLINE_S", 0.05)
@@ -135,7 +135,7 @@
     for reply, prefix in zip(replies, expected_prefixes.values(), strict=True):
         assert reply.startswith(prefix)
         assert bool(reply) == bool(prefix)
-    # If the timeout ran from accepting, there would be ten sweeps.
+    # If the timeout started when the connection is accepted, there would be ten sweeps.
     assert len(sweeps) <= 6
     assert not upstream.connections
 
@@ -182,7 +182,7 @@
 
     before_each_timeout_check(monkeypatch, send_remainder)
     assert status(await client.read_response()) == 200
-    client.writer.write(request_bytes("/read", 2)[:-2])  # each request has a timeout of its own
+    client.writer.write(request_bytes("/read", 2)[:-2])  # each request has its own timeout
     assert status(await client.read_response()) == 200
 
 
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -55,7 +55,7 @@
 
 
 def close_after_partial_request(client: socket.socket) -> None:
-    client.send(b"GET /re")  # a peek at the next byte does not reveal the disconnect behind it
+    client.send(b"GET /re")  # a peek at the next byte does not reveal the disconnect after it
     client.close()
 
 
@@ -109,13 +109,13 @@
 async def test_disconnect_before_accept_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop first runs when the kernel holds the connection, its request and the disconnect."""
+    """The client connects, sends its request and disconnects before the event loop runs."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client = harness.connect_socket()
     client.sendall(request_bytes("/read", 1))
     disconnect(client)
-    await harness.send_request()  # its connection was opened later
+    await harness.send_request()  # its connection is accepted after that of the client
     await wait_until_disconnected(harness)
     assert await final_received_ids(harness) == []
 
@@ -166,7 +166,7 @@
     disconnect: Disconnect,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client disconnects as its first attempt fails; a retry would be sent at once."""
+    """The client disconnects as its first attempt fails; a retry would be sent immediately."""
     harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
     await open_idle_connections(harness, monkeypatch)
     client, finished_attempts = harness.connect_socket(), list[AttemptFinished]()
@@ -186,7 +186,7 @@
 async def test_failed_attempt_is_retried_while_client_is_connected(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Shows that only the disconnect prevents the retry in the test above."""
+    """Counterpart of the test above: without a disconnect, the request is retried."""
     script = for_first_request(response(500))
     harness = await start_proxy(Upstream(script), Upstream(script))
     await open_idle_connections(harness, monkeypatch)
@@ -282,7 +282,7 @@
 async def test_disconnect_while_reading_is_paused_prevents_retry(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disconnect is behind unread requests, and no sweep has checked the connection."""
+    """The disconnect follows unread requests, and no sweep checks the connection."""
     monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def record_writer(received: ReceivedMessage, writer: Any) -> None:
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -50,7 +50,7 @@
 async def test_connections_stay_open_for_keep_alive_time(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """While another balancer restarts, clients would otherwise have none to use."""
+    """Otherwise clients would have no balancer to use while another one restarts."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -73,7 +73,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The platform kills the process soon after the maximum deadline, which would lose requests."""
+    """Otherwise requests would be lost: the platform kills the process soon after the maximum deadline."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
     client = await connect_and_get_response(harness)
@@ -201,7 +201,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request arrives, unread, while the connection is being checked for idleness."""
+    """The request arrives during the check for idleness, which sees no request yet."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0)
     harness = await start_proxy(Upstream())
     client = await connect_and_get_response(harness)
@@ -212,7 +212,7 @@
     def send_then_check_idle() -> bool:
         if not request_sent.is_set():
             request_sent.set()
-            client.send()  # sent at once, and read only after the check
+            client.send()  # sent immediately, and read only after the check
         return is_idle()
 
     monkeypatch.setattr(connection.expiry, "is_idle", send_then_check_idle)
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -51,8 +51,8 @@
 async def test_finished_requests_and_connections_are_freed(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A leak grows with the number of requests and connections."""
-    # Otherwise the size of the pool depends on how many requests this machine sends within the delay.
+    """A leak would grow with the number of requests and connections."""
+    # Otherwise the size of the pool would depend on how many requests are sent within the delay.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
 
     def count_objects() -> Counter[str]:
