--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -94,7 +94,7 @@
     _check_body_framing(header_map)
     if _is_health_check(method, target):
         return RequestHead(method, target)
-    request_class = _class_of_target(target, classes)
+    request_class = _find_class(target, classes)
     _check_method(method, request_class, header_map)
     _check_class_header(header_map, request_class)
     request_id = _read_request_id(header_map)
@@ -109,7 +109,7 @@
         tenant=_read_tenant(header_map),
         is_client_retry=header_map.get(b"x-retry") == b"1",
         cost_hint_ms=_read_cost_hint_ms(header_map),
-        forwarded=_forwarded_head(method, target, headers),
+        forwarded=_build_forwarded_head(method, target, headers),
     )
 
 
@@ -151,7 +151,7 @@
         raise RequestRejectedError(Rejection(413, "body too large"))
 
 
-def _class_of_target(target: bytes, classes: dict[str, RequestClass]) -> RequestClass:
+def _find_class(target: bytes, classes: dict[str, RequestClass]) -> RequestClass:
     """Return the class that the first segment of the path names."""
     path = target.partition(b"?")[0]
     first_segment = path[1:].partition(b"/")[0].decode("latin-1")
@@ -212,7 +212,7 @@
     return float(cost_hint) / US_PER_MS if _DECIMAL_NUMBER.fullmatch(cost_hint) else 0.0
 
 
-def _forwarded_head(method: bytes, target: bytes, headers: Headers) -> bytes:
+def _build_forwarded_head(method: bytes, target: bytes, headers: Headers) -> bytes:
     lines = [b"%b %b HTTP/1.1" % (method, target)]
     lines += [b": ".join(pair) for pair in end_to_end_headers(headers) if pair[0] not in _NOT_FORWARDED]
     lines.append(b"")
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -278,10 +278,10 @@
 
 def format_failure(instance: str, error: BaseException) -> str:
     """Return the line of the reply that reports an error in the policy of an instance."""
-    return f"give_in who={instance} bodyText={_one_line(f'{_wire_name(error)}: {error}')}"
+    return f"give_in who={instance} bodyText={_one_line(f'{_error_type_name(error)}: {error}')}"
 
 
-def _wire_name(error: BaseException) -> str:
+def _error_type_name(error: BaseException) -> str:
     """Return the name of an error's type; for the package's own errors, that of the built-in base class."""
     types = type(error).__mro__ if isinstance(error, LoadBalancerError) else (type(error),)
     return next(t.__name__ for t in types if t.__module__ != LoadBalancerError.__module__)
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -38,7 +38,7 @@
     from tests.support.proxy_harness import ProxyHarness
 
 Disconnect = Callable[[socket.socket], None]
-NOT_RUN = response(503, b"", "X-Not-Run: 1")
+NOT_RUN_RESPONSE = response(503, b"", "X-Not-Run: 1")
 
 
 def close(client: socket.socket) -> None:
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize(
     ("raw_request", "script"),
     [
-        (request_bytes("/pay", 1, b"debit"), NOT_RUN),
+        (request_bytes("/pay", 1, b"debit"), NOT_RUN_RESPONSE),
         (request_bytes("/read", 1), response(500)),
         (request_bytes("/read", 1), reset_connection),
         (idempotent_request(1), response(500)),  # a retry with an idempotency key
