--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -20,7 +20,7 @@
     SAFE = "safe"
     """Repeated processing has no further effect, at any endpoint."""
     KEYED = "keyed"
-    """Each request has an idempotency key, by which endpoints drop duplicates within a time window."""
+    """Each request has an idempotency key; the endpoints of a scope drop duplicates within a time window."""
     NOT_IDEMPOTENT = "unsafe"
     """It must not be processed twice: only transparent retries are allowed."""
 
