--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -128,7 +128,7 @@
     client.close()
 
 
-async def test_disconnect_behind_unread_response_drops_pipelined_request(
+async def test_disconnect_with_unread_response_drops_pipelined_request(
     start_proxy: StartProxy,
 ) -> None:
     """Otherwise the next request would start once the client reads the response, despite the disconnect."""
