--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -146,7 +146,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel resets queued connections when the listening socket is closed."""
+    """Otherwise the kernel would reset the queued connections when the listening socket is closed."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream)
