--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -38,7 +38,7 @@
     from tests.support.proxy_harness import ProxyHarness
 
 Disconnect = Callable[[socket.socket], None]
-NOT_RUN = response(503, b"", "X-Not-Run: 1")
+NOT_RUN_RESPONSE = response(503, b"", "X-Not-Run: 1")
 
 
 def close(client: socket.socket) -> None:
@@ -55,7 +55,7 @@
 
 
 def close_after_partial_request(client: socket.socket) -> None:
-    client.send(b"GET /re")  # a peek at the next byte does not reveal the disconnect behind it
+    client.send(b"GET /re")  # a peek at the next byte does not reveal the disconnect after it
     client.close()
 
 
@@ -102,20 +102,20 @@
     skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     ids = received_ids(harness)
-    return sorted(name for name in ids if len(name) < 8)
+    return sorted(request_id for request_id in ids if len(request_id) < 8)
 
 
 @WAYS_TO_DISCONNECT
 async def test_disconnect_before_accept_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The event loop first runs when the kernel holds the connection, its request and the disconnect."""
+    """The client connects, sends its request and disconnects before the event loop runs."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client = harness.connect_socket()
     client.sendall(request_bytes("/read", 1))
     disconnect(client)
-    await harness.send_request()  # its connection was opened later
+    await harness.send_request()  # its connection is accepted after that of the client
     await wait_until_disconnected(harness)
     assert await final_received_ids(harness) == []
 
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize(
     ("raw_request", "script"),
     [
-        (request_bytes("/pay", 1, b"debit"), NOT_RUN),
+        (request_bytes("/pay", 1, b"debit"), NOT_RUN_RESPONSE),
         (request_bytes("/read", 1), response(500)),
         (request_bytes("/read", 1), reset_connection),
         (idempotent_request(1), response(500)),  # a retry with an idempotency key
@@ -166,7 +166,7 @@
     disconnect: Disconnect,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client disconnects as its first attempt fails; a retry would be sent at once."""
+    """The client disconnects as its first attempt fails; a retry would be sent immediately."""
     harness = await start_proxy(Upstream(for_first_request(script)), Upstream(for_first_request(script)))
     await open_idle_connections(harness, monkeypatch)
     client, finished_attempts = harness.connect_socket(), list[AttemptFinished]()
@@ -186,7 +186,7 @@
 async def test_failed_attempt_is_retried_while_client_is_connected(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Shows that only the disconnect prevents the retry in the test above."""
+    """Counterpart of the test above: without a disconnect, the request is retried."""
     script = for_first_request(response(500))
     harness = await start_proxy(Upstream(script), Upstream(script))
     await open_idle_connections(harness, monkeypatch)
@@ -282,7 +282,7 @@
 async def test_disconnect_while_reading_is_paused_prevents_retry(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disconnect is behind unread requests, and no sweep has checked the connection."""
+    """The disconnect follows unread requests, and no sweep checks the connection."""
     monkeypatch.setattr(timeouts, "SWEEP_INTERVAL_S", 3_600.0)
 
     async def record_writer(received: ReceivedMessage, writer: Any) -> None:
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-async def test_disconnect_while_body_is_written_withdraws_request(
+async def test_disconnect_while_body_is_written_aborts_request(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch, *, may_cancel: bool
 ) -> None:
     """The upstream never receives the end of the body, so it does not process the request."""
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -48,11 +48,11 @@
     )
 
 
-async def test_finished_requests_and_connections_do_not_leak(
+async def test_finished_requests_and_connections_are_freed(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A leak grows with the number of requests and connections."""
-    # Otherwise the size of the pool depends on how many requests this machine sends within the delay.
+    """A leak would grow with the number of requests and connections."""
+    # Otherwise the size of the pool would depend on how many requests are sent within the delay.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
 
     def count_objects() -> Counter[str]:
@@ -62,8 +62,8 @@
 
     harness = await start_proxy(Upstream(), max_attempts=3)
 
-    async def send_requests(times: int) -> None:
-        for _ in range(times):
+    async def send_requests(count: int) -> None:
+        for _ in range(count):
             assert status(await harness.send_request()) == 200
         await wait_until_disconnected(harness)
 
