--- a/testbed/balancer/hollow.py
+++ b/testbed/balancer/watch_only.py
@@ -21,7 +21,7 @@
 """Called with the version of an applied list and the time, in seconds of the monotonic clock."""
 
 
-class HollowBalancer:
+class WatchOnlyBalancer:
     """A balancer without clients.
 
     `on_list_applied(version, at_s)` is called once the policy has applied a list.
--- a/testbed/balancer/hollow_process.py
+++ b/testbed/balancer/watch_only_process.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from loadbalancer.configuration import read_configuration
-from testbed.balancer.hollow import HollowBalancer
+from testbed.balancer.watch_only import WatchOnlyBalancer
 from testbed.child_process import ChildProcess, run_child, serve_pipe
 from testbed.measurement.resource_usage import LoopLagMonitor
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HollowReport:
+class AppliedListsReport:
     """The lists that the balancers of one process applied since the previous report.
 
     `balancer_numbers`, `versions` and `applied_at_s` are parallel arrays with one element per applied list.
@@ -50,7 +50,7 @@
     applied_at_s: float
 
 
-class HollowProcess:
+class WatchOnlyProcess:
     """A child process that runs hollow balancers.
 
     Attributes:
@@ -62,11 +62,11 @@
         self._child = ChildProcess(_run, configuration_texts)
         self.pid = self._child.pid
 
-    def report(self) -> HollowReport:
+    def report(self) -> AppliedListsReport:
         """Return what was applied since the previous report; blocks until the child responds."""
-        return cast("HollowReport", self._child.request("report"))
+        return cast("AppliedListsReport", self._child.request("report"))
 
-    def stop(self) -> HollowReport:
+    def stop(self) -> AppliedListsReport:
         """End the process and return the last report."""
         try:
             return self.report()
@@ -84,11 +84,11 @@
         """Record that a balancer has applied a list."""
         self._applied_lists.append(_AppliedList(balancer_number, version, applied_at_s))
 
-    def take_report(self, lag_monitor: LoopLagMonitor) -> HollowReport:
+    def take_report(self, lag_monitor: LoopLagMonitor) -> AppliedListsReport:
         """Return what was applied since the previous report, with the lag of the event loop."""
         applied_lists, self._applied_lists = self._applied_lists, []
         p99_lag_s, max_lag_s = lag_monitor.take()
-        return HollowReport(
+        return AppliedListsReport(
             np.array([applied.balancer_number for applied in applied_lists], dtype=np.int32),
             np.array([applied.version for applied in applied_lists], dtype=np.int64),
             np.array([applied.applied_at_s for applied in applied_lists], dtype=np.float64),
@@ -111,7 +111,7 @@
     recorder = _Recorder()
     for number, text in configuration_texts.items():
         configuration = read_configuration(text, _ignore_warning)
-        HollowBalancer(configuration, loop, partial(recorder.record, number)).start()
+        WatchOnlyBalancer(configuration, loop, partial(recorder.record, number)).start()
     gc.collect()
     gc.freeze()  # as a real balancer does after its start
     # Created after the balancers, so that their start does not count as lag.
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -69,14 +69,14 @@
 
 async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[ChangeRow]:
     result: RunResult[ChangeRow] = RunResult()
-    for hollow_count in plan.sizes:
-        await _measure_size(plan, hollow_count, result, log)
+    for watch_only_count in plan.sizes:
+        await _measure_size(plan, watch_only_count, result, log)
     _add_fits(plan, result)
     return result
 
 
 async def _measure_size(
-    plan: Plan, hollow_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
+    plan: Plan, watch_only_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
     """Start hollow and real balancers, and measure the rates one after another."""
     acknowledgements: list[VersionObservation] = []
@@ -91,11 +91,11 @@
         group = await start_group(
             stack,
             discovery,
-            hollow_count=hollow_count,
+            watch_only_count=watch_only_count,
             process_count=plan.processes,
             real_count=plan.real,
             balancer_settings=settings.balancer_settings(
-                balancers=max(hollow_count, plan.entries), pushed=plan.pushed
+                balancers=max(watch_only_count, plan.entries), pushed=plan.pushed
             ),
             seed=plan.seed,
         )
@@ -117,7 +117,7 @@
     """Apply changes at one rate, and measure until every balancer has the last change."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
-    seed = plan.seed + round(1000 * multiple) + group.hollow_count
+    seed = plan.seed + round(1000 * multiple) + group.watch_only_count
     change_times_s = arrival_times(rate_per_s, duration_s, random.Random(seed))
     max_lateness_s = await apply_changes_over_time(group.discovery, changes, change_times_s)
     await asyncio.sleep(max(duration_s - measurement.elapsed_s, 0.0))
@@ -135,7 +135,7 @@
             result.fits.append(fit_columns(rows, y, "balancers", label=f"{y} ({multiple:g} times)"))
     for y in (*_COST_COLUMNS, *_REAL_COST_COLUMNS) if plan.real else _COST_COLUMNS:
         result.fits.append(fit_columns(result.rows, y, "changes_per_s"))
-        for hollow_count in plan.sizes:
-            rows = [row for row in result.rows if row.balancers == hollow_count]
-            label = f"{y} ({hollow_count} balancers)"
+        for watch_only_count in plan.sizes:
+            rows = [row for row in result.rows if row.balancers == watch_only_count]
+            label = f"{y} ({watch_only_count} balancers)"
             result.fits.append(fit_columns(rows, y, "changes_per_s", label=label))
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-    from testbed.balancer.hollow_process import HollowReport
+    from testbed.balancer.watch_only_process import AppliedListsReport
     from testbed.discovery.agent_state import RequestCounts
 
 FULL_PROCESS_FRACTION = 0.8
@@ -94,7 +94,7 @@
     """Processor time of each process, those of hollow balancers first."""
     counts: RequestCounts
     """Counts of the requests from hollow balancers to discovery."""
-    reports: list[HollowReport]
+    reports: list[AppliedListsReport]
     p99_lag_s: float
     """The 99th percentile of an event loop's lag; the maximum over all event loops."""
 
@@ -111,7 +111,7 @@
         self._start_s = time.monotonic()
         self._first_version = group.discovery.version + 1
         self._processor_s = _processor_s(group)
-        self._counts = sum_counts(group.discovery, group.hollow_agents)
+        self._counts = sum_counts(group.discovery, group.watch_only_agents)
 
     @property
     def elapsed_s(self) -> float:
@@ -131,12 +131,12 @@
         Returns:
             The row, and the reasons why it is invalid, if any.
         """
-        name = f"{self._group.hollow_count} balancers, {multiple:g} times"
+        name = f"{self._group.watch_only_count} balancers, {multiple:g} times"
         elapsed_s = self.elapsed_s
         processor_s = [
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
-        counts = sum_counts(self._group.discovery, self._group.hollow_agents) - self._counts
+        counts = sum_counts(self._group.discovery, self._group.watch_only_agents) - self._counts
         reasons = self._cores.invalid_reasons(name)
         p99_lag_s, _ = self._lag.take()
         self._lag.stop()
@@ -152,30 +152,30 @@
         group, elapsed_s, counts = self._group, readings.elapsed_s, readings.counts
         changes = len(group.discovery.changed_at[self._first_version :])
         core_percent = np.array(readings.processor_s) / elapsed_s * 100
-        hollow_percent = core_percent[: len(group.processes)]
+        watch_only_percent = core_percent[: len(group.processes)]
         real_percent = core_percent[len(group.processes) :]
         return ChangeRow(
-            balancers=group.hollow_count,
+            balancers=group.watch_only_count,
             multiple=multiple,
             changes=changes,
             changes_per_s=changes / elapsed_s,
             delays=self._delays(readings.reports, acknowledgements),
-            core_percent=float(hollow_percent.sum()) / group.hollow_count,
+            core_percent=float(watch_only_percent.sum()) / group.watch_only_count,
             real_core_percent=float(real_percent.mean()) if group.real_balancers else None,
-            requests_per_s=counts.requests / elapsed_s / group.hollow_count,
-            bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.hollow_count,
+            requests_per_s=counts.requests / elapsed_s / group.watch_only_count,
+            bytes_per_s=(counts.bytes_in + counts.bytes_out) / elapsed_s / group.watch_only_count,
             snapshots=counts.snapshots,
             p99_loop_lag_ms=readings.p99_lag_s * 1000,
             max_process_percent=float(core_percent.max()),
         )
 
     def _delays(
-        self, reports: list[HollowReport], acknowledgements: Sequence[VersionObservation]
+        self, reports: list[AppliedListsReport], acknowledgements: Sequence[VersionObservation]
     ) -> DelayColumns:
         group, first_version = self._group, self._first_version
         changed_at = np.array(group.discovery.changed_at[first_version:])
-        in_force = delays_ms(_applied_versions(reports), group.hollow_agents, first_version, changed_at)
-        acknowledged = delays_ms(acknowledgements, group.hollow_agents, first_version, changed_at)
+        in_force = delays_ms(_applied_versions(reports), group.watch_only_agents, first_version, changed_at)
+        acknowledged = delays_ms(acknowledgements, group.watch_only_agents, first_version, changed_at)
         real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, changed_at)
         written_s = np.array(group.discovery.written_at[first_version:]) - changed_at
         in_force_quantiles, acknowledged_quantiles = delay_quantiles(in_force), delay_quantiles(acknowledged)
@@ -208,7 +208,7 @@
     return reasons
 
 
-def _applied_versions(reports: list[HollowReport]) -> Iterator[VersionObservation]:
+def _applied_versions(reports: list[AppliedListsReport]) -> Iterator[VersionObservation]:
     """Yield the versions that hollow balancers applied, in chronological order for each process."""
     for report in reports:
         yield from map(VersionObservation, report.balancer_numbers, report.versions, report.applied_at_s)
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -13,8 +13,8 @@
 import uvloop
 
 from testbed import settings
-from testbed.balancer.hollow_process import HollowProcess
 from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.watch_only_process import WatchOnlyProcess
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.errors import TestbedError
@@ -82,37 +82,37 @@
 class BalancerGroup:
     """Balancers with one simulated discovery.
 
-    The first `hollow_count` agents are those of the hollow balancers; those of the real balancers follow.
+    The first `watch_only_count` agents are those of the hollow balancers; those of the real balancers follow.
     """
 
     discovery: Discovery
-    processes: list[HollowProcess]
+    processes: list[WatchOnlyProcess]
     real_balancers: list[RealBalancer]
-    hollow_count: int
+    watch_only_count: int
 
     @property
-    def hollow_agents(self) -> range:
+    def watch_only_agents(self) -> range:
         """The numbers of the hollow balancers' agents."""
-        return range(self.hollow_count)
+        return range(self.watch_only_count)
 
     @property
     def real_agents(self) -> range:
         """The numbers of the real balancers' agents."""
-        return range(self.hollow_count, self.hollow_count + len(self.real_balancers))
+        return range(self.watch_only_count, self.watch_only_count + len(self.real_balancers))
 
 
 async def start_group(
     stack: AsyncExitStack,
     discovery: Discovery,
     *,
-    hollow_count: int,
+    watch_only_count: int,
     process_count: int,
     real_count: int,
     balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
     """Start hollow balancers, spread evenly over processes, and real ones; wait until all follow the list."""
-    group = BalancerGroup(discovery, [], [], hollow_count)
+    group = BalancerGroup(discovery, [], [], watch_only_count)
 
     def configuration_text(number: int, listen: str) -> str:
         agent = discovery.agent_address(number)
@@ -120,16 +120,16 @@
             f"n{number}", listen, agent, [], balancer_settings, seed=seed + number
         )
 
-    for first in range(min(process_count, hollow_count)):
+    for first in range(min(process_count, watch_only_count)):
         texts = {
             number: configuration_text(number, "127.0.0.1:0")
-            for number in range(first, hollow_count, process_count)
+            for number in range(first, watch_only_count, process_count)
         }
-        process = HollowProcess(texts)
+        process = WatchOnlyProcess(texts)
         stack.callback(process.stop)
         group.processes.append(process)
-    for number in range(hollow_count, hollow_count + real_count):
-        listen = free_address(_REAL_HOST.format(number - hollow_count + 1))
+    for number in range(watch_only_count, watch_only_count + real_count):
+        listen = free_address(_REAL_HOST.format(number - watch_only_count + 1))
         balancer = await RealBalancer.start(configuration_text(number, listen), SOURCE_TREE_COMMAND)
         stack.push_async_callback(balancer.stop)
         group.real_balancers.append(balancer)
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/idle.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RestRow(Row):
+class IdleRow(Row):
     """A real balancer without load, and hollow balancers, with a list of one length."""
 
     entries: int
@@ -59,9 +59,9 @@
     """Requests from the real balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
-    hollow_requests_per_s: float = stored_as("hollow_calls_per_s")
+    watch_only_requests_per_s: float = stored_as("hollow_calls_per_s")
     """Requests from a hollow balancer to discovery, the mean over all."""
-    hollow_bytes_per_s: float
+    watch_only_bytes_per_s: float = stored_as("hollow_bytes_per_s")
     """Bytes of these requests and their responses."""
 
 
@@ -72,16 +72,16 @@
     processor_s: float
     """Processor time of the real balancer."""
     real_counts: RequestCounts
-    hollow_counts: RequestCounts
+    watch_only_counts: RequestCounts
 
 
-def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[IdleRow]:
     """Measure all lengths at the same time, first with pushed lists and then with polling."""
     return run_on_new_loop(_measure_all(plan, log))
 
 
-async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
-    result: RunResult[RestRow] = RunResult()
+async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[IdleRow]:
+    result: RunResult[IdleRow] = RunResult()
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
             groups = [
@@ -110,7 +110,7 @@
     return await start_group(
         stack,
         discovery,
-        hollow_count=plan.hollow,
+        watch_only_count=plan.hollow,
         process_count=1,
         real_count=1,
         balancer_settings=balancer_settings,
@@ -119,7 +119,7 @@
 
 
 async def _measure_groups(
-    plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
+    plan: Plan, groups: list[BalancerGroup], result: RunResult[IdleRow], *, pushed: bool
 ) -> None:
     """Measure all groups over the same period, and add a row for each."""
     lag, cores = LoopLagMonitor(asyncio.get_running_loop()), CoreMonitor()
@@ -142,16 +142,16 @@
 def _take_reading(group: BalancerGroup) -> _Reading:
     processor_s = measure_usage([group.real_balancers[0].pid]).processor_s
     real = sum_counts(group.discovery, group.real_agents)
-    hollow = sum_counts(group.discovery, group.hollow_agents)
-    return _Reading(processor_s, real, hollow)
+    watch_only = sum_counts(group.discovery, group.watch_only_agents)
+    return _Reading(processor_s, real, watch_only)
 
 
-def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> RestRow:
+def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> IdleRow:
     now = _take_reading(group)
     real = now.real_counts - before.real_counts
-    hollow = now.hollow_counts - before.hollow_counts
+    watch_only = now.watch_only_counts - before.watch_only_counts
     resources = measure_usage([group.real_balancers[0].pid])
-    return RestRow(
+    return IdleRow(
         entries=entries,
         mode="push" if pushed else "ask",
         core_percent=(now.processor_s - before.processor_s) / elapsed_s * 100,
@@ -159,6 +159,8 @@
         descriptors=resources.descriptors,
         requests_per_s=real.requests / elapsed_s,
         bytes_per_s=(real.bytes_in + real.bytes_out) / elapsed_s,
-        hollow_requests_per_s=hollow.requests / elapsed_s / group.hollow_count,
-        hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / elapsed_s / group.hollow_count,
+        watch_only_requests_per_s=watch_only.requests / elapsed_s / group.watch_only_count,
+        watch_only_bytes_per_s=(watch_only.bytes_in + watch_only.bytes_out)
+        / elapsed_s
+        / group.watch_only_count,
     )
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -17,7 +17,7 @@
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed import settings
-from testbed.balancer.hollow import HollowBalancer
+from testbed.balancer.watch_only import WatchOnlyBalancer
 from testbed.discovery.service import Discovery
 from testbed.runs.list_size.plan import (
     EndpointUse,
@@ -163,10 +163,10 @@
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
         # No variable may refer to the configuration: the parts that the balancer drops must not be counted.
-        hollow = HollowBalancer(
+        balancer = WatchOnlyBalancer(
             read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
         )
-        hollow.start()
+        balancer.start()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
         return after - before
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_watch_only.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.configuration import read_configuration
 from loadbalancer.network.discovery import watch
-from testbed.balancer.hollow import HollowBalancer
-from testbed.balancer.hollow_process import HollowProcess
+from testbed.balancer.watch_only import WatchOnlyBalancer
+from testbed.balancer.watch_only_process import WatchOnlyProcess
 from testbed.discovery.agent_state import AgentMode, AgentState
 from testbed.discovery.service import Discovery
 from testbed.settings import balancer_settings, configuration_text, endpoint_entries
@@ -33,28 +33,28 @@
     applied_versions: list[list[int]] = [[], []]
     first_version = discovery.replace_entries(endpoint_entries(20))
     settings = balancer_settings(balancers=2, pushed=pushed)
-    hollow_balancers = []
+    watch_only_balancers = []
     for i in range(2):
         text = configuration_text(f"n{i}", "127.0.0.1:0", discovery.agent_address(i), [], settings, seed=i)
-        hollow = HollowBalancer(
+        balancer = WatchOnlyBalancer(
             read_configuration(text, ignore_warning),
             asyncio.get_running_loop(),
             partial(lambda versions, version, at_s: versions.append(version), applied_versions[i]),
         )
-        hollow.start()
-        hollow_balancers.append(hollow)
+        balancer.start()
+        watch_only_balancers.append(balancer)
     await wait_until_acknowledged(discovery, first_version)
     draining = endpoint_entries(20)[3] | {"status": "terminating"}
     second_version = discovery.apply_changes([draining])
     await wait_until_acknowledged(discovery, second_version)
     assert applied_versions == [[0, first_version, second_version]] * 2
     assert discovery.counts().snapshots == 2
-    for hollow in hollow_balancers:
-        assert len(hollow.proxy.balancer.ready_endpoints) == 19
-        assert len(hollow.proxy.upstream_pools.endpoint_names) == 20
-        assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
+    for balancer in watch_only_balancers:
+        assert len(balancer.proxy.balancer.ready_endpoints) == 19
+        assert len(balancer.proxy.upstream_pools.endpoint_names) == 20
+        assert draining["name"] not in balancer.proxy.balancer.ready_endpoints
         with pytest.raises(ConnectionError):  # no clients
-            await asyncio.open_connection(*hollow.proxy.listener.address)
+            await asyncio.open_connection(*balancer.proxy.listener.address)
 
 
 async def test_poll_is_repeated_after_a_timeout(
@@ -70,7 +70,7 @@
     text = configuration_text(
         "n0", "127.0.0.1:0", address, [], balancer_settings(balancers=1, pushed=False), seed=1
     )
-    HollowBalancer(
+    WatchOnlyBalancer(
         read_configuration(text, ignore_warning),
         asyncio.get_running_loop(),
         lambda version, at_s: applied_versions.append(version),
@@ -89,7 +89,7 @@
         )
         for i in range(3)
     }
-    process = HollowProcess(texts)
+    process = WatchOnlyProcess(texts)
     await wait_until_acknowledged(discovery, first_version)
     first_report = process.report()
     assert sorted(first_report.balancer_numbers) == [0, 0, 1, 1, 2, 2]
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -11,7 +11,7 @@
 from testbed.experiment import EXPERIMENTS_FOLDER, read_plan
 from testbed.runs import RUN_KINDS
 from testbed.runs.control import change as control_change
-from testbed.runs.control import rest as control_rest
+from testbed.runs.control import idle as control_idle
 from testbed.runs.control.delays import DelayQuantiles, VersionObservation, delay_quantiles, delays_ms
 from testbed.settings import balancer_settings
 
@@ -72,11 +72,11 @@
         requested_settings.append((options["balancers"], options["pushed"]))
         return balancer_settings(**options)
 
-    monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", recording_settings)
+    monkeypatch.setattr("testbed.runs.control.idle.settings.balancer_settings", recording_settings)
     plan = read_plan(EXPERIMENTS_FOLDER / "control_rest.toml", RUN_KINDS)
     overrides = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
-    result = control_rest.measure(
-        control_rest.Plan.model_validate(plan.model_dump() | overrides), DISABLED_LOG
+    result = control_idle.measure(
+        control_idle.Plan.model_validate(plan.model_dump() | overrides), DISABLED_LOG
     )
     assert [(row.entries, row.mode) for row in result.rows] == [
         (entries, mode) for mode in ("push", "ask") for entries in (3, 30)
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -14,7 +14,7 @@
 from testbed.runs import RUN_KINDS
 from testbed.runs.added_time import AddedTimeRow
 from testbed.runs.control.change_measurement import ChangeRow
-from testbed.runs.control.rest import RestRow
+from testbed.runs.control.idle import IdleRow
 from testbed.runs.depth.simulation import DepthRow
 from testbed.runs.list_size.rows import DecisionRow, ListRow
 from testbed.runs.real_depth.run import RealDepthRow
@@ -24,7 +24,7 @@
 ROW_TYPES: dict[str, tuple[type[Row], ...]] = {
     "added_time": (AddedTimeRow,),
     "control_change": (ChangeRow,),
-    "control_rest": (RestRow,),
+    "control_rest": (IdleRow,),
     "depth": (DepthRow,),
     "list_size": (DecisionRow, ListRow),
     "real_depth": (RealDepthRow,),
