--- a/testbed/chain/chain.py
+++ b/testbed/chain/chain.py
@@ -10,7 +10,7 @@
 import random
 
 from testbed.chain.host import BalancerHost
-from testbed.chain.request import ChainStatistics, ClientRequest
+from testbed.chain.request import ChainRecorder, ClientRequest
 from testbed.chain.server import Behaviour, Server
 from testbed.chain.settings import ChainSettings, ServiceModel
 from testbed.virtual_clock import VirtualClock
@@ -22,16 +22,16 @@
     Attributes:
         settings: The size of the chain and the limits of its balancers.
         clock: The virtual clock.
-        statistics: Counts of the events and attempts of all balancers.
+        recorder: Counts of the events and attempts of all balancers.
         client_requests: The outside requests, in the order of their arrival.
         tiers: The servers, by tier.
-        fronts: The front balancers.
+        front_balancers: The front balancers.
     """
 
     def __init__(self, settings: ChainSettings, seed: int) -> None:
         self.settings = settings
         self.clock = VirtualClock()
-        self.statistics = ChainStatistics(settings.depth, settings.request_class.deadline_ms)
+        self.recorder = ChainRecorder(settings.depth, settings.request_class.deadline_ms)
         self.client_requests: list[ClientRequest] = []
         # The text after the seed selects a random stream: another text would change all results.
         self._front_random = random.Random(f"{seed}:doors")
@@ -41,7 +41,7 @@
             [Server(f"t{tier}-{i}", self.clock, settings, model) for i in range(settings.servers_per_tier)]
             for tier in range(1, settings.depth + 1)
         ]
-        self.fronts = [self._start_balancer(1) for _ in range(settings.fronts)]
+        self.front_balancers = [self._start_balancer(1) for _ in range(settings.front_balancer_count)]
         for tier, servers in enumerate(self.tiers[:-1], start=1):
             for server in servers:
                 server.balancer = self._start_balancer(tier + 1)
@@ -50,14 +50,14 @@
         """Start a balancer that sends to a tier, counted from 1."""
         seed = self._seed_random.getrandbits(32)
         servers = self.tiers[tier - 1]
-        return BalancerHost(self.settings, self.clock, self.statistics, tier, servers, seed)
+        return BalancerHost(self.settings, self.clock, self.recorder, tier, servers, seed)
 
     def send_request(self, phase: int) -> None:
         """Send an outside request now, to a front balancer that is chosen at random."""
         request = ClientRequest(self.clock, phase)
         self.client_requests.append(request)
-        front = self.fronts[self._front_random.randrange(len(self.fronts))]
-        front.receive(request, request, self.settings.request_class.deadline_ms)
+        front_balancer = self.front_balancers[self._front_random.randrange(len(self.front_balancers))]
+        front_balancer.receive(request, request, self.settings.request_class.deadline_ms)
 
     def set_behaviour(
         self, tier: int, count: int, behaviour: Behaviour, failure_fraction: float = 1.0
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -41,7 +41,7 @@
 from testbed.errors import TestbedError
 
 if TYPE_CHECKING:
-    from testbed.chain.request import ChainStatistics, ClientRequest, Responder
+    from testbed.chain.request import Caller, ChainRecorder, ClientRequest
     from testbed.chain.settings import ChainSettings
     from testbed.virtual_clock import VirtualClock
 
@@ -58,7 +58,7 @@
     """A request at its balancer."""
 
     number: int
-    responder: Responder
+    caller: Caller
     client_request: ClientRequest
     deadline_ms: float
     """When attempts have to end, so that the response still reaches the client in time."""
@@ -85,14 +85,14 @@
         self,
         settings: ChainSettings,
         clock: VirtualClock,
-        statistics: ChainStatistics,
+        recorder: ChainRecorder,
         tier: int,
         servers: list[Server],
         seed: int,
     ) -> None:
         """Start a balancer that sends to the servers of a tier, counted from 1."""
         self._clock = clock
-        self._statistics = statistics
+        self._recorder = recorder
         self._tier = tier
         self._servers = {server.name: server for server in servers}
         self._balancer = LoadBalancer(settings.balancer_settings(tier - 1), seed)
@@ -109,11 +109,11 @@
         """The number of requests that have no response yet, or have running attempts."""
         return len(self._requests)
 
-    def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
+    def receive(self, caller: Caller, client_request: ClientRequest, remaining_ms: float) -> int:
         """Pass a new request to the policy.
 
         Args:
-            responder: Receives the response.
+            caller: Receives the response.
             client_request: The outside request that it belongs to.
             remaining_ms: The time until its deadline.
 
@@ -123,7 +123,7 @@
         self._last_number += 1
         now = self._clock.now
         request = _Request(
-            self._last_number, responder, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
+            self._last_number, caller, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
         )
         self._requests[request.number] = request
         self._clock.schedule(
@@ -156,7 +156,7 @@
         """Respond shortly before the deadline if the policy has not; 503 if no attempt may have run."""
         if request.is_open:
             may_run = request.may_have_run or request.running_attempts
-            request.responder.respond(502 if may_run else 503)
+            request.caller.receive_response(502 if may_run else 503)
             self._abandon(request)
 
     # ---- events -------------------------------------------------------------------------------
@@ -176,7 +176,7 @@
     def _handle(self, event: Event, request: _Request | None) -> None:
         start_s = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
-        self._statistics.record_policy_event(time.perf_counter() - start_s)
+        self._recorder.record_policy_event(time.perf_counter() - start_s)
         for action in actions:
             self._perform(action)
         if request is not None:
@@ -210,7 +210,7 @@
         request = self._requests.get(number)
         if request is not None and request.is_open:
             request.is_open = False
-            request.responder.respond(status)
+            request.caller.receive_response(status)
 
     def _cancel_attempt(self, number: int, index: int) -> None:
         request = self._requests.get(number)
@@ -234,7 +234,7 @@
             request.number, index, request.client_request, server, timeout_ms, self._on_attempt_finished
         )
         request.attempts.append(attempt)
-        self._statistics.record_attempt(request.client_request, self._tier, timeout_ms)
+        self._recorder.record_attempt(request.client_request, self._tier, timeout_ms)
         attempt.start()
 
     def _on_attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -247,7 +247,7 @@
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED:
             request.is_open = False
-            request.responder.respond(200)
+            request.caller.receive_response(200)
         has_response = not request.is_open
         self._dispatch(AttemptFinished(request.number, index, endpoint, outcome, has_response), request)
         if not request.is_open:
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -10,10 +10,10 @@
     from testbed.virtual_clock import VirtualClock
 
 
-class Responder(Protocol):
+class Caller(Protocol):
     """Receives a balancer's response: an outside client, or a server of the previous tier."""
 
-    def respond(self, status: int) -> None:
+    def receive_response(self, status: int) -> None:
         """Receive the final response; called once."""
 
 
@@ -52,14 +52,14 @@
         self.last_tier_attempts = 0
         self.deadline_fraction = math.nan
 
-    def respond(self, status: int) -> None:
+    def receive_response(self, status: int) -> None:
         """Record the front balancer's response and its time."""
         self.status = status
         self.finished_at_ms = self._clock.now
 
 
 @dataclass(slots=True)
-class ChainStatistics:
+class ChainRecorder:
     """Statistics over all balancers of a chain.
 
     Attributes:
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from testbed.chain.request import ClientRequest, Responder
+    from testbed.chain.request import Caller, ClientRequest
     from testbed.chain.settings import ChainSettings, ServiceModel
     from testbed.virtual_clock import VirtualClock
 
@@ -37,7 +37,7 @@
     SERVES = "serves"
     FAILS = "fails"
     """It responds 500 to a fraction of the attempts after its own work, without calling the next tier."""
-    REFUSES = "refuses"
+    REFUSES_CONNECTIONS = "refuses"
     """Its listener is closed: new attempts can't connect, and attempts in flight continue."""
     REJECTS = "turns away"
     """It responds 503 with X-Not-Run at once."""
@@ -59,7 +59,7 @@
 class LocalBalancer(Protocol):
     """A server's own balancer, through which it calls the next tier."""
 
-    def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
+    def receive(self, caller: Caller, client_request: ClientRequest, remaining_ms: float) -> int:
         """Accept a request with its remaining time, and return its number."""
 
     def disconnect(self, number: int) -> None:
@@ -125,7 +125,7 @@
         """Send the attempt, or fail to connect if the server refuses connections."""
         server, clock = self.server, self.server.clock
         arrival_ms = clock.now + server.hop_ms
-        if server.behaviour is Behaviour.REFUSES:
+        if server.behaviour is Behaviour.REFUSES_CONNECTIONS:
             clock.schedule(arrival_ms, self._connect_failed, None)
         else:
             self.was_sent = True
@@ -154,7 +154,7 @@
             clock.schedule(clock.now + self.server.hop_ms, self.server.on_connection_closed, self)
         self._on_finished(self, outcome)
 
-    def respond(self, status: int) -> None:
+    def receive_response(self, status: int) -> None:
         """Receive the response of the next tier; the server succeeds only if that response is 200."""
         self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
 
@@ -169,8 +169,8 @@
     """One server: it works on an attempt, then calls the next tier through its own balancer.
 
     An attempt occupies one of `workers` slots from the start of the work until the response, or, while it
-    waits for the next tier, until the balancer closes the connection. Up to `queue` further attempts wait;
-    any more are rejected.
+    waits for the next tier, until the balancer closes the connection. Up to `max_queued` further attempts
+    wait; any more are rejected.
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
@@ -202,7 +202,7 @@
             return
         elif self._settings.workers == 0 or self.in_service < self._settings.workers:
             self._start_work(attempt)
-        elif len(self._queue) < self._settings.queue:
+        elif len(self._queue) < self._settings.max_queued:
             attempt.stage = AttemptStage.QUEUED
             self._queue.append(attempt)
         else:
@@ -231,10 +231,10 @@
     def _start_work(self, attempt: Attempt) -> None:
         self.in_service += 1
         attempt.stage = AttemptStage.IN_SERVICE
-        self.clock.schedule(self.clock.now + self._model.service_ms(), self._finish_work, attempt)
+        self.clock.schedule(self.clock.now + self._model.draw_service_ms(), self._finish_work, attempt)
 
     def _finish_work(self, attempt: Attempt) -> None:
-        fails = self.behaviour is Behaviour.FAILS and self._model.fails(self.failure_fraction)
+        fails = self.behaviour is Behaviour.FAILS and self._model.draw_failure(self.failure_fraction)
         if fails or self.balancer is None or attempt.is_connection_closed:
             self.respond(attempt, Outcome.ERROR if fails else Outcome.SUCCEEDED)
             return
--- a/testbed/chain/settings.py
+++ b/testbed/chain/settings.py
@@ -16,12 +16,12 @@
         depth: The number of tiers of servers.
         request_class: The class of every request.
         servers_per_tier: Servers in each tier; each has its own balancer, except in the last tier.
-        fronts: Front balancers, which receive the outside requests.
+        front_balancer_count: Front balancers, which receive the outside requests.
         hop_ms: The network latency of a message between two machines.
         service_ms: The mean service time of a server's own work on a request.
-        steady_service: Whether service times are constant; else they are exponentially distributed.
+        constant_service_time: Whether service times are constant; else they are exponentially distributed.
         workers: The limit on requests that a server works on concurrently; 0 for no limit.
-        queue: The limit on requests that wait at a server; any more are rejected.
+        max_queued: The limit on requests that wait at a server; any more are rejected.
         max_attempts: The limit on attempts per request at each balancer.
         may_cancel: Whether a balancer may cancel attempts.
         may_hedge: Whether a balancer may send hedged requests.
@@ -30,12 +30,12 @@
     depth: int
     request_class: RequestClass
     servers_per_tier: int = 6
-    fronts: int = 6
+    front_balancer_count: int = 6
     hop_ms: float = 0.2
     service_ms: float = 1.0
-    steady_service: bool = False
+    constant_service_time: bool = False
     workers: int = 64
-    queue: int = 64
+    max_queued: int = 64
     max_attempts: int = 4
     may_cancel: bool = True
     may_hedge: bool = False
@@ -44,7 +44,7 @@
         """Return the settings of a balancer in a tier; tier 0 is that of the front balancers."""
         return Settings(
             classes=(self.request_class,),
-            balancers=self.servers_per_tier if tier else self.fronts,
+            balancers=self.servers_per_tier if tier else self.front_balancer_count,
             tier=tier,
             max_attempts=self.max_attempts,
             may_cancel=self.may_cancel,
@@ -61,13 +61,13 @@
         self._service_random = random.Random(f"{seed}:service")
         self._failure_random = random.Random(f"{seed}:fate")
 
-    def service_ms(self) -> float:
+    def draw_service_ms(self) -> float:
         """Draw the service time of one request."""
         mean_ms = self._settings.service_ms
-        if self._settings.steady_service or not mean_ms:
+        if self._settings.constant_service_time or not mean_ms:
             return mean_ms
         return self._service_random.expovariate(1 / mean_ms)
 
-    def fails(self, fraction: float) -> bool:
+    def draw_failure(self, fraction: float) -> bool:
         """Draw whether a request fails, with the probability `fraction`; 1 or more fails every request."""
         return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -173,7 +173,7 @@
         self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
         self._known_version: int | None = None  # of the open request; None if there is none
-        self._wait_has_ended = False  # of the open request
+        self._wait_expired = False  # of the open request
         self._wait_timer: asyncio.TimerHandle | None = None
         self._delay_timer: asyncio.TimerHandle | None = None
 
@@ -208,15 +208,15 @@
 
     def _open_request(self, request: _ListRequest) -> None:
         self._known_version = request.known_version
-        self._wait_has_ended = request.known_version == NO_VERSION
+        self._wait_expired = request.known_version == NO_VERSION
         self._agent.record_request(request.known_version)
-        if not self._wait_has_ended:
+        if not self._wait_expired:
             loop = asyncio.get_running_loop()
-            self._wait_timer = loop.call_later(request.wait_ms / 1000, self._end_wait)
+            self._wait_timer = loop.call_later(request.wait_ms / 1000, self._on_wait_expired)
         self.respond_if_ready()
 
-    def _end_wait(self) -> None:
-        self._wait_has_ended = True
+    def _on_wait_expired(self) -> None:
+        self._wait_expired = True
         self.respond_if_ready()
 
     def respond_if_ready(self) -> None:
@@ -226,7 +226,7 @@
         """
         if self._known_version is None or self._delay_timer is not None:
             return
-        if not self._wait_has_ended and not self._agent.history.is_outdated(self._known_version):
+        if not self._wait_expired and not self._agent.history.is_outdated(self._known_version):
             return
         delay_ms = self._agent.state.delay_ms
         if delay_ms:
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -148,8 +148,8 @@
         keys: tuple[Hashable, ...] = (_agent_key(agent.number), ALL_AGENTS, *agent.groups)
         states = [self._states[key] for key in keys if key in self._states]
         modes = {state.mode for state in states}
-        most_severe = next((mode for mode in _MODES_BY_SEVERITY if mode in modes), AgentMode.UP)
-        return AgentState(most_severe, max((state.delay_ms for state in states), default=0.0))
+        effective_mode = next((mode for mode in _MODES_BY_SEVERITY if mode in modes), AgentMode.UP)
+        return AgentState(effective_mode, max((state.delay_ms for state in states), default=0.0))
 
 
 def _agent_key(number: int) -> Hashable:
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -28,7 +28,7 @@
         super().__init__(f"{path.name}: {' '.join(str(problem).split())}")
 
 
-def formerly(name: str, old_name: str) -> Any:
+def renamed_field(name: str, old_name: str) -> Any:
     """Define a plan field that has been renamed, for use in `Annotated`.
 
     Args:
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -95,14 +95,14 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._lags: list[float] = []
-        self._due_at = loop.time()
+        self._next_tick_at = loop.time()
         self._tick()
 
     def _tick(self) -> None:
         now = self._loop.time()
-        self._lags.append(now - self._due_at)
-        self._due_at = now + LAG_INTERVAL_S
-        self._timer = self._loop.call_at(self._due_at, self._tick)
+        self._lags.append(now - self._next_tick_at)
+        self._next_tick_at = now + LAG_INTERVAL_S
+        self._timer = self._loop.call_at(self._next_tick_at, self._tick)
 
     def take(self) -> Lag:
         """Return the lag since the last call, or zeros if the timer has not fired since then."""
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -122,7 +122,7 @@
             entries,
             balancer_settings,
             seed=plan.seed,
-            index=discovery.version,
+            list_version=discovery.version,
         )
         balancer = await RealBalancer.start(text, SOURCE_TREE_COMMAND)
         try:
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -8,7 +8,7 @@
 from testbed import experiment
 from testbed.chain.server import Behaviour
 from testbed.chain.settings import ChainSettings
-from testbed.experiment import formerly
+from testbed.experiment import renamed_field
 
 Positive = Annotated[float, Field(gt=0)]
 NonNegative = Annotated[float, Field(ge=0)]
@@ -21,7 +21,7 @@
 
     name: str
     behaviour: Behaviour
-    fraction: Annotated[float, Field(gt=0, le=1), formerly("fraction", "part")] = 1.0
+    fraction: Annotated[float, Field(gt=0, le=1), renamed_field("fraction", "part")] = 1.0
     """The fraction of requests that fail, if the behaviour is `Behaviour.FAILS`."""
     tier: Literal["first", "middle", "bottom"] = "bottom"
     servers: Annotated[int, Field(ge=0)] = 0
@@ -35,7 +35,7 @@
 class Plan(experiment.Plan):
     """The chains, the load and the faults; `sizes` are numbers of tiers."""
 
-    faults: Annotated[tuple[Fault, ...], Field(min_length=1), formerly("faults", "troubles")]
+    faults: Annotated[tuple[Fault, ...], Field(min_length=1), renamed_field("faults", "troubles")]
     """The faults, each of which is simulated at each depth."""
     servers_a_tier: Annotated[int, Field(ge=1)] = 6
     """The number of servers in each tier; each has a balancer of its own, except in the last tier."""
@@ -45,23 +45,23 @@
     """The mean rate of outside requests, which arrive as a Poisson process."""
     warm_s: NonNegative = 5.0
     """The time before the fault in seconds; with 0 the fault is present from the first request on."""
-    fault_s: Annotated[Positive, formerly("fault_s", "trouble_s")] = 15.0
+    fault_s: Annotated[Positive, renamed_field("fault_s", "trouble_s")] = 15.0
     """The duration of the fault in seconds."""
     after_s: NonNegative = 0.0
     """The time after the fault in seconds; with 0 the fault lasts until the last request has ended."""
     single_call: bool = False
     """Whether only one request arrives during the fault."""
-    idempotency: Annotated[Idempotency, formerly("idempotency", "effect")] = Idempotency.SAFE
+    idempotency: Annotated[Idempotency, renamed_field("idempotency", "effect")] = Idempotency.SAFE
     """If requests are keyed, all servers together deduplicate them for `idempotency_window_ms`."""
-    idempotency_window_ms: Annotated[NonNegative, formerly("idempotency_window_ms", "repeat_window_ms")] = (
-        2_000.0
-    )
-    latency_objective_ms: Annotated[Positive, formerly("latency_objective_ms", "aim_ms")] = 1_000.0
+    idempotency_window_ms: Annotated[
+        NonNegative, renamed_field("idempotency_window_ms", "repeat_window_ms")
+    ] = 2_000.0
+    latency_objective_ms: Annotated[Positive, renamed_field("latency_objective_ms", "aim_ms")] = 1_000.0
     deadline_ms: Positive = 3_000.0
-    late_value: Annotated[float, Field(ge=0, le=1), formerly("late_value", "late_share")] = 0.0
+    late_value: Annotated[float, Field(ge=0, le=1), renamed_field("late_value", "late_share")] = 0.0
     attempts_cap: Annotated[int, Field(ge=1)] = 4
     may_cancel: bool = True
-    may_hedge: Annotated[bool, formerly("may_hedge", "may_duplicate")] = False
+    may_hedge: Annotated[bool, renamed_field("may_hedge", "may_duplicate")] = False
     hop_ms: NonNegative = 0.2
     """The network latency of a message between two machines."""
     service_ms: NonNegative = 1.0
@@ -72,7 +72,7 @@
     """The limit on requests that a server works on concurrently; 0 for no limit."""
     queue: Annotated[int, Field(ge=0)] = 64
     """The limit on requests that wait at a server; any more are rejected."""
-    events_max: Annotated[int, Field(ge=1), formerly("events_max", "events_most")] = 3_000_000
+    events_max: Annotated[int, Field(ge=1), renamed_field("events_max", "events_most")] = 3_000_000
     """The limit on events of one simulation (one depth and fault), which is cut short when it is reached."""
 
     def chain_settings(self, depth: int) -> ChainSettings:
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -209,7 +209,7 @@
         chain = self._chain
         during = [request for request in chain.client_requests if request.phase == Phase.DURING]
         admitted = sum(request.was_attempted for request in during)
-        by_tier = chain.statistics.attempts_by_phase.get(Phase.DURING, [0] * chain.settings.depth)
+        by_tier = chain.recorder.attempts_by_phase.get(Phase.DURING, [0] * chain.settings.depth)
         return AttemptColumns(
             bottom_attempts_per_request=by_tier[-1] / len(during) if during else None,
             bottom_attempts_per_admitted=by_tier[-1] / admitted if admitted else None,
@@ -247,8 +247,8 @@
         return WorkColumns(
             virtual_s=chain.clock.now / 1000,
             events=chain.clock.events_run,
-            policy_events=chain.statistics.policy_events,
-            policy_us_per_event=chain.statistics.policy_s / max(chain.statistics.policy_events, 1) * 1e6,
+            policy_events=chain.recorder.policy_events,
+            policy_us_per_event=chain.recorder.policy_s / max(chain.recorder.policy_events, 1) * 1e6,
             elapsed_s=time.perf_counter() - start_s,
         )
 
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -64,7 +64,7 @@
         self._balancer = LoadBalancer(balancer_configuration.settings, balancer_configuration.seed)
         self._random = random.Random(plan.seed)
         self._now_ms = _START_MS
-        self._last_request = 0
+        self._last_request_number = 0
         self._attempt_ends: list[_AttemptEnd] = []
         self._endpoints_called: set[str] = set()
         endpoints = tuple([e.endpoint for e in balancer_configuration.known_endpoints.endpoints])
@@ -95,9 +95,9 @@
 
     def _receive_request(self, measured: DecisionRound) -> None:
         """Pass the next request to the policy, and schedule when its attempts end."""
-        self._last_request += 1
-        request_class = self._classes[self._last_request % len(self._classes)]
-        received = RequestReceived(self._last_request, request_class.name, request_class.deadline_ms)
+        self._last_request_number += 1
+        request_class = self._classes[self._last_request_number % len(self._classes)]
+        received = RequestReceived(self._last_request_number, request_class.name, request_class.deadline_ms)
         actions = self._handle(received, self._now_ms, measured.arrivals_ns)
         attempts = [action for action in actions if isinstance(action, StartAttempt)]
         measured.shed.append(not attempts)
@@ -105,7 +105,9 @@
             service_ms = self._random.expovariate(1 / self._plan.service_ms)
             self._endpoints_called.add(attempt.endpoint)
             end_ms = self._now_ms + min(service_ms, attempt.timeout_ms / 2)
-            heapq.heappush(self._attempt_ends, _AttemptEnd(end_ms, self._last_request, attempt.endpoint))
+            heapq.heappush(
+                self._attempt_ends, _AttemptEnd(end_ms, self._last_request_number, attempt.endpoint)
+            )
 
     def _handle(self, event: Event, now_ms: float, durations_ns: list[int]) -> Sequence[Action]:
         """Pass an event to the policy, and record its processing time."""
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -75,7 +75,7 @@
         configuration = read_configuration(self._configuration_text, ignore_message)
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
-        self._upstreams = UpstreamPools(configuration, loop)
+        self._upstream_pools = UpstreamPools(configuration, loop)
         loop.close()  # can be closed already, since applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
@@ -95,7 +95,7 @@
         parsed_ns = time.perf_counter_ns()
         update = read_endpoint_list(raw)
         read_ns = time.perf_counter_ns()
-        self._upstreams.update_endpoints(update)
+        self._upstream_pools.update_endpoints(update)
         pools_updated_ns = time.perf_counter_ns()
         kind = EndpointListKind.SNAPSHOT if update.is_complete else EndpointListKind.DELTA
         endpoints = tuple([e.endpoint for e in update.endpoints])
@@ -164,7 +164,7 @@
         before, _ = tracemalloc.get_traced_memory()
         # No variable may refer to the configuration: the parts that the balancer drops must not be counted.
         balancer = WatchOnlyBalancer(
-            read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
+            read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _version, _at_s: None
         )
         balancer.start()
         gc.collect()
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -33,7 +33,7 @@
     """The number of snapshots in a round."""
     rounds: Annotated[int, Field(gt=0)]
     """The number of quick rounds that a benchmark needs."""
-    rounds_max: Annotated[int, Field(gt=0), experiment.formerly("rounds_max", "rounds_most")]
+    rounds_max: Annotated[int, Field(gt=0), experiment.renamed_field("rounds_max", "rounds_most")]
     """The limit on rounds of a benchmark, whether quick or not."""
 
 
@@ -57,7 +57,7 @@
         balancers=balancers, tier=tier, zone=cached_entries[0]["zone"]
     )
     return settings.configuration_text(
-        "n0", "127.0.0.1:0", "127.0.0.1:1", cached_entries, balancer_settings, seed=plan.seed, index=1
+        "n0", "127.0.0.1:0", "127.0.0.1:1", cached_entries, balancer_settings, seed=plan.seed, list_version=1
     )
 
 
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -93,7 +93,7 @@
             self._discoveries[tier].entries,
             settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
             seed=next(self._seeds),
-            index=self._discoveries[tier].version,
+            list_version=self._discoveries[tier].version,
         )
 
     def _connect_tiers(self) -> None:
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -82,7 +82,10 @@
         "tier": tier,
         "zone": zone,
         "discovery": "push" if pushed else "ask",
-        "classes": [c | {"keyScope": "all", "repeatWindow": IDEMPOTENCY_WINDOW_MS} for c in REQUEST_CLASSES],
+        "classes": [
+            request_class | {"keyScope": "all", "repeatWindow": IDEMPOTENCY_WINDOW_MS}
+            for request_class in REQUEST_CLASSES
+        ],
         "tick": 1.0,
         "overShareWorth": 0.1,
         "weights": "nominal",
@@ -109,7 +112,7 @@
     settings: dict[str, Any],
     *,
     seed: int,
-    index: int = 0,
+    list_version: int = 0,
 ) -> str:
     """Return the text of the file that `LB_CONFIG` names (DEPLOY page).
 
@@ -120,7 +123,7 @@
         cached_entries: The cached endpoint list; without entries the balancer first requests a snapshot.
         settings: The balancer's settings, from `balancer_settings`.
         seed: The seed of its random numbers.
-        index: The version of `cached_entries`.
+        list_version: The version of `cached_entries`.
     """
     configuration = {
         "name": name,
@@ -128,7 +131,7 @@
         "discovery": format_address(discovery),
         "seed": f"{seed:016x}",
         "limits": RESOURCE_LIMITS,
-        "known": {"index": index, "snapshot": True, "endpoints": list(cached_entries)},
+        "known": {"index": list_version, "snapshot": True, "endpoints": list(cached_entries)},
         "settings": settings,
     }
     return json.dumps(configuration)
@@ -156,11 +159,11 @@
     }
 
 
-def loopback_host(number: int, first_octet: int = 64) -> str:
-    """Return the loopback host with a number, counted from 127.`first_octet`.0.1."""
+def loopback_host(number: int, second_octet: int = 64) -> str:
+    """Return the loopback host with a number, counted from 127.`second_octet`.0.1."""
     high, low = divmod(number, HOSTS_PER_OCTET * HOSTS_PER_OCTET)
     middle, last = divmod(low, HOSTS_PER_OCTET)
-    return f"127.{first_octet + high}.{middle}.{last + 1}"
+    return f"127.{second_octet + high}.{middle}.{last + 1}"
 
 
 def endpoint_entries(
@@ -183,21 +186,21 @@
         addresses: The entries' addresses; by default each entry has a loopback host of its own, on which
             nothing listens.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     names: dict[str, None] = {}  # not a set, since a dict keeps the order
     while len(names) < count:
-        names[f"s-{source.getrandbits(32):08x}"] = None
+        names[f"s-{rng.getrandbits(32):08x}"] = None
     entries = []
     for i, name in enumerate(names):
-        zone, round_number = i % zones, i // zones
+        zone, index_in_zone = i % zones, i // zones
         entries.append(
             endpoint_entry(
                 name,
                 addresses[i] if addresses else (loopback_host(i), ENDPOINT_PORT),
                 zone=f"r{zone % regions}-z{zone}",
-                endpoint_type=source.choice(ENDPOINT_TYPES),
-                group=zone * groups + round_number % groups,
-                weight=source.choice(ENDPOINT_WEIGHTS),
+                endpoint_type=rng.choice(ENDPOINT_TYPES),
+                group=zone * groups + index_in_zone % groups,
+                weight=rng.choice(ENDPOINT_WEIGHTS),
             )
         )
     return entries
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -22,7 +22,7 @@
     """Do not respond, not even to health checks."""
     RESET = "reset"
     """Reset the connection when a request or a health check has been received completely."""
-    REFUSE = "refuse"
+    REFUSE_CONNECTIONS = "refuse"
     """Refuse connections: close the listener and reset open connections."""
 
 
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -17,7 +17,7 @@
     from loadbalancer.configuration import Address
     from testbed.http.client import Clock
 
-FIRST_OCTET = 72
+DEFAULT_SECOND_OCTET = 72
 """By default, upstreams listen on the hosts from 127.72.0.1 upwards."""
 
 
@@ -33,12 +33,12 @@
         self._clock = clock
         self.upstreams: list[Upstream] = []
 
-    async def start(self, count: int, first_octet: int = FIRST_OCTET) -> list[Upstream]:
-        """Start and return `count` more upstreams, each on its own host from 127.`first_octet`.0.1."""
+    async def start(self, count: int, second_octet: int = DEFAULT_SECOND_OCTET) -> list[Upstream]:
+        """Start and return `count` more upstreams, each on its own host from 127.`second_octet`.0.1."""
         first_number = len(self.upstreams)
         for number in range(first_number, first_number + count):
             rng = random.Random(f"{self._seed}/{number}")
-            upstream = Upstream(loopback_host(number, first_octet), rng, self._clock)
+            upstream = Upstream(loopback_host(number, second_octet), rng, self._clock)
             await upstream.listen()
             self.upstreams.append(upstream)
         return self.upstreams[first_number:]
@@ -64,8 +64,10 @@
         addresses: Where the upstreams listen.
     """
 
-    def __init__(self, count: int, service_ms: float, seed: int, first_octet: int = FIRST_OCTET) -> None:
-        self._child = ChildProcess(_run, count, service_ms, seed, first_octet)
+    def __init__(
+        self, count: int, service_ms: float, seed: int, second_octet: int = DEFAULT_SECOND_OCTET
+    ) -> None:
+        self._child = ChildProcess(_run, count, service_ms, seed, second_octet)
         self.pid = self._child.pid
         self.addresses: list[Address] = self._child.receive()
 
@@ -78,14 +80,14 @@
         self._child.stop()
 
 
-def _run(pipe: Connection, count: int, service_ms: float, seed: int, first_octet: int) -> None:
+def _run(pipe: Connection, count: int, service_ms: float, seed: int, second_octet: int) -> None:
     """Run the child process."""
-    run_child(_serve(pipe, count, service_ms, seed, first_octet))
+    run_child(_serve(pipe, count, service_ms, seed, second_octet))
 
 
-async def _serve(pipe: Connection, count: int, service_ms: float, seed: int, first_octet: int) -> None:
+async def _serve(pipe: Connection, count: int, service_ms: float, seed: int, second_octet: int) -> None:
     group = UpstreamGroup(seed)
-    for upstream in await group.start(count, first_octet):
+    for upstream in await group.start(count, second_octet):
         upstream.behaviour = Behaviour(service_ms=service_ms)
     pipe.send([upstream.address for upstream in group.upstreams])
     await serve_pipe(pipe, group.counts)
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -65,7 +65,7 @@
     async def set_behaviour(self, behaviour: Behaviour) -> None:
         """Change the behaviour; an upstream that refused connections listens again at the same address."""
         self.behaviour = behaviour
-        if behaviour.mode is UpstreamMode.REFUSE:
+        if behaviour.mode is UpstreamMode.REFUSE_CONNECTIONS:
             self.close()
         elif self._listener is None:
             await self.listen()
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -36,10 +36,10 @@
 ) -> ChainSettings:
     base: dict[str, Any] = {
         "servers_per_tier": 2,
-        "fronts": 1,
+        "front_balancer_count": 1,
         "hop_ms": HOP_MS,
         "service_ms": SERVICE_MS,
-        "steady_service": True,
+        "constant_service_time": True,
     }
     request_class = RequestClass("call", latency_objective_ms, 3_000.0, idempotency)
     return ChainSettings(depth, request_class, **(base | changes))
@@ -78,7 +78,7 @@
     [
         (Behaviour.SERVES, Outcome.SUCCEEDED, 2 * HOP_MS + SERVICE_MS),
         (Behaviour.FAILS, Outcome.ERROR, 2 * HOP_MS + SERVICE_MS),
-        (Behaviour.REFUSES, Outcome.CONNECT_FAILED, HOP_MS),
+        (Behaviour.REFUSES_CONNECTIONS, Outcome.CONNECT_FAILED, HOP_MS),
         (Behaviour.REJECTS, Outcome.REJECTED, 2 * HOP_MS),
         (Behaviour.HANGS, Outcome.TIMED_OUT, 500.0),
     ],
@@ -101,7 +101,7 @@
     # Requests that are safe to retry get 503 and not 502.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == duration_ms
-    assert all(front.open_requests == 0 for front in chain.fronts)
+    assert all(front.open_requests == 0 for front in chain.front_balancers)
 
 
 def test_non_idempotent_request_that_may_have_run_fails() -> None:
@@ -110,7 +110,7 @@
     chain.send_request(0)
     run_to_end(chain)
     assert chain.client_requests[0].status == 502
-    assert chain.statistics.attempts_by_phase[0] == [1, 1]
+    assert chain.recorder.attempts_by_phase[0] == [1, 1]
 
 
 def test_failure_of_the_next_tier_fails_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -227,7 +227,7 @@
 
     recorded = RecordedEvents(monkeypatch, act)
     chain = Chain(chain_settings(1), 1)
-    chain.set_behaviour(1, 2, Behaviour.REFUSES)
+    chain.set_behaviour(1, 2, Behaviour.REFUSES_CONNECTIONS)
     chain.set_behaviour(1, 1, Behaviour.SERVES)
     chain.send_request(0)
     run_to_end(chain)
@@ -240,7 +240,7 @@
         (2 * served_at_ms - HOP_MS / 2, 2, Outcome.SUCCEEDED),
     ]
     assert chain.client_requests[0].status == 200
-    assert chain.statistics.attempts_by_phase[0] == [3]
+    assert chain.recorder.attempts_by_phase[0] == [3]
 
 
 @pytest.mark.parametrize(("starts_attempt", "status"), [(False, 503), (True, 502)])
@@ -262,7 +262,7 @@
 
 
 def test_full_server_rejects() -> None:
-    chain = Chain(chain_settings(1, servers_per_tier=1, workers=1, queue=2, max_attempts=1), 1)
+    chain = Chain(chain_settings(1, servers_per_tier=1, workers=1, max_queued=2, max_attempts=1), 1)
     for _ in range(4):
         chain.send_request(0)
     run_to_end(chain)
@@ -273,14 +273,14 @@
         2 * HOP_MS,
     ]
     assert chain.tiers[0][0].rejected == 1
-    unlimited = Chain(chain_settings(1, servers_per_tier=1, workers=0, queue=0, max_attempts=1), 1)
+    unlimited = Chain(chain_settings(1, servers_per_tier=1, workers=0, max_queued=0, max_attempts=1), 1)
     for _ in range(4):
         unlimited.send_request(0)
     run_to_end(unlimited)
     assert {request.finished_at_ms for request in unlimited.client_requests} == {2 * HOP_MS + SERVICE_MS}
 
 
-@pytest.mark.parametrize("behaviour", [Behaviour.REFUSES, Behaviour.REJECTS])
+@pytest.mark.parametrize("behaviour", [Behaviour.REFUSES_CONNECTIONS, Behaviour.REJECTS])
 def test_attempts_that_never_ran_are_retried_up_to_the_limit(behaviour: Behaviour) -> None:
     for max_attempts in (1, 3, 4):
         chain = Chain(chain_settings(1, servers_per_tier=6, max_attempts=max_attempts), 1)
@@ -288,5 +288,5 @@
         for _ in range(5):
             chain.send_request(0)
             run_to_end(chain)
-        assert chain.statistics.attempts_by_phase[0] == [5 * max_attempts]
+        assert chain.recorder.attempts_by_phase[0] == [5 * max_attempts]
         assert {request.last_tier_attempts for request in chain.client_requests} == {max_attempts}
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -20,7 +20,7 @@
 
 
 async def test_stalled_server_delays_no_send(upstreams: UpstreamGroup) -> None:
-    (upstream,) = await upstreams.start(1, first_octet=82)
+    (upstream,) = await upstreams.start(1, second_octet=82)
     request_count = len(list(arrival_times(4_000.0, 0.01, random.Random("7/calls"))))
     assert request_count > 20
     all_received = asyncio.Event()
@@ -50,7 +50,7 @@
     async def report_with(stall: float) -> StreamReport:
         clock = SteppingClock(stall=stall)
         upstreams = UpstreamGroup(seed=1)
-        (upstream,) = await upstreams.start(1, first_octet=82)
+        (upstream,) = await upstreams.start(1, second_octet=82)
         stream = Stream("calls", [Client(upstream.address, clock)], 20.0, "read", 5_000.0)
         report = (await run_streams([stream], 1.0, seed=3, clock=clock, sleep=clock.sleep))["calls"]
         upstreams.close()
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from testbed.experiment import EXPERIMENTS_FOLDER, ExperimentError, Plan, RunKind, formerly, read_plan
+from testbed.experiment import EXPERIMENTS_FOLDER, ExperimentError, Plan, RunKind, read_plan, renamed_field
 from testbed.results import RunResult
 from testbed.runs import RUN_KINDS
 
@@ -39,7 +39,7 @@
 
 def test_renamed_field_is_read_under_either_name(tmp_path: Path) -> None:
     class RenamedPlan(Plan):
-        new_s: Annotated[float, formerly("new_s", "old_s")] = 0.0
+        new_s: Annotated[float, renamed_field("new_s", "old_s")] = 0.0
 
     run_kinds = {"none": RunKind(RenamedPlan, lambda plan, log: RunResult())}
     path = tmp_path / "renamed.toml"
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -12,7 +12,9 @@
         balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True}
     )
     configuration = read_configuration(
-        configuration_text("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41),
+        configuration_text(
+            "n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, list_version=41
+        ),
         warnings.append,
     )
     assert warnings == []
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -28,7 +28,7 @@
         (UpstreamMode.HANG, NO_RESPONSE, NO_RESPONSE, {"hung": 1, "abandoned": 1}),
         (UpstreamMode.RESET, NO_RESPONSE, NO_RESPONSE, {"reset": 2}),
         (
-            UpstreamMode.REFUSE,
+            UpstreamMode.REFUSE_CONNECTIONS,
             NO_RESPONSE,
             NO_RESPONSE,
             {"requests": 0, "health_checks": 0, "connections": 0},
@@ -42,7 +42,7 @@
     health_status: int,
     changed_counts: dict[str, int],
 ) -> None:
-    (upstream,) = await upstreams.start(1, first_octet=82)
+    (upstream,) = await upstreams.start(1, second_octet=82)
     assert upstream.address[0] == "127.82.0.1"
     await upstream.set_behaviour(Behaviour(mode))
     timeout_ms = 20.0 if mode is UpstreamMode.HANG else 5_000.0
@@ -68,7 +68,7 @@
 
 
 async def test_rejected_request_is_marked_as_not_run(upstreams: UpstreamGroup) -> None:
-    (upstream,) = await upstreams.start(1, first_octet=82)
+    (upstream,) = await upstreams.start(1, second_octet=82)
     await upstream.set_behaviour(Behaviour(UpstreamMode.REJECT))
     reader, writer = await asyncio.open_connection(*upstream.address)
     writer.write(compose_request("read", next(REQUEST_IDS), 100.0))
@@ -81,7 +81,7 @@
 async def test_fraction_of_requests_fails_according_to_seed() -> None:
     async def statuses_with(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
-        (upstream,) = await upstreams.start(1, first_octet=82)
+        (upstream,) = await upstreams.start(1, second_octet=82)
         await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL, fraction=0.5))
         client = Client(upstream.address)
         statuses = [await send_request(client) for _ in range(64)]
@@ -97,7 +97,7 @@
 async def test_chain_passes_on_remaining_time_under_new_ids() -> None:
     clock = SteppingClock(step=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
-    chain = await upstreams.start(3, first_octet=82)
+    chain = await upstreams.start(3, second_octet=82)
     received: list[ReceivedRequest] = []
     for number, upstream in enumerate(chain):
         upstream.on_request = received.append
@@ -119,7 +119,7 @@
 
 
 async def test_abandoned_request_is_cancelled_at_the_next_tier(upstreams: UpstreamGroup) -> None:
-    top, bottom = await upstreams.start(2, first_octet=82)
+    top, bottom = await upstreams.start(2, second_octet=82)
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
     task = asyncio.ensure_future(send_request(Client(top.address)))
@@ -130,7 +130,7 @@
 
 
 async def test_upstream_process_serves_counts_and_ends() -> None:
-    process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
+    process = UpstreamProcess(3, 0.0, seed=1, second_octet=82)
     try:
         assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
         counts = process.counts()
