--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -97,5 +97,5 @@
             typer.echo(results.format_result(stored) + "\n")
         except (OSError, ValueError, KeyError, TypeError) as error:
             problem = " ".join(str(error).split())
-            failure = f"{path}: can't read the result: {problem}"
-            raise _usage_error(failure) from None
+            message = f"{path}: can't read the result: {problem}"
+            raise _usage_error(message) from None
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -108,8 +108,10 @@
         raise UndeterminedSlopeError(x, y)
     slope = float(((xs - xs.mean()) * (ys - ys.mean())).sum()) / squared_deviations
     intercept = float(ys.mean() - slope * xs.mean())
-    dof = len(xs) - 2
-    residual_variance = float(((ys - slope * xs - intercept) ** 2).sum()) / dof if dof else 0.0
+    degrees_of_freedom = len(xs) - 2
+    residual_variance = (
+        float(((ys - slope * xs - intercept) ** 2).sum()) / degrees_of_freedom if degrees_of_freedom else 0.0
+    )
     slope_error = math.sqrt(residual_variance / squared_deviations)
     intercept_error = math.sqrt(
         residual_variance * (1 / len(xs) + float(xs.mean()) ** 2 / squared_deviations)
@@ -181,7 +183,7 @@
 
 def versions() -> dict[str, str]:
     """Return the program's commit and the versions of Python and the libraries."""
-    described = subprocess.run(
+    git_describe = subprocess.run(
         ["git", "describe", "--always", "--dirty", "--abbrev=8"],
         cwd=Path(__file__).parent,
         capture_output=True,
@@ -189,7 +191,7 @@
         check=False,
     )
     return {
-        "program": described.stdout.strip() or "unknown",
+        "program": git_describe.stdout.strip() or "unknown",
         "python": platform.python_version(),
         **{name: version(name) for name in LIBRARIES},
     }
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -20,7 +20,7 @@
     from testbed.balancer.watch_only_process import AppliedListsReport
     from testbed.discovery.agent_state import RequestCounts
 
-FULL_PROCESS_FRACTION = 0.8
+SATURATED_PROCESS_FRACTION = 0.8
 """Results are invalid if a process uses this fraction of a core or more.
 
 Its balancers then wait for one another, which adds to their delays.
@@ -34,11 +34,11 @@
     The hollow balancers of a process apply a change one after another, so their delays are upper bounds.
     """
 
-    median_in_force_ms: float | None = stored_as("in_force_ms_median")
+    median_applied_ms: float | None = stored_as("in_force_ms_median")
     """Until the policy of a hollow balancer has applied the change."""
-    p99_in_force_ms: float | None = stored_as("in_force_ms_99")
-    max_in_force_ms: float | None = stored_as("in_force_ms_longest")
-    median_everywhere_ms: float | None = stored_as("everywhere_ms_median")
+    p99_applied_ms: float | None = stored_as("in_force_ms_99")
+    max_applied_ms: float | None = stored_as("in_force_ms_longest")
+    median_applied_by_all_ms: float | None = stored_as("everywhere_ms_median")
     """Until all hollow balancers have applied the change; the median over the changes."""
     median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
     """Until the next watch request of a hollow balancer acknowledges the change."""
@@ -174,17 +174,17 @@
     ) -> DelayColumns:
         group, first_version = self._group, self._first_version
         changed_at = np.array(group.discovery.changed_at[first_version:])
-        in_force = delays_ms(_applied_versions(reports), group.watch_only_agents, first_version, changed_at)
+        applied = delays_ms(_applied_versions(reports), group.watch_only_agents, first_version, changed_at)
         acknowledged = delays_ms(acknowledgements, group.watch_only_agents, first_version, changed_at)
         real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, changed_at)
         written_s = np.array(group.discovery.written_at[first_version:]) - changed_at
-        in_force_quantiles, acknowledged_quantiles = delay_quantiles(in_force), delay_quantiles(acknowledged)
+        applied_quantiles, acknowledged_quantiles = delay_quantiles(applied), delay_quantiles(acknowledged)
         real_acknowledged_quantiles = delay_quantiles(real_acknowledged)
         return DelayColumns(
-            median_in_force_ms=in_force_quantiles.median,
-            p99_in_force_ms=in_force_quantiles.p99,
-            max_in_force_ms=in_force_quantiles.maximum,
-            median_everywhere_ms=float(np.median(in_force.max(axis=0))) if in_force.size else None,
+            median_applied_ms=applied_quantiles.median,
+            p99_applied_ms=applied_quantiles.p99,
+            max_applied_ms=applied_quantiles.maximum,
+            median_applied_by_all_ms=float(np.median(applied.max(axis=0))) if applied.size else None,
             median_acknowledged_ms=acknowledged_quantiles.median,
             p99_acknowledged_ms=acknowledged_quantiles.p99,
             max_acknowledged_ms=acknowledged_quantiles.maximum,
@@ -203,7 +203,7 @@
     if max_lateness_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: a change was made {max_lateness_s * 1000:.0f} ms late")
     max_process_fraction = max(readings.processor_s) / readings.elapsed_s
-    if max_process_fraction >= FULL_PROCESS_FRACTION:
+    if max_process_fraction >= SATURATED_PROCESS_FRACTION:
         reasons.append(f"{name}: a process used {max_process_fraction:.0%} of a core")
     return reasons
 
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -120,10 +120,10 @@
             f"n{number}", listen, agent, [], balancer_settings, seed=seed + number
         )
 
-    for first in range(min(process_count, watch_only_count)):
+    for process_index in range(min(process_count, watch_only_count)):
         texts = {
             number: configuration_text(number, "127.0.0.1:0")
-            for number in range(first, watch_only_count, process_count)
+            for number in range(process_index, watch_only_count, process_count)
         }
         process = WatchOnlyProcess(texts)
         stack.callback(process.stop)
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -38,7 +38,7 @@
                 depth=depth,
                 trouble=fault.name,
                 served=row.served.served,
-                bottom_attempts_a_call=row.attempts.bottom_attempts_per_request,
+                bottom_attempts_a_call=row.attempts.last_tier_attempts_per_request,
                 events=row.work.events,
                 cut_short=row.cut_short,
                 machine_s=round(row.work.elapsed_s, 2),
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -61,11 +61,11 @@
 class AttemptColumns(Row):
     """Attempts for the requests that arrived during the fault; null if there were no requests."""
 
-    bottom_attempts_per_request: float | None = stored_as("bottom_attempts_a_call")
+    last_tier_attempts_per_request: float | None = stored_as("bottom_attempts_a_call")
     """Attempts at the last tier per request."""
-    bottom_attempts_per_admitted: float | None = stored_as("bottom_attempts_an_admitted")
+    last_tier_attempts_per_admitted: float | None = stored_as("bottom_attempts_an_admitted")
     """Attempts at the last tier per request for which the front balancer made an attempt."""
-    max_bottom_attempts: int = stored_as("bottom_attempts_most")
+    max_last_tier_attempts: int = stored_as("bottom_attempts_most")
     """The maximum number of attempts at the last tier for one request."""
     attempts_a_call_by_tier: list[float | None]
 
@@ -102,7 +102,7 @@
     """The median of the time per tier of a served request, minus two messages and the mean service time."""
     p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
     """The 99th percentile of the same time."""
-    bottom_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
+    last_tier_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
     """The fraction of requests served, by the window after the fault in which they arrived."""
@@ -180,7 +180,7 @@
             rejected_queue_full=sum(server.rejected for tier in chain.tiers for server in tier),
             p50_added_per_tier_ms=float(np.percentile(added_ms, 50)) if added_ms else None,
             p99_added_per_tier_ms=float(np.percentile(added_ms, 99)) if added_ms else None,
-            bottom_deadline_fraction=statistics.median(deadline_fractions) if deadline_fractions else None,
+            last_tier_deadline_fraction=statistics.median(deadline_fractions) if deadline_fractions else None,
             served_after_by_window=windows,
             cut_short=not is_complete,
             work=self._work_columns(start_s),
@@ -211,9 +211,9 @@
         admitted = sum(request.was_attempted for request in during)
         by_tier = chain.recorder.attempts_by_phase.get(Phase.DURING, [0] * chain.settings.depth)
         return AttemptColumns(
-            bottom_attempts_per_request=by_tier[-1] / len(during) if during else None,
-            bottom_attempts_per_admitted=by_tier[-1] / admitted if admitted else None,
-            max_bottom_attempts=max((request.last_tier_attempts for request in during), default=0),
+            last_tier_attempts_per_request=by_tier[-1] / len(during) if during else None,
+            last_tier_attempts_per_admitted=by_tier[-1] / admitted if admitted else None,
+            max_last_tier_attempts=max((request.last_tier_attempts for request in during), default=0),
             attempts_a_call_by_tier=[
                 round(attempts / len(during), 4) if during else None for attempts in by_tier
             ],
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -116,10 +116,10 @@
         durations_ns.append(time.perf_counter_ns() - start_ns)
         return actions
 
-    def row(self, quick_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
+    def row(self, undisturbed_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
         """Return the row that combines all quick rounds."""
-        arrivals_ns = [duration_ns for measured in quick_rounds for duration_ns in measured.arrivals_ns]
-        ends_ns = [duration_ns for measured in quick_rounds for duration_ns in measured.ends_ns]
+        arrivals_ns = [duration_ns for measured in undisturbed_rounds for duration_ns in measured.arrivals_ns]
+        ends_ns = [duration_ns for measured in undisturbed_rounds for duration_ns in measured.ends_ns]
         return DecisionRow(
             identity=self.identity,
             arrival_us_median=float(np.median(arrivals_ns)) / _NS_PER_US,
@@ -129,7 +129,7 @@
             end_us_mean=float(np.mean(ends_ns)) / _NS_PER_US,
             p99_end_us=float(np.percentile(ends_ns, 99)) / _NS_PER_US,
             requests=len(arrivals_ns),
-            shed=sum(sum(measured.shed) for measured in quick_rounds),
+            shed=sum(sum(measured.shed) for measured in undisturbed_rounds),
             endpoints_called=len(self._endpoints_called),
             rounds=columns,
         )
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -127,10 +127,10 @@
         self._delta_bytes = len(body)
         return body
 
-    def row(self, quick_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
+    def row(self, undisturbed_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
         """Return the row that combines all quick rounds; the memory is measured now."""
-        lists = [times for measured in quick_rounds for times in measured.lists]
-        deltas = [times for measured in quick_rounds for times in measured.deltas]
+        lists = [times for measured in undisturbed_rounds for times in measured.lists]
+        deltas = [times for measured in undisturbed_rounds for times in measured.deltas]
         return ListRow(
             identity=self.identity,
             list_bytes=self._list_bytes,
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -19,11 +19,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-REFERENCE_REPETITIONS = 20
+CALIBRATION_REPETITIONS = 20
 """The number of repetitions of the reference computation, of which the median is one reading."""
-INITIAL_REFERENCES = 100
+INITIAL_CALIBRATIONS = 100
 """The number of readings at the start; their minimum is the time on an undisturbed core."""
-MAX_QUICK_RATIO = 1.25
+MAX_UNDISTURBED_RATIO = 1.25
 """The maximum ratio of a quick reference to the minimum; on a core with a busy sibling it is nearly 2."""
 _NS_PER_US = 1e3
 
@@ -35,7 +35,7 @@
     rounds: int
     """The number of quick rounds, which the row is computed from."""
     rounds_run: int = stored_as("rounds_played")
-    reference_us: float
+    max_calibration_us: float = stored_as("reference_us")
     """The slowest reference of the quick rounds, in microseconds."""
 
 
@@ -54,14 +54,14 @@
     def run_round(self) -> RoundT:
         """Run one round."""
 
-    def row(self, quick_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
+    def row(self, undisturbed_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
         """Return the row that combines all quick rounds and includes `columns`."""
 
 
-def reference_us() -> float:
+def measure_calibration_us() -> float:
     """Measure the median time of the reference computation, in microseconds."""
     durations_ns = []
-    for _ in range(REFERENCE_REPETITIONS):
+    for _ in range(CALIBRATION_REPETITIONS):
         start_ns = time.perf_counter_ns()
         sum([math.exp(-i / 1000) for i in range(1000)])
         durations_ns.append(time.perf_counter_ns() - start_ns)
@@ -72,7 +72,7 @@
 class _MeasuredRound:
     """The measurements of a round, and the slower of the references before and after it."""
 
-    reference_us: float
+    calibration_us: float
     measured: Any
 
 
@@ -80,27 +80,35 @@
     """Runs rounds of each benchmark until enough of them were quick.
 
     Args:
-        quick_rounds: The number of quick rounds that each benchmark needs.
+        required_rounds: The number of quick rounds that each benchmark needs.
         max_rounds: The limit on rounds of a benchmark.
-        reference: Returns a reading of the reference in microseconds.
+        measure_calibration_us: Returns a reading of the reference in microseconds.
     """
 
-    def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
-        self._quick_rounds, self._max_rounds, self._reference = quick_rounds, max_rounds, reference
+    def __init__(
+        self, required_rounds: int, max_rounds: int, measure_calibration_us: Callable[[], float]
+    ) -> None:
+        self._required_rounds, self._max_rounds, self._measure_calibration_us = (
+            required_rounds,
+            max_rounds,
+            measure_calibration_us,
+        )
         self._measured_benchmarks: list[tuple[Benchmark[Any, RowT], list[_MeasuredRound]]] = []
-        self._min_reference_us = min([reference() for _ in range(INITIAL_REFERENCES)])
+        self._min_calibration_us = min([measure_calibration_us() for _ in range(INITIAL_CALIBRATIONS)])
 
-    def _is_quick(self, measured_round: _MeasuredRound) -> bool:
-        return measured_round.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
+    def _is_undisturbed(self, measured_round: _MeasuredRound) -> bool:
+        return measured_round.calibration_us <= MAX_UNDISTURBED_RATIO * self._min_calibration_us
 
     def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
         """Run rounds until enough were quick, compared with the minimum so far, or the limit is reached."""
         rounds: list[_MeasuredRound] = []
-        before = self._reference()
-        while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
+        before = self._measure_calibration_us()
+        while (
+            len(rounds) < self._max_rounds and sum(map(self._is_undisturbed, rounds)) < self._required_rounds
+        ):
             measured = benchmark.run_round()
-            after = self._reference()
-            self._min_reference_us = min(self._min_reference_us, after)
+            after = self._measure_calibration_us()
+            self._min_calibration_us = min(self._min_calibration_us, after)
             rounds.append(_MeasuredRound(max(before, after), measured))
             before = after
         self._measured_benchmarks.append((benchmark, rounds))
@@ -109,16 +117,18 @@
         """Return the rows of all benchmarks; the result is invalid if one of them has no quick round."""
         result: RunResult[RowT] = RunResult()
         for benchmark, rounds in self._measured_benchmarks:
-            quick = list(filter(self._is_quick, rounds))
-            if not quick:
+            undisturbed = list(filter(self._is_undisturbed, rounds))
+            if not undisturbed:
                 result.invalid_reasons.append(
                     f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was quick"
                 )
                 continue
             columns = RoundColumns(
-                rounds=len(quick),
+                rounds=len(undisturbed),
                 rounds_run=len(rounds),
-                reference_us=max(measured_round.reference_us for measured_round in quick),
+                max_calibration_us=max(measured_round.calibration_us for measured_round in undisturbed),
+            )
+            result.rows.append(
+                benchmark.row([measured_round.measured for measured_round in undisturbed], columns)
             )
-            result.rows.append(benchmark.row([measured_round.measured for measured_round in quick], columns))
         return result
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -14,7 +14,7 @@
 from testbed.runs.list_size.decisions import DecisionBenchmark
 from testbed.runs.list_size.lists import ListBenchmark
 from testbed.runs.list_size.plan import EndpointUse, Plan
-from testbed.runs.list_size.rounds import BenchmarkRunner, reference_us
+from testbed.runs.list_size.rounds import BenchmarkRunner, measure_calibration_us
 from testbed.runs.list_size.rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
 if TYPE_CHECKING:
@@ -45,7 +45,9 @@
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
     """Measure every length of the list, with a subset and with all endpoints, at every tier."""
     cores = CoreMonitor()
-    runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(plan.rounds, plan.rounds_max, reference_us)
+    runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(
+        plan.rounds, plan.rounds_max, measure_calibration_us
+    )
     for entries in plan.sizes:
         for endpoint_use in _ENDPOINT_USES:
             for tier in plan.tiers:
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -79,10 +79,10 @@
         configuration_texts = [
             self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_TIER_SIZE)
         ]
-        for first in range(0, len(configuration_texts), _START_BATCH_SIZE):
-            for configuration_text in configuration_texts[first : first + _START_BATCH_SIZE]:
+        for batch_start in range(0, len(configuration_texts), _START_BATCH_SIZE):
+            for configuration_text in configuration_texts[batch_start : batch_start + _START_BATCH_SIZE]:
                 self.balancers.append(await RealBalancer.start(configuration_text, SOURCE_TREE_COMMAND))
-            await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[first:]))
+            await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[batch_start:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
         """Return the configuration of balancer `number` that sends to `tier`, both counted from 0."""
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TimeColumns(Row):
+class LatencyColumns(Row):
     """Latency percentiles of requests with a 200 response; `added` is `through` minus `direct`."""
 
     direct_50_ms: float
@@ -70,8 +70,8 @@
 class DeadlineColumns(Row):
     """The deadlines of the requests that reached the last tier, in milliseconds."""
 
-    median_bottom_deadline_ms: float = stored_as("bottom_deadline_50_ms")
-    min_bottom_deadline_ms: float = stored_as("bottom_deadline_least_ms")
+    median_last_tier_deadline_ms: float = stored_as("bottom_deadline_50_ms")
+    min_last_tier_deadline_ms: float = stored_as("bottom_deadline_least_ms")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -91,13 +91,13 @@
     """All other requests."""
     last_unserved_s: float
     """The scheduled time, from the start of the phase, of the last request not served; 0 if all were."""
-    times: TimeColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
+    times: LatencyColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no direct request, or none through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no request reached the last tier."""
     first_tier_attempts_per_request: float = stored_as("attempts_top")
     """Attempts at the first tier per request."""
-    bottom_attempts_per_request: float = stored_as("attempts_bottom")
+    last_tier_attempts_per_request: float = stored_as("attempts_bottom")
     """Attempts at the last tier per request."""
     attempts_by_tier: list[int]
     processor_us_per_request: float = stored_as("processor_us_a_call")
@@ -193,10 +193,10 @@
         rejected=rejected,
         failed=requests - served - rejected,
         last_unserved_s=max(through.unserved_at_s, default=0.0),
-        times=_time_columns(readings.reports["direct"].served_latencies, through.served_latencies),
+        times=_latency_columns(readings.reports["direct"].served_latencies, through.served_latencies),
         deadlines=_deadline_columns(chain.deadlines_ms),
         first_tier_attempts_per_request=readings.attempts[0] / requests,
-        bottom_attempts_per_request=readings.attempts[-1] / requests,
+        last_tier_attempts_per_request=readings.attempts[-1] / requests,
         attempts_by_tier=readings.attempts,
         processor_us_per_request=processor_s * 1e6 / requests,
         resident_mib=readings.usage_after.resident_bytes / _MIB,
@@ -204,11 +204,11 @@
     )
 
 
-def _time_columns(direct: Latencies, through: Latencies) -> TimeColumns | None:
+def _latency_columns(direct: Latencies, through: Latencies) -> LatencyColumns | None:
     """Compare direct latencies with those through the balancers; return None if either has none."""
     if not through.count or not direct.count:
         return None
-    return TimeColumns(
+    return LatencyColumns(
         direct_50_ms=direct.quantile_ms(0.5),
         through_50_ms=through.quantile_ms(0.5),
         through_90_ms=through.quantile_ms(0.9),
@@ -223,5 +223,5 @@
         return None
     ordered = sorted(deadlines_ms)
     return DeadlineColumns(
-        median_bottom_deadline_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
+        median_last_tier_deadline_ms=ordered[len(ordered) // 2], min_last_tier_deadline_ms=ordered[0]
     )
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -14,7 +14,7 @@
 from testbed.results import Row
 from testbed.runs import RUN_KINDS
 from testbed.runs.list_size import run as list_size
-from testbed.runs.list_size.rounds import INITIAL_REFERENCES, BenchmarkRunner, RoundColumns
+from testbed.runs.list_size.rounds import INITIAL_CALIBRATIONS, BenchmarkRunner, RoundColumns
 from testbed.runs.list_size.rows import BenchmarkIdentity, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
@@ -25,7 +25,7 @@
 
 
 def test_list_size_run_measures_every_step_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(list_size, "reference_us", lambda: 50.0)
+    monkeypatch.setattr(list_size, "measure_calibration_us", lambda: 50.0)
     plan = read_plan(EXPERIMENTS_FOLDER / "list_size.toml", RUN_KINDS)
     overrides = {
         "sizes": (6, 40),
@@ -69,7 +69,7 @@
     values: dict[str, Any] = costs | growth | {"memory_kib": 1.0, "list_module_ms": list_module_ms}
     return ListRow(
         identity=BenchmarkIdentity(measured="list", entries=entries, keeps="all", tier=0),
-        rounds=RoundColumns(rounds=1, rounds_run=1, reference_us=1.0),
+        rounds=RoundColumns(rounds=1, rounds_run=1, max_calibration_us=1.0),
         **values,
     )
 
@@ -102,20 +102,20 @@
         self.rounds += 1
         return float(self.rounds)
 
-    def row(self, quick_rounds: Sequence[float], columns: RoundColumns) -> RoundRow:
-        return RoundRow(round=list(quick_rounds), round_columns=columns)
+    def row(self, undisturbed_rounds: Sequence[float], columns: RoundColumns) -> RoundRow:
+        return RoundRow(round=list(undisturbed_rounds), round_columns=columns)
 
 
-def test_only_rounds_between_quick_references_count() -> None:
+def test_only_undisturbed_rounds_count() -> None:
     def measure_rounds(
-        quick_rounds: int, max_rounds: int, *readings: float
+        required_rounds: int, max_rounds: int, *readings: float
     ) -> tuple[list[dict[str, Any]], list[str]]:
-        references = iter([*[10.0] * INITIAL_REFERENCES, *readings])
+        calibrations = iter([*[10.0] * INITIAL_CALIBRATIONS, *readings])
         runner: BenchmarkRunner[RoundRow] = BenchmarkRunner(
-            quick_rounds, max_rounds, lambda: next(references)
+            required_rounds, max_rounds, lambda: next(calibrations)
         )
         runner.measure(CountingBenchmark())
-        assert next(references, None) is None
+        assert next(calibrations, None) is None
         result = runner.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
