--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m testbed`."""
+"""The entry point of `python -m testbed`."""
 
 from testbed.cli import app
 
--- a/testbed/balancer/__init__.py
+++ b/testbed/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""Balancers under measurement: real processes, and hollow ones that have no clients."""
+"""Balancers under measurement: real processes, and watch-only balancers without clients."""
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -28,7 +28,7 @@
 _HEALTH_CHECK_TIMEOUT_S = 5.0
 _KILL_AFTER_S = 10.0
 _LOG_TAIL_CHARACTERS = 500
-"""The number of characters at the end of a log that an error quotes."""
+"""The maximum number of characters that an error quotes from the end of a log."""
 
 _running_pids: set[int] = set()
 
--- a/testbed/balancer/watch_only.py
+++ b/testbed/balancer/watch_only.py
@@ -1,6 +1,6 @@
-"""Hollow balancers: the real proxy with its policy and endpoint watch, but without clients.
+"""Watch-only balancers: the real proxy with its policy and endpoint watch, but without clients.
 
-A hollow balancer does the same control-plane work as a real one, and many fit into one process. Its
+A watch-only balancer does the same control-plane work as a real one, and many fit into one process. Its
 connection pools exist and stay empty, since no request arrives.
 """
 
--- a/testbed/balancer/watch_only_process.py
+++ b/testbed/balancer/watch_only_process.py
@@ -1,4 +1,4 @@
-"""A child process that runs hollow balancers and reports when each of them applied a list."""
+"""A child process that runs watch-only balancers and reports when each of them applied a list."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class WatchOnlyProcess:
-    """A child process that runs hollow balancers.
+    """A child process that runs watch-only balancers.
 
     Attributes:
         pid: Its process id.
@@ -63,7 +63,7 @@
         self.pid = self._child.pid
 
     def report(self) -> AppliedListsReport:
-        """Return what was applied since the previous report; blocks until the child responds."""
+        """Return the lists applied since the previous report; blocks until the child responds."""
         return cast("AppliedListsReport", self._child.request("report"))
 
     def stop(self) -> AppliedListsReport:
@@ -85,7 +85,7 @@
         self._applied_lists.append(_AppliedList(balancer_number, version, applied_at_s))
 
     def take_report(self, lag_monitor: LoopLagMonitor) -> AppliedListsReport:
-        """Return what was applied since the previous report, with the lag of the event loop."""
+        """Return the lists applied since the previous report, and the lag of the event loop."""
         applied_lists, self._applied_lists = self._applied_lists, []
         p99_lag_s, max_lag_s = lag_monitor.take()
         return AppliedListsReport(
--- a/testbed/chain/chain.py
+++ b/testbed/chain/chain.py
@@ -1,6 +1,6 @@
 """Simulated chains: tiers of servers, each of which calls the next tier through the real policy.
 
-Each server of the tiers 1 to depth-1 has a `LoadBalancer` of its own, which sends to the next tier; front
+Each server in tiers 1 to depth-1 has its own `LoadBalancer`, which sends to the next tier; front
 balancers send to the first tier (PROTOCOL, "Callers to balancers"). This is a discrete-event simulation on
 one virtual clock: it opens no sockets and never sleeps, and all random numbers are derived from the seed.
 """
@@ -17,13 +17,13 @@
 
 
 class Chain:
-    """The tiers of servers, the front balancers and the outside requests.
+    """The tiers of servers, the front balancers and the client requests.
 
     Attributes:
         settings: The size of the chain and the limits of its balancers.
         clock: The virtual clock.
-        recorder: Counts of the events and attempts of all balancers.
-        client_requests: The outside requests, in the order of their arrival.
+        recorder: Records the events and attempts of all balancers.
+        client_requests: The client requests, in the order of their arrival.
         tiers: The servers, by tier.
         front_balancers: The front balancers.
     """
@@ -33,7 +33,7 @@
         self.clock = VirtualClock()
         self.recorder = ChainRecorder(settings.depth, settings.request_class.deadline_ms)
         self.client_requests: list[ClientRequest] = []
-        # The text after the seed selects a random stream: another text would change all results.
+        # The suffix selects one of several random streams of a seed; another suffix would change all results.
         self._front_random = random.Random(f"{seed}:doors")
         self._seed_random = random.Random(f"{seed}:balancers")
         model = ServiceModel(settings, seed)
@@ -53,7 +53,7 @@
         return BalancerHost(self.settings, self.clock, self.recorder, tier, servers, seed)
 
     def send_request(self, phase: int) -> None:
-        """Send an outside request now, to a front balancer that is chosen at random."""
+        """Send a client request now, to a front balancer chosen at random."""
         request = ClientRequest(self.clock, phase)
         self.client_requests.append(request)
         front_balancer = self.front_balancers[self._front_random.randrange(len(self.front_balancers))]
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -61,7 +61,7 @@
     caller: Caller
     client_request: ClientRequest
     deadline_ms: float
-    """When attempts have to end, so that the response still reaches the client in time."""
+    """The time by which attempts have to end, so that the response still reaches the client in time."""
     attempts: list[Attempt | None] = field(default_factory=list)
     """The attempts by index; None for an attempt that the policy started after the response."""
     is_open: bool = True
@@ -79,7 +79,7 @@
 
 
 class BalancerHost:
-    """Runs a balancer's policy, and keeps its open requests."""
+    """Runs a balancer's policy, and tracks its open requests."""
 
     def __init__(
         self,
@@ -113,8 +113,8 @@
         """Pass a new request to the policy.
 
         Args:
-            caller: Receives the response.
-            client_request: The outside request that it belongs to.
+            caller: The caller, which receives the response.
+            client_request: The client request that it belongs to.
             remaining_ms: The time until its deadline.
 
         Returns:
@@ -242,7 +242,7 @@
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
-        """Record an attempt's outcome; the first successful response is sent on before the policy runs."""
+        """Record an attempt's outcome; the first successful response is forwarded before the policy runs."""
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED:
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -1,4 +1,4 @@
-"""An outside request that passes through the tiers of a simulated chain, and statistics over all requests."""
+"""A client request that passes through the tiers of a simulated chain, and the recorder of a chain."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Caller(Protocol):
-    """Receives a balancer's response: an outside client, or a server of the previous tier."""
+    """The caller of a balancer: a client, or an attempt at a server of the previous tier."""
 
     def receive_response(self, status: int) -> None:
         """Receive the final response; called once."""
 
 
 class ClientRequest:
-    """One outside request.
+    """One request from a client of the front balancers.
 
     Attributes:
-        phase: The phase of the simulation in which it arrived, as the run defines phases.
+        phase: The phase of the simulation in which it arrived; the run defines the phases.
         received_at_ms: When it arrived.
         finished_at_ms: When the front balancer responded; infinite until then.
         status: The status of that response: 200 served, 502 failed, 503 rejected; 0 until then.
@@ -60,13 +60,14 @@
 
 @dataclass(slots=True)
 class ChainRecorder:
-    """Statistics over all balancers of a chain.
+    """Records the attempts and the processing time of all policies in a chain.
 
     Attributes:
         depth: The number of tiers.
-        deadline_ms: The deadline of every outside request.
-        attempts_by_phase: For outside requests of each phase, the attempts at each tier, tier 1 first.
-        policy_events: The number of events that policies have handled.
+        deadline_ms: The deadline of every client request.
+        attempts_by_phase: The number of attempts at each tier (tier 1 first), for the client requests of each
+            phase.
+        policy_events: The number of events that the policies have handled.
         policy_s: The measured processing time of these events, in seconds.
     """
 
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -1,8 +1,8 @@
 """The servers of a simulated chain, and the attempts that balancers make at them.
 
-Connections count as established already: a message takes `hop_ms` in each direction, and a refused
-connection attempt fails after `hop_ms`. A server and its own balancer share a machine, so messages between
-them take no time. All times are milliseconds.
+Connections are assumed to be established: a message takes `hop_ms` in each direction. If a server refuses
+connections, an attempt fails after `hop_ms`. A server and its own balancer share a machine, so messages
+between them take no time. All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 
 class Behaviour(enum.Enum):
-    """How a server handles attempts; experiment files contain the values."""
+    """How a server handles attempts; experiment files use the values."""
 
     SERVES = "serves"
     FAILS = "fails"
-    """It responds 500 to a fraction of the attempts after its own work, without calling the next tier."""
+    """After its own work it responds 500 to a fraction of the attempts, without calling the next tier."""
     REFUSES_CONNECTIONS = "refuses"
     """Its listener is closed: new attempts can't connect, and attempts in flight continue."""
     REJECTS = "turns away"
@@ -73,13 +73,13 @@
         request_number: The number of the request at its balancer.
         index: The attempt's index among those of its request.
         server: The server that it goes to.
-        client_request: The outside request that it belongs to.
+        client_request: The client request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
         is_finished: Whether the balancer has an outcome for it.
         was_sent: Whether the server may have received it.
-        is_connection_closed: Whether the server knows that the balancer has closed the connection.
+        is_connection_closed: Whether the server has noticed that the balancer closed the connection.
         stage: Its stage at the server.
-        deadline_ms: When the timeout expires, counted by the server from the arrival.
+        deadline_ms: When the timeout expires, which the server counts from the arrival of the attempt.
         next_tier_request_number: The number of the server's request to the next tier, at the server's own
             balancer.
     """
@@ -144,7 +144,7 @@
     def finish(self, outcome: Outcome) -> None:
         """Report the outcome to the balancer; later outcomes are ignored.
 
-        An attempt that ends without a response closes its connection, which the server notices one hop later.
+        If an attempt ends without a response, its connection is closed; the server notices after `hop_ms`.
         """
         if self.is_finished:
             return
@@ -168,9 +168,9 @@
 class Server:
     """One server: it works on an attempt, then calls the next tier through its own balancer.
 
-    An attempt occupies one of `workers` slots from the start of the work until the response, or, while it
-    waits for the next tier, until the balancer closes the connection. Up to `max_queued` further attempts
-    wait; any more are rejected.
+    An attempt occupies one of `workers` slots from the start of the work until the response. If the balancer
+    closes the connection while the attempt waits for the next tier, the slot is released immediately. Up to
+    `max_queued` further attempts wait for a slot; beyond that, attempts are rejected.
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
@@ -210,7 +210,7 @@
             self._send_response(attempt, Outcome.REJECTED)
 
     def on_connection_closed(self, attempt: Attempt) -> None:
-        """Drop the attempt from the queue, or its request to the next tier; work in progress continues."""
+        """Dequeue the attempt or cancel its call to the next tier; work in progress continues."""
         attempt.is_connection_closed = True
         if attempt.stage is AttemptStage.QUEUED:
             self._queue.remove(attempt)
--- a/testbed/chain/settings.py
+++ b/testbed/chain/settings.py
@@ -15,13 +15,13 @@
     Attributes:
         depth: The number of tiers of servers.
         request_class: The class of every request.
-        servers_per_tier: Servers in each tier; each has its own balancer, except in the last tier.
-        front_balancer_count: Front balancers, which receive the outside requests.
+        servers_per_tier: The number of servers in each tier; each has a balancer, except in the last tier.
+        front_balancer_count: The number of front balancers, which receive the client requests.
         hop_ms: The network latency of a message between two machines.
         service_ms: The mean service time of a server's own work on a request.
-        constant_service_time: Whether service times are constant; else they are exponentially distributed.
+        constant_service_time: Whether service times are constant instead of exponentially distributed.
         workers: The limit on requests that a server works on concurrently; 0 for no limit.
-        max_queued: The limit on requests that wait at a server; any more are rejected.
+        max_queued: The limit on requests that wait at a server; further requests are rejected.
         max_attempts: The limit on attempts per request at each balancer.
         may_cancel: Whether a balancer may cancel attempts.
         may_hedge: Whether a balancer may send hedged requests.
@@ -41,7 +41,7 @@
     may_hedge: bool = False
 
     def balancer_settings(self, tier: int) -> Settings:
-        """Return the settings of a balancer in a tier; tier 0 is that of the front balancers."""
+        """Return the settings of a balancer in a tier; tier 0 consists of the front balancers."""
         return Settings(
             classes=(self.request_class,),
             balancers=self.servers_per_tier if tier else self.front_balancer_count,
@@ -57,7 +57,7 @@
 
     def __init__(self, settings: ChainSettings, seed: int) -> None:
         self._settings = settings
-        # The text after the seed selects a random stream: another text would change all results.
+        # The suffix selects one of several random streams of a seed; another suffix would change all results.
         self._service_random = random.Random(f"{seed}:service")
         self._failure_random = random.Random(f"{seed}:fate")
 
@@ -69,5 +69,5 @@
         return self._service_random.expovariate(1 / mean_ms)
 
     def draw_failure(self, fraction: float) -> bool:
-        """Draw whether a request fails, with the probability `fraction`; 1 or more fails every request."""
+        """Draw whether a request fails: with the probability `fraction`, or always if it is 1 or greater."""
         return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -17,7 +17,7 @@
 
 
 class ChildProcess:
-    """A child process, which exits with the process that started it.
+    """A child process, which exits when the process that started it exits.
 
     Attributes:
         pid: Its process id.
@@ -42,7 +42,7 @@
         return self._pipe.recv()
 
     def stop(self) -> None:
-        """Close the pipe, upon which the child exits; kill it after `STOP_TIMEOUT_S`."""
+        """Close the pipe, which makes the child exit; kill it if it has not exited after `STOP_TIMEOUT_S`."""
         self._pipe.close()
         self._process.join(STOP_TIMEOUT_S)
         if self._process.is_alive():
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -22,12 +22,12 @@
 """The maximum `wait_ms` of a watch request."""
 
 CONTINUED_WATCH_S = 0.2
-"""A watch request continues a watch if it comes within this time after a response, in seconds."""
+"""The time in seconds after a response within which a watch request continues the previous watch."""
 
 LISTEN_BACKLOG = 128
 
 WatchObserver = Callable[[int, int, float], None]
-"""Called with each watch request: the agent's number, the balancer's known version, the time in seconds."""
+"""Called for each watch request with the agent's number, the balancer's version and the time in seconds."""
 
 
 @dataclass(eq=False, slots=True)
@@ -44,7 +44,7 @@
         counts: Counts of its requests and responses.
         state: Its mode and response delay.
         written_version: The version that was last written to the balancer.
-        acknowledged_version: The highest version that a watch request named as known.
+        acknowledged_version: The highest version that a watch request stated as known.
         responded_at_s: When the last response was written.
         connections: Its open connections.
     """
@@ -66,7 +66,7 @@
     _server_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def set_state(self, state: AgentState) -> None:
-        """Change the state: close, listen again, or send the pending responses."""
+        """Change the state, and accordingly close, listen again, or send the pending responses."""
         self.state = state
         if state.mode is AgentMode.DOWN:
             self.close()
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListRequest:
-    """A request for the list: the version that the balancer knows, and how long to wait for a newer one."""
+    """A request for the list: the version that the balancer has, and how long to wait for a newer version."""
 
     known_version: int
     wait_ms: int
@@ -173,7 +173,7 @@
         self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
         self._known_version: int | None = None  # of the open request; None if there is none
-        self._wait_expired = False  # of the open request
+        self._wait_expired = False  # whether the open request is to be answered even without a newer version
         self._wait_timer: asyncio.TimerHandle | None = None
         self._delay_timer: asyncio.TimerHandle | None = None
 
@@ -220,7 +220,7 @@
         self.respond_if_ready()
 
     def respond_if_ready(self) -> None:
-        """Respond to the open request if its version is outdated or its wait has ended.
+        """Respond to the open request if its version is outdated or its wait has expired.
 
         The response is sent after the agent's delay, and only if the agent is up at that time.
         """
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """The mode of an agent, and the delay of each response in milliseconds."""
+    """The mode of an agent, and the delay of its responses in milliseconds."""
 
     mode: AgentMode = AgentMode.UP
     delay_ms: float = 0.0
@@ -31,7 +31,8 @@
     Attributes:
         requests: Valid requests, including watch requests.
         new_watches: Watch requests that started a watch.
-        continued_watches: Watch requests within 200 ms after the previous response, which continue its watch.
+        continued_watches: Watch requests within 200 ms after the previous response, which continue the same
+            watch.
         snapshots: Responses with the complete list.
         entries: Entries in all responses.
         bytes_in: Bytes of the HTTP requests, without the overhead of lower layers.
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -1,4 +1,4 @@
-"""Generated changes of an endpoint list: single changes and rolling restarts, applied over time."""
+"""Generates changes of an endpoint list (single changes and rolling restarts), and applies them over time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
 MAX_UNAVAILABLE_DIVISOR = 20
-"""One in this many entries may be out of service at the same time, and at least one entry."""
+"""The maximum number of entries out of service is the list length divided by this, but at least 1."""
 
 Change = tuple[EndpointEntry, ...]
 """Entries that change at the same time."""
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -37,7 +37,7 @@
 
 
 class EndpointHistory:
-    """The list, its version, and the latest change of each name.
+    """The list, its version, and the latest change of each entry by name.
 
     Attributes:
         version: The version of the list.
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.version = 0
         self._entries: dict[str, EndpointEntry] = {}
-        self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, the latest change last
+        self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, in the order of the changes
         self._oldest_version = 0  # all changes after this version are remembered
         self._responses: dict[int, ListResponse] = {}  # for the current version, by known version
 
@@ -82,7 +82,7 @@
         self._responses.clear()
 
     def response_after(self, known_version: int) -> ListResponse:
-        """Return the response to a balancer with a known version, or with `NO_VERSION`."""
+        """Return the response to a balancer that has a certain version, or `NO_VERSION` if it has no list."""
         response = self._responses.get(known_version)
         if response is None:
             response = self._responses[known_version] = self._build_response(known_version)
@@ -103,5 +103,5 @@
             yield entry
 
     def is_outdated(self, known_version: int) -> bool:
-        """Whether a version differs from the current one: older, or never issued."""
+        """Whether a version is not the current one: an older version, or one that was never created."""
         return known_version != self.version
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -1,4 +1,4 @@
-"""A discovery service (PROTOCOL page, "Discovery"): the endpoint list, and an agent for each balancer.
+"""A discovery service (PROTOCOL page, "Discovery") with the endpoint list and an agent for each balancer.
 
 The state of an agent (up, unresponsive, down, delayed) is set for a single agent, for a group of agents, such
 as a zone or a region, or for all agents.
@@ -42,11 +42,11 @@
 
 
 class Discovery:
-    """The endpoint list and its agents, on the running loop.
+    """The endpoint list and its agents, on the running event loop.
 
     Attributes:
-        changed_at: For each version, when it was created, in seconds of the clock.
-        written_at: For each version, when it had been written to all open watches.
+        changed_at: When each version was created, in seconds of the clock; the index is the version.
+        written_at: When each version had been written to all open watches; the index is the version.
         agents: The agents by number.
     """
 
@@ -96,17 +96,17 @@
         return self._history.entries
 
     def replace_entries(self, entries: Iterable[EndpointEntry]) -> int:
-        """Replace the list, which every balancer gets as a snapshot, and return its version."""
+        """Replace the list and return its version; every balancer gets a snapshot of the new list."""
         self._history.replace_entries(entries)
         return self._publish()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> int:
-        """Change, add and (with the status `terminated`) remove entries at once, and return the version."""
+        """Create one new version with changed, new and (if `terminated`) removed entries, and return it."""
         self._history.apply_changes(entries)
         return self._publish()
 
     def list_response(self, known_version: int) -> ListResponse:
-        """Return the response to a balancer with a known version, or with `NO_VERSION`."""
+        """Return the response to a balancer that has a certain version, or `NO_VERSION` if it has no list."""
         return self._history.response_after(known_version)
 
     def _publish(self) -> int:
--- a/testbed/errors.py
+++ b/testbed/errors.py
@@ -1,4 +1,4 @@
-"""The base class of the testbed's errors, and the errors that several of its packages raise."""
+"""The base class of the testbed's errors, and the errors that more than one of its packages raises."""
 
 from __future__ import annotations
 
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -53,7 +53,7 @@
     seed: Annotated[int, Field(ge=0)]
     """The seed of all random numbers."""
     sizes: Annotated[tuple[int, ...], Field(min_length=1)]
-    """The sizes to compare, ascending. Each kind of run says what they count; a fit needs at least four."""
+    """The sizes to compare, ascending; each kind of run defines their meaning. A fit needs at least four."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -132,7 +132,7 @@
 
 
 class Client:
-    """A client for one address with persistent connections, which opens another when all are busy.
+    """A client for one address. It reuses idle connections, and opens another one if all are busy.
 
     Attributes:
         opened_connections: The connections that have been opened so far.
@@ -148,8 +148,8 @@
         """Send a request and wait for the response.
 
         A request that fails on a reused connection before any byte of a response is sent once more on a new
-        connection: the peer may have closed the idle one. A request that times out or is cancelled closes its
-        connection.
+        connection, since the peer may have closed the idle one. A request that times out or is cancelled
+        closes its connection.
 
         Returns:
             The response, or one with the status `NO_RESPONSE`.
--- a/testbed/http/request_parser.py
+++ b/testbed/http/request_parser.py
@@ -28,7 +28,7 @@
 
 
 class RequestParser:
-    """Parses the bytes of one connection and passes on each complete request."""
+    """Parses the bytes of one connection and passes each complete request to `on_request`."""
 
     def __init__(self, on_request: Callable[[HttpRequest], None]) -> None:
         self._on_request = on_request
@@ -56,7 +56,7 @@
         self._headers: dict[str, str] = {}
         self._body = b""
 
-    # ---- callbacks of the parser, which passes targets and bodies in pieces ---------------------
+    # ---- callbacks of httptools, which passes targets and bodies in pieces ----------------------
 
     def on_message_begin(self) -> None:
         """Discard the previous request."""
@@ -75,6 +75,6 @@
         self._body += part
 
     def on_message_complete(self) -> None:
-        """Pass on the complete request."""
+        """Pass the complete request to `on_request`."""
         method = self._parser.get_method().decode("latin-1")
         self._on_request(HttpRequest(method, self._target.decode("latin-1"), self._headers, self._body))
--- a/testbed/load/kernel_timer.py
+++ b/testbed/load/kernel_timer.py
@@ -16,14 +16,14 @@
 MAX_WAKE_UP_S = 0.0002
 """The maximum time that a sleeping core needs to wake up, in seconds.
 
-The timer is set to fire this much earlier, and the event loop polls the clock for the rest of the sleep.
+The timer fires this much earlier, and the event loop polls the clock for the rest of the sleep.
 """
 
 
 class KernelTimer:
     """Sleeps on a kernel timer, since the timers of an event loop have a resolution of a millisecond.
 
-    Polling the clock for the complete sleep would keep a core busy that the measured processes need.
+    Polling the clock for the complete sleep would take a core away from the measured processes.
     """
 
     def __init__(self) -> None:
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -1,8 +1,8 @@
 """Open-loop load: requests are sent at times drawn in advance from the seed, independent of the responses.
 
 The latency of a request is measured from its scheduled time, which avoids coordinated omission: a stall of
-the server counts for every request that was scheduled during it. The lateness of the load itself is measured
-too.
+the server counts for every request that was scheduled during the stall. The lateness with which requests are
+sent is also measured.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
     Attributes:
         name: The stream's name, which is part of the seed of its random numbers.
-        clients: The clients, of which one is drawn for each request.
+        clients: The clients; one of them is drawn for each request.
         rate_per_s: The mean rate of requests.
         class_name: The request class.
         deadline_ms: The deadline of each request, after which the client gives up.
@@ -57,11 +57,11 @@
     Attributes:
         sent: Requests that were sent.
         opened_connections: Connections that were opened for these requests.
-        statuses: Requests by response status; `NO_RESPONSE` where there was none.
+        statuses: The number of requests by response status; `NO_RESPONSE` counts those without a response.
         unserved_at_s: The scheduled times of requests without a 200 response, in seconds from the start, in
             the order in which the requests ended.
         served_latencies: Latencies of requests with a 200 response, from the scheduled time to the last byte.
-        lateness: Times from the scheduled time until the request was sent.
+        lateness: How long after its scheduled time each request was sent.
     """
 
     sent: int = 0
@@ -72,7 +72,7 @@
     lateness: Latencies = field(default_factory=Latencies)
 
     def invalid_reasons(self, name: str, max_lateness_ms: float) -> list[str]:
-        """Return why the results are invalid: the 99th percentile of lateness exceeds `max_lateness_ms`."""
+        """Return a reason if the 99th percentile of lateness exceeds `max_lateness_ms`, else no reason."""
         p99_lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
         if p99_lateness_ms <= max_lateness_ms:
             return []
@@ -97,7 +97,7 @@
 
 
 class _LoadRun:
-    """The state of one run of the load: a report for each stream, and the open requests."""
+    """One run of the load, with a report for each stream and the open requests."""
 
     def __init__(self, streams: Sequence[Stream], clock: Clock, seed: int) -> None:
         self._streams = streams
@@ -157,7 +157,7 @@
         streams: The streams, with different names.
         duration_s: The duration of the schedule in seconds.
         seed: The seed of all random numbers.
-        clock: The clock, which has to be that of the streams' clients.
+        clock: The clock, which has to be the one that the streams' clients use.
         sleep: Sleeps on that clock; by default with a `KernelTimer`.
 
     Returns:
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -50,7 +50,7 @@
 
 
 class AddedTimeColumns(TypedDict):
-    """Columns of a result, all in milliseconds.
+    """Columns that compare latencies through a balancer with direct ones, in milliseconds.
 
     `direct` and `through` are quantiles of requests direct to the upstreams and through the balancer. `added`
     is the quantile through the balancer minus the same quantile of direct requests; `over_median` is the
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -13,17 +13,17 @@
     from collections.abc import Iterable
 
 SATURATED_CORES_FRACTION = 0.9
-"""At this fraction of busy core time or more, measured times include waits for a core."""
+"""If at least this fraction of core time is busy, measured times include waits for a core."""
 
 LAG_INTERVAL_S = 0.01
-"""The interval of the timer by which the lag of an event loop is measured."""
+"""The interval of the timer that measures the lag of an event loop, in seconds."""
 
 _NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """The resource usage of some processes, as sums.
+    """The resource usage of some processes together.
 
     Attributes:
         processor_s: Processor time in seconds.
@@ -39,7 +39,7 @@
 def processor_time_s(pid: int) -> float:
     """Return the processor time of a process's live threads in seconds, with a resolution of a nanosecond.
 
-    The resolution of psutil is 10 ms, which is as much as an idle balancer uses in a few seconds.
+    The resolution of psutil is 10 ms, which an idle balancer takes a few seconds to use.
     """
     threads = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / _NS_PER_S
@@ -77,7 +77,7 @@
         return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalid_reasons(self, phase: str) -> list[str]:
-        """Return why the results of a phase are invalid: a reason if the cores were saturated, else none."""
+        """Return a reason if the cores were saturated, which makes a phase invalid; else no reason."""
         busy = self.busy_fraction()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
 
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -1,4 +1,4 @@
-"""Results of a run: rows, linear fits, and the reasons why they are invalid, if any.
+"""Results of a run: rows, linear fits, and the reasons why the results are invalid, if any.
 
 A run returns typed rows, which are converted to JSON objects when a result is written. The names of stored
 columns do not change, so that old and new results can be compared: a column has the name of its field, or
@@ -44,7 +44,7 @@
 class Row:
     """One row of a result; each kind of run defines its columns as the fields of a subclass.
 
-    A field whose value is another row stands for the columns of that row.
+    A field that holds another row contributes the columns of that row.
     """
 
     def columns(self) -> dict[str, Any]:
@@ -66,7 +66,7 @@
 class Fit:
     """A least-squares line: y = slope * x + intercept.
 
-    The errors are the standard errors of slope and intercept, in their units; with two points they are 0.
+    The errors are the standard errors of slope and intercept, in the same units; with two points they are 0.
     """
 
     y: str
@@ -83,7 +83,7 @@
 
 
 class UndeterminedSlopeError(TestbedError, ValueError):
-    """The points have fewer than two different x, which do not determine a slope."""
+    """The points have fewer than two different values of x, so they do not determine a slope."""
 
     def __init__(self, x: str, y: str) -> None:
         super().__init__(f"{y} over {x}: a slope needs two sizes or more")
@@ -99,7 +99,7 @@
         y: The name of y.
 
     Raises:
-        UndeterminedSlopeError: There are fewer than two different x.
+        UndeterminedSlopeError: There are fewer than two different values of x.
     """
     xs = np.array([float(value) for value in x_values])
     ys = np.array([float(value) for value in y_values])
@@ -129,7 +129,7 @@
         label: The name of y in the fit; by default the name of the column.
 
     Raises:
-        UndeterminedSlopeError: There are fewer than two different x.
+        UndeterminedSlopeError: There are fewer than two different values of x.
     """
     table = [row.columns() for row in rows]
     return fit_line([row[x] for row in table], [row[y] for row in table], x=x, y=label or y)
@@ -198,13 +198,13 @@
 
 
 def write_result(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
-    """Write a result as a JSON file with the plan, the machine and the versions; rows and fits if valid.
+    """Write a result as a JSON file, with rows and fits only if it is valid.
 
     Args:
         path: The file; missing parent folders are created.
         name: The experiment's name.
         plan: The experiment's plan as a JSON object.
-        result: What the run measured.
+        result: The result of the run.
     """
     valid = result.is_valid
     stored = {
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -38,14 +38,14 @@
 
 
 class Plan(load_plan.Plan):
-    """The load; `sizes` are lengths of the endpoint list, and the settings state as many balancers."""
+    """The load; `sizes` are lengths of the endpoint list and values of the `balancers` setting."""
 
     service_ms: float
     """The service time of an upstream in milliseconds."""
     direct_servers: int
-    """The number of upstreams, from the start of the list, that get direct requests."""
+    """The number of upstreams that get direct requests: the first ones in the list."""
     rest_s: float
-    """The time without load in seconds, in which the processor time of an idle balancer is measured."""
+    """The time in seconds for which the processor time of an idle balancer is measured."""
     measure_s: float
     """The duration of the measured load in seconds."""
 
@@ -54,9 +54,10 @@
 class AddedTimeRow(Row):
     """The measurements of a balancer under load, with a list of one length.
 
-    The numbers in names of latencies are percentiles (999: 99.9), of requests `direct` to the upstreams or
-    `through` the balancer. `added` is the percentile through the balancer minus the same percentile of direct
-    requests; `over_median` is the percentile through the balancer minus the median of direct requests.
+    The numbers in the names of latencies are percentiles (999 means 99.9) of requests `direct` to the
+    upstreams or `through` the balancer. `added` is the percentile through the balancer minus the same
+    percentile of direct requests; `over_median` is the percentile through the balancer minus the median of
+    direct requests.
     """
 
     entries: int
@@ -79,7 +80,7 @@
     idle_us_per_s: float = stored_as("rest_us_a_s")
     """The balancer's processor time per second without load, in microseconds."""
     net_us_per_request: float = stored_as("net_us_a_call")
-    """The balancer's processor time per request, minus what it uses without load."""
+    """The balancer's processor time per request, minus its processor time without load."""
     resident_mib: float
     """The balancer's resident memory after the load."""
     attempts_per_request: float = stored_as("attempts_a_call")
@@ -169,7 +170,7 @@
         await load.run_streams(self._streams, plan.warm_s, plan.seed + 1)
         idle_us_per_s = await self._measure_idle_us_per_s()
         gc.collect()
-        gc.freeze()  # makes garbage collections during the measurement short
+        gc.freeze()  # shortens garbage collections during the measurement
         cores = CoreMonitor()
         counts_before = self._upstreams.counts()
         usage_before = self._usage()
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -1,6 +1,6 @@
 """Measures how fast balancers apply a change of the endpoint list, and what it costs them.
 
-Hundreds of hollow balancers and a few real ones follow the list while it changes.
+Hundreds of watch-only balancers and a few real ones follow the list while it changes.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class Plan(experiment.Plan):
-    """The changes and the balancers; `sizes` are numbers of hollow balancers."""
+    """The changes and the balancers; `sizes` are numbers of watch-only balancers."""
 
     entries: Annotated[int, Field(gt=0)]
     """The length of the list."""
@@ -55,7 +55,7 @@
     spans_s: tuple[float, ...]
     """The duration of the measurement at each rate, in seconds."""
     processes: Annotated[int, Field(gt=0)]
-    """The number of processes for the hollow balancers."""
+    """The number of processes for the watch-only balancers."""
     real: Annotated[int, Field(ge=0)]
     """The number of real balancers."""
     pushed: bool = True
@@ -78,7 +78,7 @@
 async def _measure_size(
     plan: Plan, watch_only_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
-    """Start hollow and real balancers, and measure the rates one after another."""
+    """Start watch-only and real balancers, and measure the rates one after another."""
     acknowledgements: list[VersionObservation] = []
 
     def on_watch(agent: int, known_version: int, at_s: float) -> None:
@@ -128,7 +128,7 @@
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
-    """Fit delays over the number of balancers for each rate, and costs over the rate for each number."""
+    """Fit delays over the number of balancers, by rate; fit costs over the rate, overall and by number."""
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAY_COLUMNS:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -23,25 +23,25 @@
 SATURATED_PROCESS_FRACTION = 0.8
 """Results are invalid if a process uses this fraction of a core or more.
 
-Its balancers then wait for one another, which adds to their delays.
+The balancers of such a process wait for one another, which adds to their delays.
 """
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DelayColumns(Row):
-    """Delays from a change of the list at discovery until an event, in milliseconds; null if nothing changed.
+    """Delays in milliseconds from a change of the list at discovery until an event; null without changes.
 
-    The hollow balancers of a process apply a change one after another, so their delays are upper bounds.
+    The watch-only balancers of a process apply a change one after another, so their delays are upper bounds.
     """
 
     median_applied_ms: float | None = stored_as("in_force_ms_median")
-    """Until the policy of a hollow balancer has applied the change."""
+    """Until the policy of a watch-only balancer has applied the change."""
     p99_applied_ms: float | None = stored_as("in_force_ms_99")
     max_applied_ms: float | None = stored_as("in_force_ms_longest")
     median_applied_by_all_ms: float | None = stored_as("everywhere_ms_median")
-    """Until all hollow balancers have applied the change; the median over the changes."""
+    """Until all watch-only balancers have applied the change; the median over the changes."""
     median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
-    """Until the next watch request of a hollow balancer acknowledges the change."""
+    """Until the next watch request of a watch-only balancer acknowledges the change."""
     p99_acknowledged_ms: float | None = stored_as("taken_up_ms_99")
     max_acknowledged_ms: float | None = stored_as("taken_up_ms_longest")
     median_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_median")
@@ -57,7 +57,7 @@
     """A group of balancers while the list changes at one rate."""
 
     balancers: int
-    """The number of hollow balancers."""
+    """The number of watch-only balancers."""
     multiple: float
     """The rate as a multiple of the baseline rate."""
     changes: int
@@ -66,7 +66,7 @@
     """The achieved rate."""
     delays: DelayColumns
     core_percent: float
-    """Processor time of a hollow balancer, as a percentage of a core.
+    """Processor time of a watch-only balancer, as a percentage of a core.
 
     It includes a share of the cost of measuring the event loop's lag (less than 1% of a core per process).
     This cost does not depend on the rate, so the slope over the rate does not include it.
@@ -74,11 +74,11 @@
     real_core_percent: float | None
     """Mean processor time of a real balancer, as a percentage of a core; null if there is none."""
     requests_per_s: float = stored_as("calls_per_s")
-    """Requests from a hollow balancer to discovery."""
+    """Requests from a watch-only balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
     snapshots: int = stored_as("whole_lists")
-    """Snapshots that hollow balancers received."""
+    """Snapshots that watch-only balancers received."""
     p99_loop_lag_ms: float = stored_as("loops_late_ms_99")
     """The 99th percentile of an event loop's lag; the maximum over all event loops."""
     max_process_percent: float = stored_as("process_percent_most")
@@ -91,9 +91,9 @@
 
     elapsed_s: float
     processor_s: list[float]
-    """Processor time of each process, those of hollow balancers first."""
+    """Processor time of each process, those of watch-only balancers first."""
     counts: RequestCounts
-    """Counts of the requests from hollow balancers to discovery."""
+    """Counts of the requests from watch-only balancers to discovery."""
     reports: list[AppliedListsReport]
     p99_lag_s: float
     """The 99th percentile of an event loop's lag; the maximum over all event loops."""
@@ -104,7 +104,7 @@
 
     def __init__(self, group: BalancerGroup) -> None:
         for process in group.processes:
-            process.report()  # discards the lag that was measured so far
+            process.report()  # discards the lag measured so far
         self._group = group
         self._lag = LoopLagMonitor(asyncio.get_running_loop())
         self._cores = CoreMonitor()
@@ -125,7 +125,7 @@
 
         Args:
             multiple: The rate as a multiple of the baseline rate.
-            max_lateness_s: The maximum time by which a change was late.
+            max_lateness_s: The maximum lateness of a change.
             acknowledgements: The versions that watch requests acknowledged, in chronological order.
 
         Returns:
@@ -196,7 +196,7 @@
 
 
 def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
-    """Return why the measurement is invalid, other than because of saturated cores."""
+    """Return the reasons why the measurement is invalid, except saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: an event loop lagged by {readings.p99_lag_s * 1000:.0f} ms")
@@ -209,12 +209,12 @@
 
 
 def _applied_versions(reports: list[AppliedListsReport]) -> Iterator[VersionObservation]:
-    """Yield the versions that hollow balancers applied, in chronological order for each process."""
+    """Yield the versions that watch-only balancers applied, in chronological order for each process."""
     for report in reports:
         yield from map(VersionObservation, report.balancer_numbers, report.versions, report.applied_at_s)
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
-    """Return the processor time of each process so far, those of hollow balancers first."""
+    """Return the processor time of each process so far, those of watch-only balancers first."""
     pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real_balancers]
     return [measure_usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -49,7 +49,7 @@
         changed_at: The times of the changes in seconds, one for each version from `first_version` on.
 
     Returns:
-        A table of milliseconds by balancer (rows) and change (columns); infinite if never observed.
+        A table of milliseconds by balancer (rows) and change (columns); infinite if not observed.
     """
     change_versions = np.arange(first_version, first_version + len(changed_at))
     delays = np.full((len(balancers), len(changed_at)), np.inf)
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,6 +1,6 @@
 """Groups of balancers with one simulated discovery, for the runs on the control plane.
 
-A group has hollow balancers, spread over a few processes, and real ones, each in a process of its own.
+A group has watch-only balancers, spread over a few processes, and real ones, each in its own process.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 MAX_LATENESS_S = 0.1
 """The limit in seconds on the 99th percentile of an event loop's lag, and on the lateness of a change.
 
-The results are invalid if it is reached.
+The results are invalid if one of them reaches this limit.
 """
 START_TIMEOUT_S = 60.0
-"""The time in seconds within which all balancers of a group have to follow the list."""
+"""The time in seconds within which all balancers of a group have to acknowledge the first list."""
 FOLLOW_TIMEOUT_S = 10.0
 """The time in seconds within which all balancers have to acknowledge the last change."""
 POLL_INTERVAL_S = 0.01
@@ -82,7 +82,7 @@
 class BalancerGroup:
     """Balancers with one simulated discovery.
 
-    The first `watch_only_count` agents are those of the hollow balancers; those of the real balancers follow.
+    The first `watch_only_count` agents belong to the watch-only balancers, the others to the real ones.
     """
 
     discovery: Discovery
@@ -92,7 +92,7 @@
 
     @property
     def watch_only_agents(self) -> range:
-        """The numbers of the hollow balancers' agents."""
+        """The numbers of the watch-only balancers' agents."""
         return range(self.watch_only_count)
 
     @property
@@ -111,7 +111,10 @@
     balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
-    """Start hollow balancers, spread evenly over processes, and real ones; wait until all follow the list."""
+    """Start watch-only balancers, spread evenly over processes, and real balancers.
+
+    The function returns once all of them follow the list.
+    """
     group = BalancerGroup(discovery, [], [], watch_only_count)
 
     def configuration_text(number: int, listen: str) -> str:
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -1,4 +1,4 @@
-"""Measures what it costs a real balancer to follow an unchanging list, for each length, without load."""
+"""Measures the cost of an idle balancer that watches an unchanging list, for each length of the list."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 
 class Plan(experiment.Plan):
-    """The measurement; `sizes` are lengths of the endpoint list, and the settings state as many balancers."""
+    """The measurement; `sizes` are lengths of the endpoint list and values of the `balancers` setting."""
 
     span_s: Annotated[float, Field(gt=0)]
     """The duration of the measurement in seconds."""
     settle_s: Annotated[float, Field(ge=0)]
-    """The time from the start of the balancers to that of the measurement, in seconds."""
+    """The time from the start of the balancers to the start of the measurement, in seconds."""
     hollow: Annotated[int, Field(gt=0)]
-    """The number of hollow balancers for each length of the list, whose requests and bytes are counted."""
+    """The number of watch-only balancers per list length, whose requests and bytes are counted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IdleRow(Row):
-    """A real balancer without load, and hollow balancers, with a list of one length."""
+    """An idle real balancer, and watch-only balancers, with a list of one length."""
 
     entries: int
     """The length of the list."""
@@ -60,7 +60,7 @@
     bytes_per_s: float
     """Bytes of these requests and their responses."""
     watch_only_requests_per_s: float = stored_as("hollow_calls_per_s")
-    """Requests from a hollow balancer to discovery, the mean over all."""
+    """Requests from a watch-only balancer to discovery, as the mean over all of them."""
     watch_only_bytes_per_s: float = stored_as("hollow_bytes_per_s")
     """Bytes of these requests and their responses."""
 
@@ -102,7 +102,7 @@
 async def _start_group(
     stack: AsyncExitStack, plan: Plan, size_index: int, entries: int, *, pushed: bool
 ) -> BalancerGroup:
-    """Start the balancers for one length of the list, with a discovery of their own."""
+    """Start the balancers for one length of the list, with a separate discovery service."""
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{size_index}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -38,21 +38,21 @@
     faults: Annotated[tuple[Fault, ...], Field(min_length=1), renamed_field("faults", "troubles")]
     """The faults, each of which is simulated at each depth."""
     servers_a_tier: Annotated[int, Field(ge=1)] = 6
-    """The number of servers in each tier; each has a balancer of its own, except in the last tier."""
+    """The number of servers in each tier; each has its own balancer, except in the last tier."""
     fronts: Annotated[int, Field(ge=1)] = 6
-    """The number of front balancers, which receive the outside requests."""
+    """The number of front balancers, which receive the client requests."""
     calls_per_s: Positive = 100.0
-    """The mean rate of outside requests, which arrive as a Poisson process."""
+    """The mean rate of client requests, which arrive as a Poisson process."""
     warm_s: NonNegative = 5.0
     """The time before the fault in seconds; with 0 the fault is present from the first request on."""
     fault_s: Annotated[Positive, renamed_field("fault_s", "trouble_s")] = 15.0
     """The duration of the fault in seconds."""
     after_s: NonNegative = 0.0
-    """The time after the fault in seconds; with 0 the fault lasts until the last request has ended."""
+    """The time after the fault in seconds; with 0 the fault lasts until the last request has finished."""
     single_call: bool = False
     """Whether only one request arrives during the fault."""
     idempotency: Annotated[Idempotency, renamed_field("idempotency", "effect")] = Idempotency.SAFE
-    """If requests are keyed, all servers together deduplicate them for `idempotency_window_ms`."""
+    """Keyed requests are deduplicated across all servers for `idempotency_window_ms`."""
     idempotency_window_ms: Annotated[
         NonNegative, renamed_field("idempotency_window_ms", "repeat_window_ms")
     ] = 2_000.0
@@ -67,11 +67,11 @@
     service_ms: NonNegative = 1.0
     """The mean service time of a server's own work on a request."""
     steady_service: bool = False
-    """Whether service times are constant; else they are exponentially distributed."""
+    """Whether service times are constant instead of exponentially distributed."""
     workers: Annotated[int, Field(ge=0)] = 64
     """The limit on requests that a server works on concurrently; 0 for no limit."""
     queue: Annotated[int, Field(ge=0)] = 64
-    """The limit on requests that wait at a server; any more are rejected."""
+    """The limit on requests that wait at a server; further requests are rejected."""
     events_max: Annotated[int, Field(ge=1), renamed_field("events_max", "events_most")] = 3_000_000
     """The limit on events of one simulation (one depth and fault), which is cut short when it is reached."""
 
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -1,9 +1,9 @@
 """Simulates faulty servers and tiers in chains of different depths, on a virtual clock.
 
-Outside requests arrive as a Poisson process, independent of the responses, and clients do not retry. Each row
-is for one depth and one fault; its attempts are those of the requests that arrived during the fault. A
-simulation that needs more than `events_max` events is cut short: its row is marked, its attempts are lower
-bounds, and it is excluded from the fits.
+Client requests arrive as a Poisson process, independent of the responses, and clients do not retry. Each row
+is for one depth and one fault, and counts the attempts for the requests that arrived during the fault. A
+simulation that needs more than `events_max` events is cut short: `cut_short` is set in its row, its attempts
+are lower bounds, and it is excluded from the fits.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
-    """Fit a linear, an exponential (ln y over depth) and a power-law (ln y over ln depth) growth."""
+    """Fit linear, exponential (ln y over depth) and power-law (ln y over ln depth) growth."""
     fitted = [row for row in rows if row.fault == fault and not row.cut_short and row.columns()[column]]
     depths = [row.depth for row in fitted]
     if len(set(depths)) < 2:
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -1,4 +1,4 @@
-"""The simulation of one chain with one fault: its schedule, and its row of the result."""
+"""The simulation of one chain with one fault, and the row of its results."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from testbed.runs.depth.plan import Fault, Plan
 
 WINDOW_MS = 500.0
-"""The length of the windows by which requests after the fault are counted."""
+"""The length of the time windows in which requests after the fault are counted."""
 SINGLE_REQUEST_DELAY_MS = 1_000.0
 """The time between the end of the warm-up and a single request."""
 _OK = 200
@@ -43,16 +43,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServedColumns(Row):
-    """Fractions of outside requests with a 200 response; null if there were no requests."""
+    """Fractions of client requests with a 200 response; null if there were no requests."""
 
     served: float | None
-    """Of all requests that have a response."""
+    """The fraction of all requests that have a response."""
     served_before: float | None
-    """Of those before the fault, except in the last `WINDOW_MS`: these may be in flight when it begins."""
+    """The fraction before the fault.
+
+    Requests in the last `WINDOW_MS` are excluded, since they may be in flight when the fault begins.
+    """
     served_during: float | None = stored_as("served_while")
     served_after: float | None
     recovery_s: float | None = stored_as("back_after_s")
-    """From the end of the fault to the end of the first window served as before; null if there is none."""
+    """The time from the end of the fault to the end of the first window with `served_before` or more.
+
+    Null if there is no such window.
+    """
     shed_during: float | None = stored_as("shed_while")
     """The fraction of requests during the fault that were rejected without an attempt."""
 
@@ -64,7 +70,7 @@
     last_tier_attempts_per_request: float | None = stored_as("bottom_attempts_a_call")
     """Attempts at the last tier per request."""
     last_tier_attempts_per_admitted: float | None = stored_as("bottom_attempts_an_admitted")
-    """Attempts at the last tier per request for which the front balancer made an attempt."""
+    """Attempts at the last tier per request that the front balancer did not shed."""
     max_last_tier_attempts: int = stored_as("bottom_attempts_most")
     """The maximum number of attempts at the last tier for one request."""
     attempts_a_call_by_tier: list[float | None]
@@ -93,19 +99,19 @@
     fault: str = stored_as("trouble")
     """The name of the fault in the plan."""
     requests: int = stored_as("calls")
-    """The number of outside requests."""
+    """The number of client requests."""
     served: ServedColumns
     attempts: AttemptColumns
     rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected because their queues were full."""
     p50_added_per_tier_ms: float | None = stored_as("added_a_hop_p50_ms")
-    """The median of the time per tier of a served request, minus two messages and the mean service time."""
+    """The median time per tier of served requests, minus two messages and the mean service time."""
     p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
     """The 99th percentile of the same time."""
     last_tier_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
-    """The fraction of requests served, by the window after the fault in which they arrived."""
+    """The fraction of requests served, for each window of `WINDOW_MS` after the fault."""
     cut_short: bool
     """Whether the simulation reached `Plan.events_max`, so that its attempts are lower bounds."""
     work: WorkColumns
@@ -139,7 +145,7 @@
     def _schedule_request(self, previous_ms: float) -> None:
         """Schedule the request after the one at `previous_ms`, unless it would arrive after the end.
 
-        With `single_call`, an arrival between the warm-up and the end of the fault moves to after the fault.
+        With `single_call`, an arrival between the warm-up and the end of the fault is moved after the fault.
         """
         time_ms = previous_ms + self._arrival_random.expovariate(self._plan.calls_per_s / 1000)
         if self._plan.single_call and self._warm_up_end_ms <= time_ms < self._fault_end_ms:
@@ -192,7 +198,7 @@
         before, during, after = (
             [request for request in requests if request.phase == phase] for phase in Phase
         )
-        # Requests in flight when the fault begins do not represent the time before it.
+        # Requests in flight when the fault begins do not show how the chain served requests before the fault.
         settled = [request for request in before if request.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
         served_before = _served_fraction(settled)
         shed = [request.status == _UNAVAILABLE and not request.was_attempted for request in during]
@@ -230,7 +236,7 @@
         ]
 
     def _served_by_window(self, requests: Sequence[ClientRequest]) -> list[float | None]:
-        """Return the fraction of requests served, by the window after the fault in which they arrived."""
+        """Return the fraction of requests served, by the window in which they arrived after the fault."""
         if not self._plan.after_s:
             return []
         count = math.ceil(self._plan.after_s * 1000 / WINDOW_MS)
@@ -262,7 +268,7 @@
 
 
 def _recovery_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
-    """Return the time to the end of the first window that is served as before, or None if none is."""
+    """Return the time to the end of the first window with `served_before` or more; None if there is none."""
     for i, served in enumerate(windows):
         if served is not None and served_before is not None and served >= served_before:
             return (i + 1) * WINDOW_MS / 1000
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -54,7 +54,7 @@
 
 
 class DecisionBenchmark:
-    """Measures a warmed-up policy under a light load, of which all attempts succeed."""
+    """Measures a warmed-up policy under a light load, in which all attempts succeed."""
 
     def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> None:
         self._plan = plan
@@ -85,7 +85,7 @@
         return measured
 
     def _finish_attempts(self, measured: DecisionRound) -> None:
-        """Finish the attempts that have ended by the current time."""
+        """Report to the policy the attempts that have ended by the current time."""
         while self._attempt_ends and self._attempt_ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._attempt_ends)
             finished = AttemptFinished(
@@ -117,7 +117,7 @@
         return actions
 
     def row(self, undisturbed_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
-        """Return the row that combines all quick rounds."""
+        """Return the row that combines all undisturbed rounds."""
         arrivals_ns = [duration_ns for measured in undisturbed_rounds for duration_ns in measured.arrivals_ns]
         ends_ns = [duration_ns for measured in undisturbed_rounds for duration_ns in measured.ends_ns]
         return DecisionRow(
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -60,13 +60,13 @@
     """The measurements of one round."""
 
     lists: list[UpdateTimes] = field(default_factory=list)
-    """One entry for each snapshot."""
+    """The times for each snapshot."""
     deltas: list[UpdateTimes] = field(default_factory=list)
-    """One entry for each delta."""
+    """The times for each delta."""
 
 
 class ListBenchmark:
-    """Measures the steps of snapshots and deltas: JSON, `read_endpoint_list`, connection pools, policy."""
+    """Measures each step of applying a list: parsing JSON, `read_endpoint_list`, connection pools, policy."""
 
     def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse) -> None:
         self._plan = plan
@@ -76,19 +76,19 @@
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
         self._upstream_pools = UpstreamPools(configuration, loop)
-        loop.close()  # can be closed already, since applying a list opens no connection
+        loop.close()  # not needed any more, since applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _START_MS
         self._change_count = 0
         self._discovery.replace_entries(self._entries)
-        # The first list creates the state that the measured ones update.
+        # The first list creates the state that the measured lists update.
         self._apply_update(self._discovery.list_response(-1).body)
         self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         freeze_live_objects()
 
     def _apply_update(self, body: bytes) -> UpdateTimes:
-        """Apply a response of discovery in the same steps as the program, and return their times."""
+        """Apply a response of discovery in the same steps as the program, and time each step."""
         self._now_ms += _UPDATE_INTERVAL_MS
         start_ns = time.perf_counter_ns()
         raw = json.loads(body)
@@ -128,7 +128,7 @@
         return body
 
     def row(self, undisturbed_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
-        """Return the row that combines all quick rounds; the memory is measured now."""
+        """Return the row that combines all undisturbed rounds; this also measures the memory."""
         lists = [times for measured in undisturbed_rounds for times in measured.lists]
         deltas = [times for measured in undisturbed_rounds for times in measured.deltas]
         return ListRow(
@@ -162,7 +162,7 @@
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
-        # No variable may refer to the configuration: the parts that the balancer drops must not be counted.
+        # No variable may refer to the configuration, or parts that the balancer discards would be counted.
         balancer = WatchOnlyBalancer(
             read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _version, _at_s: None
         )
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -11,7 +11,7 @@
 from testbed import experiment, settings
 
 EndpointUse = Literal["part", "all"]
-"""Which endpoints a balancer uses: a subset ("part") as one of many balancers, or all as the only one."""
+"""The endpoints that a balancer uses: a subset ("part") if it is one of many balancers, or all."""
 
 
 class Plan(experiment.Plan):
@@ -24,7 +24,7 @@
     service_ms: Annotated[float, Field(gt=0)]
     """The mean service time; service times are exponentially distributed."""
     warm_calls: Annotated[int, Field(ge=0)]
-    """The number of requests before the measured ones."""
+    """The number of requests in the warm-up, before the measured requests."""
     calls: Annotated[int, Field(gt=0)]
     """The number of requests in a round."""
     deltas: Annotated[int, Field(gt=0)]
@@ -32,13 +32,13 @@
     lists: Annotated[int, Field(gt=0)]
     """The number of snapshots in a round."""
     rounds: Annotated[int, Field(gt=0)]
-    """The number of quick rounds that a benchmark needs."""
+    """The number of undisturbed rounds that a benchmark needs."""
     rounds_max: Annotated[int, Field(gt=0), experiment.renamed_field("rounds_max", "rounds_most")]
-    """The limit on rounds of a benchmark, whether quick or not."""
+    """The limit on all rounds of a benchmark, including disturbed rounds."""
 
 
 def configuration(plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> Configuration:
-    """Return the configuration of the balancer in one benchmark, read by the program's own reader.
+    """Return the configuration of the balancer in one benchmark, as the program reads it.
 
     Args:
         plan: The plan of the run.
@@ -50,7 +50,7 @@
 
 
 def configuration_text(plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> str:
-    """Return the text of the file that `LB_CONFIG` would name; see `configuration` for the arguments."""
+    """Return the text of the configuration file; see `configuration` for the arguments."""
     cached_entries = settings.endpoint_entries(entries, seed=plan.seed)
     balancers = entries if endpoint_use == "part" else 1
     balancer_settings = settings.balancer_settings(
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -1,8 +1,8 @@
-"""Runs benchmarks in rounds, of which only those on an undisturbed core count.
+"""Runs benchmarks in rounds, and uses only the rounds that ran on an undisturbed core.
 
 The speed of a core depends on its sibling hyperthread: a busy sibling nearly halves it. Each benchmark is
-therefore run in short rounds, with a fixed reference computation before and after each round, and only
-rounds between two quick references count.
+therefore run in short rounds, with a calibration (a fixed computation whose time is measured) before and
+after each round. A round is undisturbed if both calibrations were nearly as fast as the fastest one.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
     from collections.abc import Callable, Sequence
 
 CALIBRATION_REPETITIONS = 20
-"""The number of repetitions of the reference computation, of which the median is one reading."""
+"""The number of repetitions of the fixed computation; the calibration time is their median."""
 INITIAL_CALIBRATIONS = 100
-"""The number of readings at the start; their minimum is the time on an undisturbed core."""
+"""The number of calibrations at the start; their minimum is the time on an undisturbed core."""
 MAX_UNDISTURBED_RATIO = 1.25
-"""The maximum ratio of a quick reference to the minimum; on a core with a busy sibling it is nearly 2."""
+"""The limit on the ratio of a calibration to the minimum; on a core with a busy sibling it is nearly 2."""
 _NS_PER_US = 1e3
 
 
@@ -33,10 +33,10 @@
     """The rounds that a row is based on."""
 
     rounds: int
-    """The number of quick rounds, which the row is computed from."""
+    """The number of undisturbed rounds, from which the row is computed."""
     rounds_run: int = stored_as("rounds_played")
     max_calibration_us: float = stored_as("reference_us")
-    """The slowest reference of the quick rounds, in microseconds."""
+    """The slowest calibration of the undisturbed rounds, in microseconds."""
 
 
 RoundT = TypeVar("RoundT")
@@ -55,11 +55,11 @@
         """Run one round."""
 
     def row(self, undisturbed_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
-        """Return the row that combines all quick rounds and includes `columns`."""
+        """Return the row that combines all undisturbed rounds and includes `columns`."""
 
 
 def measure_calibration_us() -> float:
-    """Measure the median time of the reference computation, in microseconds."""
+    """Run the calibration and return its median time in microseconds."""
     durations_ns = []
     for _ in range(CALIBRATION_REPETITIONS):
         start_ns = time.perf_counter_ns()
@@ -70,19 +70,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _MeasuredRound:
-    """The measurements of a round, and the slower of the references before and after it."""
+    """The measurements of a round, and the slower of the calibrations before and after it."""
 
     calibration_us: float
     measured: Any
 
 
 class BenchmarkRunner(Generic[RowT]):
-    """Runs rounds of each benchmark until enough of them were quick.
+    """Runs rounds of each benchmark until enough of them were undisturbed.
 
     Args:
-        required_rounds: The number of quick rounds that each benchmark needs.
+        required_rounds: The number of undisturbed rounds that each benchmark needs.
         max_rounds: The limit on rounds of a benchmark.
-        measure_calibration_us: Returns a reading of the reference in microseconds.
+        measure_calibration_us: Runs the calibration and returns its time in microseconds.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         return measured_round.calibration_us <= MAX_UNDISTURBED_RATIO * self._min_calibration_us
 
     def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
-        """Run rounds until enough were quick, compared with the minimum so far, or the limit is reached."""
+        """Run rounds until enough were undisturbed, judged by the minimum so far, or the limit is reached."""
         rounds: list[_MeasuredRound] = []
         before = self._measure_calibration_us()
         while (
@@ -114,7 +114,7 @@
         self._measured_benchmarks.append((benchmark, rounds))
 
     def result(self) -> RunResult[RowT]:
-        """Return the rows of all benchmarks; the result is invalid if one of them has no quick round."""
+        """Return the rows of all benchmarks; the result is invalid if one has no undisturbed round."""
         result: RunResult[RowT] = RunResult()
         for benchmark, rounds in self._measured_benchmarks:
             undisturbed = list(filter(self._is_undisturbed, rounds))
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -18,7 +18,7 @@
     entries: int
     """The length of the list."""
     keeps: EndpointUse
-    """Which endpoints the balancer uses."""
+    """The endpoints that the balancer uses."""
     tier: int
     """The tier of the balancer."""
 
@@ -27,8 +27,8 @@
 class DecisionRow(Row):
     """Processing times of the policy in microseconds.
 
-    `arrival` is for the arrival of a request, `end` for the end of a successful attempt. For growth columns
-    see `with_growth`.
+    `arrival` is for the arrival of a request, `end` for the end of a successful attempt. `with_growth`
+    describes the growth columns.
     """
 
     identity: BenchmarkIdentity
@@ -54,7 +54,7 @@
     """Median processing times of snapshots (in milliseconds) and of deltas with one entry (in microseconds).
 
     `parse` is the parsing of JSON, `read` the validation and conversion, `pools` the update of connection
-    pools, `module` that of the policy, `total` the sum. For growth columns see `with_growth`.
+    pools, `module` the update of the policy, `total` the sum. `with_growth` describes the growth columns.
     """
 
     identity: BenchmarkIdentity
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,8 +1,8 @@
 """Measures the costs of a balancer by the length of its list: decisions, updates, memory and bytes.
 
-The run drives the real policy and the real connection pools in one process, on a virtual clock. It measures
-each length twice: for a balancer that uses a subset of the endpoints, since there are as many balancers as
-endpoints, and for the only balancer, which uses all endpoints.
+The run uses the real policy and the real connection pools in one process, on a virtual clock. It measures
+each length twice: for one of as many balancers as there are endpoints, which uses a subset of the endpoints,
+and for a single balancer, which uses all endpoints.
 """
 
 from __future__ import annotations
--- a/testbed/runs/load_plan.py
+++ b/testbed/runs/load_plan.py
@@ -6,10 +6,10 @@
 
 
 class Plan(experiment.Plan):
-    """The load; the subclass of each run says what `sizes` are."""
+    """The load; the subclass for each run defines what `sizes` means."""
 
     per_s: float
-    """Requests per second through all front balancers together; direct requests have the same rate."""
+    """Requests per second through all front balancers together, and also of direct requests."""
     class_name: str
     """The request class: one of `testbed.settings.REQUEST_CLASSES` that is safe to retry."""
     deadline_ms: float
@@ -17,4 +17,4 @@
     warm_s: float
     """The duration of the load before the measurement, in seconds."""
     late_ms: float
-    """The results are invalid if the 99th percentile of the load's lateness exceeds this limit."""
+    """The limit on the 99th percentile of the lateness of requests, beyond which the results are invalid."""
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -19,13 +19,13 @@
 _TIER_SIZE = 2
 """The number of upstreams in each tier, and of balancers that send to each tier."""
 _START_BATCH_SIZE = 8
-"""The number of balancers that are started before waiting until they are ready."""
+"""Balancers are started in batches of this size; each batch has to be ready before the next one starts."""
 
 
 class RealChain:
     """Tiers of upstreams with real balancers between them, and a direct chain without balancers.
 
-    Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two front
+    Each tier has two upstreams, each with its own balancer that sends to the next tier; two front
     balancers send to the first tier. The direct chain has one upstream in each tier.
     """
 
@@ -63,7 +63,7 @@
         self.direct_client = http_client.Client(upstreams[0].address)
 
     async def _start_tier(self, tier: int) -> None:
-        """Start the upstreams of a tier and the discovery that lists them."""
+        """Start the upstreams of a tier and its discovery."""
         self.tiers.append(await self._upstreams.start(_TIER_SIZE))
         self._discoveries.append(Discovery())
         await self._discoveries[tier].start(f"127.79.{tier}.1")
@@ -97,7 +97,7 @@
         )
 
     def _connect_tiers(self) -> None:
-        """Connect each upstream, except in the last tier, to the next tier through a balancer of its own."""
+        """Connect each upstream, except in the last tier, to the next tier through its own balancer."""
         clients = [http_client.Client(balancer.address) for balancer in self.balancers]
         self.front_clients = clients[:_TIER_SIZE]
         forwarding_upstreams = [upstream for tier in self.tiers[:-1] for upstream in tier]
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -47,10 +47,10 @@
 
 
 class Plan(load_plan.Plan):
-    """The load and the faults; `sizes` are numbers of tiers, and so of balancers that a request passes."""
+    """The load and the faults; `sizes` are numbers of tiers. A request passes one balancer per tier."""
 
     faults_at: tuple[int, ...]
-    """The sizes at which the last tier fails, hangs and recovers; the other sizes have no faults."""
+    """The sizes for which the last tier fails, hangs and recovers; other sizes have no faults."""
     phase_s: float
     """The duration of each phase in seconds."""
 
@@ -79,7 +79,7 @@
     """The measurements of a chain of one depth in one phase."""
 
     depth: int
-    """The number of tiers, and so of the balancers that a request passes."""
+    """The number of tiers; a request passes one balancer per tier."""
     phase: str
     requests: int = stored_as("calls")
     """Requests through the balancers."""
@@ -90,9 +90,9 @@
     failed: int
     """All other requests."""
     last_unserved_s: float
-    """The scheduled time, from the start of the phase, of the last request not served; 0 if all were."""
+    """When the last request without a 200 response was scheduled, from the phase start; 0 if all got one."""
     times: LatencyColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
-    """Omitted if no direct request, or none through the balancers, was served."""
+    """Omitted if no direct request, or no request through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no request reached the last tier."""
     first_tier_attempts_per_request: float = stored_as("attempts_top")
@@ -109,7 +109,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each depth and phase, and fit lines over the depths without fault."""
+    """Measure each depth and phase, and fit lines over depth for the phase without a fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -57,11 +57,11 @@
 
 ENDPOINT_TYPES = ("m1", "m2", "m4")
 ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
-"""The weights that are drawn from uniformly, so that about a quarter of the endpoints has double weight."""
+"""The weights that are drawn from uniformly, so that about a quarter of the endpoints have double weight."""
 
 ENDPOINT_PORT = 5000
 HOSTS_PER_OCTET = 250
-"""In loopback hosts, the last octet goes from 1 to 250 and the third one from 0 to 249."""
+"""The last octet of a loopback host is from 1 to 250, and the third octet from 0 to 249."""
 
 
 def balancer_settings(
@@ -72,10 +72,10 @@
     Args:
         balancers: The number of balancers in its tier.
         tier: The tier of the balancer; tier 0 faces the clients.
-        pushed: Whether discovery pushes lists; else the balancer polls for them.
+        pushed: Whether discovery pushes lists; otherwise the balancer polls for them.
         zone: The balancer's zone.
-        overrides: Replacements of top-level settings; `limits` and `contract` are merged into the defaults
-            instead.
+        overrides: Top-level settings that replace the defaults, except `limits` and `contract`, which are
+            merged into the defaults.
     """
     settings: dict[str, Any] = {
         "balancers": balancers,
@@ -160,7 +160,7 @@
 
 
 def loopback_host(number: int, second_octet: int = 64) -> str:
-    """Return the loopback host with a number, counted from 127.`second_octet`.0.1."""
+    """Return the loopback host with the given number, counted up from 127.`second_octet`.0.1."""
     high, low = divmod(number, HOSTS_PER_OCTET * HOSTS_PER_OCTET)
     middle, last = divmod(low, HOSTS_PER_OCTET)
     return f"127.{second_octet + high}.{middle}.{last + 1}"
@@ -183,11 +183,11 @@
         regions: The number of regions.
         groups: The number of groups in each zone; no two zones share a group.
         seed: The seed of names, types and weights.
-        addresses: The entries' addresses; by default each entry has a loopback host of its own, on which
+        addresses: The entries' addresses; by default each entry gets a different loopback host, on which
             nothing listens.
     """
     rng = random.Random(seed)
-    names: dict[str, None] = {}  # not a set, since a dict keeps the order
+    names: dict[str, None] = {}  # a dict keeps the order, unlike a set
     while len(names) < count:
         names[f"s-{rng.getrandbits(32):08x}"] = None
     entries = []
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -23,7 +23,7 @@
     RESET = "reset"
     """Reset the connection when a request or a health check has been received completely."""
     REFUSE_CONNECTIONS = "refuse"
-    """Refuse connections: close the listener and reset open connections."""
+    """Close the listener, so that new connections are refused, and reset open connections."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -57,7 +57,7 @@
 
 
 class UpstreamProcess:
-    """Stub upstreams in a child process, so that they do not delay the event loop of the load.
+    """Stub upstreams in a child process, so that they do not delay the event loop that sends the load.
 
     Attributes:
         pid: The child's process id.
