--- a/tests/testbed/balancer/test_watch_only.py
+++ b/tests/testbed/balancer/test_watch_only.py
@@ -1,4 +1,4 @@
-"""Hollow balancers: the real watch and the real policy, without clients."""
+"""Watch-only balancers: the real watch and the real policy, without clients."""
 
 import asyncio
 from functools import partial
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -1,4 +1,4 @@
-"""The list-size run: benchmarks, growth and quick rounds."""
+"""The list-size run: benchmarks, growth and undisturbed rounds."""
 
 import logging
 from collections.abc import Sequence
@@ -119,11 +119,11 @@
         result = runner.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
-    # A slow reference before or after a round excludes the round; rounds end once enough were quick.
+    # A slow calibration before or after a round excludes the round; rounds end once enough were undisturbed.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
     assert measure_rounds(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
-    # A later reference lowers the minimum, so that the earlier rounds no longer count as quick.
+    # A later calibration lowers the minimum, so that the earlier rounds no longer count as undisturbed.
     rows, reasons = measure_rounds(3, 3, 10.0, 10.0, 6.0, 6.0)
     assert [row["round"] for row in rows] == [[3.0]]
