--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -76,7 +76,7 @@
         p99_lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
         if p99_lateness_ms <= max_lateness_ms:
             return []
-        return [f"{name}: 1% of the requests were sent {p99_lateness_ms:.3f} ms late or more"]
+        return [f"{name}: 1% of the requests were sent at least {p99_lateness_ms:.3f} ms late"]
 
 
 class _ScheduledRequest(NamedTuple):
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -86,7 +86,7 @@
     """The points have fewer than two different values of x, so they do not determine a slope."""
 
     def __init__(self, x: str, y: str) -> None:
-        super().__init__(f"{y} over {x}: a slope needs two sizes or more")
+        super().__init__(f"{y} over {x}: a slope needs at least two different sizes")
 
 
 def fit_line(x_values: Sequence[float], y_values: Sequence[float], *, x: str, y: str) -> Fit:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -201,7 +201,7 @@
     if readings.p99_lag_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: an event loop lagged by {readings.p99_lag_s * 1000:.0f} ms")
     if max_lateness_s >= MAX_LATENESS_S:
-        reasons.append(f"{name}: a change was made {max_lateness_s * 1000:.0f} ms late")
+        reasons.append(f"{name}: a change was applied {max_lateness_s * 1000:.0f} ms late")
     max_process_fraction = max(readings.processor_s) / readings.elapsed_s
     if max_process_fraction >= SATURATED_PROCESS_FRACTION:
         reasons.append(f"{name}: a process used {max_process_fraction:.0%} of a core")
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -131,7 +131,7 @@
         result.rows.append(_row(entries, group, reading, elapsed_s, pushed=pushed))
     p99_lag_s, _ = lag.take()
     lag.stop()
-    phase = f"at rest, {'pushed' if pushed else 'polled'}"
+    phase = f"idle, {'pushed' if pushed else 'polled'}"
     result.invalid_reasons += cores.invalid_reasons(phase)
     if p99_lag_s >= MAX_LATENESS_S:
         result.invalid_reasons.append(
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -120,7 +120,7 @@
             undisturbed = list(filter(self._is_undisturbed, rounds))
             if not undisturbed:
                 result.invalid_reasons.append(
-                    f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was quick"
+                    f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was undisturbed"
                 )
                 continue
             columns = RoundColumns(
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -123,7 +123,10 @@
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
-    assert measure_rounds(1, 2, 19.0, 10.0, 19.0) == ([], ["{'entries': 6}: none of 2 rounds was quick"])
+    assert measure_rounds(1, 2, 19.0, 10.0, 19.0) == (
+        [],
+        ["{'entries': 6}: none of 2 rounds was undisturbed"],
+    )
     # A later calibration lowers the minimum, so that the earlier rounds no longer count as undisturbed.
     rows, reasons = measure_rounds(3, 3, 10.0, 10.0, 6.0, 6.0)
     assert [row["round"] for row in rows] == [[3.0]]
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -57,7 +57,7 @@
     assert noisy == fit_line([0, 1, 2], [0.0, 2.0, 1.0], x="n", y="ms (noisy)")
     assert (noisy.slope, noisy.intercept) == pytest.approx((0.5, 0.5))
     assert noisy.slope_error == pytest.approx((1.5 / 2) ** 0.5)
-    with pytest.raises(ValueError, match="two sizes"):
+    with pytest.raises(ValueError, match="at least two different sizes"):
         fit_columns(points((1, 1.0)), "ms", "n")
 
 
