--- a/testbed/balancer/watch_only_process.py
+++ b/testbed/balancer/watch_only_process.py
@@ -87,7 +87,7 @@
     def take_report(self, lag_monitor: LoopLagMonitor) -> AppliedListsReport:
         """Return the lists applied since the previous report, and the lag of the event loop."""
         applied_lists, self._applied_lists = self._applied_lists, []
-        p99_lag_s, max_lag_s = lag_monitor.take()
+        p99_lag_s, max_lag_s = lag_monitor.take_lag()
         return AppliedListsReport(
             np.array([applied.balancer_number for applied in applied_lists], dtype=np.int32),
             np.array([applied.version for applied in applied_lists], dtype=np.int64),
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -126,11 +126,11 @@
         server, clock = self.server, self.server.clock
         arrival_ms = clock.now + server.hop_ms
         if server.behaviour is Behaviour.REFUSES_CONNECTIONS:
-            clock.schedule(arrival_ms, self._connect_failed, None)
+            clock.schedule(arrival_ms, self._on_connect_failed, None)
         else:
             self.was_sent = True
             clock.schedule(arrival_ms, server.receive, self)
-        clock.schedule(clock.now + self.timeout_ms, self._timed_out, None)
+        clock.schedule(clock.now + self.timeout_ms, self._on_timeout, None)
 
     def cancel(self) -> None:
         """Stop waiting for a response."""
@@ -158,10 +158,10 @@
         """Receive the response of the next tier; the server succeeds only if that response is 200."""
         self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
 
-    def _connect_failed(self, _: None) -> None:
+    def _on_connect_failed(self, _: None) -> None:
         self.finish(Outcome.CONNECT_FAILED)
 
-    def _timed_out(self, _: None) -> None:
+    def _on_timeout(self, _: None) -> None:
         self.finish(Outcome.TIMED_OUT if self.was_sent else Outcome.CONNECT_FAILED)
 
 
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -140,8 +140,8 @@
         """Set the state of one agent, or of a group."""
         key = _agent_key(agent) if agent is not None else group
         self._states[key] = state
-        for each in self.agents.values():
-            each.set_state(self._effective_state(each))
+        for started_agent in self.agents.values():
+            started_agent.set_state(self._effective_state(started_agent))
 
     def _effective_state(self, agent: Agent) -> AgentState:
         """Return the most severe mode and the maximum delay of all states that apply to an agent."""
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -163,7 +163,7 @@
         self.invalid_reasons += measured.invalid_reasons
 
 
-def machine() -> dict[str, Any]:
+def describe_machine() -> dict[str, Any]:
     """Describe the machine: processor, cores, memory in GiB and operating system."""
     return {
         "processor": _processor_model(),
@@ -210,7 +210,7 @@
     stored = {
         "experiment": name,
         "plan": plan,
-        "machine": machine(),
+        "machine": describe_machine(),
         "versions": versions(),
         "valid": valid,
         "doubts": result.invalid_reasons,
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -106,8 +106,8 @@
         for process in group.processes:
             process.report()  # discards the lag measured so far
         self._group = group
-        self._lag = LoopLagMonitor(asyncio.get_running_loop())
-        self._cores = CoreMonitor()
+        self._lag_monitor = LoopLagMonitor(asyncio.get_running_loop())
+        self._core_monitor = CoreMonitor()
         self._start_s = time.monotonic()
         self._first_version = group.discovery.version + 1
         self._processor_s = _processor_s(group)
@@ -137,9 +137,9 @@
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
         counts = sum_counts(self._group.discovery, self._group.watch_only_agents) - self._counts
-        reasons = self._cores.invalid_reasons(name)
-        p99_lag_s, _ = self._lag.take()
-        self._lag.stop()
+        reasons = self._core_monitor.invalid_reasons(name)
+        p99_lag_s, _ = self._lag_monitor.take_lag()
+        self._lag_monitor.stop()
         reports = [process.report() for process in self._group.processes]
         p99_lag_s = max([p99_lag_s, *(report.p99_lag_s for report in reports)])
         readings = _Readings(elapsed_s, processor_s, counts, reports, p99_lag_s)
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -122,17 +122,17 @@
     plan: Plan, groups: list[BalancerGroup], result: RunResult[IdleRow], *, pushed: bool
 ) -> None:
     """Measure all groups over the same period, and add a row for each."""
-    lag, cores = LoopLagMonitor(asyncio.get_running_loop()), CoreMonitor()
+    lag_monitor, core_monitor = LoopLagMonitor(asyncio.get_running_loop()), CoreMonitor()
     start_s = time.monotonic()
     before = [_take_reading(group) for group in groups]
     await asyncio.sleep(plan.span_s)
     elapsed_s = time.monotonic() - start_s
     for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
         result.rows.append(_row(entries, group, reading, elapsed_s, pushed=pushed))
-    p99_lag_s, _ = lag.take()
-    lag.stop()
+    p99_lag_s, _ = lag_monitor.take_lag()
+    lag_monitor.stop()
     phase = f"idle, {'pushed' if pushed else 'polled'}"
-    result.invalid_reasons += cores.invalid_reasons(phase)
+    result.invalid_reasons += core_monitor.invalid_reasons(phase)
     if p99_lag_s >= MAX_LATENESS_S:
         result.invalid_reasons.append(
             f"{phase}: the event loop of discovery lagged by {p99_lag_s * 1000:.0f} ms"
@@ -147,14 +147,14 @@
 
 
 def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> IdleRow:
-    now = _take_reading(group)
-    real = now.real_counts - before.real_counts
-    watch_only = now.watch_only_counts - before.watch_only_counts
+    after = _take_reading(group)
+    real = after.real_counts - before.real_counts
+    watch_only = after.watch_only_counts - before.watch_only_counts
     resources = measure_usage([group.real_balancers[0].pid])
     return IdleRow(
         entries=entries,
         mode="push" if pushed else "ask",
-        core_percent=(now.processor_s - before.processor_s) / elapsed_s * 100,
+        core_percent=(after.processor_s - before.processor_s) / elapsed_s * 100,
         resident_mib=resources.resident_bytes / _MIB,
         descriptors=resources.descriptors,
         requests_per_s=real.requests / elapsed_s,
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -67,7 +67,7 @@
         self._last_request_number = 0
         self._attempt_ends: list[_AttemptEnd] = []
         self._endpoints_called: set[str] = set()
-        endpoints = tuple([e.endpoint for e in balancer_configuration.known_endpoints.endpoints])
+        endpoints = tuple([entry.endpoint for entry in balancer_configuration.known_endpoints.endpoints])
         self._balancer.handle(EndpointListUpdate(EndpointListKind.CACHED, endpoints), self._now_ms)
         freeze_live_objects()
         self._run_requests(plan.warm_calls)
@@ -77,30 +77,30 @@
         return self._run_requests(self._plan.calls)
 
     def _run_requests(self, request_count: int) -> DecisionRound:
-        measured = DecisionRound()
+        measured_round = DecisionRound()
         for _ in range(request_count):
             self._now_ms += self._random.expovariate(self._plan.calls_per_s / 1000)
-            self._finish_attempts(measured)
-            self._receive_request(measured)
-        return measured
+            self._finish_attempts(measured_round)
+            self._receive_request(measured_round)
+        return measured_round
 
-    def _finish_attempts(self, measured: DecisionRound) -> None:
+    def _finish_attempts(self, measured_round: DecisionRound) -> None:
         """Report to the policy the attempts that have ended by the current time."""
         while self._attempt_ends and self._attempt_ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._attempt_ends)
             finished = AttemptFinished(
                 end.request, _ATTEMPT_INDEX, end.endpoint, Outcome.SUCCEEDED, is_request_complete=True
             )
-            self._handle(finished, end.at_ms, measured.ends_ns)
+            self._handle(finished, end.at_ms, measured_round.ends_ns)
 
-    def _receive_request(self, measured: DecisionRound) -> None:
+    def _receive_request(self, measured_round: DecisionRound) -> None:
         """Pass the next request to the policy, and schedule when its attempts end."""
         self._last_request_number += 1
         request_class = self._classes[self._last_request_number % len(self._classes)]
         received = RequestReceived(self._last_request_number, request_class.name, request_class.deadline_ms)
-        actions = self._handle(received, self._now_ms, measured.arrivals_ns)
+        actions = self._handle(received, self._now_ms, measured_round.arrivals_ns)
         attempts = [action for action in actions if isinstance(action, StartAttempt)]
-        measured.shed.append(not attempts)
+        measured_round.shed.append(not attempts)
         for attempt in attempts:
             service_ms = self._random.expovariate(1 / self._plan.service_ms)
             self._endpoints_called.add(attempt.endpoint)
@@ -118,8 +118,12 @@
 
     def row(self, undisturbed_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
         """Return the row that combines all undisturbed rounds."""
-        arrivals_ns = [duration_ns for measured in undisturbed_rounds for duration_ns in measured.arrivals_ns]
-        ends_ns = [duration_ns for measured in undisturbed_rounds for duration_ns in measured.ends_ns]
+        arrivals_ns = [
+            duration_ns for measured_round in undisturbed_rounds for duration_ns in measured_round.arrivals_ns
+        ]
+        ends_ns = [
+            duration_ns for measured_round in undisturbed_rounds for duration_ns in measured_round.ends_ns
+        ]
         return DecisionRow(
             identity=self.identity,
             arrival_us_median=float(np.median(arrivals_ns)) / _NS_PER_US,
@@ -129,7 +133,7 @@
             end_us_mean=float(np.mean(ends_ns)) / _NS_PER_US,
             p99_end_us=float(np.percentile(ends_ns, 99)) / _NS_PER_US,
             requests=len(arrivals_ns),
-            shed=sum(sum(measured.shed) for measured in undisturbed_rounds),
+            shed=sum(sum(measured_round.shed) for measured_round in undisturbed_rounds),
             endpoints_called=len(self._endpoints_called),
             rounds=columns,
         )
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -98,7 +98,7 @@
         self._upstream_pools.update_endpoints(update)
         pools_updated_ns = time.perf_counter_ns()
         kind = EndpointListKind.SNAPSHOT if update.is_complete else EndpointListKind.DELTA
-        endpoints = tuple([e.endpoint for e in update.endpoints])
+        endpoints = tuple([entry.endpoint for entry in update.endpoints])
         self._balancer.handle(EndpointListUpdate(kind, endpoints), self._now_ms)
         policy_updated_ns = time.perf_counter_ns()
         return UpdateTimes(
@@ -110,12 +110,12 @@
 
     def run_round(self) -> ListRound:
         """Apply the snapshots of one round, then its deltas."""
-        measured = ListRound()
+        measured_round = ListRound()
         for _ in range(self._plan.lists):
-            measured.lists.append(self._apply_update(self._discovery.list_response(-1).body))
+            measured_round.lists.append(self._apply_update(self._discovery.list_response(-1).body))
         for _ in range(self._plan.deltas):
-            measured.deltas.append(self._apply_update(self._next_delta()))
-        return measured
+            measured_round.deltas.append(self._apply_update(self._next_delta()))
+        return measured_round
 
     def _next_delta(self) -> bytes:
         """Change the weight of the next entry, and return the body of discovery's response with the delta."""
@@ -129,8 +129,8 @@
 
     def row(self, undisturbed_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
         """Return the row that combines all undisturbed rounds; this also measures the memory."""
-        lists = [times for measured in undisturbed_rounds for times in measured.lists]
-        deltas = [times for measured in undisturbed_rounds for times in measured.deltas]
+        lists = [times for measured_round in undisturbed_rounds for times in measured_round.lists]
+        deltas = [times for measured_round in undisturbed_rounds for times in measured_round.deltas]
         return ListRow(
             identity=self.identity,
             list_bytes=self._list_bytes,
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -114,9 +114,9 @@
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_measure_depth(plan, depth, result, log))
-    without_fault = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
-    if len(without_fault) > 1:
-        result.fits = [fit_columns(without_fault, y, "depth") for y in _FITTED_COLUMNS]
+    fault_free_rows = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
+    if len(fault_free_rows) > 1:
+        result.fits = [fit_columns(fault_free_rows, y, "depth") for y in _FITTED_COLUMNS]
     return result
 
 
--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -70,7 +70,7 @@
         due_at, callback = calls.pop()
         loop.now = due_at + lag_s
         callback()
-    assert lag_monitor.take() == pytest.approx((0.0, 0.25), abs=1e-9)
-    assert lag_monitor.take() == (0.0, 0.0)
+    assert lag_monitor.take_lag() == pytest.approx((0.0, 0.25), abs=1e-9)
+    assert lag_monitor.take_lag() == (0.0, 0.0)
     lag_monitor.stop()
     assert calls == []
