--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -108,7 +108,8 @@
         Args:
             configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
             command: A command for `/bin/sh -c` in the repository's root, by default the deploy file's `run`
-                command. It has to `exec` the program, so that the process id and signals are the program's.
+                command. It has to `exec` the program, so that the process id is the program's and signals
+                reach it.
 
         Raises:
             TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers are running already.
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -71,7 +71,7 @@
 
     Attributes:
         request_number: The number of the request at its balancer.
-        index: The attempt's index among those of its request.
+        index: The attempt's index within its request.
         server: The server that it goes to.
         client_request: The client request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -67,7 +67,7 @@
 ) -> None:
     """Run experiments one after another and write a JSON result for each.
 
-    The exit status is 3 if the results of a run are invalid: its load was late or the cores were saturated.
+    The exit status is 3 if the results of a run are invalid, for example because requests were sent late.
     """
     _configure_logs()
     log = structlog.get_logger()
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -11,7 +11,7 @@
 
     UP = "up"
     UNRESPONSIVE = "unresponsive"
-    """It accepts connections and sends nothing; open requests are answered once it is up again."""
+    """It accepts connections but sends nothing; it responds to open requests once it is up again."""
     DOWN = "down"
     """Its connections are reset, and new ones are refused."""
 
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -28,7 +28,7 @@
     Attributes:
         body: The JSON text.
         entry_count: The number of entries in it.
-        is_snapshot: Whether the entries are the complete list; otherwise they are the changed ones.
+        is_snapshot: Whether the entries are the complete list; otherwise they are only the changed entries.
     """
 
     body: bytes
--- a/testbed/load/kernel_timer.py
+++ b/testbed/load/kernel_timer.py
@@ -1,4 +1,4 @@
-"""Sleeps that are more precise than those of an event loop."""
+"""A timer with a higher resolution than the timers of an event loop."""
 
 from __future__ import annotations
 
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -72,7 +72,10 @@
     lateness: Latencies = field(default_factory=Latencies)
 
     def invalid_reasons(self, name: str, max_lateness_ms: float) -> list[str]:
-        """Return a reason if the 99th percentile of lateness exceeds `max_lateness_ms`, else no reason."""
+        """Return the reasons why the results are invalid.
+
+        There is one if the 99th percentile of lateness exceeds `max_lateness_ms`, else none.
+        """
         p99_lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
         if p99_lateness_ms <= max_lateness_ms:
             return []
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -9,7 +9,7 @@
 from testbed.errors import TestbedError
 
 _MAX_US = 120_000_000
-"""The upper bound of recorded latencies, in microseconds: longer ones are recorded as this value."""
+"""The upper bound of recorded latencies, in microseconds: longer latencies are recorded as this value."""
 
 _SIGNIFICANT_DIGITS = 3
 _US_PER_S = 1e6
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -77,7 +77,7 @@
         return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalid_reasons(self, phase: str) -> list[str]:
-        """Return a reason if the cores were saturated, which makes a phase invalid; else no reason."""
+        """Return the reasons why the results of a phase are invalid: one if the cores were saturated."""
         busy = self.busy_fraction()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
 
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -36,7 +36,7 @@
 
 
 def column_name(column: Field[Any]) -> str:
-    """Return the name of a field's stored column: that of the field, unless `stored_as` gives another."""
+    """Return the name of a field's stored column: the one given by `stored_as`, or else the field's name."""
     return str(column.metadata.get("column_name", column.name))
 
 
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -80,7 +80,7 @@
     snapshots: int = stored_as("whole_lists")
     """Snapshots that watch-only balancers received."""
     p99_loop_lag_ms: float = stored_as("loops_late_ms_99")
-    """The 99th percentile of an event loop's lag; the maximum over all event loops."""
+    """The 99th percentile of an event loop's lag, as the maximum over all event loops."""
     max_process_percent: float = stored_as("process_percent_most")
     """Processor time of the busiest process, as a percentage of a core."""
 
@@ -91,12 +91,12 @@
 
     elapsed_s: float
     processor_s: list[float]
-    """Processor time of each process, those of watch-only balancers first."""
+    """Processor time of each process; the processes of watch-only balancers come first."""
     counts: RequestCounts
     """Counts of the requests from watch-only balancers to discovery."""
     reports: list[AppliedListsReport]
     p99_lag_s: float
-    """The 99th percentile of an event loop's lag; the maximum over all event loops."""
+    """The 99th percentile of an event loop's lag, as the maximum over all event loops."""
 
 
 class ChangeMeasurement:
@@ -129,7 +129,7 @@
             acknowledgements: The versions that watch requests acknowledged, in chronological order.
 
         Returns:
-            The row, and the reasons why it is invalid, if any.
+            The row, and the reasons why its values are invalid, if any.
         """
         name = f"{self._group.watch_only_count} balancers, {multiple:g} times"
         elapsed_s = self.elapsed_s
@@ -215,6 +215,6 @@
 
 
 def _processor_s(group: BalancerGroup) -> list[float]:
-    """Return the processor time of each process so far, those of watch-only balancers first."""
+    """Return the processor time of each process so far; the processes of watch-only balancers come first."""
     pids = [process.pid for process in group.processes] + [balancer.pid for balancer in group.real_balancers]
     return [measure_usage([pid]).processor_s for pid in pids]
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,4 +1,4 @@
-"""Groups of balancers with one simulated discovery, for the runs on the control plane.
+"""Groups of balancers with one simulated discovery, for the runs that measure the control plane.
 
 A group has watch-only balancers, spread over a few processes, and real ones, each in its own process.
 """
@@ -143,7 +143,7 @@
 
 
 def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Create a simulated discovery that stops when the stack closes; `args` are those of `Discovery`."""
+    """Create a simulated discovery that stops when the stack closes; `args` are passed to `Discovery`."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -87,7 +87,7 @@
 
 
 def with_growth(rows: Sequence[ListSizeRow]) -> list[ListSizeRow]:
-    """Add to each row how its costs grew with the length of the list since the previous length.
+    """Add growth columns to each row: how its costs grew from the previous length of the list.
 
     The growth is the exponent ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is
     proportional to the length.
@@ -96,7 +96,7 @@
         rows: Rows of all lengths, ascending.
 
     Returns:
-        The rows in the same order; those of the first length are unchanged.
+        The rows in the same order; rows of the first length are unchanged.
     """
     previous_rows: dict[tuple[str, str, int], ListSizeRow] = {}
     rows_with_growth: list[ListSizeRow] = []
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -205,7 +205,7 @@
 
 
 def _latency_columns(direct: Latencies, through: Latencies) -> LatencyColumns | None:
-    """Compare direct latencies with those through the balancers; return None if either has none."""
+    """Compare direct latencies with latencies through the balancers; return None if either is empty."""
     if not through.count or not direct.count:
         return None
     return LatencyColumns(
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -48,9 +48,9 @@
     Attributes:
         connections: Connections that were opened.
         requests: Requests that were received completely, excluding health checks.
-        served: Requests that got a 200.
-        failed: Requests that got a 500.
-        rejected: Requests that got a 503.
+        served: Requests with a 200 response.
+        failed: Requests with a 500 response.
+        rejected: Requests with a 503 response.
         hung: Requests that were left without a response.
         reset: Requests whose connection was reset.
         abandoned: Requests whose connection the balancer closed before the response, including hung ones.
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -110,7 +110,7 @@
             )
 
     def _draw_mode(self, behaviour: Behaviour) -> UpstreamMode:
-        """Draw the mode for a request: that of the behaviour with probability `fraction`, else `SERVE`."""
+        """Draw the mode for a request: the behaviour's mode with probability `fraction`, else `SERVE`."""
         if behaviour.fraction < 1 and self._rng.random() >= behaviour.fraction:
             return UpstreamMode.SERVE
         return behaviour.mode
