--- a/loadbalancer/network/upstream/attempt_starter.py
+++ b/loadbalancer/network/upstream/attempt_factory.py
@@ -1,4 +1,4 @@
-"""Starts attempts at endpoints, which are given by their names."""
+"""Starts attempts at endpoints, on connections of their pools."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from loadbalancer.network.upstream.pool import UpstreamPools
 
 
-class AttemptStarter:
-    """Starts attempts on connections of the pools.
+class UpstreamAttemptFactory:
+    """Creates attempts, and starts each on a connection of its endpoint's pool.
 
     Args:
         loop: The event loop.
@@ -26,7 +26,7 @@
         self._loop = loop
         self._upstream_pools = upstream_pools
 
-    def start(
+    def start_attempt(
         self,
         endpoint: str,
         timeout_s: float,
@@ -34,7 +34,7 @@
         on_end: OnAttemptEnd,
         is_response_needed: Callable[[], bool] = lambda: True,
     ) -> UpstreamAttempt | None:
-        """Start an attempt at an endpoint.
+        """Create and start an attempt at an endpoint.
 
         Args:
             endpoint: The name of the endpoint.
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -1,4 +1,4 @@
-"""Concurrent events, forced into the order that is harder to handle."""
+"""Races between events, each forced into the order that is harder to handle."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     from tests.support.fixture_types import StartProxy, StartServer
 
 
-def is_refused(port: int) -> bool:
-    """Return whether a connection to the port is refused; any result but refusal and success is an error."""
+def is_port_closed(port: int) -> bool:
+    """Return whether nothing listens on the port; any other connect error fails the test."""
     with socket.socket() as client:
         error = client.connect_ex(("127.0.0.1", port))
     assert error in (0, errno.ECONNREFUSED)
@@ -45,28 +45,28 @@
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
     assert b"configuration reloaded" in await read_log_line(program.process)
-    await wait_until(lambda: is_refused(program.port), "connections are refused", poll_interval_s=0.02)
+    await wait_until(lambda: is_port_closed(program.port), "the listener is closed", poll_interval_s=0.02)
     await program.respond_and_check()
     program.client.writer.close()
     assert await program.process.wait() == 0
 
 
-async def test_indented_list_with_a_lower_index_is_applied(start_proxy: StartProxy) -> None:
+async def test_indented_list_with_lower_index_is_applied(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
-    assert "after=7&" in await harness.discovery.calls.get()
+    assert "after=7&" in await harness.discovery.requests.get()
     endpoint = entry("s9", harness.entries[0]["address"])
     harness.discovery.responses.put_nowait(list_response(2, endpoint, snapshot=True, indent=4))
-    assert "after=2&" in await harness.discovery.calls.get()
+    assert "after=2&" in await harness.discovery.requests.get()
     assert harness.proxy.upstream_pools.endpoint_names == {"s9"}
 
 
-async def test_list_received_during_a_sighup_is_ignored(
+async def test_list_received_during_reload_is_ignored(
     start_proxy: StartProxy, start_server: StartServer
 ) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
-    await harness.discovery.calls.get()
+    await harness.discovery.requests.get()
     list_bytes = list_response(8, entry("old", "127.0.0.1:9"), snapshot=True)
     harness.discovery.responses.put_nowait(list_bytes[:-5])
     connection = harness.proxy.endpoint_watch.connection
@@ -76,14 +76,14 @@
     text = config_text(await start_server(new_discovery), [])
     connection.data_received(list_bytes[-5:])  # read in the same iteration of the event loop as the signal
     harness.proxy.reconfigure(configuration(text))
-    await new_discovery.calls.get()
+    await new_discovery.requests.get()
     new_discovery.publish(3, entry("new", harness.entries[0]["address"]), snapshot=True)
-    assert "after=3&" in await new_discovery.calls.get()
+    assert "after=3&" in await new_discovery.requests.get()
     await harness.discovery.connection_closed.wait()
     assert harness.proxy.upstream_pools.endpoint_names == {"new"}
 
 
-async def test_timeout_and_response_end_the_attempt_once(start_server: StartServer) -> None:
+async def test_timeout_and_response_end_attempt_once(start_server: StartServer) -> None:
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
     attempt = ObservedAttempt(pools)
@@ -91,42 +91,42 @@
     connection = attempt.attempt.connection
     assert connection is not None
     attempt.attempt.handle_timeout()
-    connection.data_received(response())  # was read before the timeout, but is delivered only now
+    connection.data_received(response())  # read before the timeout, but delivered after it
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.TIMED_OUT]
     assert pools.open_connections == 0
 
 
-async def test_connection_end_after_the_liveness_check_is_a_reset(
+async def test_disconnect_after_liveness_check_is_reset(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request may have run, so it fails after one attempt if it is not idempotent."""
+    """The upstream may have processed the request, which must not be retried unless it is idempotent."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
     (idle_connection,) = harness.proxy.upstream_pools.pool("s0").idle_connections
     idle_connection.idle_since -= 1.0
     is_alive = UpstreamConnection.is_alive
-    alive_results: list[bool] = []
+    liveness_results: list[bool] = []
 
-    def check_then_end(connection: UpstreamConnection) -> bool:
-        alive_results.append(is_alive(connection))
+    def check_then_disconnect(connection: UpstreamConnection) -> bool:
+        liveness_results.append(is_alive(connection))
         upstream_socket = upstream.writers[0].transport.get_extra_info("socket")
         with socket.socket(fileno=os.dup(upstream_socket.fileno())) as upstream_end:
             upstream_end.shutdown(socket.SHUT_RDWR)
-        return alive_results[-1]
+        return liveness_results[-1]
 
-    monkeypatch.setattr(UpstreamConnection, "is_alive", check_then_end)
+    monkeypatch.setattr(UpstreamConnection, "is_alive", check_then_disconnect)
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == 502
-    assert alive_results == [True]
+    assert liveness_results == [True]
     outcomes = [event.outcome for event in events if isinstance(event, AttemptFinished)]
     assert outcomes == [Outcome.RESET]
 
 
-@pytest.mark.parametrize("change", ["draining", "gone", "moved", "restarted"])
-async def test_endpoint_change_during_the_connect_prevents_the_send(
+@pytest.mark.parametrize("change", ["draining", "removed", "moved", "restarted"])
+async def test_endpoint_change_during_connect_prevents_send(
     start_server: StartServer, change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     upstream = Upstream()
@@ -138,7 +138,7 @@
         connection = await connect(pool)
         update = {
             "draining": endpoint_list(entry("s0", address, status="terminating")),
-            "gone": endpoint_list(is_complete=True),
+            "removed": endpoint_list(is_complete=True),
             "moved": endpoint_list(entry("s0", "127.0.0.1:9")),
             "restarted": endpoint_list(entry("s0", address, since_ms=5)),
         }[change]
@@ -153,12 +153,12 @@
     assert pools.open_connections == 0
 
 
-async def test_queued_events_survive_a_policy_exception(
+async def test_queued_events_survive_policy_exception(
     start_proxy: StartProxy, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         "loadbalancer.network.deadline_watchdog.WATCHDOG_MARGIN_MS", -1e6
-    )  # so that the watchdog responds too late to matter
+    )  # so that the watchdog does not respond during the test
     harness = await start_proxy(Upstream())
     handle = harness.proxy.balancer.handle
     events: list[Event] = []
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -1,6 +1,6 @@
-"""Readiness: what the program does before it accepts clients, and what it does not wait for.
+"""Readiness: the work of the program before it accepts clients, and what it must not wait for.
 
-The tests check what is done, not how long it takes, and so do not depend on the speed of the machine.
+The tests check the steps of the startup instead of its duration, which depends on the machine.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 @contextmanager
 def unresponsive_discovery(state: str) -> Iterator[str]:
-    """Yield the address of a discovery that responds to no call."""
+    """Yield the address of a discovery service that does not respond."""
     with socket.socket() as listener, socket.socket() as first, socket.socket() as second:
         listener.bind(("127.0.0.1", 0))
         if state == "silent":
@@ -99,8 +99,8 @@
             client.writer.close()
 
 
-def test_start_imports_only_what_it_needs(tmp_path: Path) -> None:
-    """Imports delay the start: when twenty programs start on one core, each of them waits for all imports."""
+def test_startup_imports_only_needed_modules(tmp_path: Path) -> None:
+    """Imports delay startup: when twenty programs start on one core, each waits for the imports of all."""
     loaded = set(evaluate_after_start(tmp_path, "sorted(sys.modules)"))
     new_interpreter = subprocess.run(
         [sys.executable, "-c", "import sys; print(*sys.modules)"], capture_output=True, text=True, check=True
@@ -121,8 +121,8 @@
             "network.discovery.connection network.discovery.retry_schedule network.discovery.watch "
             "network.endpoint_list_updater network.errors network.event_dispatcher network.headers "
             "network.log network.open_requests network.proxy network.request_ids network.response_parser "
-            "network.sockets network.upstream network.upstream.attempt network.upstream.attempt_runner "
-            "network.upstream.attempt_starter network.upstream.connection "
+            "network.sockets network.upstream network.upstream.attempt network.upstream.attempt_factory "
+            "network.upstream.attempt_runner network.upstream.connection "
             "network.upstream.connection_limit network.upstream.health_checks network.upstream.pool "
             "network.upstream.request_bytes policy policy.admission policy.arrivals "
             "policy.attempt_recorder policy.attempt_starter policy.available_capacity policy.balancer "
@@ -141,8 +141,8 @@
     assert not top_level_packages.intersection(slow_imports)
 
 
-def test_the_build_compiles_every_file(tmp_path: Path) -> None:
-    """The file system is read-only at run time: without bytecode files each start compiles the sources."""
+def test_build_compiles_every_file(tmp_path: Path) -> None:
+    """The file system is read-only at run time: without bytecode files, each start would compile the code."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     package = tmp_path / "loadbalancer"
     for source in (ROOT / "loadbalancer").rglob("*.py"):
@@ -179,7 +179,7 @@
     assert counts == {"files": 1, "entries": MAX_LIST_ENTRIES, "updates": 1}
 
 
-def test_no_garbage_collection_runs_during_the_start(tmp_path: Path) -> None:
+def test_no_garbage_collection_runs_during_startup(tmp_path: Path) -> None:
     """Each collection would traverse the long-lived objects of thousands of entries, and free nothing."""
     before = """if True:
         def collections():
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive at a given step of the program's start."""
+"""Signals that arrive at a given step of the program's startup."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     print(clients[0].makefile("rb").read().partition(b"\\r\\n")[0].decode())
 """
 
-# The audit event and its first argument for each step of the start.
+# The audit event and its first argument for each step of the startup.
 START_STEPS = {
     "imports the event loop": ("import", "uvloop"),
     "opens its configuration": ("open", "config.json"),
@@ -69,7 +69,7 @@
 
 
 def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
-    """Return a command that runs the program and sends it a signal at a step of its start."""
+    """Return a command that runs the program and sends it a signal at a step of its startup."""
     event, first_argument = START_STEPS[step]
     if event == "open":
         first_argument = str(path)
@@ -89,7 +89,7 @@
 
 
 @AT_EACH_STEP
-async def test_a_sighup_during_the_start_reloads_the_configuration(
+async def test_sighup_during_startup_reloads_configuration(
     start_server: StartServer, step: str, tmp_path: Path
 ) -> None:
     """The signal must neither end the program nor be lost."""
@@ -103,11 +103,11 @@
         env=os.environ | {"LB_CONFIG": str(path)},
     )
     try:
-        call = asyncio.ensure_future(new_discovery.calls.get())
+        request_line = asyncio.ensure_future(new_discovery.requests.get())
         exit_code = asyncio.ensure_future(process.wait())
-        await asyncio.wait((call, exit_code), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((request_line, exit_code), return_when=asyncio.FIRST_COMPLETED)
         assert not exit_code.done(), f"ended with {process.returncode}"
-        assert call.result() == "GET /v1/servers HTTP/1.1"
+        assert request_line.result() == "GET /v1/servers HTTP/1.1"
         process.terminate()
         assert await exit_code == 0
     finally:
@@ -116,7 +116,7 @@
 
 
 @AT_EACH_STEP
-def test_a_sigterm_during_the_start_ends_the_program_silently(step: str, tmp_path: Path) -> None:
+def test_sigterm_during_startup_ends_program_silently(step: str, tmp_path: Path) -> None:
     """The signal itself ends the program or, once the event loop runs, a graceful shutdown does."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
@@ -127,7 +127,7 @@
     assert completed.stdout == ""
 
 
-def test_request_during_an_early_sigterm_gets_a_response(tmp_path: Path) -> None:
+def test_request_during_early_sigterm_gets_response(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
     completed = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
