--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Request:
-    """A request at its balancer."""
+    """A request that the balancer handles."""
 
     number: int
     caller: Caller
@@ -67,7 +67,7 @@
     is_open: bool = True
     """Whether the client still waits for the final response."""
     may_have_run: bool = False
-    """Whether an attempt that has finished may have run."""
+    """Whether a server may have processed an attempt that has finished."""
     running_attempts: int = 0
     queued_events: int = 0
     """Events of this request that the policy has not handled yet."""
@@ -153,7 +153,10 @@
                 attempt.finish_if_unsent()
 
     def _respond_before_deadline(self, request: _Request) -> None:
-        """Respond shortly before the deadline if the policy has not; 503 if no attempt may have run."""
+        """Respond shortly before the deadline if the policy has not.
+
+        The status is 503 if no server may have processed the request, else 502.
+        """
         if request.is_open:
             may_run = request.may_have_run or request.running_attempts
             request.caller.receive_response(502 if may_run else 503)
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -40,7 +40,7 @@
     REFUSES_CONNECTIONS = "refuses"
     """Its listener is closed: new attempts can't connect, and attempts in flight continue."""
     REJECTS = "turns away"
-    """It responds 503 with X-Not-Run at once."""
+    """It responds 503 with X-Not-Run immediately."""
     HANGS = "hangs"
     """It accepts new attempts and never responds to them, and attempts in flight continue."""
 
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -101,7 +101,7 @@
         return self._publish()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> int:
-        """Create one new version with changed, new and (if `terminated`) removed entries, and return it."""
+        """Publish changed, new and (if `terminated`) removed entries as one version, and return it."""
         self._history.apply_changes(entries)
         return self._publish()
 
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -80,7 +80,7 @@
     snapshots: int = stored_as("whole_lists")
     """Snapshots that watch-only balancers received."""
     p99_loop_lag_ms: float = stored_as("loops_late_ms_99")
-    """The 99th percentile of an event loop's lag, as the maximum over all event loops."""
+    """The maximum over all event loops of the 99th percentile of their lag."""
     max_process_percent: float = stored_as("process_percent_most")
     """Processor time of the busiest process, as a percentage of a core."""
 
@@ -96,7 +96,7 @@
     """Counts of the requests from watch-only balancers to discovery."""
     reports: list[AppliedListsReport]
     p99_lag_s: float
-    """The 99th percentile of an event loop's lag, as the maximum over all event loops."""
+    """The maximum over all event loops of the 99th percentile of their lag."""
 
 
 class ChangeMeasurement:
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -46,9 +46,9 @@
     """Fractions of client requests with a 200 response; null if there were no requests."""
 
     served: float | None
-    """The fraction of all requests that have a response."""
+    """For all requests that have a response."""
     served_before: float | None
-    """The fraction before the fault.
+    """For the requests before the fault.
 
     Requests in the last `WINDOW_MS` are excluded, since they may be in flight when the fault begins.
     """
--- a/testbed/runs/list_size/__init__.py
+++ b/testbed/runs/list_size/__init__.py
@@ -1,1 +1,1 @@
-"""The run that measures the costs of a balancer by the length of its endpoint list."""
+"""The run that measures the costs of a balancer for each length of its endpoint list."""
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -11,7 +11,7 @@
 from testbed import experiment, settings
 
 EndpointUse = Literal["part", "all"]
-"""The endpoints that a balancer uses: a subset ("part") if it is one of many balancers, or all."""
+"""The endpoints that a balancer uses: a subset ("part") if there are many balancers, else all."""
 
 
 class Plan(experiment.Plan):
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -100,7 +100,10 @@
         return measured_round.calibration_us <= MAX_UNDISTURBED_RATIO * self._min_calibration_us
 
     def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
-        """Run rounds until enough were undisturbed, judged by the minimum so far, or the limit is reached."""
+        """Run rounds until enough of them are undisturbed, or the limit is reached.
+
+        Rounds are judged by the fastest calibration so far.
+        """
         rounds: list[_MeasuredRound] = []
         before = self._measure_calibration_us()
         while (
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,8 +1,8 @@
-"""Measures the costs of a balancer by the length of its list: decisions, updates, memory and bytes.
+"""Measures the costs of a balancer for each length of its list: decisions, updates, memory and bytes.
 
 The run uses the real policy and the real connection pools in one process, on a virtual clock. It measures
-each length twice: for one of as many balancers as there are endpoints, which uses a subset of the endpoints,
-and for a single balancer, which uses all endpoints.
+each length twice: with as many balancers as endpoints, so that the measured balancer uses a subset of the
+endpoints, and with a single balancer, which uses all endpoints.
 """
 
 from __future__ import annotations
--- a/testbed/runs/load_plan.py
+++ b/testbed/runs/load_plan.py
@@ -9,7 +9,7 @@
     """The load; the subclass for each run defines what `sizes` means."""
 
     per_s: float
-    """Requests per second through all front balancers together, and also of direct requests."""
+    """Requests per second through all front balancers together; direct requests are sent at the same rate."""
     class_name: str
     """The request class: one of `testbed.settings.REQUEST_CLASSES` that is safe to retry."""
     deadline_ms: float
