--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -28,7 +28,7 @@
 _HEALTH_CHECK_TIMEOUT_S = 5.0
 _KILL_AFTER_S = 10.0
 _LOG_TAIL_CHARACTERS = 500
-"""The number of characters at the end of a log that an error quotes."""
+"""The maximum number of characters that an error quotes from the end of a log."""
 
 _running_pids: set[int] = set()
 
@@ -108,7 +108,8 @@
         Args:
             configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
             command: A command for `/bin/sh -c` in the repository's root, by default the deploy file's `run`
-                command. It has to `exec` the program, so that the process id and signals are the program's.
+                command. It has to `exec` the program, so that the process id is the program's and signals
+                reach it.
 
         Raises:
             TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers are running already.
--- a/testbed/discovery/agent_state.py
+++ b/testbed/discovery/agent_state.py
@@ -11,14 +11,14 @@
 
     UP = "up"
     UNRESPONSIVE = "unresponsive"
-    """It accepts connections and sends nothing; open requests are answered once it is up again."""
+    """It accepts connections but sends nothing; it responds to open requests once it is up again."""
     DOWN = "down"
     """Its connections are reset, and new ones are refused."""
 
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """The mode of an agent, and the delay of each response in milliseconds."""
+    """The mode of an agent, and the delay of its responses in milliseconds."""
 
     mode: AgentMode = AgentMode.UP
     delay_ms: float = 0.0
@@ -31,7 +31,8 @@
     Attributes:
         requests: Valid requests, including watch requests.
         new_watches: Watch requests that started a watch.
-        continued_watches: Watch requests within 200 ms after the previous response, which continue its watch.
+        continued_watches: Watch requests within 200 ms after the previous response, which continue the same
+            watch.
         snapshots: Responses with the complete list.
         entries: Entries in all responses.
         bytes_in: Bytes of the HTTP requests, without the overhead of lower layers.
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -9,7 +9,7 @@
 from testbed.errors import TestbedError
 
 _MAX_US = 120_000_000
-"""The upper bound of recorded latencies, in microseconds: longer ones are recorded as this value."""
+"""The upper bound of recorded latencies, in microseconds: longer latencies are recorded as this value."""
 
 _SIGNIFICANT_DIGITS = 3
 _US_PER_S = 1e6
@@ -50,7 +50,7 @@
 
 
 class AddedTimeColumns(TypedDict):
-    """Columns of a result, all in milliseconds.
+    """Columns that compare latencies through a balancer with direct ones, in milliseconds.
 
     `direct` and `through` are quantiles of requests direct to the upstreams and through the balancer. `added`
     is the quantile through the balancer minus the same quantile of direct requests; `over_median` is the
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -1,4 +1,4 @@
-"""Results of a run: rows, linear fits, and the reasons why they are invalid, if any.
+"""Results of a run: rows, linear fits, and the reasons why the results are invalid, if any.
 
 A run returns typed rows, which are converted to JSON objects when a result is written. The names of stored
 columns do not change, so that old and new results can be compared: a column has the name of its field, or
@@ -36,7 +36,7 @@
 
 
 def column_name(column: Field[Any]) -> str:
-    """Return the name of a field's stored column: that of the field, unless `stored_as` gives another."""
+    """Return the name of a field's stored column: the one given by `stored_as`, or else the field's name."""
     return str(column.metadata.get("column_name", column.name))
 
 
@@ -44,7 +44,7 @@
 class Row:
     """One row of a result; each kind of run defines its columns as the fields of a subclass.
 
-    A field whose value is another row stands for the columns of that row.
+    A field that holds another row contributes the columns of that row.
     """
 
     def columns(self) -> dict[str, Any]:
@@ -66,7 +66,7 @@
 class Fit:
     """A least-squares line: y = slope * x + intercept.
 
-    The errors are the standard errors of slope and intercept, in their units; with two points they are 0.
+    The errors are the standard errors of slope and intercept, in the same units; with two points they are 0.
     """
 
     y: str
@@ -83,10 +83,10 @@
 
 
 class UndeterminedSlopeError(TestbedError, ValueError):
-    """The points have fewer than two different x, which do not determine a slope."""
+    """The points have fewer than two different values of x, so they do not determine a slope."""
 
     def __init__(self, x: str, y: str) -> None:
-        super().__init__(f"{y} over {x}: a slope needs two sizes or more")
+        super().__init__(f"{y} over {x}: a slope needs at least two different sizes")
 
 
 def fit_line(x_values: Sequence[float], y_values: Sequence[float], *, x: str, y: str) -> Fit:
@@ -99,7 +99,7 @@
         y: The name of y.
 
     Raises:
-        UndeterminedSlopeError: There are fewer than two different x.
+        UndeterminedSlopeError: There are fewer than two different values of x.
     """
     xs = np.array([float(value) for value in x_values])
     ys = np.array([float(value) for value in y_values])
@@ -108,8 +108,10 @@
         raise UndeterminedSlopeError(x, y)
     slope = float(((xs - xs.mean()) * (ys - ys.mean())).sum()) / squared_deviations
     intercept = float(ys.mean() - slope * xs.mean())
-    dof = len(xs) - 2
-    residual_variance = float(((ys - slope * xs - intercept) ** 2).sum()) / dof if dof else 0.0
+    degrees_of_freedom = len(xs) - 2
+    residual_variance = (
+        float(((ys - slope * xs - intercept) ** 2).sum()) / degrees_of_freedom if degrees_of_freedom else 0.0
+    )
     slope_error = math.sqrt(residual_variance / squared_deviations)
     intercept_error = math.sqrt(
         residual_variance * (1 / len(xs) + float(xs.mean()) ** 2 / squared_deviations)
@@ -127,7 +129,7 @@
         label: The name of y in the fit; by default the name of the column.
 
     Raises:
-        UndeterminedSlopeError: There are fewer than two different x.
+        UndeterminedSlopeError: There are fewer than two different values of x.
     """
     table = [row.columns() for row in rows]
     return fit_line([row[x] for row in table], [row[y] for row in table], x=x, y=label or y)
@@ -161,7 +163,7 @@
         self.invalid_reasons += measured.invalid_reasons
 
 
-def machine() -> dict[str, Any]:
+def describe_machine() -> dict[str, Any]:
     """Describe the machine: processor, cores, memory in GiB and operating system."""
     return {
         "processor": _processor_model(),
@@ -181,7 +183,7 @@
 
 def versions() -> dict[str, str]:
     """Return the program's commit and the versions of Python and the libraries."""
-    described = subprocess.run(
+    git_describe = subprocess.run(
         ["git", "describe", "--always", "--dirty", "--abbrev=8"],
         cwd=Path(__file__).parent,
         capture_output=True,
@@ -189,26 +191,26 @@
         check=False,
     )
     return {
-        "program": described.stdout.strip() or "unknown",
+        "program": git_describe.stdout.strip() or "unknown",
         "python": platform.python_version(),
         **{name: version(name) for name in LIBRARIES},
     }
 
 
 def write_result(path: Path, name: str, plan: dict[str, Any], result: RunResult[Any]) -> None:
-    """Write a result as a JSON file with the plan, the machine and the versions; rows and fits if valid.
+    """Write a result as a JSON file, with rows and fits only if it is valid.
 
     Args:
         path: The file; missing parent folders are created.
         name: The experiment's name.
         plan: The experiment's plan as a JSON object.
-        result: What the run measured.
+        result: The result of the run.
     """
     valid = result.is_valid
     stored = {
         "experiment": name,
         "plan": plan,
-        "machine": machine(),
+        "machine": describe_machine(),
         "versions": versions(),
         "valid": valid,
         "doubts": result.invalid_reasons,
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,6 +1,6 @@
-"""Groups of balancers with one simulated discovery, for the runs on the control plane.
+"""Groups of balancers with one simulated discovery, for the runs that measure the control plane.
 
-A group has hollow balancers, spread over a few processes, and real ones, each in a process of its own.
+A group has watch-only balancers, spread over a few processes, and real ones, each in its own process.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 import uvloop
 
 from testbed import settings
-from testbed.balancer.hollow_process import HollowProcess
 from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.watch_only_process import WatchOnlyProcess
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
 from testbed.errors import TestbedError
@@ -28,10 +28,10 @@
 MAX_LATENESS_S = 0.1
 """The limit in seconds on the 99th percentile of an event loop's lag, and on the lateness of a change.
 
-The results are invalid if it is reached.
+The results are invalid if one of them reaches this limit.
 """
 START_TIMEOUT_S = 60.0
-"""The time in seconds within which all balancers of a group have to follow the list."""
+"""The time in seconds within which all balancers of a group have to acknowledge the first list."""
 FOLLOW_TIMEOUT_S = 10.0
 """The time in seconds within which all balancers have to acknowledge the last change."""
 POLL_INTERVAL_S = 0.01
@@ -82,37 +82,40 @@
 class BalancerGroup:
     """Balancers with one simulated discovery.
 
-    The first `hollow_count` agents are those of the hollow balancers; those of the real balancers follow.
+    The first `watch_only_count` agents belong to the watch-only balancers, the others to the real ones.
     """
 
     discovery: Discovery
-    processes: list[HollowProcess]
+    processes: list[WatchOnlyProcess]
     real_balancers: list[RealBalancer]
-    hollow_count: int
+    watch_only_count: int
 
     @property
-    def hollow_agents(self) -> range:
-        """The numbers of the hollow balancers' agents."""
-        return range(self.hollow_count)
+    def watch_only_agents(self) -> range:
+        """The numbers of the watch-only balancers' agents."""
+        return range(self.watch_only_count)
 
     @property
     def real_agents(self) -> range:
         """The numbers of the real balancers' agents."""
-        return range(self.hollow_count, self.hollow_count + len(self.real_balancers))
+        return range(self.watch_only_count, self.watch_only_count + len(self.real_balancers))
 
 
 async def start_group(
     stack: AsyncExitStack,
     discovery: Discovery,
     *,
-    hollow_count: int,
+    watch_only_count: int,
     process_count: int,
     real_count: int,
     balancer_settings: dict[str, Any],
     seed: int,
 ) -> BalancerGroup:
-    """Start hollow balancers, spread evenly over processes, and real ones; wait until all follow the list."""
-    group = BalancerGroup(discovery, [], [], hollow_count)
+    """Start watch-only balancers, spread evenly over processes, and real balancers.
+
+    The function returns once all of them follow the list.
+    """
+    group = BalancerGroup(discovery, [], [], watch_only_count)
 
     def configuration_text(number: int, listen: str) -> str:
         agent = discovery.agent_address(number)
@@ -120,16 +123,16 @@
             f"n{number}", listen, agent, [], balancer_settings, seed=seed + number
         )
 
-    for first in range(min(process_count, hollow_count)):
+    for process_index in range(min(process_count, watch_only_count)):
         texts = {
             number: configuration_text(number, "127.0.0.1:0")
-            for number in range(first, hollow_count, process_count)
+            for number in range(process_index, watch_only_count, process_count)
         }
-        process = HollowProcess(texts)
+        process = WatchOnlyProcess(texts)
         stack.callback(process.stop)
         group.processes.append(process)
-    for number in range(hollow_count, hollow_count + real_count):
-        listen = free_address(_REAL_HOST.format(number - hollow_count + 1))
+    for number in range(watch_only_count, watch_only_count + real_count):
+        listen = free_address(_REAL_HOST.format(number - watch_only_count + 1))
         balancer = await RealBalancer.start(configuration_text(number, listen), SOURCE_TREE_COMMAND)
         stack.push_async_callback(balancer.stop)
         group.real_balancers.append(balancer)
@@ -140,7 +143,7 @@
 
 
 def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Create a simulated discovery that stops when the stack closes; `args` are those of `Discovery`."""
+    """Create a simulated discovery that stops when the stack closes; `args` are passed to `Discovery`."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -17,7 +17,7 @@
 from loadbalancer.network.upstream.pool import UpstreamPools
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed import settings
-from testbed.balancer.hollow import HollowBalancer
+from testbed.balancer.watch_only import WatchOnlyBalancer
 from testbed.discovery.service import Discovery
 from testbed.runs.list_size.plan import (
     EndpointUse,
@@ -60,13 +60,13 @@
     """The measurements of one round."""
 
     lists: list[UpdateTimes] = field(default_factory=list)
-    """One entry for each snapshot."""
+    """The times for each snapshot."""
     deltas: list[UpdateTimes] = field(default_factory=list)
-    """One entry for each delta."""
+    """The times for each delta."""
 
 
 class ListBenchmark:
-    """Measures the steps of snapshots and deltas: JSON, `read_endpoint_list`, connection pools, policy."""
+    """Measures each step of applying a list: parsing JSON, `read_endpoint_list`, connection pools, policy."""
 
     def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse) -> None:
         self._plan = plan
@@ -75,30 +75,30 @@
         configuration = read_configuration(self._configuration_text, ignore_message)
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
-        self._upstreams = UpstreamPools(configuration, loop)
-        loop.close()  # can be closed already, since applying a list opens no connection
+        self._upstream_pools = UpstreamPools(configuration, loop)
+        loop.close()  # not needed any more, since applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _START_MS
         self._change_count = 0
         self._discovery.replace_entries(self._entries)
-        # The first list creates the state that the measured ones update.
+        # The first list creates the state that the measured lists update.
         self._apply_update(self._discovery.list_response(-1).body)
         self._list_bytes = self._delta_bytes = len(self._discovery.list_response(-1).body)
         freeze_live_objects()
 
     def _apply_update(self, body: bytes) -> UpdateTimes:
-        """Apply a response of discovery in the same steps as the program, and return their times."""
+        """Apply a response of discovery in the same steps as the program, and time each step."""
         self._now_ms += _UPDATE_INTERVAL_MS
         start_ns = time.perf_counter_ns()
         raw = json.loads(body)
         parsed_ns = time.perf_counter_ns()
         update = read_endpoint_list(raw)
         read_ns = time.perf_counter_ns()
-        self._upstreams.update_endpoints(update)
+        self._upstream_pools.update_endpoints(update)
         pools_updated_ns = time.perf_counter_ns()
         kind = EndpointListKind.SNAPSHOT if update.is_complete else EndpointListKind.DELTA
-        endpoints = tuple([e.endpoint for e in update.endpoints])
+        endpoints = tuple([entry.endpoint for entry in update.endpoints])
         self._balancer.handle(EndpointListUpdate(kind, endpoints), self._now_ms)
         policy_updated_ns = time.perf_counter_ns()
         return UpdateTimes(
@@ -110,12 +110,12 @@
 
     def run_round(self) -> ListRound:
         """Apply the snapshots of one round, then its deltas."""
-        measured = ListRound()
+        measured_round = ListRound()
         for _ in range(self._plan.lists):
-            measured.lists.append(self._apply_update(self._discovery.list_response(-1).body))
+            measured_round.lists.append(self._apply_update(self._discovery.list_response(-1).body))
         for _ in range(self._plan.deltas):
-            measured.deltas.append(self._apply_update(self._next_delta()))
-        return measured
+            measured_round.deltas.append(self._apply_update(self._next_delta()))
+        return measured_round
 
     def _next_delta(self) -> bytes:
         """Change the weight of the next entry, and return the body of discovery's response with the delta."""
@@ -127,10 +127,10 @@
         self._delta_bytes = len(body)
         return body
 
-    def row(self, quick_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
-        """Return the row that combines all quick rounds; the memory is measured now."""
-        lists = [times for measured in quick_rounds for times in measured.lists]
-        deltas = [times for measured in quick_rounds for times in measured.deltas]
+    def row(self, undisturbed_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
+        """Return the row that combines all undisturbed rounds; this also measures the memory."""
+        lists = [times for measured_round in undisturbed_rounds for times in measured_round.lists]
+        deltas = [times for measured_round in undisturbed_rounds for times in measured_round.deltas]
         return ListRow(
             identity=self.identity,
             list_bytes=self._list_bytes,
@@ -162,11 +162,11 @@
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
-        # No variable may refer to the configuration: the parts that the balancer drops must not be counted.
-        hollow = HollowBalancer(
-            read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _index, _at: None
+        # No variable may refer to the configuration, or parts that the balancer discards would be counted.
+        balancer = WatchOnlyBalancer(
+            read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _version, _at_s: None
         )
-        hollow.start()
+        balancer.start()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
         return after - before
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -1,8 +1,8 @@
-"""Runs benchmarks in rounds, of which only those on an undisturbed core count.
+"""Runs benchmarks in rounds, and uses only the rounds that ran on an undisturbed core.
 
 The speed of a core depends on its sibling hyperthread: a busy sibling nearly halves it. Each benchmark is
-therefore run in short rounds, with a fixed reference computation before and after each round, and only
-rounds between two quick references count.
+therefore run in short rounds, with a calibration (a fixed computation whose time is measured) before and
+after each round. A round is undisturbed if both calibrations were nearly as fast as the fastest one.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-REFERENCE_REPETITIONS = 20
-"""The number of repetitions of the reference computation, of which the median is one reading."""
-INITIAL_REFERENCES = 100
-"""The number of readings at the start; their minimum is the time on an undisturbed core."""
-MAX_QUICK_RATIO = 1.25
-"""The maximum ratio of a quick reference to the minimum; on a core with a busy sibling it is nearly 2."""
+CALIBRATION_REPETITIONS = 20
+"""The number of repetitions of the fixed computation; the calibration time is their median."""
+INITIAL_CALIBRATIONS = 100
+"""The number of calibrations at the start; their minimum is the time on an undisturbed core."""
+MAX_UNDISTURBED_RATIO = 1.25
+"""The limit on the ratio of a calibration to the minimum; on a core with a busy sibling it is nearly 2."""
 _NS_PER_US = 1e3
 
 
@@ -33,10 +33,10 @@
     """The rounds that a row is based on."""
 
     rounds: int
-    """The number of quick rounds, which the row is computed from."""
+    """The number of undisturbed rounds, from which the row is computed."""
     rounds_run: int = stored_as("rounds_played")
-    reference_us: float
-    """The slowest reference of the quick rounds, in microseconds."""
+    max_calibration_us: float = stored_as("reference_us")
+    """The slowest calibration of the undisturbed rounds, in microseconds."""
 
 
 RoundT = TypeVar("RoundT")
@@ -54,14 +54,14 @@
     def run_round(self) -> RoundT:
         """Run one round."""
 
-    def row(self, quick_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
-        """Return the row that combines all quick rounds and includes `columns`."""
+    def row(self, undisturbed_rounds: Sequence[RoundT], columns: RoundColumns) -> RowT_co:
+        """Return the row that combines all undisturbed rounds and includes `columns`."""
 
 
-def reference_us() -> float:
-    """Measure the median time of the reference computation, in microseconds."""
+def measure_calibration_us() -> float:
+    """Run the calibration and return its median time in microseconds."""
     durations_ns = []
-    for _ in range(REFERENCE_REPETITIONS):
+    for _ in range(CALIBRATION_REPETITIONS):
         start_ns = time.perf_counter_ns()
         sum([math.exp(-i / 1000) for i in range(1000)])
         durations_ns.append(time.perf_counter_ns() - start_ns)
@@ -70,55 +70,68 @@
 
 @dataclass(frozen=True, slots=True)
 class _MeasuredRound:
-    """The measurements of a round, and the slower of the references before and after it."""
+    """The measurements of a round, and the slower of the calibrations before and after it."""
 
-    reference_us: float
+    calibration_us: float
     measured: Any
 
 
 class BenchmarkRunner(Generic[RowT]):
-    """Runs rounds of each benchmark until enough of them were quick.
+    """Runs rounds of each benchmark until enough of them were undisturbed.
 
     Args:
-        quick_rounds: The number of quick rounds that each benchmark needs.
+        required_rounds: The number of undisturbed rounds that each benchmark needs.
         max_rounds: The limit on rounds of a benchmark.
-        reference: Returns a reading of the reference in microseconds.
+        measure_calibration_us: Runs the calibration and returns its time in microseconds.
     """
 
-    def __init__(self, quick_rounds: int, max_rounds: int, reference: Callable[[], float]) -> None:
-        self._quick_rounds, self._max_rounds, self._reference = quick_rounds, max_rounds, reference
+    def __init__(
+        self, required_rounds: int, max_rounds: int, measure_calibration_us: Callable[[], float]
+    ) -> None:
+        self._required_rounds, self._max_rounds, self._measure_calibration_us = (
+            required_rounds,
+            max_rounds,
+            measure_calibration_us,
+        )
         self._measured_benchmarks: list[tuple[Benchmark[Any, RowT], list[_MeasuredRound]]] = []
-        self._min_reference_us = min([reference() for _ in range(INITIAL_REFERENCES)])
+        self._min_calibration_us = min([measure_calibration_us() for _ in range(INITIAL_CALIBRATIONS)])
 
-    def _is_quick(self, measured_round: _MeasuredRound) -> bool:
-        return measured_round.reference_us <= MAX_QUICK_RATIO * self._min_reference_us
+    def _is_undisturbed(self, measured_round: _MeasuredRound) -> bool:
+        return measured_round.calibration_us <= MAX_UNDISTURBED_RATIO * self._min_calibration_us
 
     def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
-        """Run rounds until enough were quick, compared with the minimum so far, or the limit is reached."""
+        """Run rounds until enough of them are undisturbed, or the limit is reached.
+
+        Rounds are judged by the fastest calibration so far.
+        """
         rounds: list[_MeasuredRound] = []
-        before = self._reference()
-        while len(rounds) < self._max_rounds and sum(map(self._is_quick, rounds)) < self._quick_rounds:
+        before = self._measure_calibration_us()
+        while (
+            len(rounds) < self._max_rounds and sum(map(self._is_undisturbed, rounds)) < self._required_rounds
+        ):
             measured = benchmark.run_round()
-            after = self._reference()
-            self._min_reference_us = min(self._min_reference_us, after)
+            after = self._measure_calibration_us()
+            self._min_calibration_us = min(self._min_calibration_us, after)
             rounds.append(_MeasuredRound(max(before, after), measured))
             before = after
         self._measured_benchmarks.append((benchmark, rounds))
 
     def result(self) -> RunResult[RowT]:
-        """Return the rows of all benchmarks; the result is invalid if one of them has no quick round."""
+        """Return the rows of all benchmarks; the result is invalid if one has no undisturbed round."""
         result: RunResult[RowT] = RunResult()
         for benchmark, rounds in self._measured_benchmarks:
-            quick = list(filter(self._is_quick, rounds))
-            if not quick:
+            undisturbed = list(filter(self._is_undisturbed, rounds))
+            if not undisturbed:
                 result.invalid_reasons.append(
-                    f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was quick"
+                    f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was undisturbed"
                 )
                 continue
             columns = RoundColumns(
-                rounds=len(quick),
+                rounds=len(undisturbed),
                 rounds_run=len(rounds),
-                reference_us=max(measured_round.reference_us for measured_round in quick),
+                max_calibration_us=max(measured_round.calibration_us for measured_round in undisturbed),
+            )
+            result.rows.append(
+                benchmark.row([measured_round.measured for measured_round in undisturbed], columns)
             )
-            result.rows.append(benchmark.row([measured_round.measured for measured_round in quick], columns))
         return result
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -47,16 +47,16 @@
 
 
 class Plan(load_plan.Plan):
-    """The load and the faults; `sizes` are numbers of tiers, and so of balancers that a request passes."""
+    """The load and the faults; `sizes` are numbers of tiers. A request passes one balancer per tier."""
 
     faults_at: tuple[int, ...]
-    """The sizes at which the last tier fails, hangs and recovers; the other sizes have no faults."""
+    """The sizes for which the last tier fails, hangs and recovers; other sizes have no faults."""
     phase_s: float
     """The duration of each phase in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TimeColumns(Row):
+class LatencyColumns(Row):
     """Latency percentiles of requests with a 200 response; `added` is `through` minus `direct`."""
 
     direct_50_ms: float
@@ -70,8 +70,8 @@
 class DeadlineColumns(Row):
     """The deadlines of the requests that reached the last tier, in milliseconds."""
 
-    median_bottom_deadline_ms: float = stored_as("bottom_deadline_50_ms")
-    min_bottom_deadline_ms: float = stored_as("bottom_deadline_least_ms")
+    median_last_tier_deadline_ms: float = stored_as("bottom_deadline_50_ms")
+    min_last_tier_deadline_ms: float = stored_as("bottom_deadline_least_ms")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -79,7 +79,7 @@
     """The measurements of a chain of one depth in one phase."""
 
     depth: int
-    """The number of tiers, and so of the balancers that a request passes."""
+    """The number of tiers; a request passes one balancer per tier."""
     phase: str
     requests: int = stored_as("calls")
     """Requests through the balancers."""
@@ -90,14 +90,14 @@
     failed: int
     """All other requests."""
     last_unserved_s: float
-    """The scheduled time, from the start of the phase, of the last request not served; 0 if all were."""
-    times: TimeColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
-    """Omitted if no direct request, or none through the balancers, was served."""
+    """When the last request without a 200 response was scheduled, from the phase start; 0 if all got one."""
+    times: LatencyColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
+    """Omitted if no direct request, or no request through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no request reached the last tier."""
     first_tier_attempts_per_request: float = stored_as("attempts_top")
     """Attempts at the first tier per request."""
-    bottom_attempts_per_request: float = stored_as("attempts_bottom")
+    last_tier_attempts_per_request: float = stored_as("attempts_bottom")
     """Attempts at the last tier per request."""
     attempts_by_tier: list[int]
     processor_us_per_request: float = stored_as("processor_us_a_call")
@@ -109,14 +109,14 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each depth and phase, and fit lines over the depths without fault."""
+    """Measure each depth and phase, and fit lines over depth for the phase without a fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_measure_depth(plan, depth, result, log))
-    without_fault = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
-    if len(without_fault) > 1:
-        result.fits = [fit_columns(without_fault, y, "depth") for y in _FITTED_COLUMNS]
+    fault_free_rows = [row for row in result.rows if row.phase == _NO_FAULT_PHASE]
+    if len(fault_free_rows) > 1:
+        result.fits = [fit_columns(fault_free_rows, y, "depth") for y in _FITTED_COLUMNS]
     return result
 
 
@@ -193,10 +193,10 @@
         rejected=rejected,
         failed=requests - served - rejected,
         last_unserved_s=max(through.unserved_at_s, default=0.0),
-        times=_time_columns(readings.reports["direct"].served_latencies, through.served_latencies),
+        times=_latency_columns(readings.reports["direct"].served_latencies, through.served_latencies),
         deadlines=_deadline_columns(chain.deadlines_ms),
         first_tier_attempts_per_request=readings.attempts[0] / requests,
-        bottom_attempts_per_request=readings.attempts[-1] / requests,
+        last_tier_attempts_per_request=readings.attempts[-1] / requests,
         attempts_by_tier=readings.attempts,
         processor_us_per_request=processor_s * 1e6 / requests,
         resident_mib=readings.usage_after.resident_bytes / _MIB,
@@ -204,11 +204,11 @@
     )
 
 
-def _time_columns(direct: Latencies, through: Latencies) -> TimeColumns | None:
-    """Compare direct latencies with those through the balancers; return None if either has none."""
+def _latency_columns(direct: Latencies, through: Latencies) -> LatencyColumns | None:
+    """Compare direct latencies with latencies through the balancers; return None if either is empty."""
     if not through.count or not direct.count:
         return None
-    return TimeColumns(
+    return LatencyColumns(
         direct_50_ms=direct.quantile_ms(0.5),
         through_50_ms=through.quantile_ms(0.5),
         through_90_ms=through.quantile_ms(0.9),
@@ -223,5 +223,5 @@
         return None
     ordered = sorted(deadlines_ms)
     return DeadlineColumns(
-        median_bottom_deadline_ms=ordered[len(ordered) // 2], min_bottom_deadline_ms=ordered[0]
+        median_last_tier_deadline_ms=ordered[len(ordered) // 2], min_last_tier_deadline_ms=ordered[0]
     )
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -57,11 +57,11 @@
 
 ENDPOINT_TYPES = ("m1", "m2", "m4")
 ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
-"""The weights that are drawn from uniformly, so that about a quarter of the endpoints has double weight."""
+"""The weights of endpoints, drawn uniformly, so that about a quarter of them have double weight."""
 
 ENDPOINT_PORT = 5000
 HOSTS_PER_OCTET = 250
-"""In loopback hosts, the last octet goes from 1 to 250 and the third one from 0 to 249."""
+"""The last octet of a loopback host is from 1 to 250, and the third octet from 0 to 249."""
 
 
 def balancer_settings(
@@ -72,17 +72,20 @@
     Args:
         balancers: The number of balancers in its tier.
         tier: The tier of the balancer; tier 0 faces the clients.
-        pushed: Whether discovery pushes lists; else the balancer polls for them.
+        pushed: Whether discovery pushes lists; otherwise the balancer polls for them.
         zone: The balancer's zone.
-        overrides: Replacements of top-level settings; `limits` and `contract` are merged into the defaults
-            instead.
+        overrides: Top-level settings that replace the defaults, except `limits` and `contract`, which are
+            merged into the defaults.
     """
     settings: dict[str, Any] = {
         "balancers": balancers,
         "tier": tier,
         "zone": zone,
         "discovery": "push" if pushed else "ask",
-        "classes": [c | {"keyScope": "all", "repeatWindow": IDEMPOTENCY_WINDOW_MS} for c in REQUEST_CLASSES],
+        "classes": [
+            request_class | {"keyScope": "all", "repeatWindow": IDEMPOTENCY_WINDOW_MS}
+            for request_class in REQUEST_CLASSES
+        ],
         "tick": 1.0,
         "overShareWorth": 0.1,
         "weights": "nominal",
@@ -109,7 +112,7 @@
     settings: dict[str, Any],
     *,
     seed: int,
-    index: int = 0,
+    list_version: int = 0,
 ) -> str:
     """Return the text of the file that `LB_CONFIG` names (DEPLOY page).
 
@@ -120,7 +123,7 @@
         cached_entries: The cached endpoint list; without entries the balancer first requests a snapshot.
         settings: The balancer's settings, from `balancer_settings`.
         seed: The seed of its random numbers.
-        index: The version of `cached_entries`.
+        list_version: The version of `cached_entries`.
     """
     configuration = {
         "name": name,
@@ -128,7 +131,7 @@
         "discovery": format_address(discovery),
         "seed": f"{seed:016x}",
         "limits": RESOURCE_LIMITS,
-        "known": {"index": index, "snapshot": True, "endpoints": list(cached_entries)},
+        "known": {"index": list_version, "snapshot": True, "endpoints": list(cached_entries)},
         "settings": settings,
     }
     return json.dumps(configuration)
@@ -156,11 +159,11 @@
     }
 
 
-def loopback_host(number: int, first_octet: int = 64) -> str:
-    """Return the loopback host with a number, counted from 127.`first_octet`.0.1."""
+def loopback_host(number: int, second_octet: int = 64) -> str:
+    """Return the loopback host with the given number, counted up from 127.`second_octet`.0.1."""
     high, low = divmod(number, HOSTS_PER_OCTET * HOSTS_PER_OCTET)
     middle, last = divmod(low, HOSTS_PER_OCTET)
-    return f"127.{first_octet + high}.{middle}.{last + 1}"
+    return f"127.{second_octet + high}.{middle}.{last + 1}"
 
 
 def endpoint_entries(
@@ -180,24 +183,24 @@
         regions: The number of regions.
         groups: The number of groups in each zone; no two zones share a group.
         seed: The seed of names, types and weights.
-        addresses: The entries' addresses; by default each entry has a loopback host of its own, on which
+        addresses: The entries' addresses; by default each entry gets a different loopback host, on which
             nothing listens.
     """
-    source = random.Random(seed)
-    names: dict[str, None] = {}  # not a set, since a dict keeps the order
+    rng = random.Random(seed)
+    names: dict[str, None] = {}  # a dict keeps the order, unlike a set
     while len(names) < count:
-        names[f"s-{source.getrandbits(32):08x}"] = None
+        names[f"s-{rng.getrandbits(32):08x}"] = None
     entries = []
     for i, name in enumerate(names):
-        zone, round_number = i % zones, i // zones
+        zone, index_in_zone = i % zones, i // zones
         entries.append(
             endpoint_entry(
                 name,
                 addresses[i] if addresses else (loopback_host(i), ENDPOINT_PORT),
                 zone=f"r{zone % regions}-z{zone}",
-                endpoint_type=source.choice(ENDPOINT_TYPES),
-                group=zone * groups + round_number % groups,
-                weight=source.choice(ENDPOINT_WEIGHTS),
+                endpoint_type=rng.choice(ENDPOINT_TYPES),
+                group=zone * groups + index_in_zone % groups,
+                weight=rng.choice(ENDPOINT_WEIGHTS),
             )
         )
     return entries
