--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -41,13 +41,13 @@
 
     def __init__(self, settings: Settings, balancer_count: BalancerCountEstimator) -> None:
         self._balancer_count = balancer_count
-        self._per_ms = {t.name: t.quota_per_s / 1000 for t in settings.tenants}
+        self._rate_per_ms = {t.name: t.quota_per_s / 1000 for t in settings.tenants}
         self._tokens: dict[str, float] = {}
         self._updated_at: dict[str, float] = {}
 
     def is_over_quota(self, tenant: str | None, now: float) -> bool:
         """Return whether the tenant's bucket has no token left; always false without a quota."""
-        rate = self._per_ms.get(tenant or "")
+        rate = self._rate_per_ms.get(tenant or "")
         if rate is None or tenant is None:
             return False
         rate /= self._balancer_count.estimate
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -36,12 +36,12 @@
         service_times: ServiceTimes,
         sustainable_concurrency: SustainableConcurrency,
         idle_limit: IdleConnectionLimit,
-        available: AvailableCapacity,
+        available_capacity: AvailableCapacity,
     ) -> None:
         self._service_times = service_times
         self._sustainable_concurrency = sustainable_concurrency
         self._idle_limit = idle_limit
-        self._available = available
+        self._available_capacity = available_capacity
         self._in_flight = 0
 
     def start(
@@ -64,7 +64,7 @@
         endpoint.in_flight += 1
         self._in_flight += 1
         has_capacity = self._in_flight <= max(
-            self._available.weight / self._available.balancer_count.estimate, 1.0
+            self._available_capacity.weight / self._available_capacity.balancer_count.estimate, 1.0
         )
         is_baseline = has_capacity and not is_shedding
         return Attempt(endpoint, idle_ms, now, now + timeout_ms, is_baseline)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -69,8 +69,8 @@
         self._endpoints = EndpointSet(settings, random)
         self._arrivals = ArrivalRate(settings)
         balancer_count = BalancerCountEstimator(settings, self._arrivals)
-        self._available = AvailableCapacity(self._endpoints, balancer_count)
-        self._overload = OverloadDetector(self._available)
+        self._available_capacity = AvailableCapacity(self._endpoints, balancer_count)
+        self._overload = OverloadDetector(self._available_capacity)
         self._admission = AdmissionControl(settings, self._overload, Quotas(settings, balancer_count))
         capacity = CapacityEstimator(self._endpoints, self._arrivals)
         self._slow_start = SlowStart(settings, self._endpoints, self._arrivals, balancer_count, capacity)
@@ -80,7 +80,7 @@
         service_times = ServiceTimes(settings)
         idle_limit = IdleConnectionLimit()
         self._recorder = AttemptRecorder(
-            service_times, self._overload.sustainable_concurrency, idle_limit, self._available
+            service_times, self._overload.sustainable_concurrency, idle_limit, self._available_capacity
         )
         self._retry_budgets = RetryBudgets()
         self._failure_responses = FailureResponses(settings, service_times)
@@ -131,7 +131,7 @@
             self._actions += self._poll_backoff.record_success()
         self._arrivals.start(now)
         self._endpoints.update(event, now)
-        self._available.invalidate(now)
+        self._available_capacity.invalidate(now)
         self._slow_start.invalidate()
 
     def _receive_request(self, event: RequestReceived, now: float) -> None:
@@ -186,7 +186,7 @@
         Attempts still in flight are recorded as abandoned and, if the settings allow it, cancelled.
         """
         if request.is_response_pending and outcome is Outcome.SUCCEEDED:
-            self._retry_budgets.earn()
+            self._retry_budgets.refill()
         request.is_response_pending = False
         for attempt in request.attempts:
             if attempt.is_open:
--- a/loadbalancer/policy/balancer_count.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, settings: Settings, arrivals: ArrivalRate) -> None:
-        self._configured = settings.balancers
+        self._configured_count = settings.balancers
         self._arrivals = arrivals
         self._baseline_weight = 0.0
         self.estimate = float(settings.balancers)
@@ -56,4 +56,4 @@
         weight_ratio = weight / (self._baseline_weight or 1.0)
         long_term_ms = self._arrivals.long_term_interarrival_ms or 1.0
         interarrival_ratio = self._arrivals.short_term_interarrival_ms / long_term_ms
-        self.estimate = max(self._configured * min(max(weight_ratio, interarrival_ratio), 1.0), 1.0)
+        self.estimate = max(self._configured_count * min(max(weight_ratio, interarrival_ratio), 1.0), 1.0)
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -52,7 +52,9 @@
         idle_times = sorted([idle for idle, _ in self._samples]) if unresponsive else []
         self.limit_ms = math.inf
         for i, idle in enumerate(unresponsive):
-            not_shorter = len(idle_times) - bisect_left(idle_times, idle)
-            if len(unresponsive) - i >= max(MIN_UNRESPONSIVE, MIN_UNRESPONSIVE_FRACTION * not_shorter):
+            attempts_idle_as_long = len(idle_times) - bisect_left(idle_times, idle)
+            if len(unresponsive) - i >= max(
+                MIN_UNRESPONSIVE, MIN_UNRESPONSIVE_FRACTION * attempts_idle_as_long
+            ):
                 self.limit_ms = idle
                 return
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -64,8 +64,8 @@
     capacity covers the tiers there.
     """
 
-    def __init__(self, available: AvailableCapacity) -> None:
-        self._available = available
+    def __init__(self, available_capacity: AvailableCapacity) -> None:
+        self._available_capacity = available_capacity
         # Must be finite: an infinite estimate would decay to NaN, and comparisons with NaN are always false.
         self._concurrency = 0.0
         self._updated_at = -math.inf
@@ -77,7 +77,9 @@
         would use all of it before the first responses show the load.
         """
         limit = (
-            MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.balancer_count.estimate
+            MAX_IN_FLIGHT_PER_CAPACITY
+            * self._available_capacity.update(now)
+            / self._available_capacity.balancer_count.estimate
         )
         if self._updated_at == -math.inf:
             self._concurrency = INITIAL_SUSTAINABLE_FRACTION * limit
@@ -100,17 +102,17 @@
     widely, latency is high without any overload.
     """
 
-    def __init__(self, available: AvailableCapacity) -> None:
-        self._available = available
-        self.sustainable_concurrency = SustainableConcurrency(available)
+    def __init__(self, available_capacity: AvailableCapacity) -> None:
+        self._available_capacity = available_capacity
+        self.sustainable_concurrency = SustainableConcurrency(available_capacity)
         self._mean_in_flight = 0.0  # exponential moving average of this balancer's attempts in flight
         self._updated_at = 0.0
 
     def is_overloaded(self, importance: float, now: float) -> bool:
         """Return whether to shed requests of an importance, from 0 (lowest) to 1 (highest)."""
-        capacity = self._available.update(now)
+        capacity = self._available_capacity.update(now)
         # Attempts at draining or unreachable endpoints are no load on those that can take requests.
-        in_flight = sum(e.in_flight for e in self._available.reachable)
+        in_flight = sum(e.in_flight for e in self._available_capacity.reachable)
         self._update_mean(in_flight, now)
         return self._exceeds_capacity(in_flight, importance, capacity) or self._exceeds_sustainable(
             in_flight, importance, now
@@ -130,9 +132,9 @@
             + (MAX_IN_FLIGHT_PER_CAPACITY - MIN_IN_FLIGHT_PER_CAPACITY) * importance
         )
         limit = max_per_capacity * capacity
-        balancers = self._available.balancer_count.estimate
-        all_in_flight = in_flight + self._mean_in_flight * (balancers - 1)
-        return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
+        balancers = self._available_capacity.balancer_count.estimate
+        total_in_flight = in_flight + self._mean_in_flight * (balancers - 1)
+        return total_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
 
     def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
         """Return whether the latency inflation is too high for an importance.
@@ -144,7 +146,9 @@
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
         floor = (
-            MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.balancer_count.estimate
+            MIN_SUSTAINABLE_PER_CAPACITY
+            * self._available_capacity.weight
+            / self._available_capacity.balancer_count.estimate
         )
         limit = inflation * (concurrency + floor)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -56,7 +56,7 @@
         self._tokens = initial_tokens
         self._max_tokens = max_tokens
 
-    def earn(self) -> None:
+    def refill(self) -> None:
         """Add the tokens for the successful response to a request."""
         self._tokens = min(self._max_tokens, self._tokens + self._tokens_per_response)
 
@@ -84,10 +84,10 @@
         """Return the budget that pays for the next attempt of a request."""
         return self._retries if request.may_have_run() else self._transparent_retries
 
-    def earn(self) -> None:
+    def refill(self) -> None:
         """Add the tokens for the successful response to a request to both budgets."""
-        self._retries.earn()
-        self._transparent_retries.earn()
+        self._retries.refill()
+        self._transparent_retries.refill()
 
 
 class Hedging:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -13,7 +13,7 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.settings import Settings
 
-MAX_DRAWS = 4
+MAX_SAMPLED_ENDPOINTS = 4
 """Maximum number of endpoints drawn for an attempt.
 
 The published algorithm needs two. More cost little, since drawing continues only while every endpoint drawn
@@ -59,9 +59,9 @@
         if not eligible:
             return None
         eligible = without_outliers(eligible, request.request_class.name, now)
-        return self._draw(eligible, self._capacity.estimates(eligible, median, now))
+        return self._sample_by_capacity(eligible, self._capacity.estimates(eligible, median, now))
 
-    def _draw(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
+    def _sample_by_capacity(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
         """Draw endpoints by capacity and return the one with the lowest load.
 
         Only the first draw prefers the balancer's own zone, which would otherwise be overloaded while
@@ -72,12 +72,12 @@
         each would all select it and overload it. The draw, which is proportional to capacity, decides
         instead.
         """
-        zone_sums = list(accumulate(_weigh_by_zone(eligible, capacities, self._own_zone)))
+        zone_sums = list(accumulate(_zone_adjusted_weights(eligible, capacities, self._own_zone)))
         capacity_sums = list(accumulate(capacities))
         random = self._random.random
         best, selected = (math.inf, 0.0, 0.0), eligible[-1]
-        for draw in range(MAX_DRAWS):
-            sums = capacity_sums if draw else zone_sums
+        for sample in range(MAX_SAMPLED_ENDPOINTS):
+            sums = capacity_sums if sample else zone_sums
             i = min(bisect(sums, random() * sums[-1]), len(eligible) - 1)
             endpoint, capacity = eligible[i], capacities[i]
             load = ((endpoint.in_flight + 1) / capacity, -capacity, random())
@@ -88,7 +88,9 @@
         return selected
 
 
-def _weigh_by_zone(endpoints: list[EndpointStats], capacities: list[float], own_zone: str) -> list[float]:
+def _zone_adjusted_weights(
+    endpoints: list[EndpointStats], capacities: list[float], own_zone: str
+) -> list[float]:
     """Return the weights of the first draw, which keep requests in the own zone up to its capacity.
 
     With balancers spread evenly over the zones, each zone has to serve the mean of the zones' capacities. A
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -96,9 +96,11 @@
         fraction = self._warmup.fraction(endpoint, now)
         if fraction >= 1:
             return True
-        is_unrestricted = is_first_attempt or self._unrestricted_fraction >= 1
-        unrestricted = self._unrestricted_fraction if is_unrestricted else 0.0
-        if endpoint.slow_start_rank > max(unrestricted, self._max_mean_starts(endpoint.weight * fraction)):
+        is_fraction_applicable = is_first_attempt or self._unrestricted_fraction >= 1
+        unrestricted_fraction = self._unrestricted_fraction if is_fraction_applicable else 0.0
+        if endpoint.slow_start_rank > max(
+            unrestricted_fraction, self._max_mean_starts(endpoint.weight * fraction)
+        ):
             return False
         starts = endpoint.recent_starts
         while starts and starts[0] < now - self._window_ms:
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -109,28 +109,28 @@
     return [action for action in actions if isinstance(action, types)]
 
 
-def count_by_endpoint(harness: PolicyHarness, rounds: int) -> Counter[str]:
+def count_by_endpoint(harness: PolicyHarness, requests: int) -> Counter[str]:
     """Serve requests one at a time, all with the same duration; count them by endpoint."""
-    return Counter(harness.serve(duration_ms=20.0) for _ in range(rounds))
+    return Counter(harness.serve(duration_ms=20.0) for _ in range(requests))
 
 
-def serve_many(harness: PolicyHarness, durations_ms: dict[str, float], rounds: int = 400) -> None:
+def serve_many(harness: PolicyHarness, durations_ms: dict[str, float], requests: int = 400) -> None:
     """Serve requests one at a time, each with the duration of its endpoint."""
-    for _ in range(rounds):
+    for _ in range(requests):
         harness.serve(duration_ms=durations_ms)
 
 
-def after_startup(harness: PolicyHarness) -> PolicyHarness:
+def complete_startup(harness: PolicyHarness) -> PolicyHarness:
     """Serve many short requests, so that the limits for a new balancer no longer apply."""
     for _ in range(400):
         harness.serve(duration_ms=0.1)
     return harness
 
 
-def after_startup_without_baseline(harness: PolicyHarness, in_flight: int = 2) -> PolicyHarness:
-    """Do the same as `after_startup` with other requests in flight, which preserves the initial baseline."""
+def complete_startup_without_baseline(harness: PolicyHarness, in_flight: int = 2) -> PolicyHarness:
+    """Call `complete_startup` while other requests are in flight, which preserves the initial baseline."""
     others = [harness.request() for _ in range(in_flight)]
-    after_startup(harness)
+    complete_startup(harness)
     for request_id, actions in others:
         harness.handle(ClientDisconnected(request_id))
         harness.finish(request_id, 0, first_endpoint(actions), Outcome.CANCELLED)
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -20,7 +20,7 @@
 
 # Time after its deadline by which a request must have its response.
 GRACE_MS = 20.0
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class FinalResponse(enum.Enum):
@@ -87,12 +87,12 @@
             assert not any(attempt.is_in_flight for attempt in request.attempts), (
                 "two attempts in flight without hedging"
             )
-        self._check_repetition(request, endpoint, now)
+        self._check_idempotency(request, endpoint, now)
         self._check_warmup(endpoint, now)
         request.attempts.append(TrackedAttempt(endpoint, now))
         return len(request.attempts) - 1
 
-    def _check_repetition(self, request: TrackedRequest, endpoint: Endpoint, now: float) -> None:
+    def _check_idempotency(self, request: TrackedRequest, endpoint: Endpoint, now: float) -> None:
         request_class = request.request_class
         earlier = request.attempts_that_may_have_run()
         if not earlier or request_class.idempotency is Idempotency.SAFE:
@@ -152,7 +152,7 @@
         if not attempt.is_in_flight:
             return False
         attempt.is_in_flight = False
-        attempt.may_have_run = outcome not in NEVER_RAN
+        attempt.may_have_run = outcome not in UNPROCESSED_OUTCOMES
         if outcome is Outcome.SUCCEEDED and not request.is_complete:
             self._respond(request, FinalResponse.SERVED, now)
         return True
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -81,7 +81,7 @@
 
     def handle(self, event: Event) -> None:
         for action in self.policy.handle(event, self._clock.now):
-            self._perform(action)
+            self._execute_action(action)
 
     def _receive_request(self, _: None) -> None:
         self.schedule_next_request()
@@ -91,7 +91,7 @@
         self._open_requests[request_id] = SimulatedRequest(request_class)
         self.handle(RequestReceived(request_id, request_class.name, request_class.deadline_ms))
 
-    def _perform(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -275,5 +275,5 @@
             endpoint.work_in_window -= endpoint.arrivals.popleft()[1]
         factor = self.settings.slow_start_overload_factor
         limit = factor * capacity * self._rate_per_s * window_ms / 1_000
-        slack = 2 * math.sqrt(limit) + 2
-        self.max_excess = max(self.max_excess, (endpoint.work_in_window - limit) / slack)
+        tolerance = 2 * math.sqrt(limit) + 2
+        self.max_excess = max(self.max_excess, (endpoint.work_in_window - limit) / tolerance)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -14,9 +14,9 @@
     PAY,
     READ,
     PolicyHarness,
-    after_startup,
-    after_startup_without_baseline,
     apply_load,
+    complete_startup,
+    complete_startup_without_baseline,
     endpoint_list,
     first_endpoint,
     send_until_shed,
@@ -25,11 +25,11 @@
 
 
 def count_admitted(
-    harness: PolicyHarness, duration_ms: float, request_class: RequestClass, rounds: int = 40
+    harness: PolicyHarness, duration_ms: float, request_class: RequestClass, requests: int = 40
 ) -> int:
     """Send requests one after another, all with the same duration, and count those admitted."""
     admitted = 0
-    for _ in range(rounds):
+    for _ in range(requests):
         request, actions = harness.request(request_class)
         if started_attempts(actions):
             admitted += 1
@@ -41,9 +41,9 @@
     return admitted
 
 
-def test_a_burst_above_the_limit_is_shed() -> None:
+def test_burst_above_limit_is_shed() -> None:
     """A limit on a mean over seconds would admit whole bursts, and endpoints stay slow after an overload."""
-    harness = after_startup(PolicyHarness(4, balancers=2))
+    harness = complete_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
     assert 10 <= len(in_flight) <= 20, "8 for each of 4 endpoints, shared by 2 balancers"
     logs = [a for a in harness.actions if isinstance(a, LogMessage) and "shedding" in a.text]
@@ -55,9 +55,9 @@
 
 
 @pytest.mark.parametrize("duration_ms", [50.0, 950.0])
-def test_a_few_large_requests_are_no_overload(duration_ms: float) -> None:
+def test_large_requests_below_limit_are_admitted(duration_ms: float) -> None:
     """A limit on latency alone would shed half of the important requests while endpoints are half idle."""
-    harness = after_startup_without_baseline(PolicyHarness(4, balancers=2))
+    harness = complete_startup_without_baseline(PolicyHarness(4, balancers=2))
     in_flight: deque[tuple[int, str]] = deque()
     for _ in range(200):
         request, actions = harness.request()
@@ -68,7 +68,7 @@
             harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
 
 
-def test_one_late_response_sheds_nothing() -> None:
+def test_one_late_response_sheds_no_load() -> None:
     """After one late response, a limit on mean latency would shed a tenth of the requests at light load."""
     harness = PolicyHarness(4)
     count_admitted(harness, 50.0, READ, 20)
@@ -76,7 +76,7 @@
     assert count_admitted(harness, 50.0, READ, 40) == 40
 
 
-def test_shedding_ends_soon_after_the_overload() -> None:
+def test_shedding_ends_soon_after_overload() -> None:
     """A limit that only responses raise would stay low, since few admitted requests give few responses."""
     harness = PolicyHarness(8)
     apply_load(harness, 950.0, (READ, None))
@@ -85,11 +85,11 @@
     assert apply_load(harness, 50.0, (READ, None), rounds=50)["read"] == 50
 
 
-def test_inner_tiers_do_not_shed_load() -> None:
+def test_inner_tiers_admit_all_requests() -> None:
     assert count_admitted(PolicyHarness(2, tier=1), 950.0, READ, 100) == 100
 
 
-def test_the_limit_per_balancer_has_a_minimum() -> None:
+def test_limit_per_balancer_has_minimum() -> None:
     """With hundreds of balancers, the part of the limit of each is less than one request."""
     harness = PolicyHarness(8, balancers=400)
     assert all(started_attempts(harness.request()[1]) for _ in range(8))
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
-def test_the_total_limit_is_independent_of_the_balancer_count(balancers: int) -> None:
+def test_total_limit_is_independent_of_balancer_count(balancers: int) -> None:
     """A minimum of eight for each balancer would add up: to 11 per endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(("change", "limit"), [({}, 48), ({"started_at_ms": 1_000.0}, 29)])
-def test_warming_endpoints_raise_the_limit_in_part(change: dict[str, float], limit: int) -> None:
+def test_warming_endpoints_raise_limit_partially(change: dict[str, float], limit: int) -> None:
     """If warming endpoints counted in full, the requests admitted for them would overload the warm ones."""
     harness = PolicyHarness(6)
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, **change)[3:])
@@ -133,9 +133,9 @@
     assert len(send_until_shed(harness)) == 0
 
 
-def test_unreachable_endpoints_do_not_raise_the_limit() -> None:
+def test_limit_excludes_unreachable_endpoints() -> None:
     """Until the list shows the loss of a zone, requests admitted for its endpoints would go to the others."""
-    harness = after_startup(PolicyHarness(6, max_attempts=1))
+    harness = complete_startup(PolicyHarness(6, max_attempts=1))
     in_flight = send_until_shed(harness)
     for request, endpoint in in_flight:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
@@ -148,7 +148,7 @@
     assert len(send_until_shed(harness)) < 0.6 * len(in_flight)
 
 
-def test_attempts_at_draining_endpoints_are_not_counted() -> None:
+def test_limit_ignores_attempts_at_draining_endpoints() -> None:
     """During a rollout, attempts at draining endpoints must not use up the limit of the others."""
     harness = PolicyHarness(6)
     endpoints = [first_endpoint(harness.request()[1]) for _ in range(24)]
@@ -159,7 +159,7 @@
     )
 
 
-def test_the_limit_holds_when_all_endpoints_fail() -> None:
+def test_limit_holds_when_all_endpoints_fail() -> None:
     """Attempts must count against the limit even if no endpoint is eligible; otherwise all are admitted."""
     harness = PolicyHarness(4)
     for _ in range(60):
@@ -169,7 +169,7 @@
     assert 0 < len(send_until_shed(harness)) <= 9
 
 
-def test_a_random_peak_is_no_overload() -> None:
+def test_random_peak_is_not_shed() -> None:
     """If a momentary peak at one of seven balancers counted, a twelfth of requests in quota would be shed."""
     harness = PolicyHarness(10, balancers=7)
     for _ in range(50):
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize(("limit", "expected"), [(0.0, 0.0), (10.0, 10.0), (2_000.0, 40.0)])
-def test_retry_after_is_limited_by_the_settings(limit: float, expected: float) -> None:
+def test_retry_after_is_capped_by_settings(limit: float, expected: float) -> None:
     harness = PolicyHarness(4, max_retry_after_ms=limit)
     for _ in range(500):
         harness.serve(duration_ms=40.0)
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize(("duration_ms", "all_admitted"), [(150.0, True), (1_500.0, False)])
-def test_overload_behind_the_endpoints_sheds_load(duration_ms: float, *, all_admitted: bool) -> None:
+def test_overload_behind_endpoints_sheds_load(duration_ms: float, *, all_admitted: bool) -> None:
     """The capacity limit covers only the endpoints and would let the tier behind them become overloaded."""
     harness = PolicyHarness(60, balancers=6)
     harness.now = 1_700_000_000_000.0  # Unix time: the first estimates must not suffer from rounding
@@ -198,7 +198,7 @@
     assert admitted > 200
 
 
-def test_the_baseline_is_learned_at_idle_endpoints() -> None:
+def test_baseline_is_learned_at_idle_endpoints() -> None:
     """Large requests at idle endpoints are no overload, even close to their latency objective."""
     harness = PolicyHarness(60, balancers=6)
     for _ in range(20):
@@ -208,7 +208,7 @@
     )
 
 
-def test_a_new_balancer_starts_below_the_limit() -> None:
+def test_new_balancer_starts_below_limit() -> None:
     """If new balancers admitted all requests of their first second, they would overload the tier behind."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -10,14 +10,14 @@
     PAY,
     READ,
     PolicyHarness,
-    after_startup,
     apply_load,
+    complete_startup,
     send_until_shed,
     started_attempts,
 )
 
 
-def test_a_class_of_priority_weight_zero_is_served() -> None:
+def test_class_with_zero_priority_weight_is_served() -> None:
     free = RequestClass("free", 1_000, 3_000, READ.idempotency, priority_weight=0.0)
     harness = PolicyHarness(2, classes=(free,))
     assert {harness.serve(free) for _ in range(60)} == {"s0", "s1"}
@@ -29,7 +29,7 @@
 HIGH_PRIORITY = RequestClass("high", 1_000, 3_000, PAY.idempotency, priority_weight=10.0)
 
 
-def test_the_lowest_priority_weight_is_shed_first() -> None:
+def test_lowest_priority_weight_is_shed_first() -> None:
     admitted = apply_load(
         PolicyHarness(2, classes=(LOW_PRIORITY, HIGH_PRIORITY)),
         600.0,
@@ -42,7 +42,7 @@
     assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "capacity left by the lower priority"
 
 
-def test_low_priority_is_not_shed_like_over_quota() -> None:
+def test_low_priority_class_keeps_most_of_limit() -> None:
     """Without an exponent, an eighth of the largest weight has almost the limit of weight zero.
 
     A third of the requests of such a class would be shed.
@@ -53,22 +53,22 @@
     )
     admitted = {
         request_class: len(
-            send_until_shed(after_startup(PolicyHarness(4, classes=(READ, low, high))), request_class)
+            send_until_shed(complete_startup(PolicyHarness(4, classes=(READ, low, high))), request_class)
         )
         for request_class in (low, high)
     }
     assert 0.7 * admitted[high] < admitted[low] < admitted[high]
 
 
-def test_a_tenant_over_quota_is_shed_first() -> None:
+def test_tenant_over_quota_is_shed_first() -> None:
     harness = PolicyHarness(4, tenants=(Tenant("big", 0.1), Tenant("small", 500.0)), over_quota_weight=0.1)
     admitted = apply_load(harness, 600.0, (READ, "big"), (READ, "small"))
     assert admitted["small"] > 1.5 * admitted["big"] > 0
 
 
-def test_a_rejected_request_spends_no_quota() -> None:
+def test_shed_request_spends_no_quota() -> None:
     """Clients retry rejected requests, which would then be charged to the quota twice."""
-    harness = after_startup(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
+    harness = complete_startup(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     in_flight = send_until_shed(harness)
     for _ in range(20):
         assert not started_attempts(harness.request(tenant="small")[1])
@@ -79,7 +79,7 @@
     )
 
 
-def test_a_late_client_retry_is_shed_first() -> None:
+def test_late_client_retry_is_shed_first() -> None:
     """Client retries past the latency objective have no value and rank below first attempts."""
     harness = PolicyHarness(4)
     assert started_attempts(harness.request(remaining_ms=1_900)[1]), "there is no other load"
@@ -91,7 +91,7 @@
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
 
-def test_a_short_client_timeout_is_no_late_retry() -> None:
+def test_short_client_timeout_counts_as_first_attempt() -> None:
     """First attempts of clients that wait for only six tenths of the deadline must not count as retries."""
     admitted = {}
     for remaining in (1_800.0, 3_000.0):
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -15,24 +15,22 @@
 
 
 @pytest.mark.parametrize(
-    ("remaining", "interval_ms", "takes_over"),
+    ("remaining", "interval_ms", "count_falls"),
     [(5, 10.0, True), (10, 10.0, False), (5, 40.0, False), (10, 40.0, False)],
 )
-def test_taking_over_a_lost_zone_lowers_the_balancer_count(
-    remaining: int, interval_ms: float, *, takes_over: bool
-) -> None:
+def test_balancer_count_after_zone_loss(remaining: int, interval_ms: float, *, count_falls: bool) -> None:
     """With a fixed count, three balancers left of seven would use three sevenths of the capacity left."""
     harness = PolicyHarness(10, balancers=4)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:remaining])
     serve_at_interval(harness, interval_ms, 3)
     admitted_per_endpoint = len(send_until_shed(harness)) / remaining
-    assert (admitted_per_endpoint > 4) if takes_over else (admitted_per_endpoint < 3), (
+    assert (admitted_per_endpoint > 4) if count_falls else (admitted_per_endpoint < 3), (
         "of a limit of 8 for each endpoint"
     )
 
 
-def test_a_lower_balancer_count_raises_quotas() -> None:
+def test_lower_balancer_count_raises_quotas() -> None:
     harness = PolicyHarness(10, balancers=4, tenants=(Tenant("small", 30.0),), over_quota_weight=0.0)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:5])
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -36,7 +36,7 @@
 TIMEOUT_MS = 1_000.0
 
 
-def test_one_slow_response_hardly_changes_an_estimate() -> None:
+def test_one_slow_response_hardly_changes_estimate() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 100)
     request, actions = harness.request()
@@ -47,7 +47,7 @@
     assert counts[slow] > 10
 
 
-def test_an_unresponsive_endpoint_loses_capacity_before_a_timeout() -> None:
+def test_unresponsive_endpoint_loses_capacity_before_timeout() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 100)
     first = first_endpoint(harness.request()[1])
@@ -56,21 +56,24 @@
     assert counts[first] <= 2
 
 
-def recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
+def make_recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
     """Return an attempt recorder with one known endpoint, and the evidence on that endpoint."""
     settings = make_settings()
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
-    available = AvailableCapacity(endpoints, BalancerCountEstimator(settings, ArrivalRate(settings)))
+    available_capacity = AvailableCapacity(endpoints, BalancerCountEstimator(settings, ArrivalRate(settings)))
     recorder = AttemptRecorder(
-        ServiceTimes(settings), SustainableConcurrency(available), IdleConnectionLimit(), available
+        ServiceTimes(settings),
+        SustainableConcurrency(available_capacity),
+        IdleConnectionLimit(),
+        available_capacity,
     )
     return recorder, endpoints.by_name["s0"]
 
 
-def test_a_failed_attempt_adds_its_timeout_to_busy_time() -> None:
+def test_failed_attempt_adds_its_timeout_to_busy_time() -> None:
     """A fast failure must count neither as a fast response nor as an attempt still in flight."""
-    recorder, endpoint = recorder_and_endpoint()
+    recorder, endpoint = make_recorder_and_endpoint()
     attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
     assert endpoint.in_flight == 1
     recorder.record_end(attempt, Outcome.ERROR, Request(1, PAY, START_MS + TIMEOUT_MS), START_MS + 5)
@@ -79,7 +82,7 @@
     assert endpoint.served_work == 0
 
 
-def test_a_fast_failing_endpoint_gets_fewer_requests() -> None:
+def test_fast_failing_endpoint_gets_fewer_requests() -> None:
     """If fast failures counted as fast responses, the failing endpoint would get half of the requests."""
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 20.0, "s1": 20.0}, 20)
@@ -92,9 +95,9 @@
     assert counts[failed] <= 10, "1,200 of 1,400 ms of busy time are there"
 
 
-def test_large_cost_hints_do_not_lower_capacity() -> None:
+def test_capacity_accounts_for_cost_hints() -> None:
     """If each request counted as the same work, heavy-tailed work would make the estimates fluctuate."""
-    recorder, endpoint = recorder_and_endpoint()
+    recorder, endpoint = make_recorder_and_endpoint()
     cost_hints, now = CostHints(), START_MS
     for request_id, hint_ms in enumerate((20.0, 20.0, 20.0, 200.0) * 50):
         request = Request(request_id, PAY, now + TIMEOUT_MS, cost_hints.relative_work(hint_ms))
@@ -106,7 +109,7 @@
     assert endpoint.served_work / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
-def test_evidence_lasts_longer_at_a_low_request_rate() -> None:
+def test_evidence_lasts_longer_at_low_request_rate() -> None:
     """With a fixed time constant of 6 s, evidence would decay between two requests.
 
     One of hundreds of balancers would select slow endpoints as often as fast ones.
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -19,13 +19,13 @@
     assert {harness.serve() for _ in range(30)} == {"s1"}
 
 
-def test_an_endpoint_missing_from_a_snapshot_is_removed() -> None:
+def test_endpoint_missing_from_snapshot_is_removed() -> None:
     harness = PolicyHarness(2)
     harness.update_endpoints(Endpoint("s1"))
     assert {harness.serve() for _ in range(30)} == {"s1"}
 
 
-def test_polls_start_at_once_and_repeat_with_jitter() -> None:
+def test_failed_polls_are_retried_with_jitter() -> None:
     firing_times = set()
     for seed in range(4):
         harness = PolicyHarness(2, seed=seed, polls_discovery=True)
@@ -44,6 +44,6 @@
         assert not any(isinstance(a, LogMessage) for a in actions)
 
 
-def test_a_balancer_starts_without_an_endpoint_list() -> None:
+def test_first_event_starts_endpoint_watch() -> None:
     balancer = LoadBalancer(Settings(classes=(READ,), polls_discovery=True), 1)
     assert WatchEndpoints() in balancer.handle(RequestReceived(1, "read", 500), 0.0)
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -23,7 +23,7 @@
 from tests.policy.helpers import PAY, PolicyHarness, actions_of_type, first_endpoint, started_attempts
 
 
-def test_without_endpoints_a_request_is_rejected_at_once() -> None:
+def test_request_without_endpoints_is_rejected_immediately() -> None:
     harness = PolicyHarness(0)
     for _ in range(3):
         request, actions = harness.request()
@@ -32,14 +32,14 @@
     assert len([a for a in harness.actions if isinstance(a, LogMessage)]) == 1, "only one log line"
 
 
-def test_a_request_without_remaining_time_is_rejected_at_once() -> None:
+def test_request_without_remaining_time_is_rejected_immediately() -> None:
     harness = PolicyHarness(2)
     request, actions = harness.request(remaining_ms=0.0)
     assert RejectRequest(request) in actions
     assert not started_attempts(actions)
 
 
-def test_a_timeout_at_the_deadline_fails_the_request() -> None:
+def test_timeout_at_deadline_fails_request() -> None:
     harness = PolicyHarness(2)
     request, actions = harness.request(PAY, remaining_ms=300)
     harness.now += 300
@@ -48,7 +48,7 @@
     ) == [FailRequest(request)]
 
 
-def test_late_events_are_ignored_and_invalid_ones_raise() -> None:
+def test_late_events_are_ignored_and_invalid_events_raise() -> None:
     harness = PolicyHarness(2)
     assert harness.handle(ClientDisconnected(99)) == []
     assert harness.handle(TimerFired(HedgeTimer(99))) == []
@@ -71,7 +71,7 @@
     assert (unknown_class.value.request_id, unknown_class.value.class_name) == (12345, "nosuch")
 
 
-def test_policy_errors_share_their_base_classes() -> None:
+def test_policy_errors_have_common_base_classes() -> None:
     for error in (DuplicateRequestError, UnknownClassError, UnknownRequestError):
         assert issubclass(error, LoadBalancerError)
         assert issubclass(error, ValueError)
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("tier", [0, 1])
 @pytest.mark.parametrize("request_class", [READ, CELL_ORDER])
-def test_an_unresponsive_endpoint_triggers_one_hedged_attempt(request_class: RequestClass, tier: int) -> None:
+def test_unresponsive_endpoint_triggers_one_hedged_attempt(request_class: RequestClass, tier: int) -> None:
     harness = PolicyHarness(4, tier=tier)
     serve_many(harness, dict.fromkeys(("s0", "s1", "s2", "s3"), 50.0), 50)
     request, actions = harness.request(request_class)
@@ -49,7 +49,7 @@
     assert CancelAttempt(request, 0) in harness.finish(request, 1, hedged.endpoint, Outcome.SUCCEEDED)
 
 
-def test_hedging_needs_idempotency_and_permission() -> None:
+def test_hedging_requires_idempotent_class_and_may_hedge() -> None:
     assert not actions_of_type(PolicyHarness(4).request(PAY)[1], SetTimer)
     actions = PolicyHarness(4, may_hedge=False).request(READ)[1]
     assert not actions_of_type(actions, SetTimer)
@@ -61,7 +61,7 @@
     )
 
 
-def test_without_hedging_an_attempt_keeps_its_full_timeout() -> None:
+def test_attempt_has_full_timeout_without_hedging() -> None:
     """Cut to four times the baseline, large requests would time out at one endpoint after another."""
     harness = PolicyHarness(4, may_hedge=False)
     for _ in range(400):
@@ -72,7 +72,7 @@
     assert not started_attempts(harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED))
 
 
-def test_without_hedging_a_timer_starts_no_attempt() -> None:
+def test_timer_starts_no_attempt_without_hedging() -> None:
     harness = PolicyHarness(4, may_hedge=False)
     request, _ = harness.request()
     for timer in (HedgeTimer(request), EndpointListTimer(), HedgeTimer(99)):
@@ -80,7 +80,7 @@
         assert started_attempts(harness.handle(TimerFired(timer))) == []
 
 
-def test_a_larger_cost_hint_delays_hedging() -> None:
+def test_larger_cost_hint_delays_hedging() -> None:
     harness = PolicyHarness(4)
     for _ in range(60):
         request, actions = harness.request(cost_hint_ms=10.0)
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_non_idempotent_request_is_retried_only_if_unprocessed() -> None:
+def test_non_idempotent_request_is_retried_only_if_unprocessed() -> None:
     harness = PolicyHarness(4)
     request, actions = harness.request(PAY)
     retries = started_attempts(harness.finish(request, 0, first_endpoint(actions), Outcome.REJECTED))
@@ -28,7 +28,7 @@
     assert harness.finish(request, 1, retries[0].endpoint, Outcome.RESET) == [FailRequest(request)]
 
 
-def test_a_keyed_retry_stays_in_its_cell_and_window() -> None:
+def test_keyed_retry_requires_same_cell_and_open_window() -> None:
     harness = PolicyHarness(6)
     for _ in range(20):
         request, actions = harness.request(CELL_ORDER)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("after_ms", "retries"), [(1_600.0, 1), (1_750.0, 0)])
-def test_the_connect_timeout_shortens_the_retry_window(after_ms: float, retries: int) -> None:
+def test_connect_timeout_shortens_retry_window(after_ms: float, retries: int) -> None:
     """A retry that starts within the window of 2,000 ms may arrive up to 300 ms later, after the connect."""
     order = replace(GLOBAL_ORDER, latency_objective_ms=5_000, deadline_ms=9_000)
     harness = PolicyHarness(6, classes=(order,), connect_timeout_ms=300.0)
@@ -64,7 +64,7 @@
     )
 
 
-def test_a_restarted_endpoint_gets_no_keyed_retry() -> None:
+def test_restarted_endpoint_gets_no_keyed_retry() -> None:
     harness = PolicyHarness(2, slow_start_ms=0)
     request, actions = harness.request(GLOBAL_ORDER)
     first = first_endpoint(actions)
@@ -75,7 +75,7 @@
     assert [a.endpoint for a in retries] in ([], [first])
 
 
-def test_a_keyed_retry_may_leave_the_subset() -> None:
+def test_keyed_retry_may_leave_subset() -> None:
     harness = PolicyHarness(60, balancers=3_000)
     other_endpoints = 0
     for _ in range(60):
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -32,7 +32,7 @@
 from loadbalancer.policy.balancer import LoadBalancer
 from testbed.virtual_clock import VirtualClock
 from tests.policy.helpers import CLASSES, make_settings
-from tests.policy.rule_checker import NEVER_RAN, FinalResponse, RuleChecker, TrackedRequest
+from tests.policy.rule_checker import UNPROCESSED_OUTCOMES, FinalResponse, RuleChecker, TrackedRequest
 
 if TYPE_CHECKING:
     from loadbalancer.settings import Settings
@@ -45,7 +45,7 @@
 # A timer never fires at the time at which it is set.
 TIMER_DELAY_MS = 0.01
 REMAINING_MS = (0.0, 1.0, 40.0, 400.0, 2_500.0)
-MAY_HAVE_RUN = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN)
+MAY_HAVE_RUN_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN)
 
 
 class RandomWorkload:
@@ -87,9 +87,9 @@
 
     def _handle(self, event: Event) -> None:
         for action in self._balancer.handle(event, self._clock.now):
-            self._perform(action)
+            self._execute_action(action)
 
-    def _perform(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         now = self._clock.now
         match action:
             case StartAttempt(request_id, name, timeout_ms):
@@ -124,7 +124,9 @@
             return max_duration_ms, Outcome.TIMED_OUT
         if choice < 0.6:
             return duration_ms, Outcome.SUCCEEDED
-        return duration_ms, self._random.choice(NEVER_RAN if choice < 0.75 else MAY_HAVE_RUN)
+        return duration_ms, self._random.choice(
+            UNPROCESSED_OUTCOMES if choice < 0.75 else MAY_HAVE_RUN_OUTCOMES
+        )
 
     # ---- events ---------------------------------------------------------------------------------
 
@@ -210,7 +212,7 @@
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(6))
-def test_the_rules_hold_under_random_events(variant: int, seed: int) -> None:
+def test_rules_hold_under_random_events(variant: int, seed: int) -> None:
     workload = RandomWorkload(seed, **VARIANTS[variant])
     workload.run(1_500)
     responses = workload.responses
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -16,7 +16,7 @@
     return bool(actions_of_type(actions, CloseIdleConnections))
 
 
-def test_the_idle_limit_is_learned_from_unanswered_attempts() -> None:
+def test_idle_limit_is_learned_from_timeouts() -> None:
     """If connections are silently dropped after a second idle, each later attempt takes its full timeout."""
     harness = PolicyHarness(1, tier=1)  # inner tiers shed no load
     for _ in range(20):
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -8,10 +8,10 @@
 from tests.policy.helpers import PAY, PolicyHarness, count_by_endpoint, first_endpoint, started_attempts
 
 
-def count_while_s0_fails(harness: PolicyHarness, rounds: int) -> Counter[str]:
+def count_while_s0_fails(harness: PolicyHarness, requests: int) -> Counter[str]:
     """Count requests by endpoint while s0 fails quickly and the others serve."""
     counts: Counter[str] = Counter()
-    for _ in range(rounds):
+    for _ in range(requests):
         request, actions = harness.request(PAY)
         endpoint = first_endpoint(actions)
         counts[endpoint] += 1
@@ -20,18 +20,18 @@
     return counts
 
 
-def test_a_fast_failing_endpoint_does_not_attract_requests() -> None:
+def test_fast_failing_endpoint_is_avoided() -> None:
     assert count_while_s0_fails(PolicyHarness(2, tier=1), 60)["s0"] < 10
 
 
-def test_an_endpoint_that_recovers_gets_requests_again() -> None:
+def test_recovered_endpoint_is_selected_again() -> None:
     harness = PolicyHarness(2, tier=1)  # inner tiers shed no load
     count_while_s0_fails(harness, 30)
     counts = Counter(harness.serve(duration_ms=20.0) for _ in range(1_500))
     assert counts["s0"] > 10
 
 
-def test_past_successes_do_not_delay_an_ejection() -> None:
+def test_unreachable_endpoints_are_ejected_despite_past_successes() -> None:
     """If earlier successes outweighed failed connects, endpoints of a lost zone would still get requests."""
     harness = PolicyHarness(5, seed=3)
     for _ in range(200):
--- a/tests/policy/test_poll_backoff.py
+++ b/tests/policy/test_poll_backoff.py
@@ -11,7 +11,7 @@
 MAX_DELAY_JITTER = 1.5
 
 
-def test_the_poll_delay_is_bounded_after_repeated_failures() -> None:
+def test_poll_delay_is_bounded_after_repeated_failures() -> None:
     harness = PolicyHarness(2, polls_discovery=True)
     for _ in range(100):
         timer = actions_of_type(harness.handle(EndpointListUpdate(EndpointListKind.FAILED)), SetTimer)[0]
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
-def test_saved_tokens_bound_the_retries_at_a_failed_tier(behaviour: str) -> None:
+def test_initial_tokens_limit_retries_at_failed_tier(behaviour: str) -> None:
     """If arrivals added tokens, retries would multiply over the tiers.
 
     28 tiers would make 88 attempts for each admitted request, or 320 if they are not processed.
@@ -42,11 +42,11 @@
         assert row["served"] == 0
         assert row["calls"] > 150
         attempts = row["bottom_attempts_a_call"] * row["calls"]
-        saved_tokens = retry_policy.RETRY_INITIAL_TOKENS * ENDPOINTS * row["depth"]
+        initial_tokens = retry_policy.RETRY_INITIAL_TOKENS * ENDPOINTS * row["depth"]
         if behaviour != "fails":
             # Only the balancers directly before the last tier make transparent retries.
-            saved_tokens += retry_policy.TRANSPARENT_RETRY_INITIAL_TOKENS * ENDPOINTS
-        assert 0.5 * row["calls"] < attempts <= row["calls"] + saved_tokens
+            initial_tokens += retry_policy.TRANSPARENT_RETRY_INITIAL_TOKENS * ENDPOINTS
+        assert 0.5 * row["calls"] < attempts <= row["calls"] + initial_tokens
 
 
 def test_sporadic_failures_behind_28_tiers_are_retried() -> None:
@@ -56,7 +56,7 @@
         assert 1.05 < row["bottom_attempts_a_call"] < 1.25
 
 
-def test_service_resumes_when_the_last_tier_recovers() -> None:
+def test_service_resumes_when_last_tier_recovers() -> None:
     faults = [{"name": b, "behaviour": b} for b in ("fails", "refuses", "turns away")]
     for row in measure_rows(faults, warm_s=2, trouble_s=5, after_s=6, sizes=[28]):
         assert row["served_before"] == 1
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -25,8 +25,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
-MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
+UNPROCESSED_OUTCOMES = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
+MAY_HAVE_RUN_OUTCOMES = [Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT]
 
 
 def inner_tier_harness(seed: int = 1, *, may_hedge: bool = False) -> PolicyHarness:
@@ -64,8 +64,8 @@
     return harness
 
 
-@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_without_responses_retries_stop_when_tokens_run_out(outcome: Outcome) -> None:
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
+def test_retries_stop_when_tokens_run_out(outcome: Outcome) -> None:
     """If arrivals added tokens, retries would never stop: each tier would add a fifth to the previous one."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.RETRY_MAX_TOKENS,
@@ -73,7 +73,7 @@
     )
 
 
-@pytest.mark.parametrize("outcome", NEVER_RAN)
+@pytest.mark.parametrize("outcome", UNPROCESSED_OUTCOMES)
 def test_transparent_retries_stop_when_tokens_run_out(
     outcome: Outcome,
 ) -> None:
@@ -84,25 +84,25 @@
     )
 
 
-@pytest.mark.parametrize("outcome", NEVER_RAN[:2])
-def test_no_request_fails_with_two_of_three_endpoints_unreachable(outcome: Outcome) -> None:
+@pytest.mark.parametrize("outcome", UNPROCESSED_OUTCOMES[:2])
+def test_budget_covers_two_transparent_retries_per_request(outcome: Outcome) -> None:
     """With half of the connections refused, a budget by requests would run out before an attempt succeeds."""
     harness = inner_tier_harness()
     assert send_requests(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
 
-def test_one_failed_attempt_in_ten_is_always_retried() -> None:
+def test_budget_covers_one_failure_in_ten_attempts() -> None:
     harness = inner_tier_harness()
     assert send_requests(harness, 900, cycle([Outcome.SUCCEEDED] * 9 + [Outcome.ERROR])) == (99, 900)
 
 
-def test_retries_are_limited_to_a_fifth_of_the_responses() -> None:
+def test_retries_are_limited_to_fifth_of_responses() -> None:
     """If nine of ten attempts fail, about ten attempts bring one response, which adds a fifth of a token."""
     harness = inner_tier_harness()
     retries, responses = send_requests(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert responses > 200
-    paid = retry_policy.RETRY_INITIAL_TOKENS + responses * retry_policy.RETRY_TOKENS_PER_RESPONSE
-    assert paid - 1 <= retries <= paid
+    tokens = retry_policy.RETRY_INITIAL_TOKENS + responses * retry_policy.RETRY_TOKENS_PER_RESPONSE
+    assert tokens - 1 <= retries <= tokens
 
 
 def test_time_adds_no_tokens() -> None:
@@ -120,7 +120,7 @@
         (Outcome.CONNECT_FAILED, retry_policy.TRANSPARENT_RETRY_INITIAL_TOKENS),
     ],
 )
-def test_a_new_balancer_has_only_the_initial_tokens(outcome: Outcome, limit: float) -> None:
+def test_new_balancer_has_only_initial_tokens(outcome: Outcome, limit: float) -> None:
     """Thirty balancers that restart during an outage add a few retries each, not a full bucket each."""
     assert retry_policy.RETRY_INITIAL_TOKENS < retry_policy.RETRY_MAX_TOKENS / 2
     assert (
@@ -129,7 +129,7 @@
     )
 
 
-def test_responses_refill_the_bucket_after_an_outage() -> None:
+def test_responses_refill_bucket_after_outage() -> None:
     harness = harness_with_full_buckets()
     send_requests(harness, 100, repeat(Outcome.ERROR))
     assert send_requests(harness, 4, repeat(Outcome.SUCCEEDED)) == (0, 4)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("request_class", [READ, GLOBAL_ORDER], ids=lambda c: c.name)
-def test_an_idempotent_class_spends_retry_tokens(request_class: RequestClass) -> None:
+def test_idempotent_class_spends_retry_tokens(request_class: RequestClass) -> None:
     assert send_requests(harness_with_full_buckets(), 100, repeat(Outcome.ERROR), request_class) == (
         retry_policy.RETRY_MAX_TOKENS,
         0,
@@ -152,7 +152,7 @@
     )
 
 
-def test_a_non_idempotent_class_spends_no_retry_tokens() -> None:
+def test_non_idempotent_class_spends_no_retry_tokens() -> None:
     assert PAY.idempotency is Idempotency.NOT_IDEMPOTENT
     harness = harness_with_full_buckets()
     assert send_requests(harness, 100, repeat(Outcome.ERROR), PAY) == (0, 0)
@@ -189,7 +189,7 @@
     assert count_hedged_attempts(harness, 40) == retry_policy.RETRY_MAX_TOKENS
 
 
-def test_a_response_after_a_disconnect_adds_no_token() -> None:
+def test_response_after_disconnect_adds_no_token() -> None:
     harness = inner_tier_harness(may_hedge=True)
     send_requests(harness, 100, repeat(Outcome.ERROR))
     for _ in range(4):
@@ -203,7 +203,7 @@
     )
 
 
-def test_a_failure_without_tokens_is_answered_at_once() -> None:
+def test_request_fails_immediately_without_tokens() -> None:
     harness = harness_with_full_buckets()
     send_requests(harness, 100, repeat(Outcome.ERROR))
     request, actions = harness.request()
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -34,13 +34,13 @@
     from loadbalancer.settings import Settings
 
 
-def test_equal_endpoints_get_equally_many_requests() -> None:
+def test_requests_spread_over_equal_endpoints() -> None:
     counts = count_by_endpoint(PolicyHarness(4), 2_000)
     assert len(counts) == 4
     assert min(counts.values()) > 100
 
 
-def test_requests_follow_learned_capacity() -> None:
+def test_requests_are_distributed_by_learned_capacity() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 10.0, "s1": 30.0})
     counts = Counter(harness.serve(duration_ms=10.0) for _ in range(200))
@@ -53,7 +53,7 @@
     assert abs(counts["s0"] - counts["s1"]) <= 4
 
 
-def test_a_new_endpoint_starts_at_the_median_capacity() -> None:
+def test_new_endpoint_starts_at_median_capacity() -> None:
     harness = PolicyHarness(3)
     serve_many(harness, {"s0": 10.0, "s1": 20.0, "s2": 60.0})
     harness.update_endpoints(*endpoint_list(3), Endpoint("new"))
@@ -61,7 +61,7 @@
     assert counts["s0"] >= counts["new"] > counts["s2"]
 
 
-def test_endpoints_without_evidence_are_drawn_by_weight() -> None:
+def test_endpoints_without_evidence_are_sampled_by_weight() -> None:
     """With many balancers, no endpoint has an attempt of this one in flight.
 
     If four endpoints were always drawn, the largest of them would have the lowest load, 1 / capacity.
@@ -78,13 +78,13 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf"), float("nan")])
-def test_invalid_weights_in_the_list_are_tolerated(weight: float) -> None:
+def test_invalid_weights_are_tolerated(weight: float) -> None:
     harness = PolicyHarness(0)
     harness.update_endpoints(Endpoint("s0", weight=weight), Endpoint("s1"))
     assert {harness.serve() for _ in range(60)} == {"s0", "s1"}
 
 
-def test_one_of_many_balancers_uses_a_stable_subset() -> None:
+def test_subset_is_stable() -> None:
     """Spread over all endpoints, requests are too few at each to learn its capacity or reuse connections."""
     subsets = []
     for seed in range(40):
@@ -100,7 +100,7 @@
     assert len({harness.serve() for _ in range(400)}) == 20, "with few balancers, each uses all endpoints"
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
+def test_actions_depend_only_on_events_and_seed() -> None:
     def run(seed: int) -> list[object]:
         harness = PolicyHarness(6, seed=seed)
         for i in range(200):
@@ -134,7 +134,7 @@
     return EndpointSelector(settings, idempotency, slow_start, estimator, Random(1))
 
 
-def test_a_tie_goes_to_the_larger_capacity() -> None:
+def test_tie_goes_to_larger_capacity() -> None:
     now, settings = 1_000.0, make_settings()
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(2)), now)
--- a/tests/policy/test_settings.py
+++ b/tests/policy/test_settings.py
@@ -23,7 +23,7 @@
         ({"over_quota_weight": 2.0}, "over_quota_weight"),
     ],
 )
-def test_invalid_settings_name_their_field(change: dict[str, object], name: str) -> None:
+def test_invalid_settings_error_names_field(change: dict[str, object], name: str) -> None:
     with pytest.raises(InvalidSettingsError, match=name) as invalid:
         make_settings(**change)
     assert invalid.value.field == name
@@ -42,13 +42,13 @@
         ({"late_value": 1.5}, "late_value is 1.5: it must be between 0 and 1"),
     ],
 )
-def test_an_invalid_class_is_rejected(change: dict[str, object], message: str) -> None:
+def test_invalid_class_is_rejected(change: dict[str, object], message: str) -> None:
     with pytest.raises(InvalidSettingsError) as invalid:
         replace(READ, **change)  # type: ignore[arg-type]
     assert str(invalid.value) == message
 
 
-def test_an_invalid_tenant_is_rejected() -> None:
+def test_invalid_tenant_is_rejected() -> None:
     with pytest.raises(InvalidSettingsError, match="quota_per_s is -1: it must not be negative"):
         Tenant("t", -1)
     with pytest.raises(InvalidSettingsError, match="name is '': it must not be empty"):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -37,13 +37,13 @@
     simulation.run(OBSERVATION_MS)
 
 
-def add_a_tenth(simulation: SlowStartSimulation) -> None:
+def add_tenth_of_endpoints(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.add_endpoints(simulation.tenth)
     simulation.run(OBSERVATION_MS)
 
 
-def add_a_tenth_during_a_burst(simulation: SlowStartSimulation) -> None:
+def add_tenth_during_burst(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.scale_request_rate(1.5)
     simulation.add_endpoints(simulation.tenth)
@@ -62,7 +62,7 @@
     simulation.run(OBSERVATION_MS)
 
 
-def restart_a_third(simulation: SlowStartSimulation) -> None:
+def restart_third_of_endpoints(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     third = list(simulation.endpoints)[: len(simulation.endpoints) // 3]
     simulation.remove_endpoints(third)
@@ -71,7 +71,7 @@
     simulation.run(OBSERVATION_MS)
 
 
-def restart_balancers_and_add_a_tenth(simulation: SlowStartSimulation) -> None:
+def restart_balancers_and_add_tenth(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.restart_balancers()
     simulation.add_endpoints(simulation.tenth)
@@ -90,14 +90,14 @@
     simulation.run(OBSERVATION_MS)
 
 
-def make_half_reject(simulation: SlowStartSimulation) -> None:
+def set_half_to_reject(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.REJECTED)
     simulation.add_endpoints(simulation.tenth)
     simulation.run(OBSERVATION_MS)
 
 
-def make_half_unreachable(simulation: SlowStartSimulation) -> None:
+def set_half_unreachable(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.CONNECT_FAILED)
     simulation.add_endpoints(simulation.tenth)
@@ -107,25 +107,25 @@
 Scenario = Callable[[SlowStartSimulation], None]
 SCENARIOS: tuple[Scenario, ...] = (
     add_one_endpoint,
-    add_a_tenth,
-    add_a_tenth_during_a_burst,
+    add_tenth_of_endpoints,
+    add_tenth_during_burst,
     replace_half_in_steps,
     replace_six_tenths_quickly,
-    restart_a_third,
-    restart_balancers_and_add_a_tenth,
+    restart_third_of_endpoints,
+    restart_balancers_and_add_tenth,
     restart_all_endpoints,
     restart_everything,
-    make_half_reject,
-    make_half_unreachable,
+    set_half_to_reject,
+    set_half_unreachable,
 )
 
 # Without slow-start limits, six balancers are enough to overload a warming endpoint in these scenarios.
 SCENARIOS_FOR_SIX_BALANCERS: tuple[Scenario, ...] = (
     replace_half_in_steps,
     replace_six_tenths_quickly,
-    restart_a_third,
-    make_half_reject,
-    make_half_unreachable,
+    restart_third_of_endpoints,
+    set_half_to_reject,
+    set_half_unreachable,
 )
 
 
@@ -147,10 +147,10 @@
         (30, restart_everything),
         (300, restart_everything),
         (300, restart_all_endpoints),
-        (300, make_half_unreachable),
+        (300, set_half_unreachable),
     ],
 )
-def test_minimum_budgets_of_many_balancers_stay_within_the_limit(balancers: int, scenario: Scenario) -> None:
+def test_sum_of_minimum_budgets_is_limited(balancers: int, scenario: Scenario) -> None:
     """If each of hundreds of balancers sent one request per window, an endpoint would get twice its limit."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT_LIMITS)
     scenario(simulation)
@@ -161,9 +161,9 @@
 @pytest.mark.parametrize(
     ("balancers", "endpoints", "scenario", "min_attempts"),
     [
-        (6, 12, add_a_tenth, 60),
-        (300, 20, add_a_tenth, 120),
-        (300, 30, restart_a_third, 600),
+        (6, 12, add_tenth_of_endpoints, 60),
+        (300, 20, add_tenth_of_endpoints, 120),
+        (300, 30, restart_third_of_endpoints, 600),
         (30, 12, restart_all_endpoints, 800),
         (30, 12, restart_everything, 800),
     ],
@@ -177,7 +177,7 @@
     assert simulation.max_excess <= 1
 
 
-@pytest.mark.parametrize("scenario", [add_one_endpoint, restart_a_third, restart_all_endpoints])
+@pytest.mark.parametrize("scenario", [add_one_endpoint, restart_third_of_endpoints, restart_all_endpoints])
 @pytest.mark.parametrize("balancers", [30, 300])
 def test_light_traffic_reaches_warming_endpoints(scenario: Scenario, balancers: int) -> None:
     """Balancers that get one request in several seconds reject hardly any if the endpoints have capacity."""
@@ -188,9 +188,9 @@
     assert simulation.max_excess <= 1
 
 
-def test_retries_count_against_the_limit_of_warming_endpoints() -> None:
+def test_retries_count_toward_slow_start_limit() -> None:
     """If retries of rejected requests were not limited, a warming endpoint would get twelve in one window."""
     simulation = SlowStartSimulation(300, 20, RATE_PER_S, 0.9, 22, TIGHT_LIMITS)
-    make_half_reject(simulation)
+    set_half_to_reject(simulation)
     assert simulation.warming_attempts
     assert simulation.max_excess <= 1
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -20,21 +20,21 @@
     return counts
 
 
-def test_requests_stay_in_a_zone_with_enough_capacity() -> None:
+def test_zone_with_sufficient_capacity_keeps_its_requests() -> None:
     assert count_by_zone({"a": 1.0, "b": 1.0, "c": 0.5}) == {"a": 600}
     assert count_by_zone({"a": 0.3, "b": 0.3, "c": 0.3}) == {"a": 600}
     third = 0.1 + 0.2  # the mean of three such zones differs by rounding
     assert count_by_zone({"a": third, "b": 0.3, "c": third}).keys() <= {"a", "b", "c"}
 
 
-def test_a_small_zone_spills_over_to_larger_zones() -> None:
+def test_small_zone_spills_over_to_larger_zones() -> None:
     counts = count_by_zone({"a": 1.0, "b": 3.0, "c": 2.0})
     assert 240 < counts["a"] < 360, "its capacity is half of the mean of 2, so it keeps half"
     assert counts["c"] == 0
     assert counts["b"] == 600 - counts["a"]
 
 
-def test_zone_preference_ends_with_requests_in_flight() -> None:
+def test_load_limits_zone_preference() -> None:
     """Otherwise endpoints of one zone would get two or three times the requests of another, and stay slow."""
     in_own_zone = []
     for endpoints in (1, 3):
@@ -51,7 +51,7 @@
     assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # drawn by zone first, then selected by load alone
 
 
-def test_a_loaded_zone_spills_over_to_the_other_zones() -> None:
+def test_loaded_zone_spills_over_to_other_zones() -> None:
     """One of two balancers must not send nearly all requests to the only endpoint of its zone.
 
     Otherwise two of the four zones stay idle.
@@ -64,5 +64,5 @@
     assert max(counts.values()) == counts["a"] < 12
 
 
-def test_a_zone_without_endpoints_uses_all_other_zones() -> None:
+def test_zone_without_endpoints_uses_all_other_zones() -> None:
     assert count_by_zone({"b": 1.0, "c": 1.0}).keys() == {"b", "c"}
