--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the load balancer: sans-I/O, standard library only."""
+"""The decision logic of the load balancer: sans-I/O, using only the standard library."""
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: decides which requests to shed by priority weight, tenant quota and lateness.
+"""Admission control: sheds requests depending on priority weight, tenant quota and lateness.
 
 docs/POLICY.md has the formulas and the reasons for the constants.
 """
@@ -11,21 +11,22 @@
 PRIORITY_EXPONENT = 1 / 3
 """Exponent of the relative priority weight.
 
-With an exponent of 1, a class with an eighth of the largest weight is shed like requests over quota. With
-1/2, one class is still served less than the minimum that every class must get.
+With an exponent of 1, a class with an eighth of the largest weight is shed as early as requests over quota.
+With 1/2, one class still gets less service than the minimum that every class must get.
 """
 FULL_TIMEOUT_FRACTION = 0.9
-"""Fraction of the longest remaining time seen for a class below which a request counts as a client retry.
+"""A request whose remaining time is below this fraction of its class's maximum counts as a client retry.
 
-The client's first attempt has used up the rest.
+The maximum is the longest remaining time seen for the class. A client retry has less, since the client's
+first attempt has used up part of the deadline.
 """
 MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS
-"""Time constant of the exponential decay of the longest remaining time seen, in requests of the class.
+"""Time constant, in requests of a class, of the exponential decay of its maximum remaining time.
 
 Without the decay, the maximum would not follow clients that shorten their timeouts.
 """
 QUOTA_BURST_MS = 2_000.0
-"""Bucket size as a time span, in ms: a tenant may use its quota for this span at once.
+"""Bucket size, in ms of quota: a tenant may use this much of its quota in a burst.
 
 A bucket that grows with the square root of the number of balancers has no advantage.
 """
@@ -35,8 +36,8 @@
     """One token bucket per tenant for this balancer's part of the quota; each request costs one token.
 
     Assumes that a tenant's requests spread evenly over the balancers. A tenant whose quota per balancer is
-    below 1 / QUOTA_BURST_MS (0.5 requests per second) always counts as over quota, since its bucket cannot
-    hold a whole token.
+    below 1 / QUOTA_BURST_MS (0.5 requests per second) always counts as over quota, since its bucket is too
+    small for one token.
     """
 
     def __init__(self, settings: Settings, balancer_count: BalancerCountEstimator) -> None:
@@ -46,7 +47,7 @@
         self._updated_at: dict[str, float] = {}
 
     def is_over_quota(self, tenant: str | None, now: float) -> bool:
-        """Return whether the tenant's bucket has no token left; always false without a quota."""
+        """Return whether the tenant's bucket has no token left; False for a tenant without a quota."""
         rate = self._rate_per_ms.get(tenant or "")
         if rate is None or tenant is None:
             return False
@@ -84,7 +85,7 @@
     ) -> bool:
         """Return whether to admit a request that arrives now.
 
-        Tiers behind the first one admit every request: shedding it would waste the work of the earlier tiers.
+        Only the first tier sheds load: in later tiers, shedding would waste the work done by earlier ones.
         """
         if not self._is_first_tier:
             return True
@@ -106,7 +107,7 @@
         The client's first attempt is estimated to have started `deadline_ms - remaining_ms` ago. However, a
         request whose remaining time is close to the longest one seen for its class counts as a first attempt:
         some clients give each attempt only a fraction of the deadline, so a short remaining time alone does
-        not show that the rest has passed.
+        not mean that the rest of the deadline has passed.
         """
         decayed_ms = self._max_client_timeout_ms[request_class.name] * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS)
         max_timeout_ms = max(remaining_ms, decayed_ms)
--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -1,11 +1,11 @@
-"""The arrival rate of requests at this balancer, in the short and in the long term."""
+"""The short-term and the long-term arrival rate of requests at this balancer."""
 
 import math
 
 from loadbalancer.settings import Settings
 
 SHORT_TERM_REQUESTS = 30
-"""Number of requests in the short-term mean: at tens of requests per second it changes within seconds."""
+"""Number of requests in the short-term mean, which adapts within seconds at tens of requests per second."""
 LONG_TERM_REQUESTS = 1_000
 """Number of requests in the long-term mean, the baseline: a burst of tens of requests hardly changes it."""
 
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -11,16 +11,17 @@
 from loadbalancer.policy.service_times import ServiceTimes
 
 FULL_FAILURE_SERVICE_TIMES = 2.0
-"""Duration after which an attempt without a response counts as a whole failure, in expected service times.
+"""Time without a response, in expected service times, after which an attempt counts as one full failure.
 
-The expected service time of a request is the mean of its class times its expected work. A shorter attempt
-counts as a fraction of a failure, in proportion to its duration: a short wait is weak evidence.
+The expected service time of a request is the mean service time of its class times the request's expected
+work. An attempt that ends earlier counts as a fraction of a failure, in proportion to its duration: a short
+wait is weak evidence.
 """
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
 """Outcomes after which the connection can be reused.
 
-These outcomes, and those of the two constants below, are tuples: a look-up in a set would call
-`Enum.__hash__`, which is a Python function.
+These outcomes, and those of the two constants below, are tuples: a lookup in a set would call
+`Enum.__hash__`, which is slow because it is implemented in Python.
 """
 LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
 """Outcomes that show whether an idle connection was alive."""
@@ -51,7 +52,7 @@
 
         An attempt counts toward the baseline service time if the balancer has at most one attempt in flight
         per unit of its part of the available capacity and is not shedding load: during an overload, service
-        times are inflated however little of the load comes from this balancer.
+        times are inflated even if little of the load comes from this balancer.
 
         Args:
             endpoint: The endpoint that the attempt is sent to.
@@ -72,8 +73,8 @@
     def record_end(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
         """Record the end of an attempt.
 
-        A failed attempt adds no served work, and its whole timeout to the busy time of the endpoint.
-        Otherwise an endpoint that fails quickly would look fast.
+        A failed attempt adds its full timeout to the busy time of the endpoint, and no served work. Otherwise
+        an endpoint that fails quickly would appear to be fast.
         """
         endpoint, class_name = attempt.endpoint, request.request_class.name
         endpoint.advance_to(now)
@@ -117,8 +118,8 @@
         elapsed_ms, service_times = now - attempt.started_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
-        # This call may recompute the available capacity, which advances the evidence of every endpoint and
-        # reads its outcomes. Therefore the attempt is added to the evidence afterwards.
+        # This call may recompute the available capacity, which advances and reads the evidence of every
+        # endpoint. Therefore the attempt is added to the evidence only afterwards.
         self._sustainable_concurrency.record_completion(
             expected_work * service_times.baseline_ms(class_name), now
         )
--- a/loadbalancer/policy/attempt_starter.py
+++ b/loadbalancer/policy/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Starts attempts: selects the endpoint, replaces idle connections and sets the hedge timer."""
+"""Starts attempts: selects the endpoint, closes connections that may be dead and sets the hedge timer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts within the limits on their number and on the remaining time."""
+    """Starts attempts, up to the maximum number per request and only while time remains."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
     def start(self, request: Request, now: float, *, is_shedding: bool) -> list[Action]:
         """Start the next attempt of a request, and return the actions for it.
 
-        The list is empty if no time, no attempt or no eligible endpoint is left. `CloseIdleConnections`
-        precedes an attempt whose connection may be dead: a first attempt if the connection has been idle for
-        the learned limit, a retry or hedged attempt if it has been idle at all. Connections count as idle
-        only while this balancer has no attempt in flight at their endpoint.
+        The list is empty if the request has no time or no attempt left, or if no endpoint is eligible.
+        `CloseIdleConnections` precedes an attempt whose connection may be dead: a first attempt if the
+        connection has been idle for the learned limit, a retry or hedged attempt if it has been idle at all.
+        Connections count as idle only while this balancer has no attempt in flight at their endpoint.
 
         Args:
             request: The request.
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -13,8 +13,8 @@
 UPDATE_INTERVAL_MS = 100.0
 """Age, in ms, at which the sum is recomputed.
 
-This costs little at hundreds of requests per second, and is short compared with the second in which an
-overload builds up.
+Recomputing it costs little at hundreds of requests per second. The age is small compared with the second in
+which an overload builds up.
 """
 
 
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -103,7 +103,7 @@
         """Handle an event at time `now`, in milliseconds, and return the resulting actions in order.
 
         Raises:
-            DuplicateRequestError: A request has the id of an open one.
+            DuplicateRequestError: A request has the id of an open request.
             UnknownClassError: A request has a class that the settings don't define.
             UnknownRequestError: An event refers to an attempt that was never started.
         """
@@ -144,7 +144,7 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Reject a request without an attempt; log the reason unless load was already being shed."""
+        """Reject a request before its first attempt; log the reason unless load was already being shed."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_HOLD_TIME_MS
@@ -181,7 +181,7 @@
         self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
-        """Finish a request that needs no further response.
+        """Finish a request whose client needs no further response.
 
         Attempts still in flight are recorded as abandoned and, if the settings allow it, cancelled.
         """
--- a/loadbalancer/policy/balancer_count.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -6,9 +6,9 @@
 from loadbalancer.settings import Settings
 
 BASELINE_TIME_CONSTANT_MS = 20_000.0
-"""Time constant, in ms, by which the baseline weight decays after a loss of endpoints.
+"""Time constant, in ms, of the decay of the baseline weight after a loss of endpoints.
 
-After about this long, the remaining endpoints have become the new baseline.
+After about this time, the remaining endpoints are the new baseline.
 """
 
 
@@ -21,13 +21,13 @@
         weight ratio        = weight of the healthy endpoints / its baseline
         interarrival ratio  = short-term / long-term mean interarrival time
 
-    The estimate decreases only if both ratios do. One alone is no evidence: shorter interarrival times may be
-    a burst, and endpoints may be removed without any balancer. Before the second request the interarrival
-    ratio is 0. Assumes that the zones have balancers in proportion to their endpoints, and that clients
-    spread evenly over the remaining balancers.
+    The estimate decreases only if both ratios do. One ratio alone is no evidence: a burst also shortens the
+    interarrival times, and endpoints may be removed while all balancers remain. Before the second request the
+    interarrival ratio is 0. Assumes that the zones have balancers in proportion to their endpoints, and that
+    clients spread evenly over the remaining balancers.
 
-    With the configured number alone, capacity and quotas would go unused after the loss of a zone: its
-    balancers no longer use their part, and each remaining one must use more than its configured part.
+    With the configured number alone, capacity and quotas would go unused after the loss of a zone: the
+    balancers of that zone no longer use their part, so each of the others must use more than before.
 
     Attributes:
         estimate: The estimated number of balancers, this one included; at least 1, not necessarily an
@@ -46,7 +46,7 @@
         Args:
             weight: The total weight of the healthy endpoints, regardless of their warm-up fractions.
             previous_update_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint
-                list has changed since; minus infinity before the first sum.
+                list has changed since; minus infinity at the first update.
             now: The current time.
         """
         decayed_weight = self._baseline_weight * math.exp(
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -14,19 +14,20 @@
 )
 
 MIN_ATTEMPTS_PER_TIME_CONSTANT = 4.0
-"""Mean number of attempts per endpoint of the subset for which the time constant is lengthened if necessary.
+"""Minimum mean number of attempts per endpoint of the subset within one time constant.
 
-It exceeds PSEUDO_OBSERVATIONS, so that the evidence of one time constant outweighs the prior.
+At low request rates, the time constant is lengthened accordingly. The number exceeds PSEUDO_OBSERVATIONS, so
+that the evidence of one time constant outweighs the prior.
 """
 MAX_CAPACITY_TIME_CONSTANT_MS = 20_000.0
-"""Upper bound of the time constant, in ms: the recovery of an endpoint must show within a minute."""
+"""Upper bound of the time constant, in ms: estimates must follow a recovered endpoint within a minute."""
 PSEUDO_OBSERVATIONS = 2.0
 """Number of attempts at the prior's rate that are added to the evidence on each endpoint.
 
 With two, a single slow response at an endpoint with little evidence does not distort its estimate much.
 """
 MIN_SERVED_WORK = 0.5
-"""Work, in mean requests, that an endpoint must have served recently to be included in the median."""
+"""Work, in units of the mean request, that an endpoint must have served recently to count in the median."""
 MEDIAN_INTERVAL_MS = 500.0
 """Age, in ms, at which the median is recomputed; sorting all endpoints for each request costs too much."""
 
@@ -42,12 +43,12 @@
     is the throughput of these attempts divided by their mean number in flight. `median` is the median of
     served_work / (busy_ms * weight) over the endpoints with evidence.
 
-    The prior is needed since one of hundreds of balancers calls an endpoint too rarely to learn its capacity
-    from its own attempts alone.
+    The prior is needed because each of hundreds of balancers calls an endpoint too rarely to learn its
+    capacity from its own attempts alone.
 
     Attributes:
         median: Capacity per unit of weight, in work per ms; 0 until there is evidence on an endpoint.
-        served_work_per_ms: The mean rate of the work that a warm endpoint of the subset serves for this
+        served_work_per_ms: The mean rate at which a warm endpoint of the subset serves work for this
             balancer.
         time_constant_ms: The time constant by which evidence on capacity decays.
     """
@@ -103,8 +104,8 @@
         # A sum that decays with the time constant T converges to T times the rate at which it is added to.
         if warm_served_work := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_work_per_ms = sum(warm_served_work) / len(warm_served_work) / self.time_constant_ms
-        # One of hundreds of balancers starts few attempts: a short time constant would let the evidence decay
-        # between two of them.
+        # Each of hundreds of balancers starts few attempts: with a short time constant, the evidence would
+        # decay between two of them.
         interval_ms = self._arrivals.short_term_interarrival_ms
         required_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
         time_constant_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, required_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -9,12 +9,12 @@
 from loadbalancer.settings import Settings
 
 MIN_SUBSET_SIZE = 12
-"""Minimum number of endpoints in the subset: after the loss of a few, there must still be a choice."""
+"""Minimum number of endpoints in the subset, so that several remain after the loss of a few."""
 BALANCERS_PER_ENDPOINT = 30
 """Mean number of balancers whose subsets contain a given endpoint.
 
-The number is close to a Poisson count, so its standard deviation over the endpoints is sqrt(30), less than a
-fifth of the mean.
+The actual number is approximately a Poisson count, so its standard deviation over the endpoints is sqrt(30),
+less than a fifth of the mean.
 """
 
 
@@ -51,7 +51,7 @@
 class EndpointSet:
     """The known endpoints: those of the list, and removed ones that still have attempts in flight.
 
-    The subset holds the ready endpoints with the lowest ranks, as many as
+    The subset consists of the ready endpoints with the lowest ranks. Its size is
 
         max(MIN_SUBSET_SIZE, ready endpoints * BALANCERS_PER_ENDPOINT / balancers)
 
@@ -64,8 +64,8 @@
     Attributes:
         warmup: The warm-up ramp of the endpoints in slow start.
         by_name: All known endpoints.
-        ready: Those that the endpoint list marks as ready.
-        subset: The ready ones that this balancer sends requests to.
+        ready: The endpoints that the endpoint list marks as ready.
+        subset: The ready endpoints that this balancer sends requests to.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -1,6 +1,6 @@
 """The evidence on one endpoint: work served, busy time, and succeeded and failed attempts by class.
 
-All of it decays exponentially. The values are as of `updated_at`; callers advance them to the present with
+The evidence decays exponentially. Its values are as of `updated_at`; callers advance them to the present with
 `EndpointStats.advance_to` before they read them.
 """
 
@@ -11,7 +11,7 @@
 from loadbalancer.endpoints import Endpoint
 
 EVIDENCE_TIME_CONSTANT_MS = 6_000.0
-"""Time constant, in ms, by which evidence decays.
+"""Time constant, in ms, of the decay of evidence.
 
 It is long enough to cover a few attempts at an endpoint, and short enough that an ejected endpoint is
 selected again within seconds.
@@ -19,7 +19,7 @@
 EVIDENCE_UPDATE_INTERVAL_MS = 20.0
 """Age, in ms, at which evidence is advanced before it is read; small compared with the time constant."""
 MAX_FAILED_ATTEMPTS = 4.0
-"""Upper bound of the count of failed attempts, and of that of failed connects.
+"""Upper bound of the count of failed attempts and of the count of failed connects.
 
 It limits how long an endpoint stays ejected after many failures.
 """
@@ -38,11 +38,11 @@
         is_ready: Whether the endpoint list marks it as ready.
         weight: Its relative capacity according to the endpoint list.
         in_flight: The number of this balancer's attempts in flight there.
-        served_work: Work served, in mean requests; decays.
+        served_work: Work served, in units of the mean request; decays.
         busy_ms: Total time that attempts have spent there, including those in flight; decays.
         capacity_time_constant_ms: The time constant by which `served_work` and `busy_ms` decay.
         outcomes: The numbers of succeeded and of failed attempts by class; both decay.
-        connect_failures: The number of failed connects since an attempt last reached it; decays.
+        connect_failures: The number of failed connects since an attempt last reached the endpoint; decays.
         last_used_at: When the last attempt ended, if its connection can be reused; otherwise, and before the
             first attempt, infinity.
         recent_starts: The start times of attempts during its slow start.
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -17,9 +17,9 @@
         """Return the endpoints that may get the next attempt of a request.
 
         If no attempt may have run, or the class is safe to repeat, these are the balancer's subset. If the
-        class is not idempotent, there are none. For a class with idempotency keys, they are the endpoints
-        that know the key since the first attempt that may have run: those in the key's scope, within its
-        window.
+        class is not idempotent, there are none. For a class with idempotency keys, they are the endpoints in
+        the scope of the key while its window is open, since these know the key from the first attempt that
+        may have run.
 
         A retry must not arrive after the window. It may have to wait for a connect, so the window must stay
         open for longer than the clock's resolution plus the connect timeout. Endpoints that have restarted
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,33 +1,33 @@
-"""The idle time from which on connections are dead, learned from attempts on idle connections."""
+"""The idle time after which connections are dead, learned from attempts on idle connections."""
 
 import math
 from bisect import bisect_left
 from collections import deque
 
 MAX_SAMPLES = 40
-"""Number of the latest attempts on idle connections that the limit is learned from.
+"""Number of the most recent attempts on idle connections, from which the limit is learned.
 
 After a change of the true limit, 40 such attempts replace the old evidence.
 """
 MIN_UNRESPONSIVE = 2.0
-"""Minimum number of attempts without a response from which the limit is inferred.
+"""Minimum number of attempts without a response that is needed to infer a limit.
 
-A single one may be the fault of the endpoint.
+A single one may be due to the endpoint.
 """
 MIN_UNRESPONSIVE_FRACTION = 0.6
 """Minimum fraction of attempts without a response among those on connections idle for the limit or longer.
 
-It is less than 1 because other attempts keep some connections alive, which have then been idle for less time
-than estimated.
+It is less than 1 because other attempts may have used a connection in the meantime, which has then been idle
+for less time than estimated.
 """
 
 
 class IdleConnectionLimit:
-    """Learns the idle time from which on connections are dead.
+    """Learns the idle time after which connections are dead.
 
     A middlebox or the endpoint may drop an idle connection without sending a packet, and each attempt on such
     a connection takes its full timeout. The drawback is that, where attempts get no response for another
-    reason, working connections are closed and attempts have to connect anew.
+    reason, working connections are closed and attempts have to open new ones.
     """
 
     def __init__(self) -> None:
@@ -38,11 +38,12 @@
     def record(self, idle_ms: float, *, is_unresponsive: bool) -> None:
         """Record an attempt on a connection that had been idle, and update the limit.
 
-        The limit is the shortest idle time t of an attempt without a response for which, among the attempts
-        with an idle time of at least t, both `MIN_UNRESPONSIVE` and `MIN_UNRESPONSIVE_FRACTION` are reached.
+        The limit is the shortest idle time t of an attempt without a response such that the attempts with an
+        idle time of t or longer satisfy both `MIN_UNRESPONSIVE` and `MIN_UNRESPONSIVE_FRACTION`.
 
         Args:
-            idle_ms: How long the connection had been idle; 0 if it was new or in use, which is no evidence.
+            idle_ms: How long the connection had been idle; 0 if it was new or in use; such attempts are
+                ignored.
             is_unresponsive: Whether the attempt got no response.
         """
         if not idle_ms:
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -3,7 +3,7 @@
 from loadbalancer.policy.endpoint_stats import EVIDENCE_UPDATE_INTERVAL_MS, EndpointStats
 
 EJECTION_MIN_FAILURES = 2.0
-"""Minimum number of recent failed attempts at an outlier; a single one may be the fault of the request.
+"""Minimum number of recent failed attempts at an outlier; a single one may be due to the request.
 
 The count decays exponentially.
 """
@@ -16,7 +16,7 @@
 
 
 def is_outlier(endpoint: EndpointStats) -> bool:
-    """Return whether connects to an endpoint fail, or too many recent attempts failed over all classes."""
+    """Return whether connects to an endpoint fail, or too many recent attempts of all classes have failed."""
     succeeded = failed = 0.0
     if endpoint.outcomes:
         succeeded, failed = (sum(counts) for counts in zip(*endpoint.outcomes.values(), strict=True))
@@ -24,7 +24,7 @@
 
 
 def is_outlier_for(endpoint: EndpointStats, class_name: str) -> bool:
-    """Return whether too many recent attempts of one class failed at an endpoint."""
+    """Return whether too many recent attempts of one class have failed at an endpoint."""
     succeeded, failed = endpoint.outcomes.get(class_name, (0.0, 0.0))
     return _exceeds_failure_limits(succeeded, failed)
 
@@ -41,10 +41,11 @@
     ejected if at least half of the endpoints are left. If failures are more widespread, they have a common
     cause, and none of these endpoints is ejected.
 
-    An endpoint may hang or fail for one class and serve the others well, which its capacity over all classes
-    does not show. Dead and very slow endpoints are ejected before their estimated capacity falls. The
-    drawback is that the other endpoints get the load of the ejected ones. The evidence decays within seconds;
-    after that, one more failed attempt ejects the endpoint again.
+    Outliers are detected by class because an endpoint may hang or fail for one class and serve the others
+    well, which its estimated capacity over all classes does not show. Dead and very slow endpoints are
+    ejected before their estimated capacity falls. The drawback is that the other endpoints get the load of
+    the ejected ones. The evidence decays within seconds; after that, one more failed attempt ejects the
+    endpoint again.
     """
     for endpoint in endpoints:
         has_evidence = endpoint.outcomes or endpoint.connect_failures
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -8,7 +8,7 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
-"""Limit for importance 0 on the attempts in flight of all balancers, per unit of available capacity."""
+"""Limit on the attempts in flight of all balancers per unit of available capacity, for importance 0."""
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
 """The same limit for importance 1.
 
@@ -16,7 +16,7 @@
 limits, fewer requests are served.
 """
 MIN_LATENCY_INFLATION = 1.0
-"""Limit for importance 0 on the latency inflation: mean latency divided by baseline service time."""
+"""Limit on the latency inflation, the mean latency divided by the baseline service time, for importance 0."""
 MAX_LATENCY_INFLATION = 1.8
 """The same limit for importance 1.
 
@@ -24,17 +24,17 @@
 overloaded.
 """
 BURST_Z_SCORE = 1.0
-"""Standard deviations above the limit at which a Poisson count is a burst rather than a random peak."""
+"""Standard deviations above the limit at which a count is treated as a burst, not as a random peak."""
 MIN_BURST_ATTEMPTS = 8
 """Minimum number of attempts in flight that can count as a burst.
 
-One of hundreds of balancers has a limit of less than one attempt, where the normal approximation of a Poisson
-count does not hold.
+With hundreds of balancers, the limit of each is less than one attempt, and the normal approximation of a
+Poisson count does not hold there.
 """
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
 """Attempts of all balancers per unit of available capacity that are sustainable even without evidence.
 
-An estimate that has decayed to zero must not keep out the requests that would renew it.
+Otherwise an estimate that has decayed to zero would keep out the requests needed to renew it.
 """
 AVERAGING_TIME_CONSTANT_MS = 1_000.0
 """Time constant, in ms, of the means over attempts.
@@ -61,7 +61,7 @@
     service time.
 
     The estimate detects an overload behind the endpoints. Neither the endpoint list nor the limit by endpoint
-    capacity covers the tiers there.
+    capacity covers the tiers behind them.
     """
 
     def __init__(self, available_capacity: AvailableCapacity) -> None:
@@ -121,11 +121,11 @@
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
         """Return whether all balancers together have more attempts in flight than endpoint capacity allows.
 
-        Each other balancer is estimated to have this one's mean, not its current count: a random peak does
-        not occur at all balancers at once. A burst that arrives at all of them is not in the mean yet, so a
-        count above the Poisson bound of this balancer's part of the limit counts as an overload as well.
-        Assumes that clients spread evenly over the balancers; one that has more than its part of them sheds
-        load too early.
+        Each other balancer is assumed to have this one's mean, not its current count: a random peak does not
+        occur at all balancers at once. A burst that arrives at all of them is not in the mean yet, so a count
+        above the Poisson bound of this balancer's part of the limit counts as an overload as well. Assumes
+        that clients spread evenly over the balancers; one that has more than its part of them sheds load too
+        early.
         """
         max_per_capacity = (
             MIN_IN_FLIGHT_PER_CAPACITY
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -28,27 +28,27 @@
 random variation may double that.
 """
 TRANSPARENT_RETRY_INITIAL_TOKENS = 20.0
-"""Tokens at the start: a full bucket.
+"""Tokens for transparent retries at the start: a full bucket.
 
 A balancer may start while a zone is down, and an attempt that is not processed costs the endpoints little.
 """
 TRANSPARENT_RETRY_MAX_TOKENS = 20.0
-"""Size of the bucket: the tokens of ten responses."""
+"""Size of the bucket for transparent retries: the tokens of ten responses."""
 HEDGE_DELAY_SERVICE_TIMES = 4.0
 """Delay of the hedged attempt, in mean service times of the class; most requests have a response by then."""
 MAX_HEDGE_DELAY_FRACTION = 0.5
-"""Upper bound of that delay, as a fraction of the attempt's timeout; the hedged attempt has the rest."""
+"""Upper bound of the hedging delay, as a fraction of the timeout; the rest is for the hedged attempt."""
 
 
 class RetryBudget:
-    """A token bucket for retries that only responses refill.
+    """A token bucket for retries; only responses refill it.
 
     This keeps retries from multiplying over the tiers. A failure in the last tier reaches the balancers of
     every tier before it. If arriving requests added tokens, each tier would add its fraction to the retries
-    of the tier before it, since these arrive like other requests. A response, however, passes each tier once.
-    So the retries in d tiers are at most d times the tokens per response for each response, plus the tokens
-    in the buckets of all balancers. The drawback is that fewer retries are made than would succeed where most
-    attempts fail at random.
+    of the tier before it, since these arrive as requests, too. A response, however, passes each tier once. So
+    with d tiers there are at most d times `tokens_per_response` retries for each response, plus the tokens in
+    the buckets of all balancers. The drawback is that, where most attempts fail at random, some retries that
+    would succeed are not made.
     """
 
     def __init__(self, tokens_per_response: float, initial_tokens: float, max_tokens: float) -> None:
@@ -81,7 +81,7 @@
         )
 
     def budget_for(self, request: Request) -> RetryBudget:
-        """Return the budget that pays for the next attempt of a request."""
+        """Return the budget that provides the token for the next attempt of a request."""
         return self._retries if request.may_have_run() else self._transparent_retries
 
     def refill(self) -> None:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: draws a few endpoints weighted by capacity and takes the one with the lowest load."""
+"""Endpoint selection: samples a few endpoints by capacity and selects the one with the lowest load."""
 
 import math
 from bisect import bisect
@@ -14,19 +14,19 @@
 from loadbalancer.settings import Settings
 
 MAX_SAMPLED_ENDPOINTS = 4
-"""Maximum number of endpoints drawn for an attempt.
+"""Maximum number of endpoints sampled for an attempt.
 
-The published algorithm needs two. More cost little, since drawing continues only while every endpoint drawn
-so far has an attempt of this balancer in flight.
+The published algorithm needs two. More cost little, since sampling continues only while every endpoint
+sampled so far has an attempt of this balancer in flight.
 """
 
 
 class EndpointSelector:
     """Selects the endpoint for an attempt among the eligible ones.
 
-    The algorithm is Algorithm 1 of Berenbrink et al., "Balls into non-uniform bins": it draws endpoints with
-    probability proportional to capacity and takes the one that has the lowest load after the placement,
-    (attempts in flight + 1) / capacity. A tie goes to the larger capacity.
+    The algorithm is Algorithm 1 of Berenbrink et al., "Balls into non-uniform bins": it samples endpoints
+    with probability proportional to capacity and selects the one that would have the lowest load with the
+    attempt, (attempts in flight + 1) / capacity. A tie goes to the larger capacity.
     """
 
     def __init__(
@@ -62,15 +62,15 @@
         return self._sample_by_capacity(eligible, self._capacity.estimates(eligible, median, now))
 
     def _sample_by_capacity(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
-        """Draw endpoints by capacity and return the one with the lowest load.
+        """Sample endpoints by capacity and return the one with the lowest load.
 
-        Only the first draw prefers the balancer's own zone, which would otherwise be overloaded while
+        Only the first sample prefers the balancer's own zone, which would otherwise be overloaded while
         endpoints of other zones are idle.
 
-        Drawing ends at the first endpoint without an attempt of this balancer in flight. Among several such
-        endpoints the largest always has the lowest load, 1 / capacity, so many balancers with few requests
-        each would all select it and overload it. The draw, which is proportional to capacity, decides
-        instead.
+        Sampling ends at the first endpoint without an attempt of this balancer in flight. Among several such
+        endpoints, the one with the largest capacity has the lowest load, 1 / capacity. If sampling continued,
+        balancers with few requests each would all select that endpoint and overload it. With the early end,
+        they select such endpoints in proportion to capacity.
         """
         zone_sums = list(accumulate(_zone_adjusted_weights(eligible, capacities, self._own_zone)))
         capacity_sums = list(accumulate(capacities))
@@ -91,12 +91,12 @@
 def _zone_adjusted_weights(
     endpoints: list[EndpointStats], capacities: list[float], own_zone: str
 ) -> list[float]:
-    """Return the weights of the first draw, which keep requests in the own zone up to its capacity.
+    """Return the weights for the first sample, which keep requests in the balancer's zone up to its capacity.
 
     With balancers spread evenly over the zones, each zone has to serve the mean of the zones' capacities. A
-    zone below the mean keeps as many requests as its capacity allows; the others spill over to the zones
-    above the mean, in proportion to their excess over it. A zone above the mean keeps all its requests. The
-    weights are the capacities if the own zone is unknown, has no endpoint, or is the only one.
+    zone below the mean keeps as many requests as its capacity allows; the rest spills over to the zones above
+    the mean, in proportion to their excess over it. A zone above the mean keeps all its requests. The weights
+    are the capacities if the balancer's zone is unknown, has no endpoint, or is the only one.
     """
     zone_capacities: dict[str, float] = {}
     for endpoint, capacity in zip(endpoints, capacities, strict=True):
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -16,10 +16,10 @@
 from loadbalancer.settings import Settings
 
 SAFETY_FRACTION = 0.5
-"""Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean that the settings allow it.
+"""Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean number allowed there.
 
-The other half is a margin for requests with more than mean work and for balancers that get more requests than
-others.
+The other half is a margin for requests with more than average work and for balancers that get more requests
+than others.
 """
 Z_SCORE = 5.0
 """z-score of the upper bound of a Poisson count.
@@ -28,11 +28,11 @@
 requests does.
 """
 UPDATE_INTERVAL_MS = 100.0
-"""Interval, in milliseconds, at which the estimates are recomputed; it only saves processor time."""
+"""Age, in milliseconds, at which the estimates are recomputed; computing them less often saves CPU time."""
 
 
 class SlowStart:
-    """Limits the attempts at warming endpoints so that the sum over all balancers stays within the settings.
+    """Limits the attempts at warming endpoints so that all balancers together keep to the configured limit.
 
     Two limits apply to each attempt. The rank rule allows only a fraction of the balancers to call a warming
     endpoint. The budget limits how many attempts each of these balancers starts there within a window.
@@ -83,12 +83,12 @@
 
         Rank rule: the balancer calls a warming endpoint only if the random rank that it has drawn for the
         endpoint is at most the larger of the unrestricted fraction and `_max_mean_starts`. The rank is the
-        same in all windows, since a new draw in each window would be another chance to exceed the limit.
+        same in all windows, since a new rank in each window would be another chance to exceed the limit.
 
         Budget: `SAFETY_FRACTION` x overload factor x warm-up fraction x the balancer's own rate at a warm
-        endpoint x window. Summed over all balancers, that is `SAFETY_FRACTION` of the mean that the settings
-        allow a warming endpoint of average weight. One attempt per window is always within the budget; the
-        rank rule limits the sum of these attempts.
+        endpoint x window. Summed over all balancers, the budget is `SAFETY_FRACTION` of the mean that the
+        settings allow a warming endpoint of average weight. One attempt per window is always within the
+        budget; the rank rule limits the sum of these attempts.
 
         The unrestricted fraction is computed from arriving requests, which do not include retries and hedged
         attempts. While it is below 1, only `_max_mean_starts` determines whether the rank rule allows these.
@@ -119,7 +119,7 @@
         m + z sqrt(m) = limit, which gives sqrt(m) = sqrt(z^2/4 + limit) - z/2. The balancers that call the
         endpoint share m equally.
 
-        If there are at most two of them, one attempt of each never exceeds the limit, which is at least 2.
+        If at most two balancers call it, one attempt of each never exceeds the limit, which is at least 2.
 
         Args:
             weight: The weight of the endpoint times its warm-up fraction.
@@ -132,13 +132,13 @@
         return float(sqrt_mean**2) / self._balancers_per_endpoint
 
     def _update(self, now: float) -> None:
-        """Recompute the warm rate and the unrestricted fraction if they are older than the interval.
+        """Recompute the warm rate and the unrestricted fraction if they are at least UPDATE_INTERVAL_MS old.
 
         The warm rate assumes that all balancers send alike: it is this balancer's rate per unit of weight,
         times the number of balancers that call an endpoint. The balancer's rate is what its warm endpoints
-        serve. While too little time has passed for full evidence on that, the arrival rate, spread evenly
-        over the subset, replaces the missing fraction. The lower bound is the median capacity: the rate of an
-        endpoint that always has one attempt in flight.
+        serve. While the evidence on that rate is incomplete, the arrival rate, spread evenly over the subset,
+        replaces the missing fraction. The lower bound is the median capacity: the rate of an endpoint that
+        always has one attempt in flight.
 
         Without the arrival rate and the lower bound, balancers with few requests, or without evidence after a
         restart, would estimate the capacity of an endpoint as nearly 0 and send it nothing.
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -140,7 +140,7 @@
 def send_until_shed(
     harness: PolicyHarness, request_class: RequestClass = READ, tenant: str | None = None
 ) -> list[tuple[int, str]]:
-    """Send requests at the same time until one is shed; return the ids and endpoints of the admitted ones."""
+    """Send concurrent requests until one is shed; return the ids and endpoints of the admitted ones."""
     in_flight: list[tuple[int, str]] = []
     while attempts := started_attempts(harness.request(request_class, tenant=tenant)[1]):
         in_flight.append((attempts[0].request_id, attempts[0].endpoint))
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections import Counter
 
-# Time after its deadline by which a request must have its response.
+# Time after the deadline of a request within which it must have its final response.
 GRACE_MS = 20.0
 UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
@@ -71,7 +71,7 @@
         self._endpoints = endpoints
         self._responses = responses
         self._starts_ms: dict[str, list[float]] = {}  # start times of attempts by endpoint
-        self._max_warm_starts = 0  # most attempts that a warm endpoint got within one window
+        self._max_warm_starts = 0  # largest number at a warm endpoint within one window
 
     def start_attempt(self, request_id: int, name: str, now: float) -> int:
         """Check that an attempt may start now; record it and return its index."""
@@ -109,7 +109,8 @@
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
         """Check that a warming endpoint gets few attempts in a window.
 
-        It may get one, or its share of the most that a warm endpoint has got.
+        The limit is the overload factor times the warm-up fraction times the largest number that a warm
+        endpoint has got, but at least 1.
         """
         starts_ms = self._starts_ms.setdefault(endpoint.name, [])
         recent = sum(start > now - self._settings.slow_start_window_ms for start in starts_ms)
@@ -131,7 +132,7 @@
         return initial + (1 - initial) * age_ms / self._settings.slow_start_ms
 
     def reset_endpoint(self, name: str) -> None:
-        """Forget the attempts at an endpoint that has restarted: they are no load on the new process."""
+        """Discard the attempts at a restarted endpoint: they are no load on its new process."""
         self._starts_ms[name] = []
 
     def cancel_attempt(self, request_id: int, attempt_index: int) -> bool:
@@ -181,7 +182,7 @@
         self._responses[response] += 1
 
     def check_overdue(self, now: float) -> None:
-        """Check that each request has its response in time."""
+        """Check that each request gets its response within GRACE_MS after its deadline."""
         for request_id, request in self.requests.items():
             is_overdue = not request.is_complete and now > request.deadline_ms + GRACE_MS
             assert not is_overdue, f"request {request_id} has no response"
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,9 +1,9 @@
-"""A simulation of many balancers that measures the work all of them send to each warming endpoint.
+"""A simulation of many balancers that measures the work that they send together to each warming endpoint.
 
 It is a seeded discrete-event simulation of the policy on a virtual clock, without sockets and without
 waiting. It checks one rule: in the window that ends at any attempt, the work that arrives at a warming
-endpoint must not exceed `slow_start_overload_factor` times what its present capacity can do in such a window.
-Work is measured in requests of mean work.
+endpoint must not exceed `slow_start_overload_factor` times the work that it can do in such a window at its
+present capacity. Work is measured in requests of mean work.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 WORK = {"small": 0.75, "large": 2.0}
 LARGE_FRACTION = 0.2
 START_MS = 100_000.0
-# How long an endpoint that does not serve requests takes to respond.
+# Response time of an endpoint at which all attempts fail.
 FAILURE_DURATION_MS = 2.0
 
 
@@ -47,7 +47,7 @@
     started_at_ms: float = 0.0  # 0 means long ago
     outcome: Outcome = Outcome.SUCCEEDED  # of all attempts that do not time out
     is_ready: bool = True
-    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # in the last window: time and work
+    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # time and work in the last window
     work_in_window: float = 0.0
     idle_at_ms: float = 0.0  # when all its work will be done
 
@@ -137,7 +137,7 @@
         balancers: The number of balancers.
         endpoints: The number of endpoints, all warm at the start.
         rate_per_s: The capacity of a warm endpoint, in requests of mean work per second.
-        load: The request rate as a fraction of the capacity of all endpoints, if they are warm.
+        load: The request rate as a fraction of the total capacity of all endpoints when warm.
         seed: The seed of the random generator.
         slow_start: The slow-start settings.
         skewed: Whether some balancers get eight times as many requests as others; otherwise all get the same.
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -42,7 +42,7 @@
 
 
 def test_burst_above_limit_is_shed() -> None:
-    """A limit on a mean over seconds would admit whole bursts, and endpoints stay slow after an overload."""
+    """A limit on a mean over seconds would admit entire bursts, after which endpoints would remain slow."""
     harness = complete_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
     assert 10 <= len(in_flight) <= 20, "8 for each of 4 endpoints, shared by 2 balancers"
@@ -90,7 +90,7 @@
 
 
 def test_limit_per_balancer_has_minimum() -> None:
-    """With hundreds of balancers, the part of the limit of each is less than one request."""
+    """With hundreds of balancers, the limit divided by their number is less than one request."""
     harness = PolicyHarness(8, balancers=400)
     assert all(started_attempts(harness.request()[1]) for _ in range(8))
 
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_total_limit_is_independent_of_balancer_count(balancers: int) -> None:
-    """A minimum of eight for each balancer would add up: to 11 per endpoint after the loss of a zone."""
+    """A minimum of eight attempts per balancer would add up to 11 per endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
         "4 for each endpoint"
@@ -134,7 +134,7 @@
 
 
 def test_limit_excludes_unreachable_endpoints() -> None:
-    """Until the list shows the loss of a zone, requests admitted for its endpoints would go to the others."""
+    """Otherwise requests admitted for a lost zone would go to the others until the list shows the loss."""
     harness = complete_startup(PolicyHarness(6, max_attempts=1))
     in_flight = send_until_shed(harness)
     for request, endpoint in in_flight:
@@ -160,7 +160,7 @@
 
 
 def test_limit_holds_when_all_endpoints_fail() -> None:
-    """Attempts must count against the limit even if no endpoint is eligible; otherwise all are admitted."""
+    """Attempts must count against the limit even if all endpoints are outliers; otherwise none are shed."""
     harness = PolicyHarness(4)
     for _ in range(60):
         request, actions = harness.request(PAY)
@@ -170,7 +170,7 @@
 
 
 def test_random_peak_is_not_shed() -> None:
-    """If a momentary peak at one of seven balancers counted, a twelfth of requests in quota would be shed."""
+    """Otherwise random peaks at one of seven balancers would shed a twelfth of the requests within quota."""
     harness = PolicyHarness(10, balancers=7)
     for _ in range(50):
         harness.serve(duration_ms=40.0)
@@ -209,7 +209,7 @@
 
 
 def test_new_balancer_starts_below_limit() -> None:
-    """If new balancers admitted all requests of their first second, they would overload the tier behind."""
+    """If new balancers admitted all requests of their first second, they could overload the next tier."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
     assert 20 <= admitted <= 45, "the full limit is 80"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -43,7 +43,7 @@
 
 
 def test_low_priority_class_keeps_most_of_limit() -> None:
-    """Without an exponent, an eighth of the largest weight has almost the limit of weight zero.
+    """Without the exponent, an eighth of the largest weight would give almost the limit of weight zero.
 
     A third of the requests of such a class would be shed.
     """
@@ -67,7 +67,7 @@
 
 
 def test_shed_request_spends_no_quota() -> None:
-    """Clients retry rejected requests, which would then be charged to the quota twice."""
+    """Otherwise requests that clients retry after a rejection would be charged to the quota twice."""
     harness = complete_startup(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     in_flight = send_until_shed(harness)
     for _ in range(20):
@@ -80,7 +80,7 @@
 
 
 def test_late_client_retry_is_shed_first() -> None:
-    """Client retries past the latency objective have no value and rank below first attempts."""
+    """Client retries past the latency objective have no value, so they are shed before first attempts."""
     harness = PolicyHarness(4)
     assert started_attempts(harness.request(remaining_ms=1_900)[1]), "there is no other load"
     for request, endpoint in send_until_shed(harness)[:6]:
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -112,7 +112,7 @@
 def test_evidence_lasts_longer_at_low_request_rate() -> None:
     """With a fixed time constant of 6 s, evidence would decay between two requests.
 
-    One of hundreds of balancers would select slow endpoints as often as fast ones.
+    Each of hundreds of balancers would then select slow endpoints as often as fast ones.
     """
     harness = PolicyHarness(12)
     slow = "s3"
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -17,7 +17,7 @@
 
 
 def test_idle_limit_is_learned_from_timeouts() -> None:
-    """If connections are silently dropped after a second idle, each later attempt takes its full timeout."""
+    """Otherwise attempts on connections dropped silently after a second of idle time would time out."""
     harness = PolicyHarness(1, tier=1)  # inner tiers shed no load
     for _ in range(20):
         assert not closes_idle_connections(harness, 400.0)
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -36,7 +36,7 @@
 def test_initial_tokens_limit_retries_at_failed_tier(behaviour: str) -> None:
     """If arrivals added tokens, retries would multiply over the tiers.
 
-    28 tiers would make 88 attempts for each admitted request, or 320 if they are not processed.
+    With 28 tiers, there would be 88 attempts for each admitted request, or 320 if none is processed.
     """
     for row in measure_rows([{"name": "lost", "behaviour": behaviour}]):
         assert row["served"] == 0
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_retries_stop_when_tokens_run_out(outcome: Outcome) -> None:
-    """If arrivals added tokens, retries would never stop: each tier would add a fifth to the previous one."""
+    """If arriving requests added tokens, each tier would keep adding a fifth to the requests it receives."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.RETRY_MAX_TOKENS,
         0,
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("outcome", UNPROCESSED_OUTCOMES[:2])
 def test_budget_covers_two_transparent_retries_per_request(outcome: Outcome) -> None:
-    """With half of the connections refused, a budget by requests would run out before an attempt succeeds."""
+    """With half of the connections refused, a budget refilled by requests would run out too early."""
     harness = inner_tier_harness()
     assert send_requests(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
@@ -97,7 +97,7 @@
 
 
 def test_retries_are_limited_to_fifth_of_responses() -> None:
-    """If nine of ten attempts fail, about ten attempts bring one response, which adds a fifth of a token."""
+    """If nine of ten attempts fail, one in about ten gets a response, which adds a fifth of a token."""
     harness = inner_tier_harness()
     retries, responses = send_requests(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert responses > 200
@@ -196,7 +196,7 @@
         send_requests(harness, 1, repeat(Outcome.SUCCEEDED))
     request, actions = harness.request()
     first = first_endpoint(actions)
-    harness.handle(ClientDisconnected(request))  # after a disconnect no response is final
+    harness.handle(ClientDisconnected(request))  # a response after a disconnect is not final
     harness.handle(AttemptFinished(request, 0, first, Outcome.SUCCEEDED, is_request_complete=True))
     assert send_requests(harness, 1, iter([Outcome.ERROR])) == (0, 0), (
         "four responses add less than one token"
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -62,9 +62,10 @@
 
 
 def test_endpoints_without_evidence_are_sampled_by_weight() -> None:
-    """With many balancers, no endpoint has an attempt of this one in flight.
+    """If four endpoints were always sampled, the largest of them would be selected too often.
 
-    If four endpoints were always drawn, the largest of them would have the lowest load, 1 / capacity.
+    One of many balancers rarely has an attempt in flight at any of them, and then the largest has the lowest
+    load, 1 / capacity.
     """
     counts: Counter[str] = Counter()
     for seed in range(1_000):
@@ -85,7 +86,7 @@
 
 
 def test_subset_is_stable() -> None:
-    """Spread over all endpoints, requests are too few at each to learn its capacity or reuse connections."""
+    """Spread over all endpoints, requests would be too few at each to learn capacity or reuse connections."""
     subsets = []
     for seed in range(40):
         harness = PolicyHarness(60, seed=seed, balancers=300)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("scenario", [add_one_endpoint, restart_third_of_endpoints, restart_all_endpoints])
 @pytest.mark.parametrize("balancers", [30, 300])
 def test_light_traffic_reaches_warming_endpoints(scenario: Scenario, balancers: int) -> None:
-    """Balancers that get one request in several seconds reject hardly any if the endpoints have capacity."""
+    """Balancers that get one request every few seconds must reject hardly any if endpoints have capacity."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.05, 1, LOOSE_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
