--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -120,7 +120,7 @@
     """A minimum of eight attempts per balancer would add up to 11 per endpoint after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
-        "4 for each endpoint"
+        "4 for each endpoint, over all balancers"
     )
 
 
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -39,7 +39,7 @@
     assert admitted["high"] > 1.5 * admitted["low"] > 0
     harness = PolicyHarness(4, classes=(LOW_PRIORITY, HIGH_PRIORITY))
     assert send_until_shed(harness, LOW_PRIORITY)
-    assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "capacity left by the lower priority"
+    assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "capacity that the lower priority may not use"
 
 
 def test_low_priority_class_keeps_most_of_limit() -> None:
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -92,7 +92,7 @@
     harness.now += 5
     harness.finish(request, 0, failed, Outcome.ERROR)
     counts = Counter(harness.serve(duration_ms=1.0) for _ in range(40))
-    assert counts[failed] <= 10, "1,200 of 1,400 ms of busy time are there"
+    assert counts[failed] <= 10, "1,200 of 1,400 ms of busy time are at the failed endpoint"
 
 
 def test_capacity_accounts_for_cost_hints() -> None:
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -37,7 +37,7 @@
         assert timer.at_ms < harness.now + 5_000
         firing_times.add(timer.at_ms)
         assert WatchEndpoints() in harness.handle(TimerFired(timer.timer))
-        assert {harness.serve() for _ in range(30)} == {"s0", "s1"}, "the last list stays in force"
+        assert {harness.serve() for _ in range(30)} == {"s0", "s1"}, "the last list remains in use"
     assert len(firing_times) == 4
     for _ in range(2_000):  # an outage of hours
         actions = harness.handle(EndpointListUpdate(EndpointListKind.FAILED))
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -42,7 +42,7 @@
         "hedged attempts use a new connection"
     )
     assert request_class is READ or int(hedged.endpoint[1]) // 2 == int(first.endpoint[1]) // 2, (
-        "must stay in the cell"
+        "must be in the same cell"
     )
     assert not started_attempts(harness.handle(TimerFired(timer.timer))), "at most one hedged attempt"
     harness.now += 40
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -19,7 +19,7 @@
     """Return the rows of a depth run, one per fault and depth, with 20 calls per second from clients."""
     defaults: dict[str, Any] = {
         "run": "depth",
-        "about": "Small ones.",
+        "about": "Short chains of tiers.",
         "seed": 1,
         "sizes": [16, 28],
         "calls_per_s": 20,
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -93,7 +93,7 @@
         subsets.append({harness.serve() for _ in range(300)})
         harness.update_endpoints(Endpoint("s60"), kind=EndpointListKind.DELTA)
         assert len({harness.serve() for _ in range(100)} - subsets[-1]) <= 1, (
-            "a new entry replaces at most one of them"
+            "a new entry replaces at most one endpoint of the subset"
         )
     assert {len(subset) for subset in subsets} == {12}
     assert len(set[str]().union(*subsets)) > 55, "different balancers have different subsets"
@@ -146,5 +146,5 @@
     request = Request(1, READ, expires_at=now + 1_000)
     selected = [selector.select(request, now) for _ in range(2_000)]
     counts = Counter(endpoint.entry.name for endpoint in selected if endpoint)
-    assert counts["s0"] > 1_900, "s1 is selected only if none of the four draws is s0: 1 in 81"
+    assert counts["s0"] > 1_900, "s1 is selected only if none of the four samples is s0: 1 in 81"
     assert counts["s1"] > 5
