--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -45,10 +45,10 @@
 
     This keeps retries from multiplying over the tiers. A failure in the last tier reaches the balancers of
     every tier before it. If arriving requests added tokens, each tier would add its fraction to the retries
-    of the tier before it, since these arrive as requests, too. A response, however, passes each tier once. So
-    with d tiers there are at most d times `tokens_per_response` retries for each response, plus the tokens in
-    the buckets of all balancers. The drawback is that, where most attempts fail at random, some retries that
-    would succeed are not made.
+    of the tier before it, since those arrive as ordinary requests. A response, however, passes each tier
+    once. So with d tiers there are at most d times `tokens_per_response` retries for each response, plus the
+    tokens in the buckets of all balancers. The drawback is that, where most attempts fail at random, some
+    retries that would succeed are not made.
     """
 
     def __init__(self, tokens_per_response: float, initial_tokens: float, max_tokens: float) -> None:
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -134,11 +134,11 @@
     def _update(self, now: float) -> None:
         """Recompute the warm rate and the unrestricted fraction if they are at least UPDATE_INTERVAL_MS old.
 
-        The warm rate assumes that all balancers send alike: it is this balancer's rate per unit of weight,
-        times the number of balancers that call an endpoint. The balancer's rate is what its warm endpoints
-        serve. While the evidence on that rate is incomplete, the arrival rate, spread evenly over the subset,
-        replaces the missing fraction. The lower bound is the median capacity: the rate of an endpoint that
-        always has one attempt in flight.
+        The warm rate assumes that all balancers send requests at the same rate: it is this balancer's rate
+        per unit of weight, times the number of balancers that call an endpoint. The balancer's rate is what
+        its warm endpoints serve. While the evidence on that rate is incomplete, the arrival rate, spread
+        evenly over the subset, replaces the missing fraction. The lower bound is the median capacity: the
+        rate of an endpoint that always has one attempt in flight.
 
         Without the arrival rate and the lower bound, balancers with few requests, or without evidence after a
         restart, would estimate the capacity of an endpoint as nearly 0 and send it nothing.
