--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -83,7 +83,7 @@
         )
 
     def finish(self, request_id: int, attempt_index: int, endpoint: str, outcome: Outcome) -> list[Action]:
-        """Finish an attempt; a success is the final response."""
+        """Finish an attempt; a successful one completes its request."""
         is_request_complete = outcome is Outcome.SUCCEEDED
         return self.handle(AttemptFinished(request_id, attempt_index, endpoint, outcome, is_request_complete))
 
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -71,7 +71,7 @@
         self._endpoints = endpoints
         self._responses = responses
         self._starts_ms: dict[str, list[float]] = {}  # start times of attempts by endpoint
-        self._max_warm_starts = 0  # largest number at a warm endpoint within one window
+        self._max_warm_starts = 0  # largest number of starts at a warm endpoint within one window
 
     def start_attempt(self, request_id: int, name: str, now: float) -> int:
         """Check that an attempt may start now; record it and return its index."""
@@ -109,8 +109,8 @@
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
         """Check that a warming endpoint gets few attempts in a window.
 
-        The limit is the overload factor times the warm-up fraction times the largest number that a warm
-        endpoint has got, but at least 1.
+        The limit is the overload factor times the warm-up fraction times the largest number at a warm
+        endpoint so far, but at least 1.
         """
         starts_ms = self._starts_ms.setdefault(endpoint.name, [])
         recent = sum(start > now - self._settings.slow_start_window_ms for start in starts_ms)
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -44,8 +44,8 @@
 class SimulatedEndpoint:
     """An endpoint, with the work that has recently arrived there."""
 
-    started_at_ms: float = 0.0  # 0 means long ago
-    outcome: Outcome = Outcome.SUCCEEDED  # of all attempts that do not time out
+    started_at_ms: float = 0.0  # 0 if it has been warm from the beginning
+    outcome: Outcome = Outcome.SUCCEEDED  # outcome of all attempts that do not time out
     is_ready: bool = True
     arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # time and work in the last window
     work_in_window: float = 0.0
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -160,7 +160,7 @@
 
 
 def test_limit_holds_when_all_endpoints_fail() -> None:
-    """Attempts must count against the limit even if all endpoints are outliers; otherwise none are shed."""
+    """Attempts must count even if all endpoints are outliers; otherwise no request would be shed."""
     harness = PolicyHarness(4)
     for _ in range(60):
         request, actions = harness.request(PAY)
@@ -209,7 +209,7 @@
 
 
 def test_new_balancer_starts_below_limit() -> None:
-    """If new balancers admitted all requests of their first second, they could overload the next tier."""
+    """If new balancers admitted all requests of their first second, they would overload the next tier."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
     assert 20 <= admitted <= 45, "the full limit is 80"
