--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint list is learned in time after failures of discovery.
+"""After failures of discovery, the policy gets the endpoint list in time.
 
 Most tests simulate discovery and the clock (`simulated_discovery`).
 """
@@ -34,11 +34,11 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# Time limit for the policy to learn of a list, or of a change, after discovery has it and is reachable.
+# Time limit for the policy to get a list, or a change, after discovery has it and is reachable.
 MAX_LIST_DELAY_S = 6.0
-# The same from the end of the wait of a watch that became unresponsive, if that is later.
+# The same limit, measured from the end of the wait of an unresponsive watch request, if that is later.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
-# The same from a SIGHUP.
+# The same limit, measured from a SIGHUP that switches to another discovery service.
 MAX_SWITCH_DELAY_S = 4.0
 MARGIN_S = 1.0
 # Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
@@ -55,17 +55,17 @@
         poll_deadline_ms: The balancer's `askWithin`.
         min_duration_s: Minimum duration of the outage.
         seed: The balancer's seed.
-        end_delay_s: Time from a failed call to the end of the outage.
+        recovery_delay_s: Time from a failed attempt to the end of the outage.
     """
 
     poll_deadline_ms: float
     min_duration_s: float
     seed: int
-    end_delay_s: float
+    recovery_delay_s: float
 
 
 async def delay_after_outage(loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage) -> float:
-    """Return how long after an outage, in seconds, the policy learns of a change made during it."""
+    """Return the time in seconds from an outage's end until the policy learns of a change made during it."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, discovery_mode)
     await asyncio.sleep(1.0)
@@ -73,28 +73,28 @@
     started_at = loop.time()
     recovered = loop.create_future()
 
-    def end() -> None:
+    def recover() -> None:
         if not recovered.done():
             discovery.fault = ""
             discovery.drain_upstream()
             recovered.set_result(loop.time())
 
-    def end_after_failed_call() -> None:
+    def recover_after_failed_attempt() -> None:
         if loop.time() >= started_at + outage.min_duration_s and discovery.fault:
             discovery.on_attempt = lambda: None
-            loop.call_later(outage.end_delay_s, end)
+            loop.call_later(outage.recovery_delay_s, recover)
 
-    discovery.on_attempt = end_after_failed_call
+    discovery.on_attempt = recover_after_failed_attempt
     recovered_at: float = await asyncio.wait_for(recovered, outage.min_duration_s + 60)
     return await proxy.wait_for_drain() - recovered_at
 
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_change_during_an_outage_is_learned_in_time(fault: str, discovery_mode: str) -> None:
-    """A retry delay of a minute (`askWithin` is 120 s) or a call timeout of 11 s would be too long."""
+def test_change_during_outage_is_received_in_time(fault: str, discovery_mode: str) -> None:
+    """A retry delay of a minute (`askWithin` is 120 s) or a request timeout of 11 s would be too long."""
     polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # there only the wait is random
+    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait is random
     for values in itertools.product(*(polled if discovery_mode == "ask" else pushed), (0.0, 0.3, 2.0)):
         outage = Outage(*values)
         delay_s = run_simulated(
@@ -103,11 +103,13 @@
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
 
-async def check_missed_change(loop: SimulatedLoop, *, discovery_mode: str, seed: int, calls: int) -> None:
-    """Change the list after the connections of some watch calls have become unresponsive."""
+async def check_missed_change(
+    loop: SimulatedLoop, *, discovery_mode: str, seed: int, watch_count: int
+) -> None:
+    """Make the connection unresponsive during a watch request, and then change the list."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, seed, 10_000.0, discovery_mode)
-    for _ in range(calls):
+    for _ in range(watch_count):
         started_at, wait_s = await asyncio.wait_for(discovery.watches.get(), 60)
     discovery.begin_outage("silent")
     discovery.fault = ""  # only the existing connections are unresponsive
@@ -117,27 +119,29 @@
 
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
-def test_change_missed_by_an_open_watch_is_learned_in_time(discovery_mode: str) -> None:
-    """The times to detect the failure and to retry must leave time to transfer the list."""
-    for seed, calls in itertools.product(range(1, 30), (1, 3)):
-        run_simulated(partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, calls=calls))
+def test_change_missed_by_open_watch_is_received_in_time(discovery_mode: str) -> None:
+    """The failure must be detected, and the request retried, early enough to transfer the list."""
+    for seed, watch_count in itertools.product(range(1, 30), (1, 3)):
+        run_simulated(
+            partial(check_missed_change, discovery_mode=discovery_mode, seed=seed, watch_count=watch_count)
+        )
 
 
 async def check_switch_after_failures(
-    loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, phase: float
+    loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, delay_before_switch_s: float
 ) -> None:
-    """Switch to a discovery with a fault during an outage of the old one, and change its list."""
+    """Switch to a discovery service with a fault during an outage of the old one, and change its list."""
     old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
     proxy = WatchingProxy(old_discovery, seed, 120_000.0, discovery_mode)
     await asyncio.sleep(1.0)
     old_discovery.begin_outage("refuses")
     await asyncio.sleep(40.0)
     attempts = len(old_discovery.attempts)
-    # The policy sets its timer anew at the next call.
+    # Wait for the next attempt, after which the policy sets its timer again.
     await wait_until(
-        lambda: len(old_discovery.attempts) > attempts, "discovery is called again", poll_interval_s=0.01
+        lambda: len(old_discovery.attempts) > attempts, "discovery gets another attempt", poll_interval_s=0.01
     )
-    await asyncio.sleep(phase)
+    await asyncio.sleep(delay_before_switch_s)
     new_discovery.fault = fault
     switched_at = loop.time()
 
@@ -146,72 +150,73 @@
         new_discovery.on_attempt = lambda: None
         new_discovery.drain_upstream()
 
-    new_discovery.on_attempt = lambda: loop.call_soon(recover)  # after the first call was received or failed
+    # Recovers after the first request was received or failed.
+    new_discovery.on_attempt = lambda: loop.call_soon(recover)
     proxy.switch_to(new_discovery)
     learned_at = await proxy.wait_for_drain()
     assert new_discovery.attempts[0] == switched_at
-    # A connection that is established late takes up both timeouts, that of the connect and of the response.
-    allowed = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
-    assert learned_at + LIST_TRANSFER_S < switched_at + allowed
+    # If a connection is established late, the connect timeout and the response timeout add up.
+    max_delay_s = MAX_LIST_DELAY_S if fault == "connects late" else MAX_SWITCH_DELAY_S
+    assert learned_at + LIST_TRANSFER_S < switched_at + max_delay_s
 
 
 @pytest.mark.parametrize("discovery_mode", ["ask", "push"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_failures_before_a_switch_do_not_delay_the_list(fault: str, discovery_mode: str) -> None:
-    """The backoff from the outage of the old discovery must not apply to the new one."""
-    for seed, phase in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
+def test_failures_before_switch_do_not_delay_new_list(fault: str, discovery_mode: str) -> None:
+    """The backoff from the outage of the old discovery service must not apply to the new one."""
+    for seed, delay_before_switch_s in itertools.product(range(1, 6), (0.0, 0.4, 0.9)):
         run_simulated(
             partial(
                 check_switch_after_failures,
                 fault=fault,
                 discovery_mode=discovery_mode,
                 seed=seed,
-                phase=phase,
+                delay_before_switch_s=delay_before_switch_s,
             )
         )
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
-    """Switch seven times while all discoveries refuse connections; the last one recovers."""
-    discoveries = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
-    proxy = WatchingProxy(discoveries[0], 1, 120_000.0, "ask")
+    """Switch seven times while all discovery services refuse connections; the last one recovers."""
+    discovery_services = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
+    proxy = WatchingProxy(discovery_services[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
-    for discovery in discoveries:
+    for discovery in discovery_services:
         discovery.begin_outage("refuses")
     await asyncio.sleep(30.0)
-    for discovery in discoveries[1:]:
+    for discovery in discovery_services[1:]:
         proxy.switch_to(discovery)
         await asyncio.sleep(0.2)
     await asyncio.sleep(10.0)
-    last_discovery = discoveries[-1]
+    last_discovery = discovery_services[-1]
     attempts_before = len(last_discovery.attempts)
     await asyncio.sleep(60.0)
     shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
     assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
-    earlier_attempts = sum(len(discovery.attempts) for discovery in discoveries[1:-1])
-    assert earlier_attempts == len(discoveries) - 2, "no discovery is called after the next switch"
+    earlier_attempts = sum(len(discovery.attempts) for discovery in discovery_services[1:-1])
+    assert earlier_attempts == len(discovery_services) - 2, "no service gets an attempt after the next switch"
     last_discovery.fault = ""
     last_discovery.drain_upstream()
     learned_at = await proxy.wait_for_drain()
-    calls = len(last_discovery.calls)
+    requests_before = len(last_discovery.requests)
     await asyncio.sleep(30.0)  # no timer from an earlier switch may interrupt the watch
     assert loop.time() >= learned_at + 30.0
     assert [connection.after for connection in last_discovery.connections] == [last_discovery.index]
     shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
-    assert len(last_discovery.calls) - calls <= 30.0 / shortest_wait_s + 1
+    assert len(last_discovery.requests) - requests_before <= 30.0 / shortest_wait_s + 1
 
 
-def test_switches_during_an_outage_leave_one_watch() -> None:
-    """Each switch must not add a poll timer, which would be set again for ever."""
+def test_switches_during_outage_leave_one_watch() -> None:
+    """No switch may add a second poll timer, which would be set again each time it fires."""
     run_simulated(check_switches_during_outage)
 
 
-async def test_first_watch_after_a_failure_has_a_short_wait(start_proxy: StartProxy) -> None:
+async def test_first_watch_after_failure_has_short_wait(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
 
     async def wait_ms() -> float:
-        return float((await harness.discovery.calls.get()).partition("wait_ms=")[2].split(" ")[0])
+        return float((await harness.discovery.requests.get()).partition("wait_ms=")[2].split(" ")[0])
 
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
     harness.discovery.responses.put_nowait(response(500, b"sorry"))
@@ -220,40 +225,42 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
-async def attempts_in_outage(
-    loop: SimulatedLoop, *, fault: str, balancers: int, span_s: float
+async def attempt_times_in_outage(
+    loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
 ) -> list[float]:
-    """Return the times of the calls of several balancers while discovery has a fault."""
+    """Return the times of the attempts of several balancers while discovery has a fault."""
     discovery = SimulatedDiscovery(loop, 1)
     proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
     await asyncio.sleep(1.0)
     discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
     discovery.attempts.clear()
-    await asyncio.sleep(span_s)
+    await asyncio.sleep(duration_s)
     for proxy in proxies:
         proxy.stop()
     return discovery.attempts
 
 
-def test_retries_in_an_outage_are_spread_and_limited() -> None:
+def test_retries_in_outage_are_spread_and_limited() -> None:
     """Simultaneous retries would overload discovery as it recovers."""
-    span_s, balancers = 60.0, 20
+    duration_s, balancers = 60.0, 20
     for fault in FAULTS:
-        attempts = run_simulated(partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s))
+        attempts = run_simulated(
+            partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+        )
         mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
-        assert len(attempts) / (balancers * span_s) < 1.1 / mean_delay_s, fault
+        assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < balancers / 3, (
-            "within a tenth of a second, fewer than a third of the balancers call"
+            "within a tenth of a second, fewer than a third of the balancers make an attempt"
         )
     repeated_attempts = run_simulated(
-        partial(attempts_in_outage, fault=fault, balancers=balancers, span_s=span_s)
+        partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
     )
     assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
 
-def test_delays_add_up_to_less_than_the_limits() -> None:
+def test_sum_of_delays_is_below_limits() -> None:
     connect_s = endpoint_watch.CONNECT_TIMEOUT_S
     response_s = endpoint_watch.RESPONSE_TIMEOUT_S
     timeout_margin_s = endpoint_watch.WATCH_TIMEOUT_MARGIN_S
@@ -261,20 +268,22 @@
     max_backoff_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
-    # Discovery recovers, or gets the change, just after the start of a call that fails.
+    # Discovery recovers, or gets the change, just after the start of a request that fails.
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
-        "the call fails at once, and the next one starts a backoff period after it"
+        "the request fails at once, and the next one starts after a backoff period"
     )
-    call_s = max(recovery_s, response_s)
-    assert connect_s + call_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
-        "the call fails by the timeouts of the connect and of the response"
+    max_request_s = max(recovery_s, response_s)
+    assert connect_s + max_request_s + poll_delay_s + LIST_TRANSFER_S < limit_s, (
+        "the request fails after the connect timeout and the response timeout"
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
-    assert connect_s + call_s + push_delay_s + LIST_TRANSFER_S < limit_s, "the same where lists are pushed"
+    assert connect_s + max_request_s + push_delay_s + LIST_TRANSFER_S < limit_s, (
+        "the same where lists are pushed"
+    )
     # An open watch becomes unresponsive.
     assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
-    # After SIGHUP the first call to the new discovery fails.
+    # After SIGHUP the first request to the new discovery service fails.
     retry_delay_s = retry_schedule.SWITCH_RETRY_DELAY_S * MAX_DELAY_JITTER
     assert retry_schedule.SWITCH_PERIOD_S <= MAX_SWITCH_DELAY_S
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_SWITCH_DELAY_S
@@ -282,12 +291,12 @@
     assert max_backoff_s < retry_schedule.SWITCH_PERIOD_S, (
         "an earlier timer fires while the watch itself retries"
     )
-    assert call_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
+    assert max_request_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
 
 
-async def test_connection_close_from_discovery_is_honoured() -> None:
-    """Otherwise each response with `Connection: close` leaks a connection that discovery leaves open."""
-    open_connections, index, served = 0, 7, asyncio.Event()
+async def test_connection_close_from_discovery_is_respected() -> None:
+    """Otherwise each response with `Connection: close` would leak a connection that discovery keeps open."""
+    open_connections, index, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal open_connections, index
@@ -296,7 +305,7 @@
             await read_message(reader)
             index += 1
             if index == 40:
-                served.set()
+                all_served.set()
                 return
             body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
@@ -309,5 +318,5 @@
     config = configuration(config_text(f"{host}:{port}", [entry("s0", "127.0.0.1:9")]))
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
-    await served.wait()
-    assert open_connections < 10, "of 33 connections, only the one in use and those being closed"
+    await all_served.wait()
+    assert open_connections < 10, "of 33 connections, only the one in use and those being closed are open"
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -19,7 +19,7 @@
     from tests.support.fixture_types import StartProxy
 
 
-async def test_pipelined_requests_get_their_responses_in_order(start_proxy: StartProxy) -> None:
+async def test_pipelined_requests_get_responses_in_order(start_proxy: StartProxy) -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, received.start_line.encode()))
 
@@ -32,7 +32,7 @@
 
 
 async def test_input_after_connection_close_is_ignored(start_proxy: StartProxy) -> None:
-    """Otherwise it is parsed in a later slice, and answered on a connection that is shut down for writing."""
+    """Otherwise a later slice is parsed, and a response is written after the write side has been closed."""
     harness = await start_proxy()
     client = await harness.client()
     head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
@@ -45,7 +45,7 @@
     assert not errors
 
 
-async def test_upstream_connections_are_reused_unless_they_are_closed(
+async def test_open_upstream_connections_are_reused(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -76,12 +76,12 @@
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_a_graceful_close_reaches_an_idle_client_at_once(start_proxy: StartProxy) -> None:
-    """Otherwise a request that arrives before the event loop closes the socket is read and discarded."""
+async def test_graceful_close_reaches_idle_client_at_once(start_proxy: StartProxy) -> None:
+    """Otherwise a request that arrives before the event loop closes the socket would be discarded."""
     harness = await start_proxy(Upstream())
     client = harness.connect_socket()
     (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
-    await wait_until(connection.may_close, "the connection may be closed")
+    await wait_until(connection.can_close_without_loss, "the connection may be closed")
     connection.close_gracefully()
     assert client.recv(1, socket.MSG_DONTWAIT) == b""
     client.close()
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Limits on file descriptors, which keep some free for upstreams and discovery."""
+"""The limits on connections keep file descriptors free for upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
+    """Return the maximum number of descriptors open until one second after `min_count` are reached."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -65,9 +65,7 @@
     path.write_text(json.dumps(document))
 
 
-async def test_idle_clients_leave_descriptors_to_discovery_and_upstreams(
-    start_server: StartServer, tmp_path: Path
-) -> None:
+async def test_idle_clients_do_not_exhaust_descriptors(start_server: StartServer, tmp_path: Path) -> None:
     """Idle clients must not use up the descriptors for discovery and upstreams while discovery is down."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
@@ -79,16 +77,16 @@
         async with running_program(path, DESCRIPTORS) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
-            # More than three times as many clients as are accepted keep connecting.
+            # Of these clients, which keep connecting, the balancer accepts less than a third.
             client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
             assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
                 "the rest is for upstreams and discovery"
             )
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
-            await discovery.calls.get()
+            await discovery.requests.get()
             discovery.publish(8, entry("s0", await start_server(upstream)), snapshot=True)
-            assert "after=8&" in await discovery.calls.get()
+            assert "after=8&" in await discovery.requests.get()
             client = Client()
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
@@ -99,7 +97,7 @@
                 task.cancel()
 
 
-async def test_simultaneous_attempts_respect_the_connection_limit(start_server: StartServer) -> None:
+async def test_simultaneous_attempts_respect_connection_limit(start_server: StartServer) -> None:
     """The limit also counts connections that are not established yet."""
     upstream = Upstream(never_respond)
     pools = make_pools(await start_server(upstream))
