--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -196,7 +196,9 @@
     calls = len(last_discovery.calls)
     await asyncio.sleep(30.0)  # no timer from an earlier switch may interrupt the watch
     assert loop.time() >= learned_at + 30.0
-    assert [connection.after for connection in last_discovery.connections] == [last_discovery.index]
+    assert [connection.watched_version for connection in last_discovery.connections] == [
+        last_discovery.version
+    ]
     shortest_wait_s = retry_schedule.WATCH_WAIT_MS / 1000 * (1 - retry_schedule.WAIT_JITTER)
     assert len(last_discovery.calls) - calls <= 30.0 / shortest_wait_s + 1
 
--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loadbalancer.simulator.host import Host
-from tests.simulator.wire_lines import SHARED_LIST, instance_started
+from tests.simulator.wire_lines import SHARED_LIST, instance_start_line
 
 if TYPE_CHECKING:
     from types import FrameType
@@ -28,14 +28,14 @@
 
 def input_text() -> str:
     """Return input with two endpoints, and a batch for each arrival and each end of an attempt."""
-    start = f"{instance_started(1)}{SHARED_LIST}membership who=1 mode=0 list=3\n"
+    start = f"{instance_start_line(1)}{SHARED_LIST}membership who=1 mode=0 list=3\n"
     lines = [f"sync time=100.0 batch=0\n{start}eob\n"]
     for n in range(REQUESTS):
         time_ms = 110.0 + 10 * n
         arrival = f"knock who=1 corr={n} remaining=900.0 grade=read"
-        end = f"verdict who=1 corr={n} shot=0 upstream=u1 verdict=1 complete=1"
+        attempt_end = f"verdict who=1 corr={n} shot=0 upstream=u1 verdict=1 complete=1"
         lines.append(f"sync time={time_ms} batch={2 * n + 1}\n{arrival}\neob\n")
-        lines.append(f"sync time={time_ms + 4} batch={2 * n + 2}\n{end}\neob\n")
+        lines.append(f"sync time={time_ms + 4} batch={2 * n + 2}\n{attempt_end}\neob\n")
     return "".join(lines)
 
 
@@ -50,18 +50,18 @@
 
     input_stream, output_stream = io.StringIO(input_text()), io.StringIO()
     host = Host(sys.stderr)
-    previous = sys.getprofile()
+    previous_profiler = sys.getprofile()
     sys.setprofile(count_call)
     try:
         status = host.run(input_stream, output_stream)
     finally:
-        sys.setprofile(previous)
+        sys.setprofile(previous_profiler)
     assert status == 0
     assert output_stream.getvalue().count("send who=1") == REQUESTS
     return Counter({module: count / EVENTS for module, count in calls.items()})
 
 
-def test_calls_outside_the_policy_are_few(calls_per_event: Counter[str]) -> None:
+def test_calls_outside_policy_stay_below_limit(calls_per_event: Counter[str]) -> None:
     outside_policy = {
         module: count
         for module, count in calls_per_event.items()
@@ -70,10 +70,10 @@
     assert sum(outside_policy.values()) <= MAX_CALLS_OUTSIDE_POLICY, outside_policy
 
 
-def test_all_calls_are_few(calls_per_event: Counter[str]) -> None:
+def test_total_calls_stay_below_limit(calls_per_event: Counter[str]) -> None:
     assert calls_per_event.total() <= MAX_CALLS, calls_per_event
 
 
-def test_an_outcome_lookup_calls_no_python_code(calls_per_event: Counter[str]) -> None:
+def test_outcome_lookup_calls_no_python_code(calls_per_event: Counter[str]) -> None:
     """A lookup in a set calls `Enum.__hash__`; a tuple compares the members by identity."""
     assert calls_per_event["enum"] == 0
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -46,7 +46,7 @@
         (LogMessage("two\nlines"), "say_log who=4 bodyText=two lines"),
     ],
 )
-def test_an_action_is_formatted_as_one_line(action: Action, line: str) -> None:
+def test_action_is_formatted_as_one_line(action: Action, line: str) -> None:
     assert format_action("4", action) == line
 
 
@@ -77,7 +77,7 @@
         ("note_from text=hello", None),
     ],
 )
-def test_a_line_is_parsed_as_one_event(line: str, event: Event | None) -> None:
+def test_line_is_parsed_as_event(line: str, event: Event | None) -> None:
     warnings: list[str] = []
     kind, *parts = line.split(" ")
     assert parse_event(kind, parse_fields(parts), warnings.append) == event
@@ -85,13 +85,13 @@
 
 
 @pytest.mark.parametrize("line", ["reminder ctx=other", "reminder ctx=hedge:x", "frobnicate corr=7"])
-def test_an_unknown_line_is_ignored_with_a_warning(line: str) -> None:
+def test_unknown_line_is_ignored_with_warning(line: str) -> None:
     warnings: list[str] = []
     kind, *parts = line.split(" ")
     assert parse_event(kind, parse_fields(parts), warnings.append) is None
     assert len(warnings) == 1
 
 
-def test_a_part_without_an_equals_sign_is_rejected() -> None:
+def test_part_without_equals_sign_is_rejected() -> None:
     with pytest.raises(MalformedPartError, match="'remaining' is not name=value"):
         parse_fields(["corr=7", "remaining"])
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -10,13 +10,13 @@
 import pytest
 
 from loadbalancer.simulator.host import Host
-from tests.simulator.wire_lines import SHARED_LIST, instance_started
+from tests.simulator.wire_lines import SHARED_LIST, instance_start_line
 
 
 def first_batch(instance: int = 1) -> str:
     """Return a batch that starts one instance and sends its endpoint list."""
     endpoint_list = f"{SHARED_LIST}membership who={instance} generation=1 mode=0 list=3\n"
-    return f"sync time=100.0 batch=1\n{instance_started(instance)}{endpoint_list}eob\n"
+    return f"sync time=100.0 batch=1\n{instance_start_line(instance)}{endpoint_list}eob\n"
 
 
 def run_host(text: str) -> tuple[int, str, str]:
@@ -26,7 +26,7 @@
     return status, output.getvalue(), errors.getvalue()
 
 
-def test_every_batch_gets_a_reply() -> None:
+def test_each_batch_is_answered() -> None:
     status, output, _ = run_host(
         first_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     )
@@ -64,12 +64,12 @@
         ),
         ("knock who=1 corr", "not name=value"),
         (
-            instance_started(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
+            instance_start_line(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"),
             "latency_objective_ms is -1.0",
         ),
     ],
 )
-def test_an_invalid_line_is_reported_in_one_message(line: str, reason: str) -> None:
+def test_invalid_line_is_reported_in_one_message(line: str, reason: str) -> None:
     status, _, errors = run_host(first_batch() + f"sync time=110.0 batch=2\n{line}\neob\n")
     assert status == 1
     assert reason in errors
@@ -77,15 +77,15 @@
     assert errors.count("\n") == 1
 
 
-def test_input_must_not_end_inside_a_batch() -> None:
+def test_input_that_ends_inside_batch_is_rejected() -> None:
     assert run_host(first_batch())[0] == 0
     status, _, errors = run_host(first_batch() + "sync time=110.0 batch=2\n")
     assert status == 1
     assert "inside a batch" in errors
 
 
-def test_a_policy_error_affects_its_instance_only() -> None:
-    text = "sync time=90.0 batch=0\n" + instance_started(2) + "eob\n" + first_batch(1)
+def test_policy_error_affects_only_its_instance() -> None:
+    text = "sync time=90.0 batch=0\n" + instance_start_line(2) + "eob\n" + first_batch(1)
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
     status, output, errors = run_host(text)
@@ -95,7 +95,7 @@
     assert "Traceback" in errors
 
 
-def test_an_unknown_outcome_may_have_had_an_effect() -> None:
+def test_unknown_outcome_prevents_non_idempotent_retry() -> None:
     not_idempotent = first_batch().replace("retryable", "fragile")
     text = not_idempotent + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
@@ -106,7 +106,7 @@
     assert "'42'" in errors
 
 
-def test_no_wire_setting_is_reported_as_unknown() -> None:
+def test_wire_settings_cause_no_warnings() -> None:
     settings = (
         "classes.0.aimStretch=2 goal.logLossPart=0.4 goal.fullAtNines=3 goal.punctual=0.2 goal.tailMiss=0.02 "
         "limits.connIdle=30000.0 limits.streamsPerConn=1 familyInfo.passesDeadline=true prices.waste=0.02 "
@@ -120,7 +120,7 @@
 def run_process(instances: list[int], hash_seed: str) -> str:
     """Return the replies of a process that hosts these instances."""
     text = "".join(
-        ["sync time=100.0 batch=1\n", SHARED_LIST, *(instance_started(i, 11 + i) for i in instances)]
+        ["sync time=100.0 batch=1\n", SHARED_LIST, *(instance_start_line(i, 11 + i) for i in instances)]
     )
     text += "".join(f"membership who={i} generation=1 mode=0 list=3\n" for i in instances) + "eob\n"
     for n in range(40):
@@ -138,11 +138,13 @@
     return completed.stdout
 
 
-def test_actions_ignore_hash_seed_and_other_instances() -> None:
-    together = run_process([1, 2], "1")
-    assert together == run_process([1, 2], "2")
+def test_actions_are_deterministic_per_instance() -> None:
+    combined_output = run_process([1, 2], "1")
+    assert combined_output == run_process([1, 2], "2")
     for instance in (1, 2):
-        own_lines = [line for line in together.split("\n") if f"who={instance} " in line]
-        alone = [line for line in run_process([instance], "3").split("\n") if f"who={instance} " in line]
-        assert own_lines == alone
-        assert own_lines
+        instance_lines = [line for line in combined_output.split("\n") if f"who={instance} " in line]
+        single_instance_lines = [
+            line for line in run_process([instance], "3").split("\n") if f"who={instance} " in line
+        ]
+        assert instance_lines == single_instance_lines
+        assert instance_lines
--- a/tests/simulator/wire_lines.py
+++ b/tests/simulator/wire_lines.py
@@ -12,6 +12,6 @@
 )
 
 
-def instance_started(instance: int, seed: int = 11) -> str:
+def instance_start_line(instance: int, seed: int = 11) -> str:
     """Return the line that starts an instance with `SETTINGS`."""
     return f"up who={instance} prng={seed} {SETTINGS}\n"
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -6,7 +6,7 @@
 import itertools
 
 from tests.support.http_messages import ReceivedMessage, read_message
-from tests.support.sockets import try_connect
+from tests.support.sockets import connect_if_listening
 from tests.support.waiting import wait_until
 
 # The numbers from which each request gets a new id.
@@ -23,7 +23,7 @@
     async def connect_to_program(cls, port: int) -> Client:
         """Connect to a program that is starting, as soon as it listens."""
         connected_socket = await wait_until(
-            lambda: try_connect(port), "the program accepts connections", poll_interval_s=0.01
+            lambda: connect_if_listening(port), "the program accepts connections", poll_interval_s=0.01
         )
         client = cls()
         client.reader, client.writer = await asyncio.open_connection(sock=connected_socket)
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -59,14 +59,14 @@
         self.connection_closed.set()
         writer.close()
 
-    def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
+    def publish(self, version: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
         """Queue a response with an endpoint list, or with changes to it."""
-        self.responses.put_nowait(list_response(index, *entries, snapshot=snapshot))
+        self.responses.put_nowait(list_response(version, *entries, snapshot=snapshot))
 
 
 def list_response(
-    index: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
+    version: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
 ) -> bytes:
     """Return an encoded response with an endpoint list, or with changes to it."""
-    document = {"index": index, "snapshot": snapshot, "endpoints": entries}
+    document = {"index": version, "snapshot": snapshot, "endpoints": entries}
     return response(200, json.dumps(document, indent=indent).encode())
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -30,11 +30,11 @@
 # The faults that affect new connections.
 CONNECT_FAULTS = ("refuses", "unreachable", "connects late")
 # The initial version of the endpoint list.
-INITIAL_INDEX = 8
+INITIAL_VERSION = 8
 T = TypeVar("T")
 
 
-class _JumpingSelector:
+class _SimulatedClockSelector:
     """Advances the clock to the next timer instead of waiting."""
 
     def __init__(self, inner: selectors.BaseSelector) -> None:
@@ -56,12 +56,12 @@
     """An event loop with a simulated clock, which connects to the simulated discovery at a port."""
 
     def __init__(self) -> None:
-        self._jumping_selector = _JumpingSelector(selectors.DefaultSelector())
+        self._selector_with_clock = _SimulatedClockSelector(selectors.DefaultSelector())
         self.discoveries: dict[int, SimulatedDiscovery] = {}
-        super().__init__(cast("selectors.BaseSelector", self._jumping_selector))
+        super().__init__(cast("selectors.BaseSelector", self._selector_with_clock))
 
     def time(self) -> float:
-        return self._jumping_selector.now_s
+        return self._selector_with_clock.now_s
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
         return await self.discoveries[port].connect(factory)
@@ -72,7 +72,7 @@
 
     Attributes:
         is_unresponsive: Whether the balancer receives nothing more on it.
-        after: The list version in the watch call that waits on it; None if no call waits.
+        watched_version: The list version in the watch call that waits on it; None if no call waits.
         calls: The number of calls on it.
     """
 
@@ -82,7 +82,7 @@
         self._protocol = protocol
         self._is_open = True
         self.is_unresponsive = False
-        self.after: int | None = None
+        self.watched_version: int | None = None
         self.calls = 0
 
     def write(self, data: Any) -> None:
@@ -92,7 +92,7 @@
     def abort(self) -> None:
         if self._is_open:
             self._is_open = False
-            self.after = None
+            self.watched_version = None
             self._discovery.connections.discard(self)
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
@@ -102,7 +102,7 @@
 
     def receive(self, data: bytes) -> None:
         """Let the balancer read a response, or a part of one, in the next iteration of the event loop."""
-        self.after = None
+        self.watched_version = None
         asyncio.get_running_loop().call_soon(self._receive_now, data)
 
     def _receive_now(self, data: bytes) -> None:
@@ -115,7 +115,7 @@
 
     Attributes:
         fault: The current fault, one of `FAULTS`; empty if there is none.
-        index: The version of its endpoint list.
+        version: The version of its endpoint list.
         connections: The open connections.
         attempts: The times of connects under a fault of `CONNECT_FAULTS`, and of received calls, in seconds.
         calls: The request lines of the calls.
@@ -128,7 +128,7 @@
         self.port = port
         loop.discoveries[port] = self
         self.fault = ""
-        self.index = INITIAL_INDEX
+        self.version = INITIAL_VERSION
         self._entries: list[dict[str, Any]] = []
         self.connections: set[SimulatedConnection] = set()
         self.attempts: list[float] = []
@@ -176,7 +176,7 @@
             case "error":
                 connection.receive(response(500, b"sorry"))
             case "truncated":
-                connection.receive(list_response(INITIAL_INDEX)[:-5])
+                connection.receive(list_response(INITIAL_VERSION)[:-5])
                 self.loop.call_soon(connection.become_unresponsive)
             case _:
                 self._respond_with_list(connection, call)
@@ -184,20 +184,20 @@
     def _respond_with_list(self, connection: SimulatedConnection, call: str) -> None:
         _, _, query_text = call.split(" ")[1].partition("?")
         query = dict(part.split("=") for part in query_text.split("&") if part)
-        if "after" not in query or int(query["after"]) < self.index:
+        if "after" not in query or int(query["after"]) < self.version:
             connection.receive(self._list(snapshot="after" not in query))
             return
-        connection.after = int(query["after"])
+        connection.watched_version = int(query["after"])
         wait_s = float(query["wait_ms"]) / 1000
-        self.loop.call_later(wait_s, self._on_wait_ended, connection, connection.calls)
+        self.loop.call_later(wait_s, self._on_wait_timeout, connection, connection.calls)
         self.watches.put_nowait((self.loop.time(), wait_s))
 
-    def _on_wait_ended(self, connection: SimulatedConnection, call_number: int) -> None:
-        if connection.after is not None and call_number == connection.calls:
+    def _on_wait_timeout(self, connection: SimulatedConnection, call_number: int) -> None:
+        if connection.watched_version is not None and call_number == connection.calls:
             connection.receive(self._list(snapshot=False))
 
     def _list(self, *, snapshot: bool) -> bytes:
-        return list_response(self.index, *self._entries, snapshot=snapshot)
+        return list_response(self.version, *self._entries, snapshot=snapshot)
 
     def begin_outage(self, fault: str) -> None:
         """Begin an outage, and apply its fault to the open connections."""
@@ -207,15 +207,15 @@
                 connection.abort()
             elif fault in ("silent", "unreachable", "connects late"):
                 connection.is_unresponsive = True
-            elif connection.after is not None:
+            elif connection.watched_version is not None:
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
     def drain_upstream(self) -> None:
         """Set an upstream to draining, and send the change to each waiting watch."""
-        self.index += 1
+        self.version += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
-            if connection.after is not None:
+            if connection.watched_version is not None:
                 connection.receive(self._list(snapshot=False))
 
 
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -22,7 +22,7 @@
         return int(probe.getsockname()[1])
 
 
-def try_connect(port: int) -> socket.socket | None:
+def connect_if_listening(port: int) -> socket.socket | None:
     """Return a non-blocking connection to a port, or None if it is refused."""
     try:
         client = socket.create_connection(("127.0.0.1", port))
--- a/tests/support/test_waiting.py
+++ b/tests/support/test_waiting.py
@@ -15,12 +15,12 @@
     assert isinstance(asyncio.get_running_loop(), uvloop.Loop)
 
 
-async def test_the_first_true_result_is_returned() -> None:
+async def test_first_true_result_is_returned() -> None:
     results = iter([0, None, 7, 8])
     assert await wait_until(lambda: next(results), "a number comes") == 7
 
 
-async def test_a_true_condition_returns_without_waiting() -> None:
+async def test_true_condition_returns_without_waiting() -> None:
     loop = asyncio.get_running_loop()
     iterations = list[str]()
     loop.call_soon(iterations.append, "an iteration")
@@ -28,12 +28,12 @@
     assert not iterations, "the event loop has not run meanwhile"
 
 
-async def test_the_failure_contains_description_and_state() -> None:
+async def test_failure_contains_description_and_state() -> None:
     with pytest.raises(pytest.fail.Exception, match=r"waited 0\.01 s until a client comes; state: \['s0'\]"):
         await wait_until(lambda: False, "a client comes", state=lambda: ["s0"], timeout_s=0.01)
 
 
-async def test_a_hanging_test_fails_at_the_time_limit() -> None:
+async def test_hanging_test_fails_at_time_limit() -> None:
     async def hang() -> None:
         await asyncio.Event().wait()
 
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -73,18 +73,18 @@
 
 
 def definitions_over_limit(
-    modules: list[Module], kinds: tuple[type[ast.ClassDef | FunctionNode], ...], limit: int
+    modules: list[Module], node_types: tuple[type[ast.ClassDef | FunctionNode], ...], limit: int
 ) -> Iterator[str]:
     """Yield a line for each definition over the limit, counted from its `class` or `def` to its end."""
     for module in modules:
         for node in ast.walk(module.tree):
-            if isinstance(node, kinds):
+            if isinstance(node, node_types):
                 lines = (node.end_lineno or node.lineno) - node.lineno + 1
                 if lines > limit:
                     yield f"{module.location}:{node.lineno}: {node.name}: {lines} lines, limit {limit}"
 
 
-def test_a_long_definition_is_reported() -> None:
+def test_long_definition_is_reported() -> None:
     source = "def long():\n" + "    pass\n" * MAX_FUNCTION_LINES
     module = Module("long.py", source, ast.parse(source))
     found = [*definitions_over_limit([module], (ast.FunctionDef,), MAX_FUNCTION_LINES)]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -23,20 +23,20 @@
     from loadbalancer.errors import LoadBalancerError
 
 
-def read(document: dict[str, Any]) -> None:
+def read_document(document: dict[str, Any]) -> None:
     read_configuration(json.dumps(document), lambda warning: None)
 
 
 @pytest.mark.parametrize("key", ["listen", "discovery", "settings"])
-def test_a_missing_key_is_named(key: str) -> None:
+def test_missing_key_is_named(key: str) -> None:
     document = json.loads(config_text("127.0.0.1:9", []))
     del document[key]
     with pytest.raises(MissingKeyError, match=f"^'{key}' is missing$"):
-        read(document)
+        read_document(document)
 
 
 @pytest.mark.parametrize("text", ["nowhere", ":80", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:-1", None])
-def test_an_invalid_address_is_rejected(text: str | None) -> None:
+def test_invalid_address_is_rejected(text: str | None) -> None:
     with pytest.raises(InvalidAddressError, match=r"is not an address of the form host:port$"):
         read_address(text)
 
@@ -49,13 +49,13 @@
         ({"tick": 0.0}, "tick_ms is 0.0: it must be above 0"),
     ],
 )
-def test_an_invalid_setting_is_named(settings: dict[str, Any], reason: str) -> None:
+def test_invalid_setting_is_named(settings: dict[str, Any], reason: str) -> None:
     with pytest.raises(ConfigurationError) as raised:
-        read(json.loads(config_text("127.0.0.1:9", [], **settings)))
+        read_document(json.loads(config_text("127.0.0.1:9", [], **settings)))
     assert raised.value.reason == str(raised.value) == reason
 
 
-def test_an_error_message_is_one_line() -> None:
+def test_error_message_is_one_line() -> None:
     with pytest.raises(ConfigurationError) as raised:
         read_configuration("not\nJSON", lambda warning: None)
     assert "\n" not in str(raised.value)
@@ -74,7 +74,7 @@
         ([entry("s0", "nowhere")], InvalidAddressError, "'nowhere' is not an address"),
     ],
 )
-def test_an_invalid_endpoint_list_entry_is_rejected(
+def test_invalid_endpoint_list_entry_is_rejected(
     entries: list[Any], error: type[LoadBalancerError], reason: str
 ) -> None:
     with pytest.raises(error, match=reason) as raised:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -54,7 +54,7 @@
         yield from (Path(folder, name) for name in names)
 
 
-def test_the_old_package_name_is_unused() -> None:
+def test_old_package_name_is_unused() -> None:
     found = [
         relative_path(path)
         for path in repository_files()
@@ -109,7 +109,7 @@
     assert identifiers_of(page) - known == set()
 
 
-def test_the_decision_index_lists_every_record() -> None:
+def test_decision_index_lists_every_record() -> None:
     index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
     records = [path.name for path in DECISIONS if path.name != "README.md"]
     assert records
@@ -120,7 +120,7 @@
     ("page", "packages"),
     [("ARCHITECTURE.md", ("loadbalancer", "testbed")), ("POLICY.md", ("loadbalancer/policy",))],
 )
-def test_a_page_names_every_module_of_its_packages(page: str, packages: tuple[str, ...]) -> None:
+def test_page_names_every_module(page: str, packages: tuple[str, ...]) -> None:
     text = (ROOT / "docs" / page).read_text(encoding="utf-8")
     modules = [
         path
@@ -150,7 +150,7 @@
             yield part.value.strip()
 
 
-def test_the_on_call_page_quotes_every_message() -> None:
+def test_on_call_page_quotes_every_message() -> None:
     page = (ROOT / "docs" / "ONCALL.md").read_text(encoding="utf-8")
     texts = [text for path in (ROOT / "loadbalancer").rglob("*.py") for text in message_texts(path)]
     long_texts = {text for text in texts if len(text) >= MIN_TEXT_LENGTH}
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -37,14 +37,14 @@
     assert check(contract_type, graph).kept
 
 
-def test_a_cycle_of_several_modules_is_found(graph: grimp.ImportGraph) -> None:
+def test_cycle_of_several_modules_is_found(graph: grimp.ImportGraph) -> None:
     graph.add_import(importer="app.a.bottom", imported="app.a.top")
     result = check(AcyclicModulesContract, graph)
     assert not result.kept
     assert "app.a.bottom -> app.a.top -> app.b.middle -> app.a.bottom" in result.metadata["lines"]
 
 
-def test_a_cycle_through_a_package_module_is_found(
+def test_cycle_through_package_module_is_found(
     graph: grimp.ImportGraph,
 ) -> None:
     graph.add_import(importer="app.a", imported="app.a.top")
@@ -52,7 +52,7 @@
     assert "app.a -> app.a.top -> app.a" in check(AcyclicModulesContract, graph).metadata["lines"]
 
 
-def test_a_third_party_import_is_found(graph: grimp.ImportGraph) -> None:
+def test_third_party_import_is_found(graph: grimp.ImportGraph) -> None:
     graph.add_import(importer="app.b.middle", imported="httptools")
     result = check(StandardLibraryOnlyContract, graph)
     assert not result.kept
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -10,7 +10,7 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_the_example_runs_as_printed() -> None:
+def test_example_prints_documented_output() -> None:
     code = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
     assert len(code) == 1
     example = subprocess.run([sys.executable, "-c", code[0]], text=True, capture_output=True, check=True)
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -57,9 +57,7 @@
             await asyncio.open_connection(*hollow.proxy.listener.address)
 
 
-async def test_poll_is_repeated_after_a_timeout(
-    discovery: Discovery, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_poll_is_repeated_after_timeout(discovery: Discovery, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.policy.poll_backoff.INITIAL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.05)
 
@@ -81,7 +79,7 @@
     await wait_until(lambda: first_version in applied_versions, "the balancer has applied the list")
 
 
-async def test_process_reports_when_lists_were_applied(discovery: Discovery) -> None:
+async def test_process_reports_application_times(discovery: Discovery) -> None:
     first_version = discovery.replace_entries(three_entries())
     texts = {
         i: configuration_text(
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -44,7 +44,7 @@
     assert file_names(tmp_path) == []
 
 
-async def test_error_of_an_early_exit_quotes_the_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_early_exit_error_quotes_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
     balancer = await RealBalancer.start(configuration_on("127.81.0.2"), "echo no licence >&2; exit 7")
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -65,7 +65,9 @@
 
     def events_of(self, tier: int, *event_types: type) -> list[tuple[float, Any]]:
         return [
-            (now, event) for at, now, event in self.events if at == tier and isinstance(event, event_types)
+            (now, event)
+            for event_tier, now, event in self.events
+            if event_tier == tier and isinstance(event, event_types)
         ]
 
 
@@ -83,7 +85,7 @@
         (Behaviour.HANGS, Outcome.TIMED_OUT, 500.0),
     ],
 )
-def test_outcome_and_time_of_each_behaviour(
+def test_outcome_and_duration_by_behaviour(
     monkeypatch: pytest.MonkeyPatch, behaviour: Behaviour, outcome: Outcome, duration_ms: float
 ) -> None:
     recorded = RecordedEvents(monkeypatch)
@@ -95,9 +97,9 @@
     chain.set_behaviour(1, 2, behaviour)
     chain.send_request(0)
     run_to_end(chain)
-    [(at, finished)] = recorded.events_of(0, AttemptFinished)
+    [(finished_at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
-    assert (finished.outcome, at, finished.is_request_complete) == (outcome, duration_ms, served)
+    assert (finished.outcome, finished_at, finished.is_request_complete) == (outcome, duration_ms, served)
     # Requests that are safe to retry get 503 and not 502.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == duration_ms
@@ -113,7 +115,7 @@
     assert chain.statistics.attempts_by_phase[0] == [1, 1]
 
 
-def test_failure_of_the_next_tier_fails_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_next_tier_failure_fails_server(monkeypatch: pytest.MonkeyPatch) -> None:
     """A server responds 500 even if the response of its own balancer says that a retry is safe."""
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(2, max_attempts=1), 1)
@@ -124,14 +126,16 @@
     assert [e.outcome for _, e in recorded.events_of(0, AttemptFinished)] == [Outcome.ERROR]
 
 
-def test_remaining_time_shrinks_from_tier_to_tier(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_remaining_time_decreases_by_tier(monkeypatch: pytest.MonkeyPatch) -> None:
     recorded = RecordedEvents(monkeypatch)
     chain = Chain(chain_settings(4), 1)
     chain.send_request(0)
     run_to_end(chain)
-    arrived = [[e.remaining_ms for _, e in recorded.events_of(tier, RequestReceived)] for tier in range(4)]
+    remaining_ms_by_tier = [
+        [e.remaining_ms for _, e in recorded.events_of(tier, RequestReceived)] for tier in range(4)
+    ]
     # Each balancer reserves 10 ms for its response; each server works for 1 ms before it calls the next tier.
-    assert arrived == [[2990.0], [2979.0], [2968.0], [2957.0]]
+    assert remaining_ms_by_tier == [[2990.0], [2979.0], [2968.0], [2957.0]]
     assert chain.client_requests[0].status == 200
     assert chain.client_requests[0].finished_at_ms == 4 * (2 * HOP_MS + SERVICE_MS)
     assert chain.client_requests[0].deadline_fraction == pytest.approx(2957 / 3000)
@@ -140,7 +144,7 @@
 def cancel_at(time_ms: float) -> Script:
     """Return a script that starts an attempt at once and cancels it at a given time."""
 
-    def act(event: Event, now: float) -> list[Action]:
+    def scripted_policy(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [
                 StartAttempt(event.request_id, "t1-0", event.remaining_ms),
@@ -148,7 +152,7 @@
             ]
         return [CancelAttempt(1, 0)] if isinstance(event, TimerFired) else []
 
-    return act
+    return scripted_policy
 
 
 def test_cancellation_reaches_every_tier(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -186,13 +190,13 @@
     assert finished.is_request_complete
 
 
-def test_timed_out_attempt_leaves_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
-    def act(event: Event, now: float) -> list[Action]:
+def test_timed_out_attempt_leaves_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+    def scripted_policy(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [StartAttempt(event.request_id, "t1-0", 0.75 if event.request_id < 3 else 0.0)]
         return []
 
-    recorded = RecordedEvents(monkeypatch, act)
+    recorded = RecordedEvents(monkeypatch, scripted_policy)
     chain = Chain(chain_settings(1, workers=1), 1)
     for _ in range(3):
         chain.send_request(0)
@@ -206,10 +210,10 @@
     ]
 
 
-def test_no_attempt_is_sent_after_the_response(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_attempt_is_sent_after_response(monkeypatch: pytest.MonkeyPatch) -> None:
     served_at_ms = 2 * HOP_MS + SERVICE_MS
 
-    def act(event: Event, now: float) -> list[Action]:
+    def scripted_policy(event: Event, now: float) -> list[Action]:
         match event:
             case RequestReceived(number):
                 timers = [
@@ -225,7 +229,7 @@
                 return [CancelAttempt(1, 4)]  # performed after both attempts have been started
         return []
 
-    recorded = RecordedEvents(monkeypatch, act)
+    recorded = RecordedEvents(monkeypatch, scripted_policy)
     chain = Chain(chain_settings(1), 1)
     chain.set_behaviour(1, 2, Behaviour.REFUSES)
     chain.set_behaviour(1, 1, Behaviour.SERVES)
@@ -244,15 +248,15 @@
 
 
 @pytest.mark.parametrize(("starts_attempt", "status"), [(False, 503), (True, 502)])
-def test_host_responds_before_the_deadline(
+def test_host_responds_before_deadline(
     monkeypatch: pytest.MonkeyPatch, status: int, *, starts_attempt: bool
 ) -> None:
-    def delayed(event: Event, now: float) -> list[Action]:
+    def start_on_timer(event: Event, now: float) -> list[Action]:
         if starts_attempt and isinstance(event, RequestReceived):
             return [SetTimer(now, HedgeTimer(1))]
         return [StartAttempt(1, "t1-0", 0.0)] if isinstance(event, TimerFired) else []
 
-    recorded = RecordedEvents(monkeypatch, delayed)
+    recorded = RecordedEvents(monkeypatch, start_on_timer)
     chain = Chain(chain_settings(1), 1)
     chain.set_behaviour(1, 2, Behaviour.HANGS)
     chain.send_request(0)
@@ -261,7 +265,7 @@
     assert [now for now, _ in recorded.events_of(0, ClientDisconnected)] == [2995.0]
 
 
-def test_full_server_rejects() -> None:
+def test_full_server_rejects_requests() -> None:
     chain = Chain(chain_settings(1, servers_per_tier=1, workers=1, queue=2, max_attempts=1), 1)
     for _ in range(4):
         chain.send_request(0)
@@ -281,7 +285,7 @@
 
 
 @pytest.mark.parametrize("behaviour", [Behaviour.REFUSES, Behaviour.REJECTS])
-def test_attempts_that_never_ran_are_retried_up_to_the_limit(behaviour: Behaviour) -> None:
+def test_unprocessed_attempts_are_retried_up_to_limit(behaviour: Behaviour) -> None:
     for max_attempts in (1, 3, 4):
         chain = Chain(chain_settings(1, servers_per_tier=6, max_attempts=max_attempts), 1)
         chain.set_behaviour(1, 6, behaviour)
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -9,7 +9,7 @@
 from testbed.settings import EndpointEntry, endpoint_entries
 
 
-def test_single_changes_depend_on_seed_and_keep_entries_in_service() -> None:
+def test_single_changes_leave_most_entries_in_service() -> None:
     def first_changes(seed: int) -> list[tuple[EndpointEntry, ...]]:
         return list(islice(single_changes(endpoint_entries(60), seed, lambda: 7.0), 500))
 
@@ -57,7 +57,7 @@
     )
 
 
-async def test_changes_are_applied_until_there_are_no_more(discovery: Discovery) -> None:
+async def test_application_ends_with_last_change(discovery: Discovery) -> None:
     first_version = discovery.replace_entries(endpoint_entries(10))
     max_lateness_s = await apply_changes_over_time(
         discovery, rolling_restart(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -86,7 +86,7 @@
         assert await watcher.request_list(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
 
 
-async def test_forgotten_changes_are_replaced_by_a_snapshot(
+async def test_discarded_changes_are_replaced_by_snapshot(
     discovery: Discovery, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("testbed.discovery.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
@@ -119,7 +119,7 @@
             assert (await watcher.request(query, path)).start_line.split(" ")[1] == status
 
 
-async def test_next_request_within_200_ms_continues_the_watch() -> None:
+async def test_next_request_within_200_ms_continues_watch() -> None:
     now = [10.0]
 
     discovery = Discovery(lambda: now[0])
@@ -165,7 +165,7 @@
     await discovery.stop()
 
 
-async def test_unresponsive_group_responds_once_it_is_up(discovery: Discovery) -> None:
+async def test_unresponsive_group_responds_after_recovery(discovery: Discovery) -> None:
     await discovery.start("127.32.0.9")
     version = discovery.replace_entries(three_entries())
     healthy, unresponsive = (
@@ -191,7 +191,7 @@
             assert read_list(await read_message(second_watcher.reader))[0] == version
 
 
-async def test_agent_is_down_and_responses_are_delayed(discovery: Discovery) -> None:
+async def test_agent_down_and_delayed(discovery: Discovery) -> None:
     version = discovery.replace_entries(three_entries())
     up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
     discovery.set_state(AgentState(), group="r1")
@@ -208,14 +208,14 @@
         assert (await first_watcher.request_list())[0] == version
         assert loop.time() >= sent_at + 0.045  # the loop's timers round to milliseconds
         discovery.set_state(AgentState(), agent=1)
-    async with WatchClient(down) as again:
-        assert (await again.request_list())[0] == version
+    async with WatchClient(down) as reconnected:
+        assert (await reconnected.request_list())[0] == version
     await discovery.stop()
     with pytest.raises(ConnectionError):
         await asyncio.open_connection(*up)
 
 
-async def test_agent_goes_down_before_it_accepts(discovery: Discovery) -> None:
+async def test_agent_down_before_first_connection(discovery: Discovery) -> None:
     address = discovery.agent_address(0)
     discovery.set_state(AgentState(AgentMode.DOWN), agent=0)
     with pytest.raises(ConnectionError):
--- a/tests/testbed/http/test_client.py
+++ b/tests/testbed/http/test_client.py
@@ -9,7 +9,7 @@
 from tests.testbed.support.loads import send_request
 
 
-async def test_request_is_resent_if_a_reused_connection_was_closed() -> None:
+async def test_request_is_resent_if_reused_connection_closes() -> None:
     both_received = asyncio.Event()
 
     async def wait_for_both(received: object, writer: asyncio.StreamWriter) -> None:
--- a/tests/testbed/load/test_arrivals.py
+++ b/tests/testbed/load/test_arrivals.py
@@ -5,7 +5,7 @@
 from testbed.load.arrivals import arrival_times
 
 
-def test_arrivals_depend_on_seed_and_have_the_mean_rate() -> None:
+def test_arrivals_depend_on_seed_and_mean_rate() -> None:
     times = list(arrival_times(200.0, 20.0, random.Random(1)))
     assert times == sorted(times) == list(arrival_times(200.0, 20.0, random.Random(1)))
     assert times[0] > 0
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -19,7 +19,7 @@
     from testbed.upstream.connection import ReceivedRequest
 
 
-async def test_stalled_server_delays_no_send(upstreams: UpstreamGroup) -> None:
+async def test_stalled_server_does_not_delay_load(upstreams: UpstreamGroup) -> None:
     (upstream,) = await upstreams.start(1, first_octet=82)
     request_count = len(list(arrival_times(4_000.0, 0.01, random.Random("7/calls"))))
     assert request_count > 20
@@ -46,7 +46,7 @@
     )
 
 
-async def test_late_load_counts_in_latency_and_is_invalid() -> None:
+async def test_late_load_adds_latency_and_is_invalid() -> None:
     async def report_with(stall: float) -> StreamReport:
         clock = SteppingClock(stall=stall)
         upstreams = UpstreamGroup(seed=1)
--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -56,19 +56,19 @@
     assert CoreMonitor().invalid_reasons("rest") == []
 
 
-def test_loop_lag_is_the_lateness_of_a_timer() -> None:
+def test_loop_lag_is_timer_lateness() -> None:
     calls: list[tuple[float, Callable[[], None]]] = []
     loop: Any = SimpleNamespace(now=0.0, time=lambda: loop.now)
 
-    def call_at(due_at: float, callback: Callable[[], None]) -> Any:
-        calls.append((due_at, callback))
+    def call_at(scheduled_at: float, callback: Callable[[], None]) -> Any:
+        calls.append((scheduled_at, callback))
         return SimpleNamespace(cancel=calls.clear)
 
     loop.call_at = call_at
     lag_monitor = LoopLagMonitor(loop)
     for lag_s in (0.0, 0.0, 0.25, 0.0):
-        due_at, callback = calls.pop()
-        loop.now = due_at + lag_s
+        scheduled_at, callback = calls.pop()
+        loop.now = scheduled_at + lag_s
         callback()
     assert lag_monitor.take() == pytest.approx((0.0, 0.25), abs=1e-9)
     assert lag_monitor.take() == (0.0, 0.0)
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -21,10 +21,10 @@
 )
 
 
-def test_delay_ends_at_first_version_that_includes_the_change() -> None:
+def test_delay_ends_at_first_version_with_change() -> None:
     # The changes are versions 5, 6 and 7. Balancer 1 gets 5 and 6 together; balancer 2 never gets 7.
-    times = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
-    observations = [VersionObservation(*time) for time in times]
+    values = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
+    observations = [VersionObservation(*fields) for fields in values]
     delays = delays_ms(observations, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
     assert delays.tolist() == [[1000.0, 500.0, 1000.0], [500.0, 1500.0, np.inf]]
     assert astuple(delay_quantiles(delays[:1])) == pytest.approx((1000.0, 1000.0, 1000.0))
@@ -54,7 +54,7 @@
     assert {"in_force_ms_99 (200 times)", "core_percent (3 balancers)"} <= {fit.y for fit in result.fits}
 
 
-def test_change_run_waits_until_balancers_follow() -> None:
+def test_change_run_starts_after_initial_snapshots() -> None:
     plan = read_plan(EXPERIMENTS_FOLDER / "control_change.toml", RUN_KINDS)
     overrides: dict[str, Any] = {"sizes": (1, 2), "entries": 30, "multiples": (100.0, 400.0)}
     overrides |= {"spans_s": (0.1, 0.1), "processes": 1, "real": 0}
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -32,7 +32,7 @@
     return [row.columns() for row in run_depth(**changes).rows]
 
 
-def test_attempts_for_a_single_request_multiply_by_tier() -> None:
+def test_attempts_multiply_by_tier() -> None:
     faults = [{"name": "refused", "behaviour": "refuses"}]
     one_tier, two_tiers = rows(
         single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults
@@ -68,7 +68,7 @@
     assert cut.rows[2].columns()["attempts_a_call_by_tier"][0] > 0
 
 
-def test_service_recovers_with_the_servers() -> None:
+def test_service_recovers_with_servers() -> None:
     [row] = rows(
         sizes=(2,),
         warm_s=2,
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -24,7 +24,7 @@
 )
 
 
-def test_list_size_run_measures_every_step_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_size_run_measures_each_step_and_size(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_size, "reference_us", lambda: 50.0)
     plan = read_plan(EXPERIMENTS_FOLDER / "list_size.toml", RUN_KINDS)
     overrides = {
@@ -74,7 +74,7 @@
     )
 
 
-def test_growth_is_an_exponent_of_the_list_length() -> None:
+def test_growth_is_exponent_of_list_length() -> None:
     rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
     grown_rows = [row.columns() for row in with_growth(rows)]
     assert "list_module_ms_growth" not in grown_rows[0]
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -44,7 +44,7 @@
     ]
 
 
-def test_real_depth_measures_each_fault_at_the_last_tier() -> None:
+def test_real_depth_measures_each_fault_at_last_tier() -> None:
     plan = real_depth.Plan(
         run="real_depth",
         about="A trial.",
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -41,9 +41,9 @@
 
 
 def test_errors_are_reported_in_one_line(tmp_path: Path) -> None:
-    missing = CliRunner().invoke(app, ["run", str(tmp_path / "no.toml")])
-    assert missing.exit_code == 2
-    assert missing.output.startswith("testbed: no.toml: ")
-    broken = CliRunner().invoke(app, ["show", str(tmp_path / "no.json")])
-    assert broken.exit_code == 2
-    assert broken.output.count("\n") == 1
+    missing_experiment = CliRunner().invoke(app, ["run", str(tmp_path / "no.toml")])
+    assert missing_experiment.exit_code == 2
+    assert missing_experiment.output.startswith("testbed: no.toml: ")
+    missing_result = CliRunner().invoke(app, ["show", str(tmp_path / "no.json")])
+    assert missing_result.exit_code == 2
+    assert missing_result.output.count("\n") == 1
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -40,7 +40,7 @@
     return [Point(n=n, ms=ms) for n, ms in pairs]
 
 
-def test_columns_of_nested_rows_keep_field_order() -> None:
+def test_columns_of_nested_rows_are_in_field_order() -> None:
     row = OuterRow(first=1, part=InnerRow(a=2, b=3), last=4)
     assert list(row.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
     assert OuterRow(first=1, part=InnerRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -36,9 +36,9 @@
     hints = get_type_hints(row_type)
     for column in fields(row_type):
         types = get_args(hints[column.name]) or (hints[column.name],)
-        parts = [part for part in types if isinstance(part, type) and issubclass(part, Row)]
-        if parts:
-            yield from column_names(parts[0])
+        nested_row_types = [hint for hint in types if isinstance(hint, type) and issubclass(hint, Row)]
+        if nested_row_types:
+            yield from column_names(nested_row_types[0])
         else:
             yield column_name(column)
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
-def test_stored_plans_can_still_be_read(path: Path) -> None:
+def test_stored_plans_can_be_read(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))["plan"]
     plan = RUN_KINDS[stored["run"]].plan_type.model_validate(stored)
     assert (plan.run, plan.about, plan.seed) == (stored["run"], stored["about"], stored["seed"])
--- a/tests/testbed/test_virtual_clock.py
+++ b/tests/testbed/test_virtual_clock.py
@@ -19,7 +19,7 @@
     assert ran == [(1.0, "first"), (1.0, "second"), (2.0, "last")]
 
 
-def test_past_time_runs_at_current_time() -> None:
+def test_overdue_callback_runs_at_current_time() -> None:
     clock = VirtualClock(now=5.0)
     ran: list[float] = []
     clock.schedule(1.0, lambda _: ran.append(clock.now), None)
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -35,7 +35,7 @@
         ),
     ],
 )
-async def test_each_mode_responds_and_counts(
+async def test_responses_and_counts_by_mode(
     upstreams: UpstreamGroup,
     mode: UpstreamMode,
     status: int,
@@ -78,7 +78,7 @@
     writer.close()
 
 
-async def test_fraction_of_requests_fails_according_to_seed() -> None:
+async def test_seed_selects_failing_fraction() -> None:
     async def statuses_with(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, first_octet=82)
@@ -94,7 +94,7 @@
     assert await statuses_with(1) == first != await statuses_with(2)
 
 
-async def test_chain_passes_on_remaining_time_under_new_ids() -> None:
+async def test_chain_forwards_remaining_time_with_new_ids() -> None:
     clock = SteppingClock(step=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
     chain = await upstreams.start(3, first_octet=82)
@@ -118,7 +118,7 @@
     upstreams.close()
 
 
-async def test_abandoned_request_is_cancelled_at_the_next_tier(upstreams: UpstreamGroup) -> None:
+async def test_abandoned_request_is_cancelled_at_next_tier(upstreams: UpstreamGroup) -> None:
     top, bottom = await upstreams.start(2, first_octet=82)
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
@@ -129,7 +129,7 @@
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
 
-async def test_upstream_process_serves_counts_and_ends() -> None:
+async def test_upstream_process_serves_and_counts() -> None:
     process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
     try:
         assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
