--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -29,11 +29,11 @@
         path: The configuration file.
         descriptor_limit: The limit on open file descriptors of the process; None for the default limit.
     """
-    limit = "" if descriptor_limit is None else f"ulimit -n {descriptor_limit} && "
+    ulimit_command = "" if descriptor_limit is None else f"ulimit -n {descriptor_limit} && "
     process = await asyncio.create_subprocess_exec(
         "sh",
         "-c",
-        f'{limit}exec "$0" -m loadbalancer',
+        f'{ulimit_command}exec "$0" -m loadbalancer',
         sys.executable,
         env=os.environ | {"LB_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE,
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -185,7 +185,7 @@
         _, _, query_text = call.split(" ")[1].partition("?")
         query = dict(part.split("=") for part in query_text.split("&") if part)
         if "after" not in query or int(query["after"]) < self.version:
-            connection.receive(self._list(snapshot="after" not in query))
+            connection.receive(self._encode_list(snapshot="after" not in query))
             return
         connection.watched_version = int(query["after"])
         wait_s = float(query["wait_ms"]) / 1000
@@ -194,9 +194,9 @@
 
     def _on_wait_timeout(self, connection: SimulatedConnection, call_number: int) -> None:
         if connection.watched_version is not None and call_number == connection.calls:
-            connection.receive(self._list(snapshot=False))
+            connection.receive(self._encode_list(snapshot=False))
 
-    def _list(self, *, snapshot: bool) -> bytes:
+    def _encode_list(self, *, snapshot: bool) -> bytes:
         return list_response(self.version, *self._entries, snapshot=snapshot)
 
     def begin_outage(self, fault: str) -> None:
@@ -216,7 +216,7 @@
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
             if connection.watched_version is not None:
-                connection.receive(self._list(snapshot=False))
+                connection.receive(self._encode_list(snapshot=False))
 
 
 class WatchingProxy:
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -27,19 +27,19 @@
     return graph
 
 
-def check(contract_type: type[Contract], graph: grimp.ImportGraph) -> ContractCheck:
+def check_contract(contract_type: type[Contract], graph: grimp.ImportGraph) -> ContractCheck:
     contract = contract_type("contract", {"root_packages": ["app"]}, {"packages": ["app"]})
     return contract.check(graph, verbose=False)
 
 
 @pytest.mark.parametrize("contract_type", [AcyclicModulesContract, StandardLibraryOnlyContract])
 def test_allowed_imports_pass(contract_type: type[Contract], graph: grimp.ImportGraph) -> None:
-    assert check(contract_type, graph).kept
+    assert check_contract(contract_type, graph).kept
 
 
 def test_cycle_of_several_modules_is_found(graph: grimp.ImportGraph) -> None:
     graph.add_import(importer="app.a.bottom", imported="app.a.top")
-    result = check(AcyclicModulesContract, graph)
+    result = check_contract(AcyclicModulesContract, graph)
     assert not result.kept
     assert "app.a.bottom -> app.a.top -> app.b.middle -> app.a.bottom" in result.metadata["lines"]
 
@@ -49,11 +49,11 @@
 ) -> None:
     graph.add_import(importer="app.a", imported="app.a.top")
     graph.add_import(importer="app.a.top", imported="app.a")
-    assert "app.a -> app.a.top -> app.a" in check(AcyclicModulesContract, graph).metadata["lines"]
+    assert "app.a -> app.a.top -> app.a" in check_contract(AcyclicModulesContract, graph).metadata["lines"]
 
 
 def test_third_party_import_is_found(graph: grimp.ImportGraph) -> None:
     graph.add_import(importer="app.b.middle", imported="httptools")
-    result = check(StandardLibraryOnlyContract, graph)
+    result = check_contract(StandardLibraryOnlyContract, graph)
     assert not result.kept
     assert result.metadata["lines"] == ["app.b.middle imports httptools"]
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -18,7 +18,7 @@
     from pathlib import Path
 
 
-def configuration_on(host: str, **settings: object) -> str:
+def configuration_listening_on(host: str, **settings: object) -> str:
     text = config_text("127.0.0.1:1", [], **settings)
     return text.replace('"listen": "127.0.0.1:0"', f'"listen": "{real.free_address(host)}"')
 
@@ -30,7 +30,7 @@
 async def test_balancer_starts_and_stops(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
-    balancer = await RealBalancer.start(configuration_on("127.81.0.1"), real.SOURCE_TREE_COMMAND)
+    balancer = await RealBalancer.start(configuration_listening_on("127.81.0.1"), real.SOURCE_TREE_COMMAND)
     try:
         await balancer.wait_until_ready(10.0)
         assert psutil.Process(balancer.pid).cmdline()[-2:] == ["-m", "loadbalancer"]
@@ -47,7 +47,9 @@
 async def test_early_exit_error_quotes_log(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
-    balancer = await RealBalancer.start(configuration_on("127.81.0.2"), "echo no licence >&2; exit 7")
+    balancer = await RealBalancer.start(
+        configuration_listening_on("127.81.0.2"), "echo no licence >&2; exit 7"
+    )
     with pytest.raises(
         BalancerExitedError, match="balancer exited with status 7 before it was ready: no licence"
     ):
@@ -62,6 +64,6 @@
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
 
     command = f"trap '' TERM; echo up; exec {sys.executable} -c 'import time; time.sleep(60)'"
-    balancer = await RealBalancer.start(configuration_on("127.81.0.3"), command)
+    balancer = await RealBalancer.start(configuration_listening_on("127.81.0.3"), command)
     await wait_until(lambda: "up" in balancer.log(), "the process has set up its trap")
     assert await balancer.stop(kill_after_s=0.0) == -9
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -25,16 +25,16 @@
 
 # Binary fractions, whose sums are exact.
 HOP_MS, SERVICE_MS = 0.25, 1.0
-Script = Callable[[Event, float], list[Action]]
+ScriptedPolicy = Callable[[Event, float], list[Action]]
 
 
 def chain_settings(
     depth: int,
     latency_objective_ms: float = 3_000.0,
     idempotency: Idempotency = Idempotency.SAFE,
-    **changes: Any,
+    **overrides: Any,
 ) -> ChainSettings:
-    base: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "servers_per_tier": 2,
         "fronts": 1,
         "hop_ms": HOP_MS,
@@ -42,13 +42,13 @@
         "steady_service": True,
     }
     request_class = RequestClass("call", latency_objective_ms, 3_000.0, idempotency)
-    return ChainSettings(depth, request_class, **(base | changes))
+    return ChainSettings(depth, request_class, **(defaults | overrides))
 
 
 class RecordedEvents:
     """Records the events of all balancers by tier; a script can replace the policy of the front balancer."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, front: Script | None = None) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, front_policy: ScriptedPolicy | None = None) -> None:
         self.events: list[tuple[int, float, Event]] = []
         recorded = self
 
@@ -59,7 +59,11 @@
 
             def handle(self, event: Event, now: float) -> list[Action]:
                 recorded.events.append((self.tier, now, event))
-                return front(event, now) if front and self.tier == 0 else super().handle(event, now)
+                return (
+                    front_policy(event, now)
+                    if front_policy and self.tier == 0
+                    else super().handle(event, now)
+                )
 
         monkeypatch.setattr("testbed.chain.host.LoadBalancer", RecordingBalancer)
 
@@ -141,7 +145,7 @@
     assert chain.client_requests[0].deadline_fraction == pytest.approx(2957 / 3000)
 
 
-def cancel_at(time_ms: float) -> Script:
+def cancel_at(time_ms: float) -> ScriptedPolicy:
     """Return a script that starts an attempt at once and cancels it at a given time."""
 
     def scripted_policy(event: Event, now: float) -> list[Action]:
--- a/tests/testbed/http/test_client.py
+++ b/tests/testbed/http/test_client.py
@@ -12,7 +12,7 @@
 async def test_request_is_resent_if_reused_connection_closes() -> None:
     both_received = asyncio.Event()
 
-    async def wait_for_both(received: object, writer: asyncio.StreamWriter) -> None:
+    async def wait_for_both_requests(received: object, writer: asyncio.StreamWriter) -> None:
         if len(upstream.received) == 2:
             both_received.set()
         await both_received.wait()
@@ -21,7 +21,7 @@
     async def abort(received: object, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
-    upstream = ScriptedUpstream(wait_for_both, wait_for_both, abort, response())
+    upstream = ScriptedUpstream(wait_for_both_requests, wait_for_both_requests, abort, response())
     client = Client(read_address(await upstream.start()))
     assert tuple(await asyncio.gather(send_request(client), send_request(client))) == (200, 200)
     assert client.opened_connections == upstream.connections == 2
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -25,13 +25,15 @@
     assert request_count > 20
     all_received = asyncio.Event()
 
-    async def stall(request: ReceivedRequest, remaining_ms: float) -> int:
+    async def respond_after_last_request(request: ReceivedRequest, remaining_ms: float) -> int:
         if upstream.counts.requests == request_count:
             all_received.set()
         await all_received.wait()
         return 200
 
-    upstream.forward = stall  # no response is sent before the last request has been received
+    upstream.forward = (
+        respond_after_last_request  # no response is sent before the last request has been received
+    )
     stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
     report = (await run_streams([stream], 0.01, seed=7))["calls"]
     assert report.sent == report.opened_connections == request_count
@@ -47,7 +49,7 @@
 
 
 async def test_late_load_adds_latency_and_is_invalid() -> None:
-    async def report_with(stall: float) -> StreamReport:
+    async def report_with_stall(stall: float) -> StreamReport:
         clock = SteppingClock(stall=stall)
         upstreams = UpstreamGroup(seed=1)
         (upstream,) = await upstreams.start(1, first_octet=82)
@@ -57,7 +59,7 @@
         return report
 
     scheduled_s = list(arrival_times(20.0, 1.0, random.Random("3/calls")))
-    late_report = await report_with(3.0)  # the first sleep takes 3 s too long
+    late_report = await report_with_stall(3.0)  # the first sleep takes 3 s too long
     assert late_report.served_latencies.count == late_report.sent == len(scheduled_s)
     max_ms, min_ms = (
         late_report.served_latencies.quantile_ms(1.0),
@@ -69,4 +71,4 @@
     (reason,) = late_report.invalid_reasons("direct", max_lateness_ms=1.0)
     assert reason.startswith("direct: ")
     assert "late" in reason
-    assert (await report_with(0.0)).invalid_reasons("direct", max_lateness_ms=1.0) == []
+    assert (await report_with_stall(0.0)).invalid_reasons("direct", max_lateness_ms=1.0) == []
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -68,11 +68,11 @@
 def test_rest_run_measures_each_size_and_mode(monkeypatch: pytest.MonkeyPatch) -> None:
     requested_settings = []
 
-    def recording_settings(**options: Any) -> dict[str, Any]:
+    def record_settings(**options: Any) -> dict[str, Any]:
         requested_settings.append((options["balancers"], options["pushed"]))
         return balancer_settings(**options)
 
-    monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", recording_settings)
+    monkeypatch.setattr("testbed.runs.control.rest.settings.balancer_settings", record_settings)
     plan = read_plan(EXPERIMENTS_FOLDER / "control_rest.toml", RUN_KINDS)
     overrides = {"sizes": (3, 30), "span_s": 0.05, "settle_s": 0.0, "hollow": 2}
     result = control_rest.measure(
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -10,8 +10,8 @@
 from testbed.runs.depth import run as depth_run
 
 
-def plan(**changes: Any) -> depth_run.Plan:
-    base: dict[str, Any] = {
+def make_plan(**overrides: Any) -> depth_run.Plan:
+    defaults: dict[str, Any] = {
         "run": "depth",
         "about": "Small ones.",
         "seed": 1,
@@ -20,21 +20,21 @@
         "fault_s": 1,
         "faults": [{"name": "500", "behaviour": "fails"}],
     }
-    return depth_run.Plan.model_validate(base | changes)
+    return depth_run.Plan.model_validate(defaults | overrides)
 
 
-def run_depth(**changes: Any) -> RunResult[Any]:
+def run_depth(**overrides: Any) -> RunResult[Any]:
     with capture_logs():  # the tests of the command line close the output of the shared logger
-        return depth_run.measure(plan(**changes), structlog.get_logger())
+        return depth_run.measure(make_plan(**overrides), structlog.get_logger())
 
 
-def rows(**changes: Any) -> list[dict[str, Any]]:
-    return [row.columns() for row in run_depth(**changes).rows]
+def run_depth_rows(**overrides: Any) -> list[dict[str, Any]]:
+    return [row.columns() for row in run_depth(**overrides).rows]
 
 
 def test_attempts_multiply_by_tier() -> None:
     faults = [{"name": "refused", "behaviour": "refuses"}]
-    one_tier, two_tiers = rows(
+    one_tier, two_tiers = run_depth_rows(
         single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults
     )
     assert (one_tier["bottom_attempts_a_call"], two_tiers["bottom_attempts_a_call"]) == (4, 16)
@@ -50,7 +50,9 @@
 
 def test_same_seed_gives_same_rows() -> None:
     overrides: dict[str, Any] = {"sizes": (1, 3), "after_s": 1, "may_hedge": True}
-    first, again, other = (without_measured_times(rows(seed=seed, **overrides)) for seed in (5, 5, 6))
+    first, again, other = (
+        without_measured_times(run_depth_rows(seed=seed, **overrides)) for seed in (5, 5, 6)
+    )
     assert first == again
     assert first != other
     assert sum(row["calls"] for row in first) > 400
@@ -69,7 +71,7 @@
 
 
 def test_service_recovers_with_servers() -> None:
-    [row] = rows(
+    [row] = run_depth_rows(
         sizes=(2,),
         warm_s=2,
         fault_s=2,
@@ -90,7 +92,7 @@
     parsed_fault = depth_run.Fault.model_validate(fault)
     assert parsed_fault.tier_number(4) == faulty_tier
     assert parsed_fault.tier_number(1) == 1
-    [row] = rows(sizes=(4,), faults=[fault])
+    [row] = run_depth_rows(sizes=(4,), faults=[fault])
     by_tier = row["attempts_a_call_by_tier"]
     # Requests need a second attempt only at the faulty tier, until the faulty server is ejected.
     assert [n > before for before, n in zip([1.0, *by_tier], by_tier, strict=False)] == [
@@ -101,10 +103,10 @@
 
 def test_fractional_failures_and_shed_requests() -> None:
     fractional_failures = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
-    [row] = rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fractional_failures)
+    [row] = run_depth_rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fractional_failures)
     assert 0.70 < row["served_while"] < 0.80
     assert row["bottom_attempts_a_call"] == 1.0
-    [hung] = rows(sizes=(1,), fault_s=5, faults=[{"name": "hang", "behaviour": "hangs"}])
+    [hung] = run_depth_rows(sizes=(1,), fault_s=5, faults=[{"name": "hang", "behaviour": "hangs"}])
     assert hung["shed_while"] > 0.5
     assert hung["served_while"] == 0.0
     assert hung["bottom_attempts_a_call"] == pytest.approx(1 - hung["shed_while"])
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -55,12 +55,12 @@
 @pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
 def test_stored_columns_match_the_row_types(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))
-    names = [list(column_names(row_type)) for row_type in ROW_TYPES[stored["plan"]["run"]]]
+    column_names_by_type = [list(column_names(row_type)) for row_type in ROW_TYPES[stored["plan"]["run"]]]
     for row in stored["rows"]:
-        assert any(has_columns_in_order(row, columns_of_type) for columns_of_type in names)
+        assert any(has_columns_in_order(row, columns_of_type) for columns_of_type in column_names_by_type)
     if stored["rows"]:
         assert {name for row in stored["rows"] for name in row} == {
-            n for columns_of_type in names for n in columns_of_type
+            n for columns_of_type in column_names_by_type for n in columns_of_type
         }
 
 
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -79,7 +79,7 @@
 
 
 async def test_seed_selects_failing_fraction() -> None:
-    async def statuses_with(seed: int) -> list[int]:
+    async def statuses_with_seed(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, first_octet=82)
         await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL, fraction=0.5))
@@ -89,9 +89,9 @@
         upstreams.close()
         return statuses
 
-    first = await statuses_with(1)
+    first = await statuses_with_seed(1)
     assert 16 < first.count(500) < 48
-    assert await statuses_with(1) == first != await statuses_with(2)
+    assert await statuses_with_seed(1) == first != await statuses_with_seed(2)
 
 
 async def test_chain_forwards_remaining_time_with_new_ids() -> None:
