--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,8 +24,8 @@
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Apply a time limit to each asynchronous test.
 
-    The methods of pytest-timeout do not suit tests that hang: its signal does not interrupt a waiting uvloop,
-    and its thread ends the complete test run.
+    pytest-timeout cannot replace this: its signal method does not interrupt uvloop while the loop waits, and
+    its thread method ends the complete test run.
     """
     for item in items:
         if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
--- a/tests/import_contracts.py
+++ b/tests/import_contracts.py
@@ -15,10 +15,10 @@
 
 
 class StandardLibraryOnlyContract(Contract):
-    """Packages that import only the standard library and the root packages of the contracts.
+    """Allows packages to import only the standard library and import-linter's root packages.
 
     Options:
-        packages: The names of the packages. Their submodules are checked too.
+        packages: The names of the packages, which are checked with all their submodules.
     """
 
     type_name = "standard_library_only"
@@ -42,10 +42,10 @@
 
 
 class AcyclicModulesContract(Contract):
-    """Modules that do not import each other in a cycle, whichever packages they are in.
+    """Forbids import cycles between modules, within a package and across packages.
 
-    The built-in contract type `acyclic_siblings` compares whole packages: it also forbids two packages that
-    import from each other without a cycle of modules.
+    The built-in contract type `acyclic_siblings` looks for cycles of packages: it also forbids imports in
+    both directions between two packages if the modules form no cycle.
 
     Options:
         packages: The names of the packages whose modules are checked.
--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -1,4 +1,4 @@
-"""The cost of an event on the simulator's wire, measured in Python calls instead of time to be repeatable."""
+"""The cost of an event on the simulator's wire, in Python calls: unlike times, their number is repeatable."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     from types import FrameType
 
 REQUESTS = 400
-# The arrival of each request, and the end of its attempt.
+# Each request causes two events: its arrival and the end of its attempt.
 EVENTS = 2 * REQUESTS
-# Python calls per event outside the policy: to parse the line, frame the batch and format the reply. With
-# Python 3.11 there are 27.2. A reader with a function around each step took 39.2, and the processor time of a
-# simulated day was then 1.06 to 1.13 times that of the decisions in one module.
+# Limit on the Python calls per event outside the policy, which parse the line, frame the batch and format the
+# reply: 27.2 calls with Python 3.11. A parser with a separate function for each step needed 39.2 calls, and a
+# simulated day then took 1.06 to 1.13 times the processor time of a version with all decisions in one module.
 MAX_CALLS_OUTSIDE_POLICY = 28.0
-# The same including the policy: 63.4 calls with Python 3.11.
+# Limit on all Python calls per event, including those of the policy: 63.4 calls with Python 3.11.
 MAX_CALLS = 68.0
 
 
 def input_text() -> str:
-    """Return input with two endpoints, and a batch for each arrival and each end of an attempt."""
+    """Return an input with two endpoints, and a batch for each arrival and for each end of an attempt."""
     start = f"{instance_start_line(1)}{SHARED_LIST}membership who=1 mode=0 list=3\n"
     lines = [f"sync time=100.0 batch=0\n{start}eob\n"]
     for n in range(REQUESTS):
@@ -75,5 +75,5 @@
 
 
 def test_outcome_lookup_calls_no_python_code(calls_per_event: Counter[str]) -> None:
-    """A lookup in a set calls `Enum.__hash__`; a tuple compares the members by identity."""
+    """Outcomes must be looked up in tuples, which compare by identity: sets would call `Enum.__hash__`."""
     assert calls_per_event["enum"] == 0
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""Parsing and formatting of the lines of the simulator's wire."""
+"""Parsing and formatting of the lines of the simulator's line protocol."""
 
 from __future__ import annotations
 
--- a/tests/simulator/wire_lines.py
+++ b/tests/simulator/wire_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire that several tests share."""
+"""Lines of the simulator's line protocol that several tests use."""
 
 from __future__ import annotations
 
--- a/tests/support/busy_event_loop.py
+++ b/tests/support/busy_event_loop.py
@@ -6,5 +6,5 @@
 
 
 def block_event_loop(duration_s: float) -> None:
-    """Block the event loop, which then accepts and reads nothing; the kernel still does."""
+    """Block the event loop; the kernel still establishes connections and receives data meanwhile."""
     time.sleep(duration_s)
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -26,7 +26,7 @@
 
 
 def request_bytes(path: str, number: int, body: bytes = b"") -> bytes:
-    """Return an encoded request; its path is a slash and its class."""
+    """Return an encoded request; the path is a slash and the name of the request class."""
     method = "POST" if body else "GET"
     head = (
         f"{method} {path} HTTP/1.1\r\nX-Class: {path[1:]}\r\nX-Request-Id: {number}\r\nX-Deadline: 4000m\r\n"
@@ -63,7 +63,7 @@
     """Delays connections to upstreams until the test allows them.
 
     Args:
-        monkeypatch: Undoes the change at the end of the test.
+        monkeypatch: Replaces `UpstreamPool.connect` until the end of the test.
         undelayed: The number of connections that are established without delay before the first delayed one.
 
     Attributes:
--- a/tests/support/event_recorder.py
+++ b/tests/support/event_recorder.py
@@ -13,7 +13,7 @@
 
 
 def record_events(harness: ProxyHarness) -> list[Event]:
-    """Return a list to which each event from now on is appended."""
+    """Record all further events, and return the list that they are appended to."""
     events: list[Event] = []
 
     def record_and_handle(event: Event, now: float) -> list[Action]:
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -9,7 +9,7 @@
 from tests.support.sockets import connect_if_listening
 from tests.support.waiting import wait_until
 
-# The numbers from which each request gets a new id.
+# Each request has the next of these numbers as its id.
 _REQUEST_NUMBERS = itertools.count(1)
 
 
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -54,13 +54,13 @@
 
 @dataclass(frozen=True)
 class ProgramWithOpenRequest:
-    """A running program with a request that its upstream has received and not yet responded to.
+    """A running program with a request that the upstream has received and not yet responded to.
 
     Attributes:
         process: The process of the program.
         path: The configuration file.
         port: The port that the program listens on.
-        entries: The endpoint list that it started with, which contains only the upstream.
+        entries: The endpoint list that the program started with, whose only entry is the upstream.
         upstream: The upstream, which responds only in `respond_and_check`.
         client: The client that waits for the response.
     """
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -62,7 +62,7 @@
         self.proxy.start()
 
     async def stop(self) -> None:
-        """Close the listener and the other end of all connections, so that the proxy closes its own."""
+        """Close the listener and the peers of all connections, so that the proxy closes its own end."""
         self.proxy.listener.close()
         for client in self._clients:
             client.writer.transport.abort()
@@ -80,7 +80,7 @@
         return client
 
     def connect_socket(self) -> socket.socket:
-        """Connect a client outside the event loop, so that all its operations take effect at once."""
+        """Connect a blocking socket, whose operations take effect at once and not through the event loop."""
         client_socket = socket.create_connection(self.proxy.listener.address[:2])
         self._sockets.append(client_socket)
         return client_socket
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -11,7 +11,7 @@
 
 
 class DiscoveryServer:
-    """A discovery service that answers each call with the next queued response, once there is one.
+    """A discovery service that answers each call with the next queued response, as soon as one is queued.
 
     Attributes:
         responses: The queued responses, encoded.
@@ -45,7 +45,7 @@
                 call = await read_message(reader)
                 self.calls.put_nowait(call.start_line)
                 reply = asyncio.ensure_future(self.responses.get())
-                # The balancer sends nothing before it has the response: the read ends only at a disconnect.
+                # The balancer sends nothing while it waits for the response: only a disconnect ends the read.
                 disconnect = asyncio.ensure_future(reader.read(1))
                 await asyncio.wait((reply, disconnect), return_when=asyncio.FIRST_COMPLETED)
                 if disconnect.done():
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -1,6 +1,6 @@
-"""A simulated discovery service on an event loop with a simulated clock, which jumps to the next timer.
+"""A simulated discovery service on an event loop with a simulated clock, which advances to the next timer.
 
-Tests simulate minutes of an outage in an instant, and choose the exact time at which it ends.
+Tests can thus simulate minutes of an outage without waiting, and choose the exact time at which it ends.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
     from loadbalancer.actions import Action
 
-# refuses: connects are refused. resets: calls are answered by a reset. unreachable: connects never complete.
+# refuses: connects are refused. resets: calls reset the connection. unreachable: connects never complete.
 # connects late: connects take almost the connect timeout, and calls get no response. silent: calls get no
 # response. error: calls get status 500. truncated: calls get an incomplete response.
 FAULTS = ("refuses", "resets", "unreachable", "connects late", "silent", "error", "truncated")
@@ -35,7 +35,7 @@
 
 
 class _SimulatedClockSelector:
-    """Advances the clock to the next timer instead of waiting."""
+    """Advances a simulated clock to the next timer instead of waiting for it."""
 
     def __init__(self, inner: selectors.BaseSelector) -> None:
         self._inner = inner
@@ -53,7 +53,7 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop with a simulated clock, which connects to the simulated discovery at a port."""
+    """An event loop with a simulated clock, which connects to the simulated discovery service of a port."""
 
     def __init__(self) -> None:
         self._selector_with_clock = _SimulatedClockSelector(selectors.DefaultSelector())
@@ -68,12 +68,12 @@
 
 
 class SimulatedConnection(asyncio.Transport):
-    """The balancer's end of a connection to a simulated discovery.
+    """The balancer's end of a connection to a simulated discovery service.
 
     Attributes:
-        is_unresponsive: Whether the balancer receives nothing more on it.
-        watched_version: The list version in the watch call that waits on it; None if no call waits.
-        calls: The number of calls on it.
+        is_unresponsive: Whether the balancer receives no more data on the connection.
+        watched_version: The list version stated by the pending watch call; None if none is pending.
+        calls: The number of calls on the connection.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, protocol: asyncio.Protocol) -> None:
@@ -97,7 +97,7 @@
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
     def become_unresponsive(self) -> None:
-        """Make the connection unresponsive: the balancer receives nothing more on it."""
+        """Make the connection unresponsive: the balancer receives no more data on it."""
         self.is_unresponsive = True
 
     def receive(self, data: bytes) -> None:
@@ -115,12 +115,12 @@
 
     Attributes:
         fault: The current fault, one of `FAULTS`; empty if there is none.
-        version: The version of its endpoint list.
+        version: The version of the endpoint list.
         connections: The open connections.
-        attempts: The times of connects under a fault of `CONNECT_FAULTS`, and of received calls, in seconds.
+        attempts: The times of connects during a fault of `CONNECT_FAULTS` and of received calls, in seconds.
         calls: The request lines of the calls.
-        watches: The start and the wait time of each watch, in seconds.
-        on_attempt: Called after each of these connects and each call.
+        watches: The start and the maximum wait of each watch call, in seconds.
+        on_attempt: Called for each connect during a fault of `CONNECT_FAULTS`, and for each call.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -147,7 +147,7 @@
         if fault == "unreachable":
             await self.loop.create_future()  # never established
         if fault == "connects late":
-            # The connection is unresponsive too: its calls get no response.
+            # The connection will be unresponsive: its calls get no response.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -157,7 +157,7 @@
         return connection, protocol
 
     def on_call(self, connection: SimulatedConnection, call: str) -> None:
-        """Handle the call with a request line."""
+        """Handle a call, given by its request line."""
         if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
         self.calls.append(call)
@@ -211,7 +211,7 @@
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
     def drain_upstream(self) -> None:
-        """Set an upstream to draining, and send the change to each waiting watch."""
+        """Set the upstream to draining, and send the change in response to each pending watch call."""
         self.version += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
@@ -226,11 +226,11 @@
         discovery: The discovery service to watch.
         seed: The seed of the balancer.
         poll_deadline_ms: The setting `askWithin`.
-        discovery_mode: The setting `discovery`: "ask" or "push".
+        discovery_mode: The setting `discovery`: "ask" if the balancer polls, or "push".
 
     Attributes:
         proxy: The proxy.
-        drain_learned_at: Completed with the time, in seconds on the clock of the event loop.
+        drain_learned_at: A future for the time at which the policy learns of it, on the loop's clock.
     """
 
     def __init__(
@@ -265,7 +265,7 @@
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def wait_for_drain(self) -> float:
-        """Wait until the policy learns of the draining upstream, close the listener, and return the time."""
+        """Wait until the policy learns of the draining upstream, close the listener, and return that time."""
         learned_at: float = await asyncio.wait_for(self.drain_learned_at, 120)
         self.stop()
         return learned_at
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -16,14 +16,14 @@
 
 
 def free_port() -> int:
-    """Return a port of 127.0.0.1 that is free now, for a program whose configuration has a port."""
+    """Return a port that is currently free on 127.0.0.1, for configurations that must name a port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 def connect_if_listening(port: int) -> socket.socket | None:
-    """Return a non-blocking connection to a port, or None if it is refused."""
+    """Return a non-blocking socket connected to a port, or None if the connection is refused."""
     try:
         client = socket.create_connection(("127.0.0.1", port))
     except ConnectionRefusedError:
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -23,7 +23,7 @@
 
 
 def endpoint_list(*entries: dict[str, Any], is_complete: bool = False) -> EndpointList:
-    """Return an endpoint list as read from discovery: the complete list, or changes to it."""
+    """Return an endpoint list as read from discovery: the complete list, or only changed entries."""
     return read_endpoint_list({"index": 1, "snapshot": is_complete, "endpoints": list(entries)})
 
 
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -75,7 +75,7 @@
 def definitions_over_limit(
     modules: list[Module], node_types: tuple[type[ast.ClassDef | FunctionNode], ...], limit: int
 ) -> Iterator[str]:
-    """Yield a line for each definition over the limit, counted from its `class` or `def` to its end."""
+    """Yield a message for each definition with more lines than the limit; decorators do not count."""
     for module in modules:
         for node in ast.walk(module.tree):
             if isinstance(node, node_types):
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -42,7 +42,7 @@
 
 
 def repository_files() -> Iterator[Path]:
-    """Yield the files of the repository, without those that tools create."""
+    """Yield the files of the repository, except for those that tools create."""
     for folder, folders, names in os.walk(ROOT):
         folders[:] = [
             name
@@ -71,13 +71,13 @@
 
 
 def link_target_exists(page: Path, target: str, anchor: str) -> bool:
-    """Whether the target of a link exists, and contains the heading of the link's anchor if there is one."""
+    """Return whether the target of a link exists, with the heading that the anchor refers to, if any."""
     path = page.parent / target if target else page
     return path.exists() and (not anchor or anchor in heading_anchors(path))
 
 
 def heading_anchors(page: Path) -> set[str]:
-    """Return the anchors of a page's headings, derived from their text as code hosts do."""
+    """Return the anchors that code hosting sites derive from the text of a page's headings."""
     headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
     return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -46,7 +46,7 @@
 
 
 class RecordedEvents:
-    """Records the events of all balancers by tier; a script can replace the policy of the front balancer."""
+    """Records the events of all balancers by tier; the front balancer can have a scripted policy."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, front_policy: ScriptedPolicy | None = None) -> None:
         self.events: list[tuple[int, float, Event]] = []
@@ -146,7 +146,7 @@
 
 
 def cancel_at(time_ms: float) -> ScriptedPolicy:
-    """Return a script that starts an attempt at once and cancels it at a given time."""
+    """Return a policy that starts an attempt at once and cancels it at a given time."""
 
     def scripted_policy(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -165,7 +165,7 @@
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     run_to_end(chain)
-    # Each server notices the closed connection one hop later, and its balancer then cancels its own attempt.
+    # Each server sees the closed connection one hop later, and its balancer then cancels its own attempt.
     assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (100.0, Outcome.CANCELLED)
     ]
--- a/tests/testbed/conftest.py
+++ b/tests/testbed/conftest.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 async def discovery() -> AsyncIterator[Discovery]:
-    """A simulated discovery with an empty list, stopped after the test."""
+    """A discovery service with an empty endpoint list, stopped after the test."""
     service = Discovery()
     yield service
     await service.stop()
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 async def upstreams() -> AsyncIterator[UpstreamGroup]:
-    """A group to which the test adds upstreams, closed after the test."""
+    """An empty group of upstreams, closed after the test."""
     group = UpstreamGroup(seed=1)
     yield group
     group.close()
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -67,7 +67,7 @@
         assert await watcher.request_list(f"?after={first}&wait_ms=60000") == (second, False, both)
         assert (await watcher.request_list())[2]["s0"]["status"] == "terminating"
         third = discovery.apply_changes([removed])
-        # A removed entry is sent in deltas only; of two changes of one entry, only the later is sent.
+        # A removed entry is sent only in deltas; of two changes to one entry, only the later is sent.
         assert await watcher.request_list(f"?after={second}&wait_ms=60000") == (
             third,
             False,
@@ -79,7 +79,7 @@
             {"s0": removed, "s1": weighted},
         )
         assert await watcher.request_list() == (third, True, {"s1": weighted, "s2": three_entries()[2]})
-        # Versions that were never issued, or are no longer remembered, get a snapshot.
+        # A watch from a version that was never issued or is no longer remembered gets a snapshot.
         assert (await watcher.request_list(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
         fourth = discovery.replace_entries(three_entries())
         assert (await watcher.request_list(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
--- a/tests/testbed/load/test_kernel_timer.py
+++ b/tests/testbed/load/test_kernel_timer.py
@@ -1,4 +1,4 @@
-"""The kernel timer that the load sleeps on."""
+"""The kernel timer on which the load sleeps until its next request."""
 
 import time
 
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -31,9 +31,8 @@
         await all_received.wait()
         return 200
 
-    upstream.forward = (
-        respond_after_last_request  # no response is sent before the last request has been received
-    )
+    # No response is sent before the last request has been received.
+    upstream.forward = respond_after_last_request
     stream = Stream("calls", [Client(upstream.address)], 4_000.0, "read", 8_000.0)
     report = (await run_streams([stream], 0.01, seed=7))["calls"]
     assert report.sent == report.opened_connections == request_count
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -1,4 +1,4 @@
-"""The runs on the control plane, with an unchanging list and with a changing one."""
+"""The control-plane runs: one with a constant endpoint list, one with a changing endpoint list."""
 
 import logging
 from dataclasses import astuple
@@ -15,7 +15,7 @@
 from testbed.runs.control.delays import DelayQuantiles, VersionObservation, delay_quantiles, delays_ms
 from testbed.settings import balancer_settings
 
-# Not the shared logger, whose output is closed by the tests of the command line.
+# The shared logger cannot be used: the command-line tests close its output.
 DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -24,7 +24,7 @@
 
 
 def run_depth(**overrides: Any) -> RunResult[Any]:
-    with capture_logs():  # the tests of the command line close the output of the shared logger
+    with capture_logs():  # the command-line tests close the output of the shared logger
         return depth_run.measure(make_plan(**overrides), structlog.get_logger())
 
 
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -18,7 +18,7 @@
 from testbed.runs.list_size.rows import BenchmarkIdentity, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
-# Not the shared logger, whose output is closed by the tests of the command line.
+# The shared logger cannot be used: the command-line tests close its output.
 DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
@@ -119,7 +119,7 @@
         result = runner.result()
         return [row.columns() for row in result.rows], result.invalid_reasons
 
-    # A slow reference before or after a round excludes the round; rounds end once enough were quick.
+    # A slow reference before or after a round excludes the round; measurement ends after enough quick rounds.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -10,9 +10,8 @@
 from testbed.runs import added_time
 from testbed.runs.real_depth import run as real_depth
 
-LOG = structlog.wrap_logger(
-    structlog.testing.CapturingLogger(), processors=[]
-)  # not affected by how other tests configure logging
+# Independent of how other tests configure logging.
+LOG = structlog.wrap_logger(structlog.testing.CapturingLogger(), processors=[])
 
 
 def test_added_time_measures_both_paths_and_reports_late_load() -> None:
@@ -21,7 +20,7 @@
         about="A trial.",
         seed=5,
         sizes=(3,),
-        per_s=50.0,  # so few that requests hardly overlap: on a slow machine, the balancer sheds some that do
+        per_s=50.0,  # requests hardly overlap: a balancer on a slow machine sheds some that do
         class_name="look-up",
         deadline_ms=2_000.0,
         service_ms=0.0,
--- a/tests/testbed/support/loads.py
+++ b/tests/testbed/support/loads.py
@@ -1,4 +1,4 @@
-"""A simulated clock and a function that sends requests, for the tests of the load and of upstreams."""
+"""A simulated clock, and a function that sends one request, for the tests of the load and the upstreams."""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -47,5 +47,5 @@
     assert {zones.count(zone) for zone in zones} == {10}
     assert len({zone.partition("-")[0] for zone in zones}) == 8
     assert len({e["name"] for e in entries}) == len({e["address"] for e in entries}) == 290
-    # As the WIRE page requires, no group number is used in two zones.
+    # The WIRE page requires that no group number is used in two zones.
     assert len({(e["zone"], e["group"]) for e in entries}) == len({e["group"] for e in entries})
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -1,4 +1,7 @@
-"""Stored results have the columns of the current rows and can be shown, so that they can be compared."""
+"""Stored results can be shown and have the columns of the current row types.
+
+New results can therefore be compared with them.
+"""
 
 import json
 from collections.abc import Iterator
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -50,7 +50,7 @@
     assert await send_request(client, timeout_ms) == status
     health_check = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
     assert (await client.send(health_check, timeout_ms / 1000)).status == health_status
-    # A request that fails on a reused connection is sent again; one that is reset on a new connection is not.
+    # The client resends a request that failed on a reused connection, but not one reset on a new connection.
     expected_counts = {
         "requests": 1,
         "health_checks": 1,
