--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -47,7 +47,7 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = self._inner.select(0)
         if not ready:
-            assert timeout is not None, "the event loop waits, but no timer is set"
+            assert timeout is not None, "the event loop would wait forever: no timer is set"
             self.now_s += max(timeout, 0.0)
         return ready
 
--- a/tests/support/test_waiting.py
+++ b/tests/support/test_waiting.py
@@ -17,20 +17,22 @@
 
 async def test_first_true_result_is_returned() -> None:
     results = iter([0, None, 7, 8])
-    assert await wait_until(lambda: next(results), "a number comes") == 7
+    assert await wait_until(lambda: next(results), "a number is returned") == 7
 
 
 async def test_true_condition_returns_without_waiting() -> None:
     loop = asyncio.get_running_loop()
     iterations = list[str]()
     loop.call_soon(iterations.append, "an iteration")
-    await wait_until(lambda: True, "nothing is missing", timeout_s=0.0)
-    assert not iterations, "the event loop has not run meanwhile"
+    await wait_until(lambda: True, "the condition is true", timeout_s=0.0)
+    assert not iterations, "the event loop ran before the result was returned"
 
 
 async def test_failure_contains_description_and_state() -> None:
-    with pytest.raises(pytest.fail.Exception, match=r"waited 0\.01 s until a client comes; state: \['s0'\]"):
-        await wait_until(lambda: False, "a client comes", state=lambda: ["s0"], timeout_s=0.01)
+    with pytest.raises(
+        pytest.fail.Exception, match=r"waited 0\.01 s until a client connects; state: \['s0'\]"
+    ):
+        await wait_until(lambda: False, "a client connects", state=lambda: ["s0"], timeout_s=0.01)
 
 
 async def test_hanging_test_fails_at_time_limit() -> None:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -154,5 +154,5 @@
     page = (ROOT / "docs" / "ONCALL.md").read_text(encoding="utf-8")
     texts = [text for path in (ROOT / "loadbalancer").rglob("*.py") for text in message_texts(path)]
     long_texts = {text for text in texts if len(text) >= MIN_TEXT_LENGTH}
-    assert long_texts, "no message found: LOGGING_FUNCTIONS must name the functions that write lines"
+    assert long_texts, "no message found: LOGGING_FUNCTIONS must name the functions that write log lines"
     assert {text for text in long_texts if text not in page} == set()
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -65,5 +65,5 @@
 
     command = f"trap '' TERM; echo up; exec {sys.executable} -c 'import time; time.sleep(60)'"
     balancer = await RealBalancer.start(configuration_listening_on("127.81.0.3"), command)
-    await wait_until(lambda: "up" in balancer.log(), "the process has set up its trap")
+    await wait_until(lambda: "up" in balancer.log(), "the process ignores SIGTERM")
     assert await balancer.stop(kill_after_s=0.0) == -9
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -13,7 +13,7 @@
 def make_plan(**overrides: Any) -> depth_run.Plan:
     defaults: dict[str, Any] = {
         "run": "depth",
-        "about": "Small ones.",
+        "about": "Short chains.",
         "seed": 1,
         "sizes": (1, 2),
         "warm_s": 1,
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -17,7 +17,7 @@
 def test_added_time_measures_both_paths_and_reports_late_load() -> None:
     plan = added_time.Plan(
         run="added_time",
-        about="A trial.",
+        about="A short run.",
         seed=5,
         sizes=(3,),
         per_s=50.0,  # requests hardly overlap: a balancer on a slow machine sheds some that do
@@ -46,7 +46,7 @@
 def test_real_depth_measures_each_fault_at_last_tier() -> None:
     plan = real_depth.Plan(
         run="real_depth",
-        about="A trial.",
+        about="A short run.",
         seed=5,
         sizes=(2,),
         faults_at=(2,),
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -27,17 +27,17 @@
     )
     paths = [tmp_path / "one.toml", tmp_path / "other.toml"]
     for path in paths:
-        path.write_text('run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n')
+        path.write_text('run = "none"\nabout = "An empty run."\nseed = 1\nsizes = [1, 2]\n')
     command = ["run", *map(str, paths), "--out", str(tmp_path / "results")]
     for is_valid, exit_code in ((True, 0), (False, 3)):
         if not is_valid:
-            reasons.append("the load was late")
+            reasons.append("requests were sent late")
         assert CliRunner().invoke(app, command).exit_code == exit_code
         for path in paths:
             stored = json.loads((tmp_path / "results" / f"{path.stem}.json").read_text())
             assert (stored["experiment"], stored["valid"]) == (path.stem, is_valid)
             assert stored["doubts"] == reasons
-            assert stored["plan"]["about"] == "Nothing."
+            assert stored["plan"]["about"] == "An empty run."
 
 
 def test_errors_are_reported_in_one_line(tmp_path: Path) -> None:
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -9,7 +9,7 @@
 from testbed.results import RunResult
 from testbed.runs import RUN_KINDS
 
-VALID_PLAN = 'run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n'
+VALID_PLAN = 'run = "none"\nabout = "An empty run."\nseed = 1\nsizes = [1, 2]\n'
 RUN_KINDS_FOR_TESTS = {"none": RunKind(Plan, lambda plan, log: RunResult())}
 
 
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -64,7 +64,7 @@
 def test_invalid_result_has_no_rows_or_fits(tmp_path: Path) -> None:
     result = RunResult(points((1, 2.0), (2, 4.0)))
     result.fits.append(fit_columns(result.rows, "ms", "n"))
-    write_result(tmp_path / "good.json", "good", {"about": "A line."}, result)
+    write_result(tmp_path / "good.json", "good", {"about": "Points on a line."}, result)
     good = json.loads((tmp_path / "good.json").read_text())
     assert good["valid"]
     assert good["rows"] == [{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}]
@@ -72,10 +72,10 @@
     assert {"program", "python", "numpy"} <= good["versions"].keys()
     assert good["machine"]["cores"] > 0
     assert "2 (+- 0) x n" in format_result(good)
-    result.invalid_reasons.append("the load was late")
-    write_result(tmp_path / "late.json", "late", {"about": "A line."}, result)
+    result.invalid_reasons.append("requests were sent late")
+    write_result(tmp_path / "late.json", "late", {"about": "Points on a line."}, result)
     late = json.loads((tmp_path / "late.json").read_text())
     assert not late["valid"]
     assert late["rows"] == []
     assert late["fits"] == []
-    assert "no figures: the load was late" in format_result(late)
+    assert "no figures: requests were sent late" in format_result(late)
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -123,7 +123,7 @@
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
     task = asyncio.ensure_future(send_request(Client(top.address)))
-    await wait_until(lambda: bottom.counts.hung, "the last tier holds the request")
+    await wait_until(lambda: bottom.counts.hung, "the last tier has received the request")
     task.cancel()
     await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
