--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -13,7 +13,7 @@
 from tests.simulator.wire_lines import SHARED_LIST, instance_start_line
 
 
-def first_batch(instance: int = 1) -> str:
+def instance_start_batch(instance: int = 1) -> str:
     """Return a batch that starts one instance and sends its endpoint list."""
     endpoint_list = f"{SHARED_LIST}membership who={instance} generation=1 mode=0 list=3\n"
     return f"sync time=100.0 batch=1\n{instance_start_line(instance)}{endpoint_list}eob\n"
@@ -28,7 +28,8 @@
 
 def test_each_batch_is_answered() -> None:
     status, output, _ = run_host(
-        first_batch() + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
+        instance_start_batch()
+        + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     )
     assert status == 0
     lines = output.split("\n")
@@ -38,7 +39,7 @@
 
 
 def test_unknown_input_is_ignored_with_one_warning() -> None:
-    text = first_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
+    text = instance_start_batch().replace("tick=5.0", "tick=5.0 moon.phase=3")
     text += "sync time=110.0 batch=2\nfrobnicate who=1\nfrobnicate who=1\neob\n"
     status, output, errors = run_host(text)
     assert status == 0
@@ -70,7 +71,7 @@
     ],
 )
 def test_invalid_line_is_reported_in_one_message(line: str, reason: str) -> None:
-    status, _, errors = run_host(first_batch() + f"sync time=110.0 batch=2\n{line}\neob\n")
+    status, _, errors = run_host(instance_start_batch() + f"sync time=110.0 batch=2\n{line}\neob\n")
     assert status == 1
     assert reason in errors
     assert "batch 2" in errors
@@ -78,14 +79,14 @@
 
 
 def test_input_that_ends_inside_batch_is_rejected() -> None:
-    assert run_host(first_batch())[0] == 0
-    status, _, errors = run_host(first_batch() + "sync time=110.0 batch=2\n")
+    assert run_host(instance_start_batch())[0] == 0
+    status, _, errors = run_host(instance_start_batch() + "sync time=110.0 batch=2\n")
     assert status == 1
     assert "inside a batch" in errors
 
 
 def test_policy_error_affects_only_its_instance() -> None:
-    text = "sync time=90.0 batch=0\n" + instance_start_line(2) + "eob\n" + first_batch(1)
+    text = "sync time=90.0 batch=0\n" + instance_start_line(2) + "eob\n" + instance_start_batch(1)
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
     status, output, errors = run_host(text)
@@ -96,7 +97,7 @@
 
 
 def test_unknown_outcome_prevents_non_idempotent_retry() -> None:
-    not_idempotent = first_batch().replace("retryable", "fragile")
+    not_idempotent = instance_start_batch().replace("retryable", "fragile")
     text = not_idempotent + "sync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
     text += "sync time=110.0 batch=3\nverdict who=1 corr=9 shot=0 upstream=u1 verdict=42 timeTaken=5.0\neob\n"
     status, output, errors = run_host(text)
@@ -112,7 +113,7 @@
         "limits.connIdle=30000.0 limits.streamsPerConn=1 familyInfo.passesDeadline=true prices.waste=0.02 "
         "worthBy=work weights=nominal myNumber=0 contract.drainGrace=2000.0 contract.graceToAnswer=8.0"
     )
-    status, _, errors = run_host(first_batch().replace("tick=5.0", f"tick=5.0 {settings}"))
+    status, _, errors = run_host(instance_start_batch().replace("tick=5.0", f"tick=5.0 {settings}"))
     assert status == 0
     assert errors == ""
 
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -79,7 +79,7 @@
     await wait_until(lambda: first_version in applied_versions, "the balancer has applied the list")
 
 
-async def test_process_reports_application_times(discovery: Discovery) -> None:
+async def test_process_reports_list_versions_and_times(discovery: Discovery) -> None:
     first_version = discovery.replace_entries(three_entries())
     texts = {
         i: configuration_text(
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -57,7 +57,7 @@
     )
 
 
-async def test_application_ends_with_last_change(discovery: Discovery) -> None:
+async def test_apply_changes_over_time_ends_with_last_change(discovery: Discovery) -> None:
     first_version = discovery.replace_entries(endpoint_entries(10))
     max_lateness_s = await apply_changes_over_time(
         discovery, rolling_restart(endpoint_entries(10), 5, 1, lambda: 9.0), [0.0] * 9
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -191,7 +191,7 @@
             assert read_list(await read_message(second_watcher.reader))[0] == version
 
 
-async def test_agent_down_and_delayed(discovery: Discovery) -> None:
+async def test_down_agent_and_delayed_responses(discovery: Discovery) -> None:
     version = discovery.replace_entries(three_entries())
     up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
     discovery.set_state(AgentState(), group="r1")
@@ -215,7 +215,7 @@
         await asyncio.open_connection(*up)
 
 
-async def test_agent_down_before_first_connection(discovery: Discovery) -> None:
+async def test_down_agent_refuses_first_connection(discovery: Discovery) -> None:
     address = discovery.agent_address(0)
     discovery.set_state(AgentState(AgentMode.DOWN), agent=0)
     with pytest.raises(ConnectionError):
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -47,7 +47,7 @@
     )
 
 
-async def test_late_load_adds_latency_and_is_invalid() -> None:
+async def test_late_load_counts_as_latency_and_is_invalid() -> None:
     async def report_with_stall(stall: float) -> StreamReport:
         clock = SteppingClock(stall=stall)
         upstreams = UpstreamGroup(seed=1)
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -20,7 +20,7 @@
     assert f"{path.stem:24} {plan.about}" in result.output.splitlines()
 
 
-def test_run_writes_a_result_for_each_experiment(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_run_writes_one_result_per_experiment(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     reasons: list[str] = []
     monkeypatch.setitem(
         RUN_KINDS, "none", RunKind(Plan, lambda plan, log: RunResult(invalid_reasons=reasons))
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -50,13 +50,13 @@
     return list(row) == [name for name in names if name in row]
 
 
-def test_every_run_kind_has_a_stored_result() -> None:
+def test_stored_results_cover_every_run_kind() -> None:
     stored_run_kinds = {json.loads(path.read_text(encoding="utf-8"))["plan"]["run"] for path in RESULT_PATHS}
     assert stored_run_kinds == RUN_KINDS.keys() == ROW_TYPES.keys()
 
 
 @pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
-def test_stored_columns_match_the_row_types(path: Path) -> None:
+def test_stored_columns_match_row_types(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))
     column_names_by_type = [list(column_names(row_type)) for row_type in ROW_TYPES[stored["plan"]["run"]]]
     for row in stored["rows"]:
--- a/tests/testbed/test_virtual_clock.py
+++ b/tests/testbed/test_virtual_clock.py
@@ -5,7 +5,7 @@
 from testbed.virtual_clock import VirtualClock
 
 
-def test_callbacks_run_by_time_then_by_scheduling_order() -> None:
+def test_callbacks_run_in_time_and_scheduling_order() -> None:
     clock = VirtualClock()
     ran: list[tuple[float, str]] = []
 
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -78,7 +78,7 @@
     writer.close()
 
 
-async def test_seed_selects_failing_fraction() -> None:
+async def test_seed_determines_failing_requests() -> None:
     async def statuses_with_seed(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, first_octet=82)
