--- a/tests/import_contracts.py
+++ b/tests/import_contracts.py
@@ -1,4 +1,4 @@
-"""Contract types for import-linter, for import rules that its built-in types can't express.
+"""Contract types of import-linter for import rules that its built-in types cannot express.
 
 The contracts are defined in `pyproject.toml` and checked by `lint-imports`.
 """
@@ -45,7 +45,7 @@
     """Forbids import cycles between modules, within a package and across packages.
 
     The built-in contract type `acyclic_siblings` looks for cycles of packages: it also forbids imports in
-    both directions between two packages if the modules form no cycle.
+    both directions between two packages whose modules form no cycle.
 
     Options:
         packages: The names of the packages whose modules are checked.
--- a/tests/simulator/test_calls_per_event.py
+++ b/tests/simulator/test_calls_per_event.py
@@ -1,4 +1,4 @@
-"""The cost of an event on the simulator's wire, in Python calls: unlike times, their number is repeatable."""
+"""The cost of an event on the simulator's wire, counted in Python calls, since times are not repeatable."""
 
 from __future__ import annotations
 
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -9,7 +9,7 @@
 from tests.support.sockets import connect_if_listening
 from tests.support.waiting import wait_until
 
-# Each request has the next of these numbers as its id.
+# The source of request ids: each request takes the next number.
 _REQUEST_NUMBERS = itertools.count(1)
 
 
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -8,7 +8,7 @@
 from tests.support.http_messages import ReceivedMessage, read_message, response
 from tests.support.sockets import socket_address
 
-# Handles a request, with or without a response.
+# Handles a request, and can leave it without a response.
 Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
 
 
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -230,7 +230,7 @@
 
     Attributes:
         proxy: The proxy.
-        drain_learned_at: A future for the time at which the policy learns of it, on the loop's clock.
+        drain_learned_at: A future for the time at which the policy learns of the drain, on the loop's clock.
     """
 
     def __init__(
@@ -265,7 +265,7 @@
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def wait_for_drain(self) -> float:
-        """Wait until the policy learns of the draining upstream, close the listener, and return that time."""
+        """Return the time at which the policy learns of the drain, after closing the listener."""
         learned_at: float = await asyncio.wait_for(self.drain_learned_at, 120)
         self.stop()
         return learned_at
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -60,7 +60,7 @@
 
 @asynccontextmanager
 async def full_backlog() -> AsyncIterator[str]:
-    """Yield the address of a listener with a full backlog, which establishes no further connection."""
+    """Yield the address of a listener whose backlog is full, so that no further connect completes."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for a condition, with a time limit and a message that says what did not happen."""
+"""Waits for a condition, with a time limit and a failure message that describes the condition."""
 
 from __future__ import annotations
 
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -26,7 +26,7 @@
     """One parsed module."""
 
     location: str
-    """Its path relative to the root of the repository."""
+    """The path relative to the root of the repository."""
 
     source: str
     tree: ast.Module
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def graph() -> grimp.ImportGraph:
-    """A package `app` with two subpackages that import from each other, without an import cycle."""
+    """A package `app` whose subpackages import from each other, while its modules form no cycle."""
     graph = grimp.ImportGraph()
     for module in ("app", "app.a", "app.a.top", "app.a.bottom", "app.b", "app.b.middle"):
         graph.add_module(module)
--- a/tests/testbed/balancer/test_hollow.py
+++ b/tests/testbed/balancer/test_hollow.py
@@ -53,7 +53,7 @@
         assert len(hollow.proxy.balancer.ready_endpoints) == 19
         assert len(hollow.proxy.upstream_pools.endpoint_names) == 20
         assert draining["name"] not in hollow.proxy.balancer.ready_endpoints
-        with pytest.raises(ConnectionError):  # no clients
+        with pytest.raises(ConnectionError):  # hollow balancers accept no clients
             await asyncio.open_connection(*hollow.proxy.listener.address)
 
 
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -188,7 +188,7 @@
     run_to_end(chain)
     assert [now for now, _ in recorded.events_of(1, ClientDisconnected)] == [100.0 + HOP_MS]
     assert recorded.events_of(2, ClientDisconnected) == []
-    # The next tier timed out and responded 500 after this request had ended.
+    # The next tier timed out and responded 500 after the request of this tier had ended.
     [(_, finished)] = recorded.events_of(1, AttemptFinished)
     assert finished.outcome is Outcome.ERROR
     assert finished.is_request_complete
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -182,7 +182,7 @@
         version = discovery.apply_changes([three_entries()[0] | {"weight": 2.0}])
         assert read_list(await read_message(first_watcher.reader))[0] == version
         assert discovery.agents[1].written_version == -1
-        async with WatchClient(unresponsive) as third_watcher:  # it still accepts connections
+        async with WatchClient(unresponsive) as third_watcher:  # unresponsive agents accept connections
             third_watcher.send()
             await wait_until(lambda: discovery.counts().requests == 3, "the third request has been received")
             assert discovery.agents[1].written_version == -1
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -20,7 +20,7 @@
         about="A short run.",
         seed=5,
         sizes=(3,),
-        per_s=50.0,  # requests hardly overlap: a balancer on a slow machine sheds some that do
+        per_s=50.0,  # requests rarely overlap: on a slow machine, overlapping requests would be shed
         class_name="look-up",
         deadline_ms=2_000.0,
         service_ms=0.0,
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -111,7 +111,7 @@
     assert len({request.request_id for request in received}) == 3
     assert {(request.class_name, request.key) for request in received} == {("read", "k1")}
     await chain[2].set_behaviour(Behaviour(UpstreamMode.REJECT))
-    assert await send_request(client) == 500  # an upstream fails if the next tier does
+    assert await send_request(client) == 500  # an upstream fails if the next tier fails
     assert [upstream.counts.failed for upstream in chain] == [1, 1, 0]
     assert await send_request(client, 50.0) == 500  # no time remains for a request to the next tier
     assert [upstream.counts.requests for upstream in chain] == [3, 2, 2]
