--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -15,7 +15,7 @@
 
 def test_usage_sums_processor_time_memory_and_descriptors() -> None:
     busy_loop = "while time.process_time() < 0.15: pass"
-    open_files = "kept = [open('/dev/null') for _ in range(20)]"
+    open_files = "files = [open('/dev/null') for _ in range(20)]"
     code = "\n".join(("import sys, time", open_files, busy_loop, "print(1, flush=True)", "sys.stdin.read()"))
     child = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert child.stdout is not None
