--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -10,7 +10,7 @@
 """Upper bound of the reported ages."""
 
 MS_PER_S = 1000
-_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv, in milliseconds before now
+_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv: elapsed milliseconds
 
 
 class QueueAges(NamedTuple):
@@ -25,7 +25,7 @@
     request_age_s: float
 
 
-def queue_ages(accepted: socket.socket) -> QueueAges:
+def measure_queue_ages(accepted: socket.socket) -> QueueAges:
     """Return how long a newly accepted connection and its first bytes waited, as reported by the kernel.
 
     Both ages are 0 where the kernel does not report them.
