--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -29,11 +29,11 @@
         path: The configuration file.
         descriptor_limit: The limit on open file descriptors of the process; None for the default limit.
     """
-    limit = "" if descriptor_limit is None else f"ulimit -n {descriptor_limit} && "
+    ulimit_command = "" if descriptor_limit is None else f"ulimit -n {descriptor_limit} && "
     process = await asyncio.create_subprocess_exec(
         "sh",
         "-c",
-        f'{limit}exec "$0" -m loadbalancer',
+        f'{ulimit_command}exec "$0" -m loadbalancer',
         sys.executable,
         env=os.environ | {"LB_CONFIG": str(path)},
         stderr=asyncio.subprocess.PIPE,
@@ -54,13 +54,13 @@
 
 @dataclass(frozen=True)
 class ProgramWithOpenRequest:
-    """A running program with a request that its upstream has received and not yet responded to.
+    """A running program with a request that the upstream has received and not yet responded to.
 
     Attributes:
         process: The process of the program.
         path: The configuration file.
         port: The port that the program listens on.
-        entries: The endpoint list that it started with, which contains only the upstream.
+        entries: The endpoint list that the program started with, whose only entry is the upstream.
         upstream: The upstream, which responds only in `respond_and_check`.
         client: The client that waits for the response.
     """
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -1,6 +1,6 @@
-"""A simulated discovery service on an event loop with a simulated clock, which jumps to the next timer.
+"""A simulated discovery service on an event loop with a simulated clock, which advances to the next timer.
 
-Tests simulate minutes of an outage in an instant, and choose the exact time at which it ends.
+Tests can thus simulate minutes of an outage without waiting, and choose the exact time at which it ends.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
     from loadbalancer.actions import Action
 
-# refuses: connects are refused. resets: requests are answered by a reset. unreachable: connects never
-# complete. connects late: connects take almost the connect timeout, and requests get no response. silent:
-# requests get no response. error: requests get status 500. truncated: requests get an incomplete response.
+# refuses: connects are refused. resets: requests reset the connection. unreachable: connects never complete.
+# connects late: connects take almost the connect timeout, and requests get no response. silent: requests get
+# no response. error: requests get status 500. truncated: requests get an incomplete response.
 FAULTS = ("refuses", "resets", "unreachable", "connects late", "silent", "error", "truncated")
 # The faults that affect new connections.
 CONNECT_FAULTS = ("refuses", "unreachable", "connects late")
 # The initial version of the endpoint list.
-INITIAL_INDEX = 8
+INITIAL_VERSION = 8
 T = TypeVar("T")
 
 
-class _JumpingSelector:
-    """Advances the clock to the next timer instead of waiting."""
+class _SimulatedClockSelector:
+    """Advances a simulated clock to the next timer instead of waiting for it."""
 
     def __init__(self, inner: selectors.BaseSelector) -> None:
         self._inner = inner
@@ -47,33 +47,33 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = self._inner.select(0)
         if not ready:
-            assert timeout is not None, "the event loop waits, but no timer is set"
+            assert timeout is not None, "the event loop would wait forever: no timer is set"
             self.now_s += max(timeout, 0.0)
         return ready
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop with a simulated clock, which connects to the simulated discovery at a port."""
+    """An event loop with a simulated clock, which connects to the simulated discovery service of a port."""
 
     def __init__(self) -> None:
-        self._jumping_selector = _JumpingSelector(selectors.DefaultSelector())
+        self._selector_with_clock = _SimulatedClockSelector(selectors.DefaultSelector())
         self.discoveries: dict[int, SimulatedDiscovery] = {}
-        super().__init__(cast("selectors.BaseSelector", self._jumping_selector))
+        super().__init__(cast("selectors.BaseSelector", self._selector_with_clock))
 
     def time(self) -> float:
-        return self._jumping_selector.now_s
+        return self._selector_with_clock.now_s
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # type: ignore[override]
         return await self.discoveries[port].connect(factory)
 
 
 class SimulatedConnection(asyncio.Transport):
-    """The balancer's end of a connection to a simulated discovery.
+    """The balancer's end of a connection to a simulated discovery service.
 
     Attributes:
-        is_unresponsive: Whether the balancer receives nothing more on it.
-        after: The list version in the watch request that waits on it; None if none waits.
-        request_count: The number of requests on it.
+        is_unresponsive: Whether the balancer receives no more data on the connection.
+        watched_version: The list version stated by the pending watch request; None if none is pending.
+        request_count: The number of requests on the connection.
     """
 
     def __init__(self, discovery: SimulatedDiscovery, protocol: asyncio.Protocol) -> None:
@@ -82,7 +82,7 @@
         self._protocol = protocol
         self._is_open = True
         self.is_unresponsive = False
-        self.after: int | None = None
+        self.watched_version: int | None = None
         self.request_count = 0
 
     def write(self, data: Any) -> None:
@@ -92,17 +92,17 @@
     def abort(self) -> None:
         if self._is_open:
             self._is_open = False
-            self.after = None
+            self.watched_version = None
             self._discovery.connections.discard(self)
             asyncio.get_running_loop().call_soon(self._protocol.connection_lost, None)
 
     def become_unresponsive(self) -> None:
-        """Make the connection unresponsive: the balancer receives nothing more on it."""
+        """Make the connection unresponsive: the balancer receives no more data on it."""
         self.is_unresponsive = True
 
     def receive(self, data: bytes) -> None:
         """Let the balancer read a response, or a part of one, in the next iteration of the event loop."""
-        self.after = None
+        self.watched_version = None
         asyncio.get_running_loop().call_soon(self._receive_now, data)
 
     def _receive_now(self, data: bytes) -> None:
@@ -115,13 +115,13 @@
 
     Attributes:
         fault: The current fault, one of `FAULTS`; empty if there is none.
-        index: The version of its endpoint list.
+        version: The version of the endpoint list.
         connections: The open connections.
-        attempts: The times of connects under a fault of `CONNECT_FAULTS` and of received requests, in
+        attempts: The times of connects during a fault of `CONNECT_FAULTS` and of received requests, in
             seconds.
         requests: The request lines of the requests.
-        watches: The start and the wait time of each watch, in seconds.
-        on_attempt: Called after each of these connects and each request.
+        watches: The start and the maximum wait of each watch request, in seconds.
+        on_attempt: Called for each connect during a fault of `CONNECT_FAULTS`, and for each request.
     """
 
     def __init__(self, loop: SimulatedLoop, port: int) -> None:
@@ -129,7 +129,7 @@
         self.port = port
         loop.discoveries[port] = self
         self.fault = ""
-        self.index = INITIAL_INDEX
+        self.version = INITIAL_VERSION
         self._entries: list[dict[str, Any]] = []
         self.connections: set[SimulatedConnection] = set()
         self.attempts: list[float] = []
@@ -148,7 +148,7 @@
         if fault == "unreachable":
             await self.loop.create_future()  # never established
         if fault == "connects late":
-            # The connection is unresponsive too: its requests get no response.
+            # The connection will be unresponsive: its requests get no response.
             await asyncio.sleep(0.99 * endpoint_watch.CONNECT_TIMEOUT_S)
         protocol = factory()
         connection = SimulatedConnection(self, protocol)
@@ -158,7 +158,7 @@
         return connection, protocol
 
     def on_request(self, connection: SimulatedConnection, request_line: str) -> None:
-        """Handle the request with a request line."""
+        """Handle a request, given by its request line."""
         if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
         self.requests.append(request_line)
@@ -177,7 +177,7 @@
             case "error":
                 connection.receive(response(500, b"sorry"))
             case "truncated":
-                connection.receive(list_response(INITIAL_INDEX)[:-5])
+                connection.receive(list_response(INITIAL_VERSION)[:-5])
                 self.loop.call_soon(connection.become_unresponsive)
             case _:
                 self._respond_with_list(connection, request_line)
@@ -185,20 +185,20 @@
     def _respond_with_list(self, connection: SimulatedConnection, request_line: str) -> None:
         _, _, query_text = request_line.split(" ")[1].partition("?")
         query = dict(part.split("=") for part in query_text.split("&") if part)
-        if "after" not in query or int(query["after"]) < self.index:
-            connection.receive(self._list(snapshot="after" not in query))
+        if "after" not in query or int(query["after"]) < self.version:
+            connection.receive(self._encode_list(snapshot="after" not in query))
             return
-        connection.after = int(query["after"])
+        connection.watched_version = int(query["after"])
         wait_s = float(query["wait_ms"]) / 1000
-        self.loop.call_later(wait_s, self._on_wait_ended, connection, connection.request_count)
+        self.loop.call_later(wait_s, self._on_wait_timeout, connection, connection.request_count)
         self.watches.put_nowait((self.loop.time(), wait_s))
 
-    def _on_wait_ended(self, connection: SimulatedConnection, request_number: int) -> None:
-        if connection.after is not None and request_number == connection.request_count:
-            connection.receive(self._list(snapshot=False))
+    def _on_wait_timeout(self, connection: SimulatedConnection, request_number: int) -> None:
+        if connection.watched_version is not None and request_number == connection.request_count:
+            connection.receive(self._encode_list(snapshot=False))
 
-    def _list(self, *, snapshot: bool) -> bytes:
-        return list_response(self.index, *self._entries, snapshot=snapshot)
+    def _encode_list(self, *, snapshot: bool) -> bytes:
+        return list_response(self.version, *self._entries, snapshot=snapshot)
 
     def begin_outage(self, fault: str) -> None:
         """Begin an outage, and apply its fault to the open connections."""
@@ -208,16 +208,16 @@
                 connection.abort()
             elif fault in ("silent", "unreachable", "connects late"):
                 connection.is_unresponsive = True
-            elif connection.after is not None:
+            elif connection.watched_version is not None:
                 self._respond(connection, "GET /v1/servers HTTP/1.1")
 
     def drain_upstream(self) -> None:
-        """Set an upstream to draining, and send the change to each waiting watch."""
-        self.index += 1
+        """Set the upstream to draining, and send the change in response to each pending watch request."""
+        self.version += 1
         self._entries = [entry("s0", "127.0.0.1:9", status="terminating")]
         for connection in list(self.connections):
-            if connection.after is not None:
-                connection.receive(self._list(snapshot=False))
+            if connection.watched_version is not None:
+                connection.receive(self._encode_list(snapshot=False))
 
 
 class WatchingProxy:
@@ -227,11 +227,11 @@
         discovery: The discovery service to watch.
         seed: The seed of the balancer.
         poll_deadline_ms: The setting `askWithin`.
-        discovery_mode: The setting `discovery`: "ask" or "push".
+        discovery_mode: The setting `discovery`: "ask" if the balancer polls, or "push".
 
     Attributes:
         proxy: The proxy.
-        drain_learned_at: Completed with the time, in seconds on the clock of the event loop.
+        drain_learned_at: A future for the time at which the policy learns of the drain, on the loop's clock.
     """
 
     def __init__(
@@ -266,7 +266,7 @@
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def wait_for_drain(self) -> float:
-        """Wait until the policy learns of the draining upstream, close the listener, and return the time."""
+        """Return the time at which the policy learns of the drain, after closing the listener."""
         learned_at: float = await asyncio.wait_for(self.drain_learned_at, 120)
         self.stop()
         return learned_at
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -18,13 +18,13 @@
 from testbed.runs.list_size.rows import BenchmarkIdentity, ListRow, with_growth
 from testbed.settings import endpoint_entries
 
-# Not the shared logger, whose output is closed by the tests of the command line.
+# The shared logger cannot be used: the command-line tests close its output.
 DISABLED_LOG = structlog.wrap_logger(
     structlog.ReturnLogger(), [], structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
 
 
-def test_list_size_run_measures_every_step_at_every_size(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_size_run_measures_each_step_and_size(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_size, "measure_calibration_us", lambda: 50.0)
     plan = read_plan(EXPERIMENTS_FOLDER / "list_size.toml", RUN_KINDS)
     overrides = {
@@ -53,7 +53,7 @@
         steps_ms = sum(row[f"list_{step}_ms"] for step in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
-        assert row["memory_kib"] > row["entries"]  # more than the list, which takes less than 1 KiB per entry
+        assert row["memory_kib"] > row["entries"]  # more than the list alone: less than 1 KiB per entry
     fits_by_y = {fit.y: fit for fit in result.fits}
     assert fits_by_y["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
@@ -74,7 +74,7 @@
     )
 
 
-def test_growth_is_an_exponent_of_the_list_length() -> None:
+def test_growth_is_exponent_of_list_length() -> None:
     rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
     grown_rows = [row.columns() for row in with_growth(rows)]
     assert "list_module_ms_growth" not in grown_rows[0]
--- a/tests/testbed/test_stored_results.py
+++ b/tests/testbed/test_stored_results.py
@@ -1,4 +1,7 @@
-"""Stored results have the columns of the current rows and can be shown, so that they can be compared."""
+"""Stored results can be shown and have the columns of the current row types.
+
+New results can therefore be compared with them.
+"""
 
 import json
 from collections.abc import Iterator
@@ -36,9 +39,9 @@
     hints = get_type_hints(row_type)
     for column in fields(row_type):
         types = get_args(hints[column.name]) or (hints[column.name],)
-        parts = [part for part in types if isinstance(part, type) and issubclass(part, Row)]
-        if parts:
-            yield from column_names(parts[0])
+        nested_row_types = [hint for hint in types if isinstance(hint, type) and issubclass(hint, Row)]
+        if nested_row_types:
+            yield from column_names(nested_row_types[0])
         else:
             yield column_name(column)
 
@@ -47,20 +50,20 @@
     return list(row) == [name for name in names if name in row]
 
 
-def test_every_run_kind_has_a_stored_result() -> None:
+def test_stored_results_cover_every_run_kind() -> None:
     stored_run_kinds = {json.loads(path.read_text(encoding="utf-8"))["plan"]["run"] for path in RESULT_PATHS}
     assert stored_run_kinds == RUN_KINDS.keys() == ROW_TYPES.keys()
 
 
 @pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
-def test_stored_columns_match_the_row_types(path: Path) -> None:
+def test_stored_columns_match_row_types(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))
-    names = [list(column_names(row_type)) for row_type in ROW_TYPES[stored["plan"]["run"]]]
+    column_names_by_type = [list(column_names(row_type)) for row_type in ROW_TYPES[stored["plan"]["run"]]]
     for row in stored["rows"]:
-        assert any(has_columns_in_order(row, columns_of_type) for columns_of_type in names)
+        assert any(has_columns_in_order(row, columns_of_type) for columns_of_type in column_names_by_type)
     if stored["rows"]:
         assert {name for row in stored["rows"] for name in row} == {
-            n for columns_of_type in names for n in columns_of_type
+            n for columns_of_type in column_names_by_type for n in columns_of_type
         }
 
 
@@ -81,7 +84,7 @@
 
 
 @pytest.mark.parametrize("path", RESULT_PATHS, ids=lambda path: path.stem)
-def test_stored_plans_can_still_be_read(path: Path) -> None:
+def test_stored_plans_can_be_read(path: Path) -> None:
     stored = json.loads(path.read_text(encoding="utf-8"))["plan"]
     plan = RUN_KINDS[stored["run"]].plan_type.model_validate(stored)
     assert (plan.run, plan.about, plan.seed) == (stored["run"], stored["about"], stored["seed"])
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -35,7 +35,7 @@
         ),
     ],
 )
-async def test_each_mode_responds_and_counts(
+async def test_responses_and_counts_by_mode(
     upstreams: UpstreamGroup,
     mode: UpstreamMode,
     status: int,
@@ -50,7 +50,7 @@
     assert await send_request(client, timeout_ms) == status
     health_check = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
     assert (await client.send(health_check, timeout_ms / 1000)).status == health_status
-    # A request that fails on a reused connection is sent again; one that is reset on a new connection is not.
+    # The client resends a request that failed on a reused connection, but not one reset on a new connection.
     expected_counts = {
         "requests": 1,
         "health_checks": 1,
@@ -78,8 +78,8 @@
     writer.close()
 
 
-async def test_fraction_of_requests_fails_according_to_seed() -> None:
-    async def statuses_with(seed: int) -> list[int]:
+async def test_seed_determines_failing_requests() -> None:
+    async def statuses_with_seed(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
         (upstream,) = await upstreams.start(1, second_octet=82)
         await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL, fraction=0.5))
@@ -89,12 +89,12 @@
         upstreams.close()
         return statuses
 
-    first = await statuses_with(1)
+    first = await statuses_with_seed(1)
     assert 16 < first.count(500) < 48
-    assert await statuses_with(1) == first != await statuses_with(2)
+    assert await statuses_with_seed(1) == first != await statuses_with_seed(2)
 
 
-async def test_chain_passes_on_remaining_time_under_new_ids() -> None:
+async def test_chain_forwards_remaining_time_with_new_ids() -> None:
     clock = SteppingClock(step=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
     chain = await upstreams.start(3, second_octet=82)
@@ -111,25 +111,25 @@
     assert len({request.request_id for request in received}) == 3
     assert {(request.class_name, request.key) for request in received} == {("read", "k1")}
     await chain[2].set_behaviour(Behaviour(UpstreamMode.REJECT))
-    assert await send_request(client) == 500  # an upstream fails if the next tier does
+    assert await send_request(client) == 500  # an upstream fails if the next tier fails
     assert [upstream.counts.failed for upstream in chain] == [1, 1, 0]
     assert await send_request(client, 50.0) == 500  # no time remains for a request to the next tier
     assert [upstream.counts.requests for upstream in chain] == [3, 2, 2]
     upstreams.close()
 
 
-async def test_abandoned_request_is_cancelled_at_the_next_tier(upstreams: UpstreamGroup) -> None:
+async def test_abandoned_request_is_cancelled_at_next_tier(upstreams: UpstreamGroup) -> None:
     top, bottom = await upstreams.start(2, second_octet=82)
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
     task = asyncio.ensure_future(send_request(Client(top.address)))
-    await wait_until(lambda: bottom.counts.hung, "the last tier holds the request")
+    await wait_until(lambda: bottom.counts.hung, "the last tier has received the request")
     task.cancel()
     await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
 
-async def test_upstream_process_serves_counts_and_ends() -> None:
+async def test_upstream_process_serves_and_counts() -> None:
     process = UpstreamProcess(3, 0.0, seed=1, second_octet=82)
     try:
         assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
