--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -19,7 +19,7 @@
 
 REPOSITORY_ROOT = Path(__file__).parents[2]
 SOURCE_TREE_COMMAND = f"exec {sys.executable} -m loadbalancer"
-"""The command that runs the balancer from this tree with the running Python interpreter."""
+"""The command that runs the balancer from this source tree with the current Python interpreter."""
 
 MAX_RUNNING_BALANCERS = 150
 """The maximum number of balancers that run at the same time: each uses about 40 MiB of memory."""
@@ -61,7 +61,7 @@
 
 
 def deploy_command() -> str:
-    """Return the `run` command of the deploy file, which requires that its `build` command has been run."""
+    """Return the `run` command of the deploy file; it works only after the file's `build` command has run."""
     deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
 
@@ -74,7 +74,7 @@
 
 
 def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
-    """Write a balancer's configuration into a folder, and return the balancer's environment variables."""
+    """Write a balancer's configuration file, and return the environment variables that it needs."""
     configuration_path, temporary_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
     temporary_folder.mkdir()
@@ -91,8 +91,8 @@
     """One balancer process; `start` starts it, `stop` terminates it and removes its temporary files.
 
     Attributes:
-        pid: Its process id.
-        address: Where it listens.
+        pid: The process id.
+        address: Where the balancer listens.
     """
 
     def __init__(self, process: asyncio.subprocess.Process, folder: Path, address: Address) -> None:
@@ -169,7 +169,10 @@
         return (self._folder / "log").read_text(encoding="utf-8", errors="replace")
 
     async def stop(self, kill_after_s: float = _KILL_AFTER_S) -> int:
-        """Send SIGTERM, and SIGKILL after `kill_after_s`; remove the files and return the exit status."""
+        """Stop the process, remove its files and return its exit status.
+
+        The process receives SIGTERM, and SIGKILL if it still runs after `kill_after_s`.
+        """
         with suppress(ProcessLookupError):
             self._process.terminate()
         try:
--- a/testbed/balancer/watch_only.py
+++ b/testbed/balancer/watch_only.py
@@ -27,7 +27,7 @@
     `on_list_applied(version, at_s)` is called once the policy has applied a list.
 
     Attributes:
-        proxy: The real proxy.
+        proxy: The same proxy that a real balancer uses.
     """
 
     def __init__(
--- a/testbed/balancer/watch_only_process.py
+++ b/testbed/balancer/watch_only_process.py
@@ -31,8 +31,8 @@
         balancer_numbers: The number of the balancer that applied the list.
         versions: The version of the list.
         applied_at_s: When the list was applied, in seconds of the system's monotonic clock.
-        p99_lag_s: The 99th percentile of the event loop's lag.
-        max_lag_s: The maximum of the event loop's lag.
+        p99_lag_s: The 99th percentile of the event loop's lag in the same period.
+        max_lag_s: The maximum of the event loop's lag in the same period.
     """
 
     balancer_numbers: NDArray[np.int32]
@@ -43,7 +43,7 @@
 
 
 class _AppliedList(NamedTuple):
-    """A list that a balancer applied, as one element of each array of a report."""
+    """One list that one balancer applied; a report has an array for each of these fields."""
 
     balancer_number: int
     version: int
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, configuration_texts: dict[int, str]) -> None:
-        """Start the process with a balancer for each of the configuration texts, by balancer number."""
+        """Start the process with one balancer for each configuration text; the keys are balancer numbers."""
         self._child = ChildProcess(_run, configuration_texts)
         self.pid = self._child.pid
 
@@ -67,7 +67,7 @@
         return cast("AppliedListsReport", self._child.request("report"))
 
     def stop(self) -> AppliedListsReport:
-        """End the process and return the last report."""
+        """Return the last report and stop the process."""
         try:
             return self.report()
         finally:
@@ -102,7 +102,7 @@
 
 
 def _run(pipe: Connection, configuration_texts: dict[int, str]) -> None:
-    """Run the child process."""
+    """Entry point of the child process."""
     run_child(_serve(pipe, configuration_texts))
 
 
--- a/testbed/chain/chain.py
+++ b/testbed/chain/chain.py
@@ -1,7 +1,8 @@
 """Simulated chains: tiers of servers, each of which calls the next tier through the real policy.
 
-Each server in tiers 1 to depth-1 has its own `LoadBalancer`, which sends to the next tier; front
-balancers send to the first tier (PROTOCOL, "Callers to balancers"). This is a discrete-event simulation on
+Each server, except in the last tier, has its own `LoadBalancer`, which sends to the next tier; front
+balancers receive the client requests and send to the first tier (PROTOCOL page, "Callers to balancers").
+Tiers are numbered from 1. This is a discrete-event simulation on
 one virtual clock: it opens no sockets and never sleeps, and all random numbers are derived from the seed.
 """
 
@@ -47,7 +48,7 @@
                 server.balancer = self._start_balancer(tier + 1)
 
     def _start_balancer(self, tier: int) -> BalancerHost:
-        """Start a balancer that sends to a tier, counted from 1."""
+        """Start a balancer that sends to the servers of `tier`."""
         seed = self._seed_random.getrandbits(32)
         servers = self.tiers[tier - 1]
         return BalancerHost(self.settings, self.clock, self.recorder, tier, servers, seed)
@@ -62,7 +63,7 @@
     def set_behaviour(
         self, tier: int, count: int, behaviour: Behaviour, failure_fraction: float = 1.0
     ) -> None:
-        """Set the behaviour of the first `count` servers of a tier, counted from 1."""
+        """Set the behaviour of the first `count` servers of `tier`."""
         for server in self.tiers[tier - 1][:count]:
             server.behaviour = behaviour
             server.failure_fraction = failure_fraction
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -90,7 +90,7 @@
         servers: list[Server],
         seed: int,
     ) -> None:
-        """Start a balancer that sends to the servers of a tier, counted from 1."""
+        """Start a balancer that sends to `servers`, the servers of `tier`; tiers are numbered from 1."""
         self._clock = clock
         self._recorder = recorder
         self._tier = tier
@@ -153,7 +153,7 @@
                 attempt.finish_if_unsent()
 
     def _respond_before_deadline(self, request: _Request) -> None:
-        """Respond shortly before the deadline if the policy has not.
+        """Respond shortly before the deadline if the request is still open.
 
         The status is 503 if no server may have processed the request, else 502.
         """
@@ -245,7 +245,10 @@
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
-        """Record an attempt's outcome; the first successful response is forwarded before the policy runs."""
+        """Record an attempt's outcome.
+
+        The first successful response is forwarded to the caller before the policy handles the outcome.
+        """
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED:
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -28,7 +28,7 @@
         was_attempted: Whether the front balancer made an attempt; a request rejected without one was shed.
         last_tier_attempts: Attempts at the last tier that were made for this request.
         deadline_fraction: The timeout of the first attempt at the last tier, as a fraction of the request's
-            deadline; NaN if there was none.
+            deadline; NaN if there was no such attempt.
     """
 
     __slots__ = (
@@ -78,12 +78,12 @@
     policy_s: float = 0.0
 
     def record_policy_event(self, seconds: float) -> None:
-        """Count one handled event and its measured processing time."""
+        """Count one event that a policy has handled, and add its measured processing time."""
         self.policy_s += seconds
         self.policy_events += 1
 
     def record_attempt(self, request: ClientRequest, tier: int, timeout_ms: float) -> None:
-        """Record an attempt at a tier, counted from 1, with its timeout."""
+        """Record an attempt at a tier, with its timeout; tiers are numbered from 1."""
         attempts_by_tier = self.attempts_by_phase.setdefault(request.phase, [0] * self.depth)
         attempts_by_tier[tier - 1] += 1
         request.was_attempted = True
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -79,7 +79,7 @@
         was_sent: Whether the server may have received it.
         is_connection_closed: Whether the server has noticed that the balancer closed the connection.
         stage: Its stage at the server.
-        deadline_ms: When the timeout expires, which the server counts from the arrival of the attempt.
+        deadline_ms: When the timeout expires at the server, which counts it from the arrival of the attempt.
         next_tier_request_number: The number of the server's request to the next tier, at the server's own
             balancer.
     """
@@ -174,7 +174,7 @@
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
-        behaviour: What it does with attempts.
+        behaviour: How it handles attempts.
         failure_fraction: The fraction of attempts that fail under `Behaviour.FAILS`.
         in_service: The number of attempts that occupy a slot.
         rejected: The number of attempts that were rejected because the queue was full.
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -13,11 +13,11 @@
     from multiprocessing.connection import Connection
 
 STOP_TIMEOUT_S = 10.0
-"""The time in seconds that a child has to exit before it is killed."""
+"""The time in seconds after which a child that has not exited is killed."""
 
 
 class ChildProcess:
-    """A child process, which exits when the process that started it exits.
+    """A child process, which is terminated when its parent exits.
 
     Attributes:
         pid: Its process id.
@@ -57,7 +57,10 @@
 
 
 async def serve_pipe(pipe: Connection, respond: Callable[[], object]) -> None:
-    """Respond to each request on the child's end of the pipe until the other end is closed."""
+    """Send the result of `respond()` for each received message, until the other end of the pipe is closed.
+
+    The content of the messages is ignored.
+    """
     loop = asyncio.get_running_loop()
     closed = asyncio.Event()
 
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -22,12 +22,15 @@
 """The maximum `wait_ms` of a watch request."""
 
 CONTINUED_WATCH_S = 0.2
-"""The time in seconds after a response within which a watch request continues the previous watch."""
+"""A watch request continues the previous watch if it arrives within this time of the response, in seconds."""
 
 LISTEN_BACKLOG = 128
 
 WatchObserver = Callable[[int, int, float], None]
-"""Called for each watch request with the agent's number, the balancer's version and the time in seconds."""
+"""Called for each watch request.
+
+The arguments are the agent's number, the version of the balancer's list, and the time in seconds.
+"""
 
 
 @dataclass(eq=False, slots=True)
@@ -36,17 +39,17 @@
 
     Attributes:
         number: The balancer's number.
-        address: Where it listens.
-        groups: The groups that it belongs to, such as a zone or a region.
+        address: Where the agent listens.
+        groups: The groups that the agent belongs to, such as a zone or a region.
         history: The endpoint list.
         clock: Returns the time in seconds.
-        on_watch: Called with each watch request.
-        counts: Counts of its requests and responses.
-        state: Its mode and response delay.
+        on_watch: Called for each watch request.
+        counts: Counts of the agent's requests and responses.
+        state: The agent's mode and response delay.
         written_version: The version that was last written to the balancer.
-        acknowledged_version: The highest version that a watch request stated as known.
+        acknowledged_version: The highest version that the balancer has acknowledged in a watch request.
         responded_at_s: When the last response was written.
-        connections: Its open connections.
+        connections: The open connections.
     """
 
     number: int
@@ -66,7 +69,11 @@
     _server_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def set_state(self, state: AgentState) -> None:
-        """Change the state, and accordingly close, listen again, or send the pending responses."""
+        """Change the state.
+
+        In the mode `DOWN`, the listener and the connections are closed; in the other modes, the agent
+        listens. In the mode `UP`, it responds to the open requests that are ready for a response.
+        """
         self.state = state
         if state.mode is AgentMode.DOWN:
             self.close()
@@ -76,7 +83,7 @@
             self.respond_to_open_requests()
 
     def respond_to_open_requests(self) -> None:
-        """Respond to the open requests that are ready for a response."""
+        """Respond to the open requests whose version is outdated or whose wait has expired."""
         for connection in list(self.connections):
             connection.respond_if_ready()
 
@@ -115,13 +122,16 @@
             connection.reset()
 
     def stop(self) -> None:
-        """Close, and cancel the tasks that start servers."""
+        """Close the agent, and cancel the tasks that start its server."""
         self.close()
         for task in list(self._server_tasks):
             task.cancel()
 
     def record_request(self, known_version: int) -> None:
-        """Count a request; one with `NO_VERSION` gets a snapshot immediately and is not a watch."""
+        """Count a request, and record the version that it acknowledges.
+
+        A request with `NO_VERSION` is not a watch request, since its response is an immediate snapshot.
+        """
         now_s = self.clock()
         self.counts.requests += 1
         if known_version == NO_VERSION:
@@ -134,7 +144,7 @@
         self.on_watch(self.number, known_version, now_s)
 
     def record_response(self, response: ListResponse) -> None:
-        """Count a response as it is written."""
+        """Record a response that is about to be written: its time, version and entries."""
         self.responded_at_s = self.clock()
         self.written_version = self.history.version
         self.counts.entries += response.entry_count
@@ -166,14 +176,14 @@
 
 
 class AgentConnection(asyncio.Protocol):
-    """One connection to an agent, with one open request at a time."""
+    """One connection to an agent, with at most one open request."""
 
     def __init__(self, agent: Agent) -> None:
         self._agent = agent
         self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
-        self._known_version: int | None = None  # of the open request; None if there is none
-        self._wait_expired = False  # whether the open request is to be answered even without a newer version
+        self._known_version: int | None = None  # of the open request; None if no request is open
+        self._wait_expired = False  # whether to respond even if there is no newer version
         self._wait_timer: asyncio.TimerHandle | None = None
         self._delay_timer: asyncio.TimerHandle | None = None
 
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -71,7 +71,7 @@
                 return self._replace()
 
     def _possible_kinds(self) -> list[_ChangeKind]:
-        """Return the kinds of change that are possible now, in a fixed order: the draw depends on it."""
+        """Return the possible kinds of change, in a fixed order that the random choice depends on."""
         kinds = []
         if len(self._in_service) > self._min_in_service:
             kinds += [_ChangeKind.RESTART, _ChangeKind.DRAIN]
@@ -136,13 +136,13 @@
 def rolling_restart(
     entries: Iterable[EndpointEntry], batch_size: int, seed: int, now_ms: Callable[[], float]
 ) -> Iterator[Change]:
-    """Yield a rolling restart of all entries, `batch_size` at a time.
+    """Yield the changes of a rolling restart of all entries, in batches of `batch_size`.
 
     Each batch drains, then returns to service.
 
     Args:
         entries: The list at the start.
-        batch_size: How many entries restart at the same time.
+        batch_size: The number of entries that restart together.
         seed: The seed of the random order.
         now_ms: Returns Unix time in milliseconds, for `since_ms`.
     """
@@ -161,8 +161,8 @@
     """Apply a change at each of the given times, without waiting for the balancers.
 
     Args:
-        discovery: The list that changes.
-        changes: The changes; the function returns when there are no more.
+        discovery: The discovery service whose list changes.
+        changes: The changes; the function returns early if there are fewer changes than times.
         times_s: Seconds from now, ascending.
 
     Returns:
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -12,10 +12,10 @@
     from testbed.settings import EndpointEntry
 
 NO_VERSION = -1
-"""The version of a balancer that has no list yet."""
+"""Stands in for the known version of a balancer that has no list yet."""
 
 MAX_REMEMBERED_CHANGES = 20_000
-"""The maximum number of remembered changes; a balancer whose version is older gets a snapshot."""
+"""The maximum number of remembered changes; a balancer whose list is older receives a snapshot."""
 
 REMOVED = "terminated"
 """The status of an entry that is no longer in the list."""
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListResponse:
-    """The response to a balancer that knows a certain version.
+    """The response to a balancer that has a certain version of the list.
 
     Attributes:
         body: The JSON text.
-        entry_count: The number of entries in it.
+        entry_count: The number of entries in the body.
         is_snapshot: Whether the entries are the complete list; otherwise they are only the changed entries.
     """
 
@@ -37,7 +37,7 @@
 
 
 class EndpointHistory:
-    """The list, its version, and the latest change of each entry by name.
+    """The endpoint list, its version, and the latest change of each entry.
 
     Attributes:
         version: The version of the list.
@@ -56,14 +56,18 @@
         return list(self._entries.values())
 
     def replace_entries(self, entries: Iterable[EndpointEntry]) -> None:
-        """Replace the list; every balancer gets a snapshot of the new one."""
+        """Replace the list; every balancer receives a snapshot of the new list."""
         self._entries = {entry["name"]: entry for entry in entries}
         self._changes.clear()
         self._oldest_version = self.version + 1
         self._advance()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> None:
-        """Create one new version with changed, new and (with the status `terminated`) removed entries."""
+        """Create a new version of the list.
+
+        Args:
+            entries: The entries that are new or have changed, and removed ones with the status `terminated`.
+        """
         for entry in entries:
             name = entry["name"]
             if entry["status"] == REMOVED:
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -42,7 +42,7 @@
 
 
 class Discovery:
-    """The endpoint list and its agents, on the running event loop.
+    """The endpoint list and an agent for each balancer, on the running event loop.
 
     Attributes:
         changed_at: When each version was created, in seconds of the clock; the index is the version.
@@ -57,7 +57,7 @@
 
         Args:
             clock: Returns the time of changes and requests in seconds.
-            on_watch: Called with each watch request.
+            on_watch: Called for each watch request.
         """
         self._clock = clock
         self._on_watch = on_watch
@@ -96,12 +96,16 @@
         return self._history.entries
 
     def replace_entries(self, entries: Iterable[EndpointEntry]) -> int:
-        """Replace the list and return its version; every balancer gets a snapshot of the new list."""
+        """Replace the list and return its version; every balancer receives a snapshot of the new list."""
         self._history.replace_entries(entries)
         return self._publish()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> int:
-        """Publish changed, new and (if `terminated`) removed entries as one version, and return it."""
+        """Publish changes as one new version of the list, and return that version.
+
+        Args:
+            entries: The entries that are new or have changed, and removed ones with the status `terminated`.
+        """
         self._history.apply_changes(entries)
         return self._publish()
 
@@ -119,7 +123,7 @@
     # ---- agents ---------------------------------------------------------------------------------
 
     def agent_address(self, number: int, *groups: Hashable) -> Address:
-        """Return the address of a balancer's agent; the first call starts it as a member of `groups`."""
+        """Return the address of a balancer's agent, which the first call starts as a member of `groups`."""
         agent = self.agents.get(number)
         if agent is None:
             address = str(self._first_host + number), 0
@@ -137,7 +141,7 @@
         return total
 
     def set_state(self, state: AgentState, *, agent: int | None = None, group: Hashable = ALL_AGENTS) -> None:
-        """Set the state of one agent, or of a group."""
+        """Set the state of one agent if `agent` is given, else the state of a group."""
         key = _agent_key(agent) if agent is not None else group
         self._states[key] = state
         for started_agent in self.agents.values():
@@ -153,5 +157,5 @@
 
 
 def _agent_key(number: int) -> Hashable:
-    """Return the key of a single agent among the keys of groups."""
+    """Return the key for the state of a single agent; it differs from the keys of groups."""
     return ("agent", number)
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response, and the time of its last byte in seconds of the client's clock."""
+    """A response, and when its last byte was received, in seconds of the client's clock."""
 
     status: int
     body: bytes
@@ -72,10 +72,10 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection of a client, with one request at a time.
+    """One connection of a client, with at most one open request.
 
     Attributes:
-        has_received_data: Whether any byte has been received since the last request.
+        has_received_data: Whether any byte has been received since the last request was sent.
         is_closed: Whether the connection has ended.
         may_reuse: Whether the connection can carry another request.
     """
@@ -135,7 +135,7 @@
     """A client for one address. It reuses idle connections, and opens another one if all are busy.
 
     Attributes:
-        opened_connections: The connections that have been opened so far.
+        opened_connections: The number of connections that have been opened so far.
     """
 
     def __init__(self, address: Address, clock: Clock = time.perf_counter) -> None:
@@ -147,9 +147,9 @@
     async def send(self, request: bytes, timeout_s: float) -> HttpResponse:
         """Send a request and wait for the response.
 
-        A request that fails on a reused connection before any byte of a response is sent once more on a new
-        connection, since the peer may have closed the idle one. A request that times out or is cancelled
-        closes its connection.
+        If a reused connection fails before any byte of the response has arrived, the request is resent once
+        on a new connection, since the peer may have closed the idle one. If a request times out or is
+        cancelled, its connection is closed.
 
         Returns:
             The response, or one with the status `NO_RESPONSE`.
--- a/testbed/load/kernel_timer.py
+++ b/testbed/load/kernel_timer.py
@@ -16,7 +16,7 @@
 MAX_WAKE_UP_S = 0.0002
 """The maximum time that a sleeping core needs to wake up, in seconds.
 
-The timer fires this much earlier, and the event loop polls the clock for the rest of the sleep.
+The timer fires this long before the end of a sleep; after that, the event loop polls the clock.
 """
 
 
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -32,7 +32,7 @@
 
     Attributes:
         name: The stream's name, which is part of the seed of its random numbers.
-        clients: The clients; one of them is drawn for each request.
+        clients: The clients; one of them is chosen at random for each request.
         rate_per_s: The mean rate of requests.
         class_name: The request class.
         deadline_ms: The deadline of each request, after which the client gives up.
@@ -46,7 +46,7 @@
 
     @property
     def opened_connections(self) -> int:
-        """The connections that the stream's clients have opened so far."""
+        """The number of connections that the stream's clients have opened so far."""
         return sum(client.opened_connections for client in self.clients)
 
 
@@ -72,9 +72,9 @@
     lateness: Latencies = field(default_factory=Latencies)
 
     def invalid_reasons(self, name: str, max_lateness_ms: float) -> list[str]:
-        """Return the reasons why the results are invalid.
+        """Return the reasons why the results are invalid, or an empty list if they are valid.
 
-        There is one if the 99th percentile of lateness exceeds `max_lateness_ms`, else none.
+        They are invalid if the 99th percentile of lateness exceeds `max_lateness_ms`.
         """
         p99_lateness_ms = self.lateness.quantile_ms(0.99) if self.sent else 0.0
         if p99_lateness_ms <= max_lateness_ms:
--- a/testbed/measurement/latency.py
+++ b/testbed/measurement/latency.py
@@ -52,10 +52,10 @@
 class AddedTimeColumns(TypedDict):
     """Columns that compare latencies through a balancer with direct ones, in milliseconds.
 
-    `direct` and `through` are quantiles of requests direct to the upstreams and through the balancer. `added`
-    is the quantile through the balancer minus the same quantile of direct requests; `over_median` is the
-    quantile through the balancer minus the median of direct requests, which attributes the tail to the
-    balancer.
+    `direct` is for requests sent directly to the upstreams, `through` for requests through the balancer; the
+    number in a name is the percentile (999 means 99.9). `added` is the percentile through the balancer minus
+    the same percentile of direct requests. `over_median` is the percentile through the balancer minus the
+    median of direct requests, which attributes the complete tail to the balancer.
     """
 
     direct_50_ms: float
@@ -70,7 +70,7 @@
 
 
 def compare_latencies(direct: Latencies, through: Latencies) -> AddedTimeColumns:
-    """Compare latencies through a balancer with direct ones of the same run."""
+    """Compare latencies through a balancer with latencies of direct requests of the same run."""
     median_ms = direct.quantile_ms(0.5)
     return {
         "direct_50_ms": median_ms,
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -39,7 +39,7 @@
 def processor_time_s(pid: int) -> float:
     """Return the processor time of a process's live threads in seconds, with a resolution of a nanosecond.
 
-    The resolution of psutil is 10 ms, which an idle balancer takes a few seconds to use.
+    psutil has a resolution of 10 ms, which is too coarse: an idle balancer takes seconds to use 10 ms.
     """
     threads = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / _NS_PER_S
@@ -49,7 +49,7 @@
     """Return the processor time that processes have used so far, and their current memory and descriptors.
 
     Raises:
-        psutil.NoSuchProcess: One of them has ended.
+        psutil.NoSuchProcess: One of the processes has ended.
     """
     total_processor_s, resident_bytes, descriptors = 0.0, 0, 0
     for pid in pids:
@@ -62,7 +62,7 @@
 
 
 class CoreMonitor:
-    """Measures the utilization of the machine's cores since its creation."""
+    """Measures the utilization of the machine's cores since the creation of this object."""
 
     def __init__(self) -> None:
         self._start = psutil.cpu_times()
@@ -77,7 +77,7 @@
         return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalid_reasons(self, phase: str) -> list[str]:
-        """Return the reasons why the results of a phase are invalid: one if the cores were saturated."""
+        """Return the reason why the results of a phase are invalid if the cores were saturated, else none."""
         busy = self.busy_fraction()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
 
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -27,7 +27,7 @@
 LIBRARIES = ("uvloop", "httptools", "typer", "structlog", "hdrhistogram", "psutil", "numpy", "pydantic")
 """The libraries whose versions are stored with each result."""
 OMITTED_IF_NONE = {"omitted_if_none": True}
-"""Metadata of a field that is left out of the stored row if it is None; any other None becomes null."""
+"""Metadata of a field that is omitted from the stored row if it is None, instead of stored as null."""
 
 
 def stored_as(column_name: str) -> Any:
@@ -154,7 +154,7 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether there is no reason why the results are invalid."""
+        """Whether `invalid_reasons` is empty."""
         return not self.invalid_reasons
 
     def add(self, measured: MeasuredRow[RowT]) -> None:
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -1,8 +1,8 @@
-"""Measures the latency that a real balancer adds, and its processor time, for endpoint lists of each length.
+"""Measures the latency that a real balancer adds, and its processor time, by length of the endpoint list.
 
 Requests go through the balancer and, at the same time, directly to a few of the upstreams on persistent
-connections. One process sends both and measures their latency from the scheduled time; the upstreams run in
-a second process, and the balancer in a third.
+connections. One process sends all requests and measures their latency from the scheduled time; the upstreams
+run in a second process, and the balancer in a third.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 _BALANCER_HOST = "127.78.0.1"
 _MIB = 2**20
 _FITTED_COLUMNS = ("added_50_ms", "added_99_ms", "over_median_99_ms", "processor_us_a_call", "rest_us_a_s")
-"""The stored columns to fit over the length of the list."""
+"""The stored columns for which a line is fitted against the length of the list."""
 
 
 class Plan(load_plan.Plan):
-    """The load; `sizes` are lengths of the endpoint list and values of the `balancers` setting."""
+    """The load; each size is the length of the endpoint list and the value of the `balancers` setting."""
 
     service_ms: float
     """The service time of an upstream in milliseconds."""
     direct_servers: int
-    """The number of upstreams that get direct requests: the first ones in the list."""
+    """The number of upstreams that receive direct requests: the first ones in the list."""
     rest_s: float
     """The time in seconds for which the processor time of an idle balancer is measured."""
     measure_s: float
@@ -52,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddedTimeRow(Row):
-    """The measurements of a balancer under load, with a list of one length.
+    """The measurements of a balancer under load, for one length of the endpoint list.
 
-    The numbers in the names of latencies are percentiles (999 means 99.9) of requests `direct` to the
-    upstreams or `through` the balancer. `added` is the percentile through the balancer minus the same
-    percentile of direct requests; `over_median` is the percentile through the balancer minus the median of
-    direct requests.
+    In the names of latencies, `direct` is for requests sent directly to the upstreams, `through` for requests
+    through the balancer, and the number is the percentile (999 means 99.9). `added` is the percentile through
+    the balancer minus the same percentile of direct requests; `over_median` is the percentile through the
+    balancer minus the median of direct requests.
     """
 
     entries: int
@@ -80,7 +80,7 @@
     idle_us_per_s: float = stored_as("rest_us_a_s")
     """The balancer's processor time per second without load, in microseconds."""
     net_us_per_request: float = stored_as("net_us_a_call")
-    """The balancer's processor time per request, minus its processor time without load."""
+    """The balancer's processor time per request, excluding the processor time that it uses without load."""
     resident_mib: float
     """The balancer's resident memory after the load."""
     attempts_per_request: float = stored_as("attempts_a_call")
@@ -95,7 +95,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[AddedTimeRow]:
-    """Measure each length of the list, and fit lines over the lengths."""
+    """Measure a balancer for each length of the list, and fit lines against the length."""
     result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/testbed/runs/control/__init__.py
+++ b/testbed/runs/control/__init__.py
@@ -1,1 +1,1 @@
-"""Runs that measure the control plane: how balancers follow the endpoint list, and what it costs them."""
+"""Runs that measure the control plane: how fast balancers apply endpoint lists, and at what cost."""
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -1,4 +1,4 @@
-"""Measures how fast balancers apply a change of the endpoint list, and what it costs them.
+"""Measures how fast balancers apply changes of the endpoint list, and the cost at several rates of change.
 
 Hundreds of watch-only balancers and a few real ones follow the list while it changes.
 """
@@ -36,11 +36,11 @@
 
 SECONDS_PER_DAY = 86_400
 _DELAY_COLUMNS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
-"""The stored columns to fit over the number of balancers."""
+"""The stored columns for which a line is fitted against the number of balancers."""
 _COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
-"""The stored columns to fit over the rate of changes."""
+"""The stored columns for which a line is fitted against the rate of changes."""
 _REAL_COST_COLUMNS = ("real_core_percent",)
-"""The stored columns to fit over the rate of changes if the plan has real balancers."""
+"""Further columns that are fitted against the rate of changes if the plan has real balancers."""
 
 
 class Plan(experiment.Plan):
@@ -128,7 +128,11 @@
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
-    """Fit delays over the number of balancers, by rate; fit costs over the rate, overall and by number."""
+    """Add fitted lines to the result.
+
+    Delays are fitted against the number of balancers, for each rate. Costs are fitted against the rate, for
+    all numbers of balancers together and for each number.
+    """
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAY_COLUMNS:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DelayColumns(Row):
-    """Delays in milliseconds from a change of the list at discovery until an event; null without changes.
+    """Delays in milliseconds from a change of the list at discovery; null if the list did not change.
 
     The watch-only balancers of a process apply a change one after another, so their delays are upper bounds.
     """
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeRow(Row):
-    """A group of balancers while the list changes at one rate."""
+    """The measurements of a group of balancers while the list changes at one rate."""
 
     balancers: int
     """The number of watch-only balancers."""
@@ -63,13 +63,13 @@
     changes: int
     """The number of changes, each of one entry."""
     changes_per_s: float
-    """The achieved rate."""
+    """The achieved rate of changes."""
     delays: DelayColumns
     core_percent: float
     """Processor time of a watch-only balancer, as a percentage of a core.
 
     It includes a share of the cost of measuring the event loop's lag (less than 1% of a core per process).
-    This cost does not depend on the rate, so the slope over the rate does not include it.
+    This cost does not depend on the rate, so it does not affect the slope that is fitted against the rate.
     """
     real_core_percent: float | None
     """Mean processor time of a real balancer, as a percentage of a core; null if there is none."""
@@ -196,7 +196,7 @@
 
 
 def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
-    """Return the reasons why the measurement is invalid, except saturated cores."""
+    """Return the reasons why the measurement is invalid, other than saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: an event loop lagged by {readings.p99_lag_s * 1000:.0f} ms")
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -1,4 +1,4 @@
-"""The delays from a change of the list until each balancer has it."""
+"""The delays from a change of the list until each balancer has the change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class VersionObservation(NamedTuple):
-    """The observation that a balancer had a version of the list at a time."""
+    """The version of the list that a balancer was observed to have, and when."""
 
     balancer: int
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayQuantiles:
-    """Quantiles of delays in milliseconds; None if nothing changed."""
+    """Quantiles of delays in milliseconds; None if the list did not change."""
 
     median: float | None = None
     p99: float | None = None
@@ -49,7 +49,8 @@
         changed_at: The times of the changes in seconds, one for each version from `first_version` on.
 
     Returns:
-        A table of milliseconds by balancer (rows) and change (columns); infinite if not observed.
+        The delays in milliseconds, with a row for each balancer and a column for each change; infinite if the
+        balancer was not observed to have the change.
     """
     change_versions = np.arange(first_version, first_version + len(changed_at))
     delays = np.full((len(balancers), len(changed_at)), np.inf)
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,4 +1,4 @@
-"""Groups of balancers with one simulated discovery, for the runs that measure the control plane.
+"""Groups of balancers with one simulated discovery service, for the runs that measure the control plane.
 
 A group has watch-only balancers, spread over a few processes, and real ones, each in its own process.
 """
@@ -71,7 +71,7 @@
 
 
 def sum_counts(discovery: Discovery, agent_numbers: range) -> RequestCounts:
-    """Return the sum of the counts of some agents."""
+    """Return the sum of the counts of the given agents."""
     total = RequestCounts()
     for agent_number in agent_numbers:
         total += discovery.agents[agent_number].counts
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class BalancerGroup:
-    """Balancers with one simulated discovery.
+    """Balancers with one simulated discovery service.
 
     The first `watch_only_count` agents belong to the watch-only balancers, the others to the real ones.
     """
@@ -113,7 +113,7 @@
 ) -> BalancerGroup:
     """Start watch-only balancers, spread evenly over processes, and real balancers.
 
-    The function returns once all of them follow the list.
+    The function returns once all of them have acknowledged the current version of the list.
     """
     group = BalancerGroup(discovery, [], [], watch_only_count)
 
@@ -143,7 +143,7 @@
 
 
 def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Create a simulated discovery that stops when the stack closes; `args` are passed to `Discovery`."""
+    """Create a `Discovery` with the arguments `args`, which is stopped when the stack is closed."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -1,4 +1,4 @@
-"""Measures the cost of an idle balancer that watches an unchanging list, for each length of the list."""
+"""Measures the cost of an idle balancer that watches an unchanging list, by length of the list."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 
 class Plan(experiment.Plan):
-    """The measurement; `sizes` are lengths of the endpoint list and values of the `balancers` setting."""
+    """The measurement; each size is the length of the list and the value of the `balancers` setting."""
 
     span_s: Annotated[float, Field(gt=0)]
     """The duration of the measurement in seconds."""
     settle_s: Annotated[float, Field(ge=0)]
     """The time from the start of the balancers to the start of the measurement, in seconds."""
     hollow: Annotated[int, Field(gt=0)]
-    """The number of watch-only balancers per list length, whose requests and bytes are counted."""
+    """The number of watch-only balancers for each list length; their requests and bytes are counted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IdleRow(Row):
-    """An idle real balancer, and watch-only balancers, with a list of one length."""
+    """The measurements of an idle real balancer and of watch-only balancers, for one length of the list."""
 
     entries: int
     """The length of the list."""
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -28,7 +28,7 @@
     """The number of faulty servers; 0 for all of the tier."""
 
     def tier_number(self, depth: int) -> int:
-        """Return the tier of the faulty servers, counted from 1."""
+        """Return the number of the tier of the faulty servers; tiers are numbered from 1."""
         return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
 
 
--- a/testbed/runs/depth/run.py
+++ b/testbed/runs/depth/run.py
@@ -23,7 +23,7 @@
 __all__ = ["Fault", "Plan", "measure"]
 
 _FITTED_COLUMNS = ("bottom_attempts_a_call", "bottom_attempts_an_admitted")
-"""The stored columns to fit over depth."""
+"""The stored columns for which lines are fitted against the depth."""
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[DepthRow]:
@@ -49,7 +49,7 @@
 
 
 def _fits(rows: Sequence[DepthRow], fault: str, column: str) -> list[Fit]:
-    """Fit linear, exponential (ln y over depth) and power-law (ln y over ln depth) growth."""
+    """Fit linear, exponential (ln y against depth) and power-law (ln y against ln depth) growth."""
     fitted = [row for row in rows if row.fault == fault and not row.cut_short and row.columns()[column]]
     depths = [row.depth for row in fitted]
     if len(set(depths)) < 2:
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -105,9 +105,12 @@
     rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected because their queues were full."""
     p50_added_per_tier_ms: float | None = stored_as("added_a_hop_p50_ms")
-    """The median time per tier of served requests, minus two messages and the mean service time."""
+    """The median latency of served requests per tier, minus the expected latency.
+
+    The expected latency per tier is that of two messages plus the mean service time.
+    """
     p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
-    """The 99th percentile of the same time."""
+    """The 99th percentile of the same latency."""
     last_tier_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
@@ -226,7 +229,7 @@
         )
 
     def _added_per_tier_ms(self, requests: Sequence[ClientRequest]) -> list[float]:
-        """Return the time per tier of each served request, minus two messages and the mean service time."""
+        """Return the latency per tier of each served request, minus the expected latency."""
         expected_ms = 2 * self._plan.hop_ms + self._plan.service_ms
         depth = self._chain.settings.depth
         return [
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -42,7 +42,7 @@
     ends_ns: list[int] = field(default_factory=list)
     """The policy's processing time for each `AttemptFinished`."""
     shed: list[bool] = field(default_factory=list)
-    """For each request, whether the policy made no attempt."""
+    """For each request, whether the policy shed it, that is, started no attempt."""
 
 
 class _AttemptEnd(NamedTuple):
@@ -54,7 +54,7 @@
 
 
 class DecisionBenchmark:
-    """Measures a warmed-up policy under a light load, in which all attempts succeed."""
+    """Measures the processing times of a warmed-up policy under a light load; all attempts succeed."""
 
     def __init__(self, plan: Plan, entries: int, endpoint_use: EndpointUse, tier: int) -> None:
         self._plan = plan
@@ -85,7 +85,7 @@
         return measured_round
 
     def _finish_attempts(self, measured_round: DecisionRound) -> None:
-        """Report to the policy the attempts that have ended by the current time."""
+        """Pass an `AttemptFinished` to the policy for each attempt that has ended by the current time."""
         while self._attempt_ends and self._attempt_ends[0].at_ms <= self._now_ms:
             end = heapq.heappop(self._attempt_ends)
             finished = AttemptFinished(
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -1,4 +1,4 @@
-"""Benchmarks the application of snapshots of a given length, and of deltas with one entry."""
+"""Benchmarks how long a balancer needs to apply snapshots of a given length, and deltas with one entry."""
 
 from __future__ import annotations
 
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -18,7 +18,7 @@
     """The load, the updates and the rounds; `sizes` are lengths of the endpoint list."""
 
     tiers: tuple[int, ...] = (0, 1)
-    """The tiers of the measured balancers, of which only tier 0 sheds load."""
+    """The tiers of the measured balancers; only a balancer in tier 0 sheds load."""
     calls_per_s: Annotated[float, Field(gt=0)]
     """The rate of requests on the balancer's virtual clock."""
     service_ms: Annotated[float, Field(gt=0)]
@@ -43,7 +43,7 @@
     Args:
         plan: The plan of the run.
         entries: The length of the list.
-        endpoint_use: Whether it uses a subset of the endpoints or all of them.
+        endpoint_use: Whether the balancer uses a subset of the endpoints or all of them.
         tier: The tier of the balancer.
     """
     return read_configuration(configuration_text(plan, entries, endpoint_use, tier), ignore_message)
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -24,7 +24,7 @@
 INITIAL_CALIBRATIONS = 100
 """The number of calibrations at the start; their minimum is the time on an undisturbed core."""
 MAX_UNDISTURBED_RATIO = 1.25
-"""The limit on the ratio of a calibration to the minimum; on a core with a busy sibling it is nearly 2."""
+"""The limit on a calibration time divided by the minimum; with a busy sibling, the ratio is nearly 2."""
 _NS_PER_US = 1e3
 
 
@@ -102,7 +102,7 @@
     def measure(self, benchmark: Benchmark[Any, RowT]) -> None:
         """Run rounds until enough of them are undisturbed, or the limit is reached.
 
-        Rounds are judged by the fastest calibration so far.
+        The calibrations of a round are compared with the fastest calibration so far.
         """
         rounds: list[_MeasuredRound] = []
         before = self._measure_calibration_us()
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -42,7 +42,7 @@
     shed: int
     """Requests for which no attempt was made."""
     endpoints_called: int = stored_as("servers_called")
-    """The number of endpoints that got an attempt, in the warm-up or later."""
+    """The number of endpoints that received an attempt, in the warm-up or later."""
     rounds: RoundColumns
     arrival_us_mean_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
     arrival_us_99_growth: float | None = field(default=None, metadata=OMITTED_IF_NONE)
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -66,7 +66,7 @@
 
 
 def _fits(plan: Plan, rows: list[ListSizeRow], endpoint_use: EndpointUse) -> list[Fit]:
-    """Fit costs over the length of the list, with a subset or with all endpoints."""
+    """Fit costs against the length of the list, for one choice of the endpoints that are used."""
     fits = []
     matching = [row for row in rows if row.identity.keeps == endpoint_use]
     for tier in plan.tiers:
--- a/testbed/runs/load_plan.py
+++ b/testbed/runs/load_plan.py
@@ -1,4 +1,4 @@
-"""The base plan of runs that send load through real balancers and directly to upstreams, to compare them."""
+"""The base plan of runs that compare requests through real balancers with direct requests to upstreams."""
 
 from __future__ import annotations
 
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -63,7 +63,7 @@
         self.direct_client = http_client.Client(upstreams[0].address)
 
     async def _start_tier(self, tier: int) -> None:
-        """Start the upstreams of a tier and its discovery."""
+        """Start the upstreams of a tier and the discovery service that lists them."""
         self.tiers.append(await self._upstreams.start(_TIER_SIZE))
         self._discoveries.append(Discovery())
         await self._discoveries[tier].start(f"127.79.{tier}.1")
@@ -75,7 +75,7 @@
         )
 
     async def _start_balancers(self) -> None:
-        """Start the balancers of every tier, `_START_BATCH_SIZE` at a time."""
+        """Start the balancers of every tier, in batches of `_START_BATCH_SIZE`."""
         configuration_texts = [
             self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_TIER_SIZE)
         ]
@@ -85,7 +85,7 @@
             await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[batch_start:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
-        """Return the configuration of balancer `number` that sends to `tier`, both counted from 0."""
+        """Return the configuration of balancer `number` that sends to `tier`, both numbered from 0."""
         return settings.configuration_text(
             f"n{tier}-{number}",
             free_address(f"127.78.{tier}.{number + 1}"),
@@ -112,7 +112,7 @@
         return [sum(upstream.counts.requests for upstream in tier) for tier in self.tiers]
 
     async def stop(self) -> None:
-        """Stop the balancers, discovery and the upstreams."""
+        """Stop the balancers, the discovery services and the upstreams."""
         await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
         for discovery in self._discoveries:
             await discovery.stop()
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -1,4 +1,4 @@
-"""Measures real balancers in deep chains: added latency, deadlines at the last tier, and faults there.
+"""Measures real balancers in deep chains: added latency, deadlines and faults at the last tier.
 
 Direct requests go through a chain of the same depth without balancers, with one upstream in each tier; the
 difference in latency is what the balancers add.
@@ -40,7 +40,7 @@
 """The name of each phase, and the behaviour of the last tier in it."""
 
 _FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
-"""The stored columns to fit over depth."""
+"""The stored columns for which a line is fitted against the depth."""
 _OK = 200
 _REJECTED_STATUSES = (503, 429)
 _MIB = 2**20
@@ -90,7 +90,10 @@
     failed: int
     """All other requests."""
     last_unserved_s: float
-    """When the last request without a 200 response was scheduled, from the phase start; 0 if all got one."""
+    """When the last request without a 200 response was scheduled, in seconds from the start of the phase.
+
+    It is 0 if every request was served.
+    """
     times: LatencyColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no direct request, or no request through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -109,7 +112,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each depth and phase, and fit lines over depth for the phase without a fault."""
+    """Measure each depth and phase, and fit lines against the depth for the phase without a fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -57,7 +57,7 @@
 
 ENDPOINT_TYPES = ("m1", "m2", "m4")
 ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
-"""The weights of endpoints, drawn uniformly, so that about a quarter of them have double weight."""
+"""The weights of endpoints, drawn uniformly, so that about a quarter of the endpoints have double weight."""
 
 ENDPOINT_PORT = 5000
 HOSTS_PER_OCTET = 250
@@ -70,7 +70,7 @@
     """Return the settings of one balancer as nested JSON, with the names and units of the WIRE page.
 
     Args:
-        balancers: The number of balancers in its tier.
+        balancers: The number of balancers in the tier.
         tier: The tier of the balancer; tier 0 faces the clients.
         pushed: Whether discovery pushes lists; otherwise the balancer polls for them.
         zone: The balancer's zone.
@@ -120,7 +120,7 @@
         name: The balancer's name.
         listen: Where it listens.
         discovery: The address of its discovery agent.
-        cached_entries: The cached endpoint list; without entries the balancer first requests a snapshot.
+        cached_entries: The cached endpoint list; if it is empty, the balancer first requests a snapshot.
         settings: The balancer's settings, from `balancer_settings`.
         seed: The seed of its random numbers.
         list_version: The version of `cached_entries`.
@@ -146,7 +146,7 @@
     group: int = 0,
     weight: float = 1.0,
 ) -> EndpointEntry:
-    """Return one list entry, in service since the start of Unix time."""
+    """Return one entry of the endpoint list, which has been in service since Unix time 0."""
     return {
         "name": name,
         "address": format_address(address),
--- a/testbed/upstream/behaviour.py
+++ b/testbed/upstream/behaviour.py
@@ -12,7 +12,8 @@
     SERVE = "serve"
     """Respond 200 with a body after the service time.
 
-    If there is a next tier, forward the request to it first, and respond 500 if its response is not 200.
+    If there is a next tier, the request is forwarded to it after the service time; if the next tier does not
+    respond 200, the response is 500.
     """
     FAIL = "fail"
     """Respond 500 after the service time."""
--- a/testbed/upstream/group.py
+++ b/testbed/upstream/group.py
@@ -34,7 +34,7 @@
         self.upstreams: list[Upstream] = []
 
     async def start(self, count: int, second_octet: int = DEFAULT_SECOND_OCTET) -> list[Upstream]:
-        """Start and return `count` more upstreams, each on its own host from 127.`second_octet`.0.1."""
+        """Start and return `count` more upstreams, each on its own host from 127.`second_octet`.0.1 on."""
         first_number = len(self.upstreams)
         for number in range(first_number, first_number + count):
             rng = random.Random(f"{self._seed}/{number}")
@@ -76,12 +76,12 @@
         return cast("UpstreamCounts", self._child.request("counts"))
 
     def stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         self._child.stop()
 
 
 def _run(pipe: Connection, count: int, service_ms: float, seed: int, second_octet: int) -> None:
-    """Run the child process."""
+    """Entry point of the child process."""
     run_child(_serve(pipe, count, service_ms, seed, second_octet))
 
 
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -129,7 +129,7 @@
             connection.respond(500)
 
     async def _next_tier_serves(self, request: ReceivedRequest) -> bool:
-        """Return whether the next tier, if there is one, serves the request in the remaining time."""
+        """Return whether the next tier serves the request in time; True if there is no next tier."""
         if self.forward is None:
             return True
         remaining_ms = request.deadline_ms - (self.clock() - request.received_at) * 1000
--- a/tests/testbed/balancer/test_watch_only.py
+++ b/tests/testbed/balancer/test_watch_only.py
@@ -53,7 +53,7 @@
         assert len(balancer.proxy.balancer.ready_endpoints) == 19
         assert len(balancer.proxy.upstream_pools.endpoint_names) == 20
         assert draining["name"] not in balancer.proxy.balancer.ready_endpoints
-        with pytest.raises(ConnectionError):  # no clients
+        with pytest.raises(ConnectionError):  # clients can't connect
             await asyncio.open_connection(*balancer.proxy.listener.address)
 
 
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -1,4 +1,4 @@
-"""Simulated chains: the events that a balancer's host passes to the policy, and how it performs actions."""
+"""Simulated chains: the events that the host passes to the policy, and how the host performs actions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,7 +23,7 @@
 from testbed.chain.server import Behaviour
 from testbed.chain.settings import ChainSettings
 
-# Binary fractions, whose sums are exact.
+# Binary fractions, so that floating-point sums are exact.
 HOP_MS, SERVICE_MS = 0.25, 1.0
 ScriptedPolicy = Callable[[Event, float], list[Action]]
 
@@ -104,7 +104,7 @@
     [(finished_at, finished)] = recorded.events_of(0, AttemptFinished)
     served = outcome is Outcome.SUCCEEDED
     assert (finished.outcome, finished_at, finished.is_request_complete) == (outcome, duration_ms, served)
-    # Requests that are safe to retry get 503 and not 502.
+    # A failed request that is safe to retry has the status 503, not 502.
     assert chain.client_requests[0].status == (200 if served else 503)
     assert chain.client_requests[0].finished_at_ms == duration_ms
     assert all(front.open_requests == 0 for front in chain.front_balancers)
@@ -165,7 +165,7 @@
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     run_to_end(chain)
-    # Each server sees the closed connection one hop later, and its balancer then cancels its own attempt.
+    # Each server notices the closed connection one hop later; its balancer then cancels the next attempt.
     assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (100.0, Outcome.CANCELLED)
     ]
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -108,7 +108,7 @@
         await wait_until(lambda: discovery.counts().requests == 2, "two requests have been received")
         assert discovery.agents[0].written_version == version
         newest = discovery.apply_changes([three_entries()[2] | {"weight": 4.0}])
-        assert discovery.agents[0].written_version == newest  # written at once
+        assert discovery.agents[0].written_version == newest  # written immediately
         assert discovery.changed_at[newest] <= discovery.written_at[newest]
         assert read_list(await read_message(watcher.reader))[0] == newest
         for query, path, status in (
--- a/tests/testbed/load/test_kernel_timer.py
+++ b/tests/testbed/load/test_kernel_timer.py
@@ -1,4 +1,4 @@
-"""The kernel timer on which the load sleeps until its next request."""
+"""The kernel timer that the load uses to sleep until the next request."""
 
 import time
 
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -22,7 +22,7 @@
 
 
 def test_delay_ends_at_first_version_with_change() -> None:
-    # The changes are versions 5, 6 and 7. Balancer 1 gets 5 and 6 together; balancer 2 never gets 7.
+    # The changes are versions 5, 6 and 7. Balancer 1 receives 5 and 6 together; balancer 2 never receives 7.
     values = [(1, 4, 9.0), (1, 6, 11.0), (2, 5, 10.5), (1, 7, 13.0), (2, 6, 12.0), (3, 7, 1.0)]
     observations = [VersionObservation(*fields) for fields in values]
     delays = delays_ms(observations, range(1, 3), 5, np.array([10.0, 10.5, 12.0]))
