--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -60,7 +60,7 @@
         super().__init__(f"balancer not ready after {timeout_s} s: {log[-_LOG_TAIL_CHARACTERS:]}")
 
 
-def deploy_command() -> str:
+def read_deploy_command() -> str:
     """Return the `run` command of the deploy file; it works only after the file's `build` command has run."""
     deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
@@ -73,7 +73,9 @@
         return f"{host}:{listener.getsockname()[1]}"
 
 
-def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
+def _write_configuration(
+    folder: Path, configuration: dict[str, Any], configuration_text: str
+) -> dict[str, str]:
     """Write a balancer's configuration file, and return the environment variables that it needs."""
     configuration_path, temporary_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
@@ -118,12 +120,12 @@
             raise TooManyBalancersError
         configuration = json.loads(configuration_text)
         folder = Path(tempfile.mkdtemp(prefix="balancer-"))
-        environment = _write_files(folder, configuration, configuration_text)
+        environment = _write_configuration(folder, configuration, configuration_text)
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
-                command or deploy_command(),
+                command or read_deploy_command(),
                 cwd=REPOSITORY_ROOT,
                 env=os.environ | environment,
                 stdin=asyncio.subprocess.DEVNULL,
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -101,8 +101,8 @@
         self._is_dispatching = False
         self._last_number = 0
         self._class_name = settings.request_class.name
-        self._dispatch(self._endpoint_list(EndpointListKind.CACHED))
-        self._dispatch(self._endpoint_list(EndpointListKind.SNAPSHOT))
+        self._dispatch(self._endpoint_list_update(EndpointListKind.CACHED))
+        self._dispatch(self._endpoint_list_update(EndpointListKind.SNAPSHOT))
 
     @property
     def open_requests(self) -> int:
@@ -139,7 +139,7 @@
         if request is not None and request.is_open:
             self._abandon(request)
 
-    def _endpoint_list(self, kind: EndpointListKind) -> EndpointListUpdate:
+    def _endpoint_list_update(self, kind: EndpointListKind) -> EndpointListUpdate:
         return EndpointListUpdate(kind, tuple(Endpoint(name) for name in self._servers))
 
     def _abandon(self, request: _Request) -> None:
@@ -173,15 +173,15 @@
             return
         self._is_dispatching = True
         while self._events:
-            self._handle(*self._events.popleft())
+            self._handle_event(*self._events.popleft())
         self._is_dispatching = False
 
-    def _handle(self, event: Event, request: _Request | None) -> None:
+    def _handle_event(self, event: Event, request: _Request | None) -> None:
         start_s = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
         self._recorder.record_policy_event(time.perf_counter() - start_s)
         for action in actions:
-            self._perform(action)
+            self._perform_action(action)
         if request is not None:
             request.queued_events -= 1
             if request.is_finished:
@@ -189,7 +189,7 @@
 
     # ---- actions ------------------------------------------------------------------------------
 
-    def _perform(self, action: Action) -> None:
+    def _perform_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -202,7 +202,7 @@
             case CancelAttempt(number, index):
                 self._cancel_attempt(number, index)
             case WatchEndpoints():
-                snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
+                snapshot = self._endpoint_list_update(EndpointListKind.SNAPSHOT)
                 self._clock.schedule(self._clock.now, self._dispatch, snapshot)
             case CloseIdleConnections() | LogMessage():
                 pass  # simulated connections do not become idle, and log messages are dropped
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -56,8 +56,8 @@
         runner.run(main)
 
 
-async def serve_pipe(pipe: Connection, respond: Callable[[], object]) -> None:
-    """Send the result of `respond()` for each received message, until the other end of the pipe is closed.
+async def serve_pipe(pipe: Connection, make_response: Callable[[], object]) -> None:
+    """Send `make_response()` for each received message, until the other end of the pipe is closed.
 
     The content of the messages is ignored.
     """
@@ -67,7 +67,7 @@
     def on_readable() -> None:
         try:
             pipe.recv()
-            pipe.send(respond())
+            pipe.send(make_response())
         except (EOFError, OSError):
             closed.set()
 
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -80,7 +80,7 @@
         log.info("begins", experiment=path.stem, run=plan.run, seed=plan.seed)
         result = RUN_KINDS[plan.run].measure(plan, log)
         results.write_result(out / f"{path.stem}.json", path.stem, plan.model_dump(mode="json"), result)
-        log.info("ended", experiment=path.stem, rows=len(result.rows), doubts=result.invalid_reasons)
+        log.info("ended", experiment=path.stem, rows=len(result.rows), doubts=result.invalidity_reasons)
         all_valid = all_valid and result.is_valid
     if not all_valid:
         raise typer.Exit(_EXIT_INVALID)
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -21,7 +21,7 @@
 MAX_WAIT_MS = 60_000
 """The maximum `wait_ms` of a watch request."""
 
-CONTINUED_WATCH_S = 0.2
+MAX_WATCH_GAP_S = 0.2
 """A watch request continues the previous watch if it arrives within this time of the response, in seconds."""
 
 LISTEN_BACKLOG = 128
@@ -136,7 +136,7 @@
         self.counts.requests += 1
         if known_version == NO_VERSION:
             return
-        if now_s - self.responded_at_s <= CONTINUED_WATCH_S:
+        if now_s - self.responded_at_s <= MAX_WATCH_GAP_S:
             self.counts.continued_watches += 1
         else:
             self.counts.new_watches += 1
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -60,7 +60,7 @@
         self._entries = {entry["name"]: entry for entry in entries}
         self._changes.clear()
         self._oldest_version = self.version + 1
-        self._advance()
+        self._advance_version()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> None:
         """Create a new version of the list.
@@ -79,9 +79,9 @@
         while len(self._changes) > MAX_REMEMBERED_CHANGES:
             oldest_name = next(iter(self._changes))
             self._oldest_version = self._changes.pop(oldest_name)[0]
-        self._advance()
+        self._advance_version()
 
-    def _advance(self) -> None:
+    def _advance_version(self) -> None:
         self.version += 1
         self._responses.clear()
 
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -45,8 +45,8 @@
     """The endpoint list and an agent for each balancer, on the running event loop.
 
     Attributes:
-        changed_at: When each version was created, in seconds of the clock; the index is the version.
-        written_at: When each version had been written to all open watches; the index is the version.
+        change_times_s: When each version was created, in seconds of the clock; the index is the version.
+        write_times_s: When each version had been written to all open watches; the index is the version.
         agents: The agents by number.
     """
 
@@ -64,11 +64,11 @@
         self._history = EndpointHistory()
         self._states: dict[Hashable, AgentState] = {}  # by group, or by the key of a single agent
         self._first_host = ipaddress.IPv4Address(FIRST_HOST)
-        self.changed_at: list[float] = [clock()]
-        self.written_at: list[float] = [clock()]
+        self.change_times_s: list[float] = [clock()]
+        self.write_times_s: list[float] = [clock()]
         self.agents: dict[int, Agent] = {}
 
-    async def start(self, host: str = FIRST_HOST) -> None:
+    async def set_first_host(self, host: str = FIRST_HOST) -> None:
         """Set where agents listen: agent 0 on `host`, agent n on the n-th address above it.
 
         Raises:
@@ -114,10 +114,10 @@
         return self._history.response_after(known_version)
 
     def _publish(self) -> int:
-        self.changed_at.append(self._clock())
+        self.change_times_s.append(self._clock())
         for agent in self.agents.values():
             agent.respond_to_open_requests()
-        self.written_at.append(self._clock())
+        self.write_times_s.append(self._clock())
         return self.version
 
     # ---- agents ---------------------------------------------------------------------------------
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -71,7 +71,7 @@
     served_latencies: Latencies = field(default_factory=Latencies)
     lateness: Latencies = field(default_factory=Latencies)
 
-    def invalid_reasons(self, name: str, max_lateness_ms: float) -> list[str]:
+    def invalidity_reasons(self, name: str, max_lateness_ms: float) -> list[str]:
         """Return the reasons why the results are invalid, or an empty list if they are valid.
 
         They are invalid if the 99th percentile of lateness exceeds `max_lateness_ms`.
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -76,7 +76,7 @@
         total = sum(elapsed.values())
         return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
-    def invalid_reasons(self, phase: str) -> list[str]:
+    def invalidity_reasons(self, phase: str) -> list[str]:
         """Return the reason why the results of a phase are invalid if the cores were saturated, else none."""
         busy = self.busy_fraction()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
--- a/testbed/results.py
+++ b/testbed/results.py
@@ -140,7 +140,7 @@
     """One row, and the reasons why its values are invalid, if any."""
 
     row: RowT
-    invalid_reasons: list[str]
+    invalidity_reasons: list[str]
 
 
 @dataclass(slots=True)
@@ -149,18 +149,18 @@
 
     rows: list[RowT] = field(default_factory=list)
     fits: list[Fit] = field(default_factory=list)
-    invalid_reasons: list[str] = field(default_factory=list)
+    invalidity_reasons: list[str] = field(default_factory=list)
     """Why the results are invalid, such as late load or saturated cores; empty if they are valid."""
 
     @property
     def is_valid(self) -> bool:
-        """Whether `invalid_reasons` is empty."""
-        return not self.invalid_reasons
+        """Whether `invalidity_reasons` is empty."""
+        return not self.invalidity_reasons
 
     def add(self, measured: MeasuredRow[RowT]) -> None:
         """Add a row and the reasons why its values are invalid."""
         self.rows.append(measured.row)
-        self.invalid_reasons += measured.invalid_reasons
+        self.invalidity_reasons += measured.invalidity_reasons
 
 
 def describe_machine() -> dict[str, Any]:
@@ -213,7 +213,7 @@
         "machine": describe_machine(),
         "versions": versions(),
         "valid": valid,
-        "doubts": result.invalid_reasons,
+        "doubts": result.invalidity_reasons,
         "rows": [row.columns() for row in result.rows] if valid else [],
         "fits": [asdict(fit) for fit in result.fits] if valid else [],
     }
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -101,7 +101,7 @@
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             measured = runner.run(_measure_size(plan, size))
         result.add(measured)
-        log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
+        log.info("measured", **measured.row.columns(), doubts=measured.invalidity_reasons)
     if len(plan.sizes) > 1:
         result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED_COLUMNS]
     return result
@@ -112,7 +112,7 @@
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
-        await discovery.start(_FIRST_AGENT_HOST)
+        await discovery.set_first_host(_FIRST_AGENT_HOST)
         entries = settings.endpoint_entries(size, seed=plan.seed, addresses=upstreams.addresses)
         discovery.replace_entries(entries)
         balancer_settings = settings.balancer_settings(balancers=size)
@@ -178,9 +178,9 @@
         usage_after = self._usage()
         counts_after = self._upstreams.counts()
         gc.unfreeze()
-        busy, reasons = cores.busy_fraction(), cores.invalid_reasons(f"{self._size} entries")
+        busy, reasons = cores.busy_fraction(), cores.invalidity_reasons(f"{self._size} entries")
         for name, report in reports.items():
-            reasons += report.invalid_reasons(f"{self._size} entries, {name}", plan.late_ms)
+            reasons += report.invalidity_reasons(f"{self._size} entries, {name}", plan.late_ms)
         readings = _Readings(
             idle_us_per_s, usage_before, usage_after, counts_before, counts_after, busy, reports
         )
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -23,8 +23,8 @@
     FOLLOW_TIMEOUT_S,
     BalancerGroup,
     all_up_to_date,
+    create_discovery,
     run_on_new_loop,
-    start_discovery,
     start_group,
     wait_until,
 )
@@ -85,8 +85,8 @@
         acknowledgements.append(VersionObservation(agent, known_version, at_s))
 
     async with AsyncExitStack() as stack:
-        discovery = start_discovery(stack, time.monotonic, on_watch)
-        await discovery.start("127.33.0.1")
+        discovery = create_discovery(stack, time.monotonic, on_watch)
+        await discovery.set_first_host("127.33.0.1")
         discovery.replace_entries(settings.endpoint_entries(plan.entries, seed=plan.seed))
         group = await start_group(
             stack,
@@ -118,8 +118,8 @@
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
     seed = plan.seed + round(1000 * multiple) + group.watch_only_count
-    change_times_s = arrival_times(rate_per_s, duration_s, random.Random(seed))
-    max_lateness_s = await apply_changes_over_time(group.discovery, changes, change_times_s)
+    scheduled_times_s = arrival_times(rate_per_s, duration_s, random.Random(seed))
+    max_lateness_s = await apply_changes_over_time(group.discovery, changes, scheduled_times_s)
     await asyncio.sleep(max(duration_s - measurement.elapsed_s, 0.0))
     await wait_until(
         lambda: all_up_to_date(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -137,20 +137,20 @@
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
         counts = sum_counts(self._group.discovery, self._group.watch_only_agents) - self._counts
-        reasons = self._core_monitor.invalid_reasons(name)
+        reasons = self._core_monitor.invalidity_reasons(name)
         p99_lag_s, _ = self._lag_monitor.take_lag()
         self._lag_monitor.stop()
         reports = [process.report() for process in self._group.processes]
         p99_lag_s = max([p99_lag_s, *(report.p99_lag_s for report in reports)])
         readings = _Readings(elapsed_s, processor_s, counts, reports, p99_lag_s)
-        reasons += _invalid_reasons(name, readings, max_lateness_s)
+        reasons += _invalidity_reasons(name, readings, max_lateness_s)
         return MeasuredRow(self._row(multiple, readings, acknowledgements), reasons)
 
     def _row(
         self, multiple: float, readings: _Readings, acknowledgements: Sequence[VersionObservation]
     ) -> ChangeRow:
         group, elapsed_s, counts = self._group, readings.elapsed_s, readings.counts
-        changes = len(group.discovery.changed_at[self._first_version :])
+        changes = len(group.discovery.change_times_s[self._first_version :])
         core_percent = np.array(readings.processor_s) / elapsed_s * 100
         watch_only_percent = core_percent[: len(group.processes)]
         real_percent = core_percent[len(group.processes) :]
@@ -173,11 +173,13 @@
         self, reports: list[AppliedListsReport], acknowledgements: Sequence[VersionObservation]
     ) -> DelayColumns:
         group, first_version = self._group, self._first_version
-        changed_at = np.array(group.discovery.changed_at[first_version:])
-        applied = delays_ms(_applied_versions(reports), group.watch_only_agents, first_version, changed_at)
-        acknowledged = delays_ms(acknowledgements, group.watch_only_agents, first_version, changed_at)
-        real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, changed_at)
-        written_s = np.array(group.discovery.written_at[first_version:]) - changed_at
+        change_times_s = np.array(group.discovery.change_times_s[first_version:])
+        applied = delays_ms(
+            _applied_versions(reports), group.watch_only_agents, first_version, change_times_s
+        )
+        acknowledged = delays_ms(acknowledgements, group.watch_only_agents, first_version, change_times_s)
+        real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, change_times_s)
+        written_s = np.array(group.discovery.write_times_s[first_version:]) - change_times_s
         applied_quantiles, acknowledged_quantiles = delay_quantiles(applied), delay_quantiles(acknowledged)
         real_acknowledged_quantiles = delay_quantiles(real_acknowledged)
         return DelayColumns(
@@ -195,7 +197,7 @@
         )
 
 
-def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
+def _invalidity_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
     """Return the reasons why the measurement is invalid, other than saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
--- a/testbed/runs/control/delays.py
+++ b/testbed/runs/control/delays.py
@@ -36,7 +36,7 @@
     observations: Iterable[VersionObservation],
     balancers: range,
     first_version: int,
-    changed_at: NDArray[np.float64],
+    change_times_s: NDArray[np.float64],
 ) -> DelayTable:
     """Compute the delay of each change at each balancer.
 
@@ -46,14 +46,14 @@
         observations: The observations, in chronological order for each balancer; other balancers are ignored.
         balancers: The numbers of the balancers.
         first_version: The version of the first change.
-        changed_at: The times of the changes in seconds, one for each version from `first_version` on.
+        change_times_s: The times of the changes in seconds, one for each version from `first_version` on.
 
     Returns:
         The delays in milliseconds, with a row for each balancer and a column for each change; infinite if the
         balancer was not observed to have the change.
     """
-    change_versions = np.arange(first_version, first_version + len(changed_at))
-    delays = np.full((len(balancers), len(changed_at)), np.inf)
+    change_versions = np.arange(first_version, first_version + len(change_times_s))
+    delays = np.full((len(balancers), len(change_times_s)), np.inf)
     by_balancer: dict[int, list[tuple[int, float]]] = {number: [] for number in balancers}
     for number, version, at_s in observations:
         if number in by_balancer:
@@ -61,7 +61,7 @@
     for row, number in enumerate(balancers):
         versions = np.array([version for version, _ in by_balancer[number]])
         times_s = np.array([*(at_s for _, at_s in by_balancer[number]), np.inf])
-        delays[row] = (times_s[np.searchsorted(versions, change_versions)] - changed_at) * 1000
+        delays[row] = (times_s[np.searchsorted(versions, change_versions)] - change_times_s) * 1000
     return delays
 
 
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -142,7 +142,7 @@
     return group
 
 
-def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
+def create_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
     """Create a `Discovery` with the arguments `args`, which is stopped when the stack is closed."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -16,8 +16,8 @@
 from testbed.runs.control.group import (
     MAX_LATENESS_S,
     BalancerGroup,
+    create_discovery,
     run_on_new_loop,
-    start_discovery,
     start_group,
     sum_counts,
 )
@@ -103,8 +103,8 @@
     stack: AsyncExitStack, plan: Plan, size_index: int, entries: int, *, pushed: bool
 ) -> BalancerGroup:
     """Start the balancers for one length of the list, with a separate discovery service."""
-    discovery = start_discovery(stack)
-    await discovery.start(f"127.32.{size_index}.1")
+    discovery = create_discovery(stack)
+    await discovery.set_first_host(f"127.32.{size_index}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
     balancer_settings = settings.balancer_settings(balancers=entries, pushed=pushed)
     return await start_group(
@@ -132,35 +132,35 @@
     p99_lag_s, _ = lag_monitor.take_lag()
     lag_monitor.stop()
     phase = f"idle, {'pushed' if pushed else 'polled'}"
-    result.invalid_reasons += core_monitor.invalid_reasons(phase)
+    result.invalidity_reasons += core_monitor.invalidity_reasons(phase)
     if p99_lag_s >= MAX_LATENESS_S:
-        result.invalid_reasons.append(
+        result.invalidity_reasons.append(
             f"{phase}: the event loop of discovery lagged by {p99_lag_s * 1000:.0f} ms"
         )
 
 
 def _take_reading(group: BalancerGroup) -> _Reading:
     processor_s = measure_usage([group.real_balancers[0].pid]).processor_s
-    real = sum_counts(group.discovery, group.real_agents)
-    watch_only = sum_counts(group.discovery, group.watch_only_agents)
-    return _Reading(processor_s, real, watch_only)
+    real_counts = sum_counts(group.discovery, group.real_agents)
+    watch_only_counts = sum_counts(group.discovery, group.watch_only_agents)
+    return _Reading(processor_s, real_counts, watch_only_counts)
 
 
 def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> IdleRow:
     after = _take_reading(group)
-    real = after.real_counts - before.real_counts
-    watch_only = after.watch_only_counts - before.watch_only_counts
-    resources = measure_usage([group.real_balancers[0].pid])
+    real_counts = after.real_counts - before.real_counts
+    watch_only_counts = after.watch_only_counts - before.watch_only_counts
+    usage = measure_usage([group.real_balancers[0].pid])
     return IdleRow(
         entries=entries,
         mode="push" if pushed else "ask",
         core_percent=(after.processor_s - before.processor_s) / elapsed_s * 100,
-        resident_mib=resources.resident_bytes / _MIB,
-        descriptors=resources.descriptors,
-        requests_per_s=real.requests / elapsed_s,
-        bytes_per_s=(real.bytes_in + real.bytes_out) / elapsed_s,
-        watch_only_requests_per_s=watch_only.requests / elapsed_s / group.watch_only_count,
-        watch_only_bytes_per_s=(watch_only.bytes_in + watch_only.bytes_out)
+        resident_mib=usage.resident_bytes / _MIB,
+        descriptors=usage.descriptors,
+        requests_per_s=real_counts.requests / elapsed_s,
+        bytes_per_s=(real_counts.bytes_in + real_counts.bytes_out) / elapsed_s,
+        watch_only_requests_per_s=watch_only_counts.requests / elapsed_s / group.watch_only_count,
+        watch_only_bytes_per_s=(watch_only_counts.bytes_in + watch_only_counts.bytes_out)
         / elapsed_s
         / group.watch_only_count,
     )
--- a/testbed/runs/list_size/decisions.py
+++ b/testbed/runs/list_size/decisions.py
@@ -37,9 +37,9 @@
 class DecisionRound:
     """The measurements of one round."""
 
-    arrivals_ns: list[int] = field(default_factory=list)
+    arrival_durations_ns: list[int] = field(default_factory=list)
     """The policy's processing time for each `RequestReceived`."""
-    ends_ns: list[int] = field(default_factory=list)
+    end_durations_ns: list[int] = field(default_factory=list)
     """The policy's processing time for each `AttemptFinished`."""
     shed: list[bool] = field(default_factory=list)
     """For each request, whether the policy shed it, that is, started no attempt."""
@@ -91,14 +91,14 @@
             finished = AttemptFinished(
                 end.request, _ATTEMPT_INDEX, end.endpoint, Outcome.SUCCEEDED, is_request_complete=True
             )
-            self._handle(finished, end.at_ms, measured_round.ends_ns)
+            self._handle(finished, end.at_ms, measured_round.end_durations_ns)
 
     def _receive_request(self, measured_round: DecisionRound) -> None:
         """Pass the next request to the policy, and schedule when its attempts end."""
         self._last_request_number += 1
         request_class = self._classes[self._last_request_number % len(self._classes)]
         received = RequestReceived(self._last_request_number, request_class.name, request_class.deadline_ms)
-        actions = self._handle(received, self._now_ms, measured_round.arrivals_ns)
+        actions = self._handle(received, self._now_ms, measured_round.arrival_durations_ns)
         attempts = [action for action in actions if isinstance(action, StartAttempt)]
         measured_round.shed.append(not attempts)
         for attempt in attempts:
@@ -118,21 +118,25 @@
 
     def row(self, undisturbed_rounds: Sequence[DecisionRound], columns: RoundColumns) -> DecisionRow:
         """Return the row that combines all undisturbed rounds."""
-        arrivals_ns = [
-            duration_ns for measured_round in undisturbed_rounds for duration_ns in measured_round.arrivals_ns
+        arrival_durations_ns = [
+            duration_ns
+            for measured_round in undisturbed_rounds
+            for duration_ns in measured_round.arrival_durations_ns
         ]
-        ends_ns = [
-            duration_ns for measured_round in undisturbed_rounds for duration_ns in measured_round.ends_ns
+        end_durations_ns = [
+            duration_ns
+            for measured_round in undisturbed_rounds
+            for duration_ns in measured_round.end_durations_ns
         ]
         return DecisionRow(
             identity=self.identity,
-            arrival_us_median=float(np.median(arrivals_ns)) / _NS_PER_US,
-            arrival_us_mean=float(np.mean(arrivals_ns)) / _NS_PER_US,
-            p99_arrival_us=float(np.percentile(arrivals_ns, 99)) / _NS_PER_US,
-            end_us_median=float(np.median(ends_ns)) / _NS_PER_US,
-            end_us_mean=float(np.mean(ends_ns)) / _NS_PER_US,
-            p99_end_us=float(np.percentile(ends_ns, 99)) / _NS_PER_US,
-            requests=len(arrivals_ns),
+            arrival_us_median=float(np.median(arrival_durations_ns)) / _NS_PER_US,
+            arrival_us_mean=float(np.mean(arrival_durations_ns)) / _NS_PER_US,
+            p99_arrival_us=float(np.percentile(arrival_durations_ns, 99)) / _NS_PER_US,
+            end_us_median=float(np.median(end_durations_ns)) / _NS_PER_US,
+            end_us_mean=float(np.mean(end_durations_ns)) / _NS_PER_US,
+            p99_end_us=float(np.percentile(end_durations_ns, 99)) / _NS_PER_US,
+            requests=len(arrival_durations_ns),
             shed=sum(sum(measured_round.shed) for measured_round in undisturbed_rounds),
             endpoints_called=len(self._endpoints_called),
             rounds=columns,
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -146,7 +146,7 @@
             list_total_ms=_median(times.total for times in lists) / _NS_PER_MS,
             delta_total_us=_median(times.total for times in deltas) / _NS_PER_US,
             delta_total_us_p99=float(np.percentile([times.total for times in deltas], 99)) / _NS_PER_US,
-            memory_kib=_memory_bytes(self._configuration_text) / _KIB,
+            memory_kib=_measure_memory_bytes(self._configuration_text) / _KIB,
             rounds=columns,
         )
 
@@ -155,10 +155,10 @@
     return float(np.median(list(durations_ns)))
 
 
-def _memory_bytes(text: str) -> int:
+def _measure_memory_bytes(text: str) -> int:
     """Measure the memory of a balancer that has applied its list and started its watch, without requests."""
 
-    async def start() -> int:
+    async def measure() -> int:
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
@@ -172,6 +172,6 @@
         return after - before
 
     try:
-        return asyncio.run(start())
+        return asyncio.run(measure())
     finally:
         tracemalloc.stop()
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -122,7 +122,7 @@
         for benchmark, rounds in self._measured_benchmarks:
             undisturbed = list(filter(self._is_undisturbed, rounds))
             if not undisturbed:
-                result.invalid_reasons.append(
+                result.invalidity_reasons.append(
                     f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was undisturbed"
                 )
                 continue
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -55,8 +55,8 @@
             runner.measure(ListBenchmark(plan, entries, endpoint_use))
             log.info("measured", entries=entries, keeps=endpoint_use)
     result = runner.result()
-    has_missing_rows = bool(result.invalid_reasons)
-    result.invalid_reasons = cores.invalid_reasons("whole run") + result.invalid_reasons
+    has_missing_rows = bool(result.invalidity_reasons)
+    result.invalidity_reasons = cores.invalidity_reasons("whole run") + result.invalidity_reasons
     if has_missing_rows:
         return result
     result.rows = with_growth(result.rows)
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -33,7 +33,7 @@
         self._depth = depth
         self._seeds = itertools.count(seed * 1_000)
         self._upstreams = UpstreamGroup(seed)
-        self._discoveries: list[Discovery] = []
+        self._discovery_services: list[Discovery] = []
         self.tiers: list[list[Upstream]] = []
         self.balancers: list[RealBalancer] = []
         self.front_clients: list[http_client.Client] = []
@@ -65,9 +65,9 @@
     async def _start_tier(self, tier: int) -> None:
         """Start the upstreams of a tier and the discovery service that lists them."""
         self.tiers.append(await self._upstreams.start(_TIER_SIZE))
-        self._discoveries.append(Discovery())
-        await self._discoveries[tier].start(f"127.79.{tier}.1")
-        self._discoveries[tier].replace_entries(
+        self._discovery_services.append(Discovery())
+        await self._discovery_services[tier].set_first_host(f"127.79.{tier}.1")
+        self._discovery_services[tier].replace_entries(
             [
                 settings.endpoint_entry(f"s-{tier:04x}{i:04x}", upstream.address)
                 for i, upstream in enumerate(self.tiers[tier])
@@ -89,11 +89,11 @@
         return settings.configuration_text(
             f"n{tier}-{number}",
             free_address(f"127.78.{tier}.{number + 1}"),
-            self._discoveries[tier].agent_address(number),
-            self._discoveries[tier].entries,
+            self._discovery_services[tier].agent_address(number),
+            self._discovery_services[tier].entries,
             settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
             seed=next(self._seeds),
-            list_version=self._discoveries[tier].version,
+            list_version=self._discovery_services[tier].version,
         )
 
     def _connect_tiers(self) -> None:
@@ -107,13 +107,13 @@
     def _record_deadline(self, request: ReceivedRequest) -> None:
         self.deadlines_ms.append(request.deadline_ms)
 
-    def attempts(self) -> list[int]:
+    def attempts_by_tier(self) -> list[int]:
         """Return the number of attempts at each tier so far."""
         return [sum(upstream.counts.requests for upstream in tier) for tier in self.tiers]
 
     async def stop(self) -> None:
         """Stop the balancers, the discovery services and the upstreams."""
         await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
-        for discovery in self._discoveries:
+        for discovery in self._discovery_services:
             await discovery.stop()
         self._upstreams.close()
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -136,10 +136,10 @@
                 await upstream.set_behaviour(behaviour)
             measured = await _measure_phase(plan, chain, phase, plan.seed + 1 + number)
             result.rows.append(measured.row)
-            result.invalid_reasons += [
-                f"depth {depth}, {phase}: {reason}" for reason in measured.invalid_reasons
+            result.invalidity_reasons += [
+                f"depth {depth}, {phase}: {reason}" for reason in measured.invalidity_reasons
             ]
-            log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
+            log.info("measured", **measured.row.columns(), doubts=measured.invalidity_reasons)
     finally:
         await chain.stop()
 
@@ -170,14 +170,16 @@
     pids = [balancer.pid for balancer in chain.balancers]
     cores = CoreMonitor()
     usage_before = measure_usage(pids)
-    attempts_before = chain.attempts()
+    attempts_before = chain.attempts_by_tier()
     reports = await load.run_streams(_streams(plan, chain), plan.phase_s, seed)
     usage_after = measure_usage(pids)
     busy = cores.busy_fraction()
-    attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
-    reasons = cores.invalid_reasons("the phase")
+    attempts = [
+        after - before for before, after in zip(attempts_before, chain.attempts_by_tier(), strict=True)
+    ]
+    reasons = cores.invalidity_reasons("the phase")
     for name, report in reports.items():
-        reasons += report.invalid_reasons(name, plan.late_ms)
+        reasons += report.invalidity_reasons(name, plan.late_ms)
     readings = _Readings(usage_before, usage_after, busy, attempts, reports)
     return MeasuredRow(_row(chain, phase, readings), reasons)
 
--- a/tests/testbed/balancer/test_watch_only.py
+++ b/tests/testbed/balancer/test_watch_only.py
@@ -57,7 +57,7 @@
             await asyncio.open_connection(*balancer.proxy.listener.address)
 
 
-async def test_poll_is_repeated_after_timeout(discovery: Discovery, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_timed_out_poll_is_retried(discovery: Discovery, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("loadbalancer.policy.poll_backoff.INITIAL_BACKOFF_MS", 2.0)
     monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.05)
 
@@ -97,7 +97,7 @@
     last_report = process.stop()
     assert sorted(last_report.balancer_numbers) == [0, 1, 2]
     assert set(last_report.versions) == {second_version}
-    assert all(discovery.changed_at[second_version] <= at_s for at_s in last_report.applied_at_s)
+    assert all(discovery.change_times_s[second_version] <= at_s for at_s in last_report.applied_at_s)
     assert last_report.max_lag_s >= last_report.p99_lag_s >= 0
     await discovery.stop()
     assert not psutil.pid_exists(process.pid)
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -49,7 +49,7 @@
 
 
 async def test_snapshot_is_followed_by_deltas(discovery: Discovery) -> None:
-    await discovery.start()
+    await discovery.set_first_host()
     first = discovery.replace_entries(three_entries())
     async with WatchClient(discovery.agent_address(0)) as watcher:
         assert await watcher.request_list() == (
@@ -100,7 +100,7 @@
 
 
 async def test_watch_ends_on_change_or_timeout(discovery: Discovery) -> None:
-    await discovery.start()
+    await discovery.set_first_host()
     version = discovery.replace_entries(three_entries())
     async with WatchClient(discovery.agent_address(0)) as watcher:
         assert await watcher.request_list(f"?after={version}&wait_ms=5") == (version, False, {})
@@ -109,7 +109,7 @@
         assert discovery.agents[0].written_version == version
         newest = discovery.apply_changes([three_entries()[2] | {"weight": 4.0}])
         assert discovery.agents[0].written_version == newest  # written immediately
-        assert discovery.changed_at[newest] <= discovery.written_at[newest]
+        assert discovery.change_times_s[newest] <= discovery.write_times_s[newest]
         assert read_list(await read_message(watcher.reader))[0] == newest
         for query, path, status in (
             ("?after=1&wait_ms=60001", "/v1/servers", "400"),
@@ -166,7 +166,7 @@
 
 
 async def test_unresponsive_group_responds_after_recovery(discovery: Discovery) -> None:
-    await discovery.start("127.32.0.9")
+    await discovery.set_first_host("127.32.0.9")
     version = discovery.replace_entries(three_entries())
     healthy, unresponsive = (
         discovery.agent_address(0, "r0", "r0-z0"),
@@ -224,4 +224,4 @@
 
 async def test_discovery_listens_on_loopback_only() -> None:
     with pytest.raises(ValueError, match="loopback"):
-        await Discovery().start("10.0.0.1")
+        await Discovery().set_first_host("10.0.0.1")
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -48,8 +48,8 @@
 
 
 async def test_late_load_counts_as_latency_and_is_invalid() -> None:
-    async def report_with_stall(stall: float) -> StreamReport:
-        clock = SteppingClock(stall=stall)
+    async def report_with_stall(stall_s: float) -> StreamReport:
+        clock = SteppingClock(stall_s=stall_s)
         upstreams = UpstreamGroup(seed=1)
         (upstream,) = await upstreams.start(1, second_octet=82)
         stream = Stream("calls", [Client(upstream.address, clock)], 20.0, "read", 5_000.0)
@@ -67,7 +67,7 @@
     assert max_ms == pytest.approx(3_000, rel=0.01)
     assert min_ms == pytest.approx((3.0 + scheduled_s[0] - scheduled_s[-1]) * 1000, rel=0.01)
     assert late_report.lateness.quantile_ms(1.0) == pytest.approx(3_000, rel=0.01)
-    (reason,) = late_report.invalid_reasons("direct", max_lateness_ms=1.0)
+    (reason,) = late_report.invalidity_reasons("direct", max_lateness_ms=1.0)
     assert reason.startswith("direct: ")
     assert "late" in reason
-    assert (await report_with_stall(0.0)).invalid_reasons("direct", max_lateness_ms=1.0) == []
+    assert (await report_with_stall(0.0)).invalidity_reasons("direct", max_lateness_ms=1.0) == []
--- a/tests/testbed/measurement/test_resource_usage.py
+++ b/tests/testbed/measurement/test_resource_usage.py
@@ -50,10 +50,10 @@
     assert CoreMonitor().busy_fraction() == pytest.approx(0.5)
     add_reading(100.0, 100.0, 0.0, 100.0)
     add_reading(180.0, 105.0, 15.0, 180.0)
-    assert CoreMonitor().invalid_reasons("rest") == ["rest: the cores were 95% busy"]
+    assert CoreMonitor().invalidity_reasons("rest") == ["rest: the cores were 95% busy"]
     add_reading(0.0, 0.0, 0.0, 0.0)
     add_reading(0.0, 0.0, 0.0, 0.0)
-    assert CoreMonitor().invalid_reasons("rest") == []
+    assert CoreMonitor().invalidity_reasons("rest") == []
 
 
 def test_loop_lag_is_timer_lateness() -> None:
--- a/tests/testbed/runs/test_control_run.py
+++ b/tests/testbed/runs/test_control_run.py
@@ -65,7 +65,7 @@
     assert {row.real_core_percent for row in result.rows} == {None}
 
 
-def test_rest_run_measures_each_size_and_mode(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_run_measures_each_size_and_mode(monkeypatch: pytest.MonkeyPatch) -> None:
     requested_settings = []
 
     def record_settings(**options: Any) -> dict[str, Any]:
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -76,10 +76,10 @@
 
 def test_growth_is_exponent_of_list_length() -> None:
     rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
-    grown_rows = [row.columns() for row in with_growth(rows)]
-    assert "list_module_ms_growth" not in grown_rows[0]
-    assert [row["list_module_ms_growth"] for row in grown_rows[1:]] == pytest.approx([0.0, 2.0])
-    assert [row["delta_module_us_growth"] for row in grown_rows[1:]] == [0.0, 0.0]
+    rows_with_growth = [row.columns() for row in with_growth(rows)]
+    assert "list_module_ms_growth" not in rows_with_growth[0]
+    assert [row["list_module_ms_growth"] for row in rows_with_growth[1:]] == pytest.approx([0.0, 2.0])
+    assert [row["delta_module_us_growth"] for row in rows_with_growth[1:]] == [0.0, 0.0]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -117,7 +117,7 @@
         runner.measure(CountingBenchmark())
         assert next(calibrations, None) is None
         result = runner.result()
-        return [row.columns() for row in result.rows], result.invalid_reasons
+        return [row.columns() for row in result.rows], result.invalidity_reasons
 
     # A slow calibration before or after a round excludes the round; rounds end once enough were undisturbed.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -37,7 +37,7 @@
     assert row["served"] == row["calls"] <= row["calls"] * row["attempts_a_call"]
     assert row["processor_us_a_call"] > 0
     assert row["direct_50_ms"] > 0
-    assert [reason.partition(": ")[0] for reason in result.invalid_reasons if "late" in reason] == [
+    assert [reason.partition(": ")[0] for reason in result.invalidity_reasons if "late" in reason] == [
         "3 entries, direct",
         "3 entries, through",
     ]
--- a/tests/testbed/test_cli.py
+++ b/tests/testbed/test_cli.py
@@ -23,7 +23,7 @@
 def test_run_writes_one_result_per_experiment(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     reasons: list[str] = []
     monkeypatch.setitem(
-        RUN_KINDS, "none", RunKind(Plan, lambda plan, log: RunResult(invalid_reasons=reasons))
+        RUN_KINDS, "none", RunKind(Plan, lambda plan, log: RunResult(invalidity_reasons=reasons))
     )
     paths = [tmp_path / "one.toml", tmp_path / "other.toml"]
     for path in paths:
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -72,7 +72,7 @@
     assert {"program", "python", "numpy"} <= good["versions"].keys()
     assert good["machine"]["cores"] > 0
     assert "2 (+- 0) x n" in format_result(good)
-    result.invalid_reasons.append("requests were sent late")
+    result.invalidity_reasons.append("requests were sent late")
     write_result(tmp_path / "late.json", "late", {"about": "Points on a line."}, result)
     late = json.loads((tmp_path / "late.json").read_text())
     assert not late["valid"]
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -95,7 +95,7 @@
 
 
 async def test_chain_forwards_remaining_time_with_new_ids() -> None:
-    clock = SteppingClock(step=0.1)
+    clock = SteppingClock(step_s=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
     chain = await upstreams.start(3, second_octet=82)
     received: list[ReceivedRequest] = []
