--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -56,7 +56,7 @@
             log.info("measured", entries=entries, keeps=endpoint_use)
     result = runner.result()
     has_missing_rows = bool(result.invalidity_reasons)
-    result.invalidity_reasons = cores.invalidity_reasons("whole run") + result.invalidity_reasons
+    result.invalidity_reasons = cores.invalidity_reasons("the run") + result.invalidity_reasons
     if has_missing_rows:
         return result
     result.rows = with_growth(result.rows)
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -125,7 +125,7 @@
     task = asyncio.ensure_future(send_request(Client(top.address)))
     await wait_until(lambda: bottom.counts.hung, "the last tier has received the request")
     task.cancel()
-    await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
+    await wait_until(lambda: bottom.counts.abandoned, "the request at the last tier has been abandoned")
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
 
