--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -76,7 +76,7 @@
 def _write_configuration(
     folder: Path, configuration: dict[str, Any], configuration_text: str
 ) -> dict[str, str]:
-    """Write a balancer's configuration file, and return the environment variables that it needs."""
+    """Write a balancer's configuration file, and return the balancer's environment variables."""
     configuration_path, temporary_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
     temporary_folder.mkdir()
@@ -110,8 +110,8 @@
         Args:
             configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
             command: A command for `/bin/sh -c` in the repository's root, by default the deploy file's `run`
-                command. It has to `exec` the program, so that the process id is the program's and signals
-                reach it.
+                command. It has to `exec` the program, so that the process id is that of the program and
+                signals reach the program.
 
         Raises:
             TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers are running already.
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -74,7 +74,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the request has its response, no running attempt and no queued event."""
+        """Whether the response has been sent, no attempt is running and no event is queued."""
         return not (self.is_open or self.running_attempts or self.queued_events)
 
 
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -75,8 +75,8 @@
         server: The server that it goes to.
         client_request: The client request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
-        is_finished: Whether the balancer has an outcome for it.
-        was_sent: Whether the server may have received it.
+        is_finished: Whether its outcome has been reported to the balancer.
+        was_sent: Whether it was sent, so that the server may have received it.
         is_connection_closed: Whether the server has noticed that the balancer closed the connection.
         stage: Its stage at the server.
         deadline_ms: When the timeout expires at the server, which counts it from the arrival of the attempt.
@@ -222,7 +222,7 @@
             self._release_slot()
 
     def respond(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Respond to an attempt and release its slot, unless it has finished at this server."""
+        """Respond to an attempt and release its slot, unless the attempt has already finished here."""
         if attempt.stage is not AttemptStage.FINISHED:
             attempt.stage = AttemptStage.FINISHED
             self._send_response(attempt, outcome)
--- a/testbed/chain/settings.py
+++ b/testbed/chain/settings.py
@@ -69,5 +69,8 @@
         return self._service_random.expovariate(1 / mean_ms)
 
     def draw_failure(self, fraction: float) -> bool:
-        """Draw whether a request fails: with the probability `fraction`, or always if it is 1 or greater."""
+        """Draw whether a request fails.
+
+        The probability is `fraction`; from 1 on, every request fails and nothing is drawn.
+        """
         return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -22,7 +22,7 @@
 """The maximum `wait_ms` of a watch request."""
 
 MAX_WATCH_GAP_S = 0.2
-"""A watch request continues the previous watch if it arrives within this time of the response, in seconds."""
+"""The maximum time in seconds from a response to the next watch request of the same watch."""
 
 LISTEN_BACKLOG = 128
 
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -12,7 +12,7 @@
     from testbed.settings import EndpointEntry
 
 NO_VERSION = -1
-"""Stands in for the known version of a balancer that has no list yet."""
+"""The known version of a balancer that has no list yet."""
 
 MAX_REMEMBERED_CHANGES = 20_000
 """The maximum number of remembered changes; a balancer whose list is older receives a snapshot."""
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -123,7 +123,7 @@
     # ---- agents ---------------------------------------------------------------------------------
 
     def agent_address(self, number: int, *groups: Hashable) -> Address:
-        """Return the address of a balancer's agent, which the first call starts as a member of `groups`."""
+        """Return the address of a balancer's agent; the first call starts it as a member of `groups`."""
         agent = self.agents.get(number)
         if agent is None:
             address = str(self._first_host + number), 0
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -53,7 +53,10 @@
     seed: Annotated[int, Field(ge=0)]
     """The seed of all random numbers."""
     sizes: Annotated[tuple[int, ...], Field(min_length=1)]
-    """The sizes to compare, ascending; each kind of run defines their meaning. A fit needs at least four."""
+    """The sizes to compare, ascending; each kind of run defines their meaning.
+
+    A useful fit needs at least four sizes.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -77,13 +77,16 @@
         return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalidity_reasons(self, phase: str) -> list[str]:
-        """Return the reason why the results of a phase are invalid if the cores were saturated, else none."""
+        """Return the reasons why the results of a phase are invalid, or an empty list if they are valid.
+
+        They are invalid if the cores were saturated.
+        """
         busy = self.busy_fraction()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
 
 
 class Lag(NamedTuple):
-    """The lag of an event loop's timers in seconds."""
+    """The lag of an event loop, that is, how late its timers fire, in seconds."""
 
     p99_s: float
     max_s: float
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -108,7 +108,7 @@
 
 
 async def _measure_size(plan: Plan, size: int) -> MeasuredRow[AddedTimeRow]:
-    """Start upstreams, discovery and a balancer, and measure the balancer."""
+    """Start upstreams, a discovery service and a balancer, and measure the balancer."""
     upstreams = UpstreamProcess(size, plan.service_ms, plan.seed)
     discovery = Discovery()
     try:
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -40,7 +40,7 @@
 _COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
 """The stored columns for which a line is fitted against the rate of changes."""
 _REAL_COST_COLUMNS = ("real_core_percent",)
-"""Further columns that are fitted against the rate of changes if the plan has real balancers."""
+"""Further stored columns for which such a line is fitted if the plan has real balancers."""
 
 
 class Plan(experiment.Plan):
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -143,7 +143,7 @@
 
 
 def create_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Create a `Discovery` with the arguments `args`, which is stopped when the stack is closed."""
+    """Create a `Discovery` with the arguments `args`, and stop it when the stack is closed."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -73,7 +73,7 @@
     queue: Annotated[int, Field(ge=0)] = 64
     """The limit on requests that wait at a server; further requests are rejected."""
     events_max: Annotated[int, Field(ge=1), renamed_field("events_max", "events_most")] = 3_000_000
-    """The limit on events of one simulation (one depth and fault), which is cut short when it is reached."""
+    """The limit on events; a simulation (of one depth and fault) that reaches the limit is cut short."""
 
     def chain_settings(self, depth: int) -> ChainSettings:
         """Return the settings of a chain with `depth` tiers."""
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -55,9 +55,10 @@
     served_during: float | None = stored_as("served_while")
     served_after: float | None
     recovery_s: float | None = stored_as("back_after_s")
-    """The time from the end of the fault to the end of the first window with `served_before` or more.
+    """The time from the end of the fault to the end of the first window in which service had recovered.
 
-    Null if there is no such window.
+    In this window, the fraction of served requests is at least `served_before`. Null if there is no such
+    window.
     """
     shed_during: float | None = stored_as("shed_while")
     """The fraction of requests during the fault that were rejected without an attempt."""
@@ -271,7 +272,7 @@
 
 
 def _recovery_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
-    """Return the time to the end of the first window with `served_before` or more; None if there is none."""
+    """Return the end of the first window with a fraction of at least `served_before`, or None."""
     for i, served in enumerate(windows):
         if served is not None and served_before is not None and served >= served_before:
             return (i + 1) * WINDOW_MS / 1000
--- a/testbed/runs/load_plan.py
+++ b/testbed/runs/load_plan.py
@@ -17,4 +17,4 @@
     warm_s: float
     """The duration of the load before the measurement, in seconds."""
     late_ms: float
-    """The limit on the 99th percentile of the lateness of requests, beyond which the results are invalid."""
+    """The results are invalid if the 99th percentile of the lateness of requests exceeds this limit."""
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -37,7 +37,7 @@
     ("hangs", Behaviour(UpstreamMode.HANG)),
     ("back after hanging", _NO_FAULT),
 )
-"""The name of each phase, and the behaviour of the last tier in it."""
+"""The name of each phase, and the behaviour of the last tier during the phase."""
 
 _FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
 """The stored columns for which a line is fitted against the depth."""
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -183,7 +183,7 @@
         regions: The number of regions.
         groups: The number of groups in each zone; no two zones share a group.
         seed: The seed of names, types and weights.
-        addresses: The entries' addresses; by default each entry gets a different loopback host, on which
+        addresses: The entries' addresses; by default each entry has a different loopback host, on which
             nothing listens.
     """
     rng = random.Random(seed)
--- a/tests/testbed/chain/test_chain.py
+++ b/tests/testbed/chain/test_chain.py
@@ -146,7 +146,7 @@
 
 
 def cancel_at(time_ms: float) -> ScriptedPolicy:
-    """Return a policy that starts an attempt at once and cancels it at a given time."""
+    """Return a policy that starts an attempt immediately and cancels it at a given time."""
 
     def scripted_policy(event: Event, now: float) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -165,7 +165,8 @@
     chain.set_behaviour(3, 2, Behaviour.HANGS)
     chain.send_request(0)
     run_to_end(chain)
-    # Each server notices the closed connection one hop later; its balancer then cancels the next attempt.
+    # Each server notices the closed connection one hop later; its balancer then cancels the attempt at the
+    # next tier.
     assert [(now, e.outcome) for now, e in recorded.events_of(0, AttemptFinished)] == [
         (100.0, Outcome.CANCELLED)
     ]
@@ -274,7 +275,7 @@
     for _ in range(4):
         chain.send_request(0)
     run_to_end(chain)
-    # One in service, two queued, the fourth rejected at once.
+    # One in service, two queued, the fourth rejected immediately.
     assert [request.status for request in chain.client_requests] == [200, 200, 200, 503]
     assert [request.finished_at_ms for request in chain.client_requests] == [
         *(2 * HOP_MS + n * SERVICE_MS for n in (1, 2, 3)),
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -79,7 +79,7 @@
             {"s0": removed, "s1": weighted},
         )
         assert await watcher.request_list() == (third, True, {"s1": weighted, "s2": three_entries()[2]})
-        # A watch from a version that was never issued or is no longer remembered gets a snapshot.
+        # If the version was never issued or is no longer remembered, the response is a snapshot.
         assert (await watcher.request_list(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
         fourth = discovery.replace_entries(three_entries())
         assert (await watcher.request_list(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -53,7 +53,8 @@
         steps_ms = sum(row[f"list_{step}_ms"] for step in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
-        assert row["memory_kib"] > row["entries"]  # the list alone needs less than 1 KiB per entry
+        # The list alone needs less than 1 KiB per entry, so the memory includes other state.
+        assert row["memory_kib"] > row["entries"]
     fits_by_y = {fit.y: fit for fit in result.fits}
     assert fits_by_y["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
