--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -99,7 +99,7 @@
         self._requests: dict[int, _Request] = {}
         self._events: deque[tuple[Event, _Request | None]] = deque()
         self._is_dispatching = False
-        self._last_number = 0
+        self._last_request_number = 0
         self._class_name = settings.request_class.name
         self._dispatch(self._endpoint_list_update(EndpointListKind.CACHED))
         self._dispatch(self._endpoint_list_update(EndpointListKind.SNAPSHOT))
@@ -120,10 +120,10 @@
         Returns:
             The number of the request at this balancer.
         """
-        self._last_number += 1
+        self._last_request_number += 1
         now = self._clock.now
         request = _Request(
-            self._last_number, caller, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
+            self._last_request_number, caller, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
         )
         self._requests[request.number] = request
         self._clock.schedule(
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -84,6 +84,6 @@
     try:
         return run_kind.plan_type.model_validate(raw)
     except ValidationError as error:
-        first = error.errors()[0]
-        field_path = ".".join(map(str, first["loc"]))
-        raise ExperimentError(path, f"{field_path}: {first['msg']}") from None
+        first_error = error.errors()[0]
+        field_path = ".".join(map(str, first_error["loc"]))
+        raise ExperimentError(path, f"{field_path}: {first_error['msg']}") from None
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -36,7 +36,7 @@
 """The time in seconds within which all balancers have to acknowledge the last change."""
 POLL_INTERVAL_S = 0.01
 """The interval in seconds between two checks of a condition."""
-_REAL_HOST = "127.30.0.{}"
+_REAL_BALANCER_HOST_FORMAT = "127.30.0.{}"
 
 
 class ConditionTimeoutError(TestbedError, RuntimeError):
@@ -132,7 +132,7 @@
         stack.callback(process.stop)
         group.processes.append(process)
     for number in range(watch_only_count, watch_only_count + real_count):
-        listen = free_address(_REAL_HOST.format(number - watch_only_count + 1))
+        listen = free_address(_REAL_BALANCER_HOST_FORMAT.format(number - watch_only_count + 1))
         balancer = await RealBalancer.start(configuration_text(number, listen), SOURCE_TREE_COMMAND)
         stack.push_async_callback(balancer.stop)
         group.real_balancers.append(balancer)
