--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -56,7 +56,7 @@
         """Start with an empty list.
 
         Args:
-            clock: Returns the time of changes and requests in seconds.
+            clock: Returns the current time in seconds, which is recorded for changes and requests.
             on_watch: Called for each watch request.
         """
         self._clock = clock
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -108,6 +108,7 @@
         self._request_ids = request_ids(seed)
         self._open_requests: set[asyncio.Task[None]] = set()
         self._start_s = 0.0
+        # Subtracts the connections opened before this run; `finish` adds all connections opened until then.
         self.reports = {
             stream.name: StreamReport(opened_connections=-stream.opened_connections) for stream in streams
         }
--- a/tests/testbed/discovery/test_churn.py
+++ b/tests/testbed/discovery/test_churn.py
@@ -1,4 +1,4 @@
-"""Generated changes of the endpoint list, and their application."""
+"""Generated changes of the endpoint list, and how they are applied over time."""
 
 import random
 from itertools import islice
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -120,7 +120,7 @@
         result = runner.result()
         return [row.columns() for row in result.rows], result.invalidity_reasons
 
-    # A slow calibration before or after a round excludes the round; rounds end once enough were undisturbed.
+    # A slow calibration before or after a round excludes the round; rounds stop once enough were undisturbed.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
