--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -52,7 +52,7 @@
         deadline_ms: How long the client waits for the response, from when the request was sent.
         tenant: The value of X-Tenant; None if there is none.
         is_client_retry: Whether the client marks the request as a retry.
-        cost_hint_ms: The client's estimate of the service time; 0 if it gave none.
+        cost_hint_ms: The client's estimate of the service time; 0 if there is none.
         forwarded: The head as it is forwarded: the request line and the end-to-end headers. X-Deadline,
             Content-Length and the empty line are added for each attempt.
     """
@@ -86,7 +86,7 @@
         classes: The request classes of the settings, by name.
 
     Raises:
-        RequestRejectedError: If the request is not acceptable.
+        RequestRejectedError: The request is not acceptable.
     """
     header_map = dict(headers)
     if len(header_map) < len(headers):
@@ -94,11 +94,11 @@
     _check_body_framing(header_map)
     if _is_health_check(method, target):
         return RequestHead(method, target)
-    request_class = _class_of_target(target, classes)
+    request_class = _find_class(target, classes)
     _check_method(method, request_class, header_map)
     _check_class_header(header_map, request_class)
     request_id = _read_request_id(header_map)
-    # No client waits longer than the deadline of its class: a later one would only keep state for longer.
+    # No client waits longer than the deadline of its class: a longer one would only retain state needlessly.
     deadline_ms = min(_read_deadline_ms(header_map), request_class.deadline_ms)
     return RequestHead(
         method,
@@ -109,7 +109,7 @@
         tenant=_read_tenant(header_map),
         is_client_retry=header_map.get(b"x-retry") == b"1",
         cost_hint_ms=_read_cost_hint_ms(header_map),
-        forwarded=_forwarded_head(method, target, headers),
+        forwarded=_build_forwarded_head(method, target, headers),
     )
 
 
@@ -151,7 +151,7 @@
         raise RequestRejectedError(Rejection(413, "body too large"))
 
 
-def _class_of_target(target: bytes, classes: dict[str, RequestClass]) -> RequestClass:
+def _find_class(target: bytes, classes: dict[str, RequestClass]) -> RequestClass:
     """Return the class that the first segment of the path names."""
     path = target.partition(b"?")[0]
     first_segment = path[1:].partition(b"/")[0].decode("latin-1")
@@ -207,12 +207,12 @@
 
 
 def _read_cost_hint_ms(header_map: HeaderMap) -> float:
-    """Return the value of X-Cost-Hint, which is in microseconds, in milliseconds; 0 if it is malformed."""
+    """Convert X-Cost-Hint from microseconds to milliseconds; return 0 if it is missing or malformed."""
     cost_hint = header_map.get(b"x-cost-hint", b"")
     return float(cost_hint) / US_PER_MS if _DECIMAL_NUMBER.fullmatch(cost_hint) else 0.0
 
 
-def _forwarded_head(method: bytes, target: bytes, headers: Headers) -> bytes:
+def _build_forwarded_head(method: bytes, target: bytes, headers: Headers) -> bytes:
     lines = [b"%b %b HTTP/1.1" % (method, target)]
     lines += [b": ".join(pair) for pair in end_to_end_headers(headers) if pair[0] not in _NOT_FORWARDED]
     lines.append(b"")
