--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -69,8 +69,8 @@
         self._endpoints = EndpointSet(settings, random)
         self._arrivals = ArrivalRate(settings)
         balancer_count = BalancerCountEstimator(settings, self._arrivals)
-        self._available = AvailableCapacity(self._endpoints, balancer_count)
-        self._overload = OverloadDetector(self._available)
+        self._available_capacity = AvailableCapacity(self._endpoints, balancer_count)
+        self._overload = OverloadDetector(self._available_capacity)
         self._admission = AdmissionControl(settings, self._overload, Quotas(settings, balancer_count))
         capacity = CapacityEstimator(self._endpoints, self._arrivals)
         self._slow_start = SlowStart(settings, self._endpoints, self._arrivals, balancer_count, capacity)
@@ -80,7 +80,7 @@
         service_times = ServiceTimes(settings)
         idle_limit = IdleConnectionLimit()
         self._recorder = AttemptRecorder(
-            service_times, self._overload.sustainable_concurrency, idle_limit, self._available
+            service_times, self._overload.sustainable_concurrency, idle_limit, self._available_capacity
         )
         self._retry_budgets = RetryBudgets()
         self._failure_responses = FailureResponses(settings, service_times)
@@ -103,7 +103,7 @@
         """Handle an event at time `now`, in milliseconds, and return the resulting actions in order.
 
         Raises:
-            DuplicateRequestError: A request has the id of an open one.
+            DuplicateRequestError: A request has the id of an open request.
             UnknownClassError: A request has a class that the settings don't define.
             UnknownRequestError: An event refers to an attempt that was never started.
         """
@@ -131,7 +131,7 @@
             self._actions += self._poll_backoff.record_success()
         self._arrivals.start(now)
         self._endpoints.update(event, now)
-        self._available.invalidate(now)
+        self._available_capacity.invalidate(now)
         self._slow_start.invalidate()
 
     def _receive_request(self, event: RequestReceived, now: float) -> None:
@@ -144,7 +144,7 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Reject a request without an attempt; log the reason unless load was already being shed."""
+        """Reject a request before its first attempt; log the reason unless load was already being shed."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_HOLD_TIME_MS
@@ -181,12 +181,12 @@
         self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
-        """Finish a request that needs no further response.
+        """Finish a request whose client needs no further response.
 
         Attempts still in flight are recorded as abandoned and, if the settings allow it, cancelled.
         """
         if request.is_response_pending and outcome is Outcome.SUCCEEDED:
-            self._retry_budgets.earn()
+            self._retry_budgets.refill()
         request.is_response_pending = False
         for attempt in request.attempts:
             if attempt.is_open:
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -8,7 +8,7 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
-"""Limit for importance 0 on the attempts in flight of all balancers, per unit of available capacity."""
+"""Limit on the attempts in flight of all balancers per unit of available capacity, for importance 0."""
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
 """The same limit for importance 1.
 
@@ -16,7 +16,7 @@
 limits, fewer requests are served.
 """
 MIN_LATENCY_INFLATION = 1.0
-"""Limit for importance 0 on the latency inflation: mean latency divided by baseline service time."""
+"""Limit on the latency inflation, the mean latency divided by the baseline service time, for importance 0."""
 MAX_LATENCY_INFLATION = 1.8
 """The same limit for importance 1.
 
@@ -24,17 +24,17 @@
 overloaded.
 """
 BURST_Z_SCORE = 1.0
-"""Standard deviations above the limit at which a Poisson count is a burst rather than a random peak."""
+"""Standard deviations above the limit at which a count is treated as a burst, not as a random peak."""
 MIN_BURST_ATTEMPTS = 8
 """Minimum number of attempts in flight that can count as a burst.
 
-One of hundreds of balancers has a limit of less than one attempt, where the normal approximation of a Poisson
-count does not hold.
+With hundreds of balancers, the limit of each is less than one attempt, and the normal approximation of a
+Poisson count does not hold there.
 """
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
 """Attempts of all balancers per unit of available capacity that are sustainable even without evidence.
 
-An estimate that has decayed to zero must not keep out the requests that would renew it.
+Otherwise an estimate that has decayed to zero would keep out the requests needed to renew it.
 """
 AVERAGING_TIME_CONSTANT_MS = 1_000.0
 """Time constant, in ms, of the means over attempts.
@@ -61,11 +61,11 @@
     service time.
 
     The estimate detects an overload behind the endpoints. Neither the endpoint list nor the limit by endpoint
-    capacity covers the tiers there.
+    capacity covers the tiers behind them.
     """
 
-    def __init__(self, available: AvailableCapacity) -> None:
-        self._available = available
+    def __init__(self, available_capacity: AvailableCapacity) -> None:
+        self._available_capacity = available_capacity
         # Must be finite: an infinite estimate would decay to NaN, and comparisons with NaN are always false.
         self._concurrency = 0.0
         self._updated_at = -math.inf
@@ -77,7 +77,9 @@
         would use all of it before the first responses show the load.
         """
         limit = (
-            MAX_IN_FLIGHT_PER_CAPACITY * self._available.update(now) / self._available.balancer_count.estimate
+            MAX_IN_FLIGHT_PER_CAPACITY
+            * self._available_capacity.update(now)
+            / self._available_capacity.balancer_count.estimate
         )
         if self._updated_at == -math.inf:
             self._concurrency = INITIAL_SUSTAINABLE_FRACTION * limit
@@ -100,17 +102,17 @@
     widely, latency is high without any overload.
     """
 
-    def __init__(self, available: AvailableCapacity) -> None:
-        self._available = available
-        self.sustainable_concurrency = SustainableConcurrency(available)
+    def __init__(self, available_capacity: AvailableCapacity) -> None:
+        self._available_capacity = available_capacity
+        self.sustainable_concurrency = SustainableConcurrency(available_capacity)
         self._mean_in_flight = 0.0  # exponential moving average of this balancer's attempts in flight
         self._updated_at = 0.0
 
     def is_overloaded(self, importance: float, now: float) -> bool:
         """Return whether to shed requests of an importance, from 0 (lowest) to 1 (highest)."""
-        capacity = self._available.update(now)
+        capacity = self._available_capacity.update(now)
         # Attempts at draining or unreachable endpoints are no load on those that can take requests.
-        in_flight = sum(e.in_flight for e in self._available.reachable)
+        in_flight = sum(e.in_flight for e in self._available_capacity.reachable)
         self._update_mean(in_flight, now)
         return self._exceeds_capacity(in_flight, importance, capacity) or self._exceeds_sustainable(
             in_flight, importance, now
@@ -119,20 +121,20 @@
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
         """Return whether all balancers together have more attempts in flight than endpoint capacity allows.
 
-        Each other balancer is estimated to have this one's mean, not its current count: a random peak does
-        not occur at all balancers at once. A burst that arrives at all of them is not in the mean yet, so a
-        count above the Poisson bound of this balancer's part of the limit counts as an overload as well.
-        Assumes that clients spread evenly over the balancers; one that has more than its part of them sheds
-        load too early.
+        Each other balancer is assumed to have this one's mean, not its current count: a random peak does not
+        occur at all balancers at once. A burst that arrives at all of them is not in the mean yet, so a count
+        above the Poisson bound of this balancer's part of the limit counts as an overload as well. Assumes
+        that clients spread evenly over the balancers; one that has more than its part of them sheds load too
+        early.
         """
         max_per_capacity = (
             MIN_IN_FLIGHT_PER_CAPACITY
             + (MAX_IN_FLIGHT_PER_CAPACITY - MIN_IN_FLIGHT_PER_CAPACITY) * importance
         )
         limit = max_per_capacity * capacity
-        balancers = self._available.balancer_count.estimate
-        all_in_flight = in_flight + self._mean_in_flight * (balancers - 1)
-        return all_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
+        balancers = self._available_capacity.balancer_count.estimate
+        total_in_flight = in_flight + self._mean_in_flight * (balancers - 1)
+        return total_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
 
     def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
         """Return whether the latency inflation is too high for an importance.
@@ -144,7 +146,9 @@
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
         floor = (
-            MIN_SUSTAINABLE_PER_CAPACITY * self._available.weight / self._available.balancer_count.estimate
+            MIN_SUSTAINABLE_PER_CAPACITY
+            * self._available_capacity.weight
+            / self._available_capacity.balancer_count.estimate
         )
         limit = inflation * (concurrency + floor)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
--- a/testbed/chain/request.py
+++ b/testbed/chain/request.py
@@ -1,4 +1,4 @@
-"""An outside request that passes through the tiers of a simulated chain, and statistics over all requests."""
+"""A client request that passes through the tiers of a simulated chain, and the recorder of a chain."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     from testbed.virtual_clock import VirtualClock
 
 
-class Responder(Protocol):
-    """Receives a balancer's response: an outside client, or a server of the previous tier."""
+class Caller(Protocol):
+    """The caller of a balancer: a client, or an attempt at a server of the previous tier."""
 
-    def respond(self, status: int) -> None:
+    def receive_response(self, status: int) -> None:
         """Receive the final response; called once."""
 
 
 class ClientRequest:
-    """One outside request.
+    """One request from a client of the front balancers.
 
     Attributes:
-        phase: The phase of the simulation in which it arrived, as the run defines phases.
+        phase: The phase of the simulation in which it arrived; the run defines the phases.
         received_at_ms: When it arrived.
         finished_at_ms: When the front balancer responded; infinite until then.
         status: The status of that response: 200 served, 502 failed, 503 rejected; 0 until then.
@@ -52,21 +52,22 @@
         self.last_tier_attempts = 0
         self.deadline_fraction = math.nan
 
-    def respond(self, status: int) -> None:
+    def receive_response(self, status: int) -> None:
         """Record the front balancer's response and its time."""
         self.status = status
         self.finished_at_ms = self._clock.now
 
 
 @dataclass(slots=True)
-class ChainStatistics:
-    """Statistics over all balancers of a chain.
+class ChainRecorder:
+    """Records the attempts and the processing time of all policies in a chain.
 
     Attributes:
         depth: The number of tiers.
-        deadline_ms: The deadline of every outside request.
-        attempts_by_phase: For outside requests of each phase, the attempts at each tier, tier 1 first.
-        policy_events: The number of events that policies have handled.
+        deadline_ms: The deadline of every client request.
+        attempts_by_phase: The number of attempts at each tier (tier 1 first), for the client requests of each
+            phase.
+        policy_events: The number of events that the policies have handled.
         policy_s: The measured processing time of these events, in seconds.
     """
 
--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -1,8 +1,8 @@
 """The servers of a simulated chain, and the attempts that balancers make at them.
 
-Connections count as established already: a message takes `hop_ms` in each direction, and a refused
-connection attempt fails after `hop_ms`. A server and its own balancer share a machine, so messages between
-them take no time. All times are milliseconds.
+Connections are assumed to be established: a message takes `hop_ms` in each direction. If a server refuses
+connections, an attempt fails after `hop_ms`. A server and its own balancer share a machine, so messages
+between them take no time. All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from testbed.chain.request import ClientRequest, Responder
+    from testbed.chain.request import Caller, ClientRequest
     from testbed.chain.settings import ChainSettings, ServiceModel
     from testbed.virtual_clock import VirtualClock
 
@@ -32,15 +32,15 @@
 
 
 class Behaviour(enum.Enum):
-    """How a server handles attempts; experiment files contain the values."""
+    """How a server handles attempts; experiment files use the values."""
 
     SERVES = "serves"
     FAILS = "fails"
-    """It responds 500 to a fraction of the attempts after its own work, without calling the next tier."""
-    REFUSES = "refuses"
+    """After its own work it responds 500 to a fraction of the attempts, without calling the next tier."""
+    REFUSES_CONNECTIONS = "refuses"
     """Its listener is closed: new attempts can't connect, and attempts in flight continue."""
     REJECTS = "turns away"
-    """It responds 503 with X-Not-Run at once."""
+    """It responds 503 with X-Not-Run immediately."""
     HANGS = "hangs"
     """It accepts new attempts and never responds to them, and attempts in flight continue."""
 
@@ -59,7 +59,7 @@
 class LocalBalancer(Protocol):
     """A server's own balancer, through which it calls the next tier."""
 
-    def receive(self, responder: Responder, client_request: ClientRequest, remaining_ms: float) -> int:
+    def receive(self, caller: Caller, client_request: ClientRequest, remaining_ms: float) -> int:
         """Accept a request with its remaining time, and return its number."""
 
     def disconnect(self, number: int) -> None:
@@ -71,15 +71,15 @@
 
     Attributes:
         request_number: The number of the request at its balancer.
-        index: The attempt's index among those of its request.
+        index: The attempt's index within its request.
         server: The server that it goes to.
-        client_request: The outside request that it belongs to.
+        client_request: The client request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
         is_finished: Whether the balancer has an outcome for it.
         was_sent: Whether the server may have received it.
-        is_connection_closed: Whether the server knows that the balancer has closed the connection.
+        is_connection_closed: Whether the server has noticed that the balancer closed the connection.
         stage: Its stage at the server.
-        deadline_ms: When the timeout expires, counted by the server from the arrival.
+        deadline_ms: When the timeout expires, which the server counts from the arrival of the attempt.
         next_tier_request_number: The number of the server's request to the next tier, at the server's own
             balancer.
     """
@@ -125,12 +125,12 @@
         """Send the attempt, or fail to connect if the server refuses connections."""
         server, clock = self.server, self.server.clock
         arrival_ms = clock.now + server.hop_ms
-        if server.behaviour is Behaviour.REFUSES:
-            clock.schedule(arrival_ms, self._connect_failed, None)
+        if server.behaviour is Behaviour.REFUSES_CONNECTIONS:
+            clock.schedule(arrival_ms, self._on_connect_failed, None)
         else:
             self.was_sent = True
             clock.schedule(arrival_ms, server.receive, self)
-        clock.schedule(clock.now + self.timeout_ms, self._timed_out, None)
+        clock.schedule(clock.now + self.timeout_ms, self._on_timeout, None)
 
     def cancel(self) -> None:
         """Stop waiting for a response."""
@@ -144,7 +144,7 @@
     def finish(self, outcome: Outcome) -> None:
         """Report the outcome to the balancer; later outcomes are ignored.
 
-        An attempt that ends without a response closes its connection, which the server notices one hop later.
+        If an attempt ends without a response, its connection is closed; the server notices after `hop_ms`.
         """
         if self.is_finished:
             return
@@ -154,23 +154,23 @@
             clock.schedule(clock.now + self.server.hop_ms, self.server.on_connection_closed, self)
         self._on_finished(self, outcome)
 
-    def respond(self, status: int) -> None:
+    def receive_response(self, status: int) -> None:
         """Receive the response of the next tier; the server succeeds only if that response is 200."""
         self.server.respond(self, Outcome.SUCCEEDED if status == 200 else Outcome.ERROR)
 
-    def _connect_failed(self, _: None) -> None:
+    def _on_connect_failed(self, _: None) -> None:
         self.finish(Outcome.CONNECT_FAILED)
 
-    def _timed_out(self, _: None) -> None:
+    def _on_timeout(self, _: None) -> None:
         self.finish(Outcome.TIMED_OUT if self.was_sent else Outcome.CONNECT_FAILED)
 
 
 class Server:
     """One server: it works on an attempt, then calls the next tier through its own balancer.
 
-    An attempt occupies one of `workers` slots from the start of the work until the response, or, while it
-    waits for the next tier, until the balancer closes the connection. Up to `queue` further attempts wait;
-    any more are rejected.
+    An attempt occupies one of `workers` slots from the start of the work until the response. If the balancer
+    closes the connection while the attempt waits for the next tier, the slot is released immediately. Up to
+    `max_queued` further attempts wait for a slot; beyond that, attempts are rejected.
 
     Attributes:
         balancer: Its own balancer; None in the last tier.
@@ -202,7 +202,7 @@
             return
         elif self._settings.workers == 0 or self.in_service < self._settings.workers:
             self._start_work(attempt)
-        elif len(self._queue) < self._settings.queue:
+        elif len(self._queue) < self._settings.max_queued:
             attempt.stage = AttemptStage.QUEUED
             self._queue.append(attempt)
         else:
@@ -210,7 +210,7 @@
             self._send_response(attempt, Outcome.REJECTED)
 
     def on_connection_closed(self, attempt: Attempt) -> None:
-        """Drop the attempt from the queue, or its request to the next tier; work in progress continues."""
+        """Dequeue the attempt or cancel its call to the next tier; work in progress continues."""
         attempt.is_connection_closed = True
         if attempt.stage is AttemptStage.QUEUED:
             self._queue.remove(attempt)
@@ -231,10 +231,10 @@
     def _start_work(self, attempt: Attempt) -> None:
         self.in_service += 1
         attempt.stage = AttemptStage.IN_SERVICE
-        self.clock.schedule(self.clock.now + self._model.service_ms(), self._finish_work, attempt)
+        self.clock.schedule(self.clock.now + self._model.draw_service_ms(), self._finish_work, attempt)
 
     def _finish_work(self, attempt: Attempt) -> None:
-        fails = self.behaviour is Behaviour.FAILS and self._model.fails(self.failure_fraction)
+        fails = self.behaviour is Behaviour.FAILS and self._model.draw_failure(self.failure_fraction)
         if fails or self.balancer is None or attempt.is_connection_closed:
             self.respond(attempt, Outcome.ERROR if fails else Outcome.SUCCEEDED)
             return
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -13,17 +13,17 @@
     from collections.abc import Iterable
 
 SATURATED_CORES_FRACTION = 0.9
-"""At this fraction of busy core time or more, measured times include waits for a core."""
+"""If at least this fraction of core time is busy, measured times include waits for a core."""
 
 LAG_INTERVAL_S = 0.01
-"""The interval of the timer by which the lag of an event loop is measured."""
+"""The interval of the timer that measures the lag of an event loop, in seconds."""
 
 _NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """The resource usage of some processes, as sums.
+    """The resource usage of some processes together.
 
     Attributes:
         processor_s: Processor time in seconds.
@@ -39,7 +39,7 @@
 def processor_time_s(pid: int) -> float:
     """Return the processor time of a process's live threads in seconds, with a resolution of a nanosecond.
 
-    The resolution of psutil is 10 ms, which is as much as an idle balancer uses in a few seconds.
+    The resolution of psutil is 10 ms, which an idle balancer takes a few seconds to use.
     """
     threads = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads) / _NS_PER_S
@@ -77,7 +77,7 @@
         return 1 - (elapsed["idle"] + elapsed.get("iowait", 0.0)) / total if total > 0 else 0.0
 
     def invalid_reasons(self, phase: str) -> list[str]:
-        """Return why the results of a phase are invalid: a reason if the cores were saturated, else none."""
+        """Return the reasons why the results of a phase are invalid: one if the cores were saturated."""
         busy = self.busy_fraction()
         return [f"{phase}: the cores were {busy:.0%} busy"] if busy >= SATURATED_CORES_FRACTION else []
 
@@ -95,16 +95,16 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._lags: list[float] = []
-        self._due_at = loop.time()
+        self._next_tick_at = loop.time()
         self._tick()
 
     def _tick(self) -> None:
         now = self._loop.time()
-        self._lags.append(now - self._due_at)
-        self._due_at = now + LAG_INTERVAL_S
-        self._timer = self._loop.call_at(self._due_at, self._tick)
+        self._lags.append(now - self._next_tick_at)
+        self._next_tick_at = now + LAG_INTERVAL_S
+        self._timer = self._loop.call_at(self._next_tick_at, self._tick)
 
-    def take(self) -> Lag:
+    def take_lag(self) -> Lag:
         """Return the lag since the last call, or zeros if the timer has not fired since then."""
         lags, self._lags = sorted(self._lags), []
         return Lag(lags[int(0.99 * (len(lags) - 1))], lags[-1]) if lags else Lag(0.0, 0.0)
--- a/testbed/runs/control/rest.py
+++ b/testbed/runs/control/idle.py
@@ -1,4 +1,4 @@
-"""Measures what it costs a real balancer to follow an unchanging list, for each length, without load."""
+"""Measures the cost of an idle balancer that watches an unchanging list, for each length of the list."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 
 class Plan(experiment.Plan):
-    """The measurement; `sizes` are lengths of the endpoint list, and the settings state as many balancers."""
+    """The measurement; `sizes` are lengths of the endpoint list and values of the `balancers` setting."""
 
     span_s: Annotated[float, Field(gt=0)]
     """The duration of the measurement in seconds."""
     settle_s: Annotated[float, Field(ge=0)]
-    """The time from the start of the balancers to that of the measurement, in seconds."""
+    """The time from the start of the balancers to the start of the measurement, in seconds."""
     hollow: Annotated[int, Field(gt=0)]
-    """The number of hollow balancers for each length of the list, whose requests and bytes are counted."""
+    """The number of watch-only balancers per list length, whose requests and bytes are counted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RestRow(Row):
-    """A real balancer without load, and hollow balancers, with a list of one length."""
+class IdleRow(Row):
+    """An idle real balancer, and watch-only balancers, with a list of one length."""
 
     entries: int
     """The length of the list."""
@@ -59,9 +59,9 @@
     """Requests from the real balancer to discovery."""
     bytes_per_s: float
     """Bytes of these requests and their responses."""
-    hollow_requests_per_s: float = stored_as("hollow_calls_per_s")
-    """Requests from a hollow balancer to discovery, the mean over all."""
-    hollow_bytes_per_s: float
+    watch_only_requests_per_s: float = stored_as("hollow_calls_per_s")
+    """Requests from a watch-only balancer to discovery, as the mean over all of them."""
+    watch_only_bytes_per_s: float = stored_as("hollow_bytes_per_s")
     """Bytes of these requests and their responses."""
 
 
@@ -72,16 +72,16 @@
     processor_s: float
     """Processor time of the real balancer."""
     real_counts: RequestCounts
-    hollow_counts: RequestCounts
+    watch_only_counts: RequestCounts
 
 
-def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
+def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[IdleRow]:
     """Measure all lengths at the same time, first with pushed lists and then with polling."""
     return run_on_new_loop(_measure_all(plan, log))
 
 
-async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[RestRow]:
-    result: RunResult[RestRow] = RunResult()
+async def _measure_all(plan: Plan, log: FilteringBoundLogger) -> RunResult[IdleRow]:
+    result: RunResult[IdleRow] = RunResult()
     for pushed in (True, False):
         async with AsyncExitStack() as stack:
             groups = [
@@ -102,7 +102,7 @@
 async def _start_group(
     stack: AsyncExitStack, plan: Plan, size_index: int, entries: int, *, pushed: bool
 ) -> BalancerGroup:
-    """Start the balancers for one length of the list, with a discovery of their own."""
+    """Start the balancers for one length of the list, with a separate discovery service."""
     discovery = start_discovery(stack)
     await discovery.start(f"127.32.{size_index}.1")
     discovery.replace_entries(settings.endpoint_entries(entries, seed=plan.seed))
@@ -110,7 +110,7 @@
     return await start_group(
         stack,
         discovery,
-        hollow_count=plan.hollow,
+        watch_only_count=plan.hollow,
         process_count=1,
         real_count=1,
         balancer_settings=balancer_settings,
@@ -119,20 +119,20 @@
 
 
 async def _measure_groups(
-    plan: Plan, groups: list[BalancerGroup], result: RunResult[RestRow], *, pushed: bool
+    plan: Plan, groups: list[BalancerGroup], result: RunResult[IdleRow], *, pushed: bool
 ) -> None:
     """Measure all groups over the same period, and add a row for each."""
-    lag, cores = LoopLagMonitor(asyncio.get_running_loop()), CoreMonitor()
+    lag_monitor, core_monitor = LoopLagMonitor(asyncio.get_running_loop()), CoreMonitor()
     start_s = time.monotonic()
     before = [_take_reading(group) for group in groups]
     await asyncio.sleep(plan.span_s)
     elapsed_s = time.monotonic() - start_s
     for entries, group, reading in zip(plan.sizes, groups, before, strict=True):
         result.rows.append(_row(entries, group, reading, elapsed_s, pushed=pushed))
-    p99_lag_s, _ = lag.take()
-    lag.stop()
-    phase = f"at rest, {'pushed' if pushed else 'polled'}"
-    result.invalid_reasons += cores.invalid_reasons(phase)
+    p99_lag_s, _ = lag_monitor.take_lag()
+    lag_monitor.stop()
+    phase = f"idle, {'pushed' if pushed else 'polled'}"
+    result.invalid_reasons += core_monitor.invalid_reasons(phase)
     if p99_lag_s >= MAX_LATENESS_S:
         result.invalid_reasons.append(
             f"{phase}: the event loop of discovery lagged by {p99_lag_s * 1000:.0f} ms"
@@ -142,23 +142,25 @@
 def _take_reading(group: BalancerGroup) -> _Reading:
     processor_s = measure_usage([group.real_balancers[0].pid]).processor_s
     real = sum_counts(group.discovery, group.real_agents)
-    hollow = sum_counts(group.discovery, group.hollow_agents)
-    return _Reading(processor_s, real, hollow)
+    watch_only = sum_counts(group.discovery, group.watch_only_agents)
+    return _Reading(processor_s, real, watch_only)
 
 
-def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> RestRow:
-    now = _take_reading(group)
-    real = now.real_counts - before.real_counts
-    hollow = now.hollow_counts - before.hollow_counts
+def _row(entries: int, group: BalancerGroup, before: _Reading, elapsed_s: float, *, pushed: bool) -> IdleRow:
+    after = _take_reading(group)
+    real = after.real_counts - before.real_counts
+    watch_only = after.watch_only_counts - before.watch_only_counts
     resources = measure_usage([group.real_balancers[0].pid])
-    return RestRow(
+    return IdleRow(
         entries=entries,
         mode="push" if pushed else "ask",
-        core_percent=(now.processor_s - before.processor_s) / elapsed_s * 100,
+        core_percent=(after.processor_s - before.processor_s) / elapsed_s * 100,
         resident_mib=resources.resident_bytes / _MIB,
         descriptors=resources.descriptors,
         requests_per_s=real.requests / elapsed_s,
         bytes_per_s=(real.bytes_in + real.bytes_out) / elapsed_s,
-        hollow_requests_per_s=hollow.requests / elapsed_s / group.hollow_count,
-        hollow_bytes_per_s=(hollow.bytes_in + hollow.bytes_out) / elapsed_s / group.hollow_count,
+        watch_only_requests_per_s=watch_only.requests / elapsed_s / group.watch_only_count,
+        watch_only_bytes_per_s=(watch_only.bytes_in + watch_only.bytes_out)
+        / elapsed_s
+        / group.watch_only_count,
     )
--- a/testbed/runs/list_size/rows.py
+++ b/testbed/runs/list_size/rows.py
@@ -18,7 +18,7 @@
     entries: int
     """The length of the list."""
     keeps: EndpointUse
-    """Which endpoints the balancer uses."""
+    """The endpoints that the balancer uses."""
     tier: int
     """The tier of the balancer."""
 
@@ -27,8 +27,8 @@
 class DecisionRow(Row):
     """Processing times of the policy in microseconds.
 
-    `arrival` is for the arrival of a request, `end` for the end of a successful attempt. For growth columns
-    see `with_growth`.
+    `arrival` is for the arrival of a request, `end` for the end of a successful attempt. `with_growth`
+    describes the growth columns.
     """
 
     identity: BenchmarkIdentity
@@ -54,7 +54,7 @@
     """Median processing times of snapshots (in milliseconds) and of deltas with one entry (in microseconds).
 
     `parse` is the parsing of JSON, `read` the validation and conversion, `pools` the update of connection
-    pools, `module` that of the policy, `total` the sum. For growth columns see `with_growth`.
+    pools, `module` the update of the policy, `total` the sum. `with_growth` describes the growth columns.
     """
 
     identity: BenchmarkIdentity
@@ -87,7 +87,7 @@
 
 
 def with_growth(rows: Sequence[ListSizeRow]) -> list[ListSizeRow]:
-    """Add to each row how its costs grew with the length of the list since the previous length.
+    """Add growth columns to each row: how its costs grew from the previous length of the list.
 
     The growth is the exponent ln(cost ratio) / ln(length ratio): 0 if the cost is constant, 1 if it is
     proportional to the length.
@@ -96,7 +96,7 @@
         rows: Rows of all lengths, ascending.
 
     Returns:
-        The rows in the same order; those of the first length are unchanged.
+        The rows in the same order; rows of the first length are unchanged.
     """
     previous_rows: dict[tuple[str, str, int], ListSizeRow] = {}
     rows_with_growth: list[ListSizeRow] = []
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,8 +1,8 @@
-"""Measures the costs of a balancer by the length of its list: decisions, updates, memory and bytes.
+"""Measures the costs of a balancer for each length of its list: decisions, updates, memory and bytes.
 
-The run drives the real policy and the real connection pools in one process, on a virtual clock. It measures
-each length twice: for a balancer that uses a subset of the endpoints, since there are as many balancers as
-endpoints, and for the only balancer, which uses all endpoints.
+The run uses the real policy and the real connection pools in one process, on a virtual clock. It measures
+each length twice: with as many balancers as endpoints, so that the measured balancer uses a subset of the
+endpoints, and with a single balancer, which uses all endpoints.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from testbed.runs.list_size.decisions import DecisionBenchmark
 from testbed.runs.list_size.lists import ListBenchmark
 from testbed.runs.list_size.plan import EndpointUse, Plan
-from testbed.runs.list_size.rounds import BenchmarkRunner, reference_us
+from testbed.runs.list_size.rounds import BenchmarkRunner, measure_calibration_us
 from testbed.runs.list_size.rows import DecisionRow, ListRow, ListSizeRow, with_growth
 
 if TYPE_CHECKING:
@@ -45,7 +45,9 @@
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[ListSizeRow]:
     """Measure every length of the list, with a subset and with all endpoints, at every tier."""
     cores = CoreMonitor()
-    runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(plan.rounds, plan.rounds_max, reference_us)
+    runner: BenchmarkRunner[ListSizeRow] = BenchmarkRunner(
+        plan.rounds, plan.rounds_max, measure_calibration_us
+    )
     for entries in plan.sizes:
         for endpoint_use in _ENDPOINT_USES:
             for tier in plan.tiers:
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -19,13 +19,13 @@
 _TIER_SIZE = 2
 """The number of upstreams in each tier, and of balancers that send to each tier."""
 _START_BATCH_SIZE = 8
-"""The number of balancers that are started before waiting until they are ready."""
+"""Balancers are started in batches of this size; each batch has to be ready before the next one starts."""
 
 
 class RealChain:
     """Tiers of upstreams with real balancers between them, and a direct chain without balancers.
 
-    Each tier has two upstreams, each with a balancer of its own that sends to the next tier; two front
+    Each tier has two upstreams, each with its own balancer that sends to the next tier; two front
     balancers send to the first tier. The direct chain has one upstream in each tier.
     """
 
@@ -63,7 +63,7 @@
         self.direct_client = http_client.Client(upstreams[0].address)
 
     async def _start_tier(self, tier: int) -> None:
-        """Start the upstreams of a tier and the discovery that lists them."""
+        """Start the upstreams of a tier and its discovery."""
         self.tiers.append(await self._upstreams.start(_TIER_SIZE))
         self._discoveries.append(Discovery())
         await self._discoveries[tier].start(f"127.79.{tier}.1")
@@ -79,10 +79,10 @@
         configuration_texts = [
             self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_TIER_SIZE)
         ]
-        for first in range(0, len(configuration_texts), _START_BATCH_SIZE):
-            for configuration_text in configuration_texts[first : first + _START_BATCH_SIZE]:
+        for batch_start in range(0, len(configuration_texts), _START_BATCH_SIZE):
+            for configuration_text in configuration_texts[batch_start : batch_start + _START_BATCH_SIZE]:
                 self.balancers.append(await RealBalancer.start(configuration_text, SOURCE_TREE_COMMAND))
-            await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[first:]))
+            await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[batch_start:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
         """Return the configuration of balancer `number` that sends to `tier`, both counted from 0."""
@@ -93,11 +93,11 @@
             self._discoveries[tier].entries,
             settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
             seed=next(self._seeds),
-            index=self._discoveries[tier].version,
+            list_version=self._discoveries[tier].version,
         )
 
     def _connect_tiers(self) -> None:
-        """Connect each upstream, except in the last tier, to the next tier through a balancer of its own."""
+        """Connect each upstream, except in the last tier, to the next tier through its own balancer."""
         clients = [http_client.Client(balancer.address) for balancer in self.balancers]
         self.front_clients = clients[:_TIER_SIZE]
         forwarding_upstreams = [upstream for tier in self.tiers[:-1] for upstream in tier]
--- a/testbed/upstream/upstream.py
+++ b/testbed/upstream/upstream.py
@@ -65,7 +65,7 @@
     async def set_behaviour(self, behaviour: Behaviour) -> None:
         """Change the behaviour; an upstream that refused connections listens again at the same address."""
         self.behaviour = behaviour
-        if behaviour.mode is UpstreamMode.REFUSE:
+        if behaviour.mode is UpstreamMode.REFUSE_CONNECTIONS:
             self.close()
         elif self._listener is None:
             await self.listen()
@@ -110,7 +110,7 @@
             )
 
     def _draw_mode(self, behaviour: Behaviour) -> UpstreamMode:
-        """Draw the mode for a request: that of the behaviour with probability `fraction`, else `SERVE`."""
+        """Draw the mode for a request: the behaviour's mode with probability `fraction`, else `SERVE`."""
         if behaviour.fraction < 1 and self._rng.random() >= behaviour.fraction:
             return UpstreamMode.SERVE
         return behaviour.mode
@@ -129,7 +129,7 @@
             connection.respond(500)
 
     async def _next_tier_serves(self, request: ReceivedRequest) -> bool:
-        """Return whether the next tier serves the request in the remaining time; True if there is none."""
+        """Return whether the next tier, if there is one, serves the request in the remaining time."""
         if self.forward is None:
             return True
         remaining_ms = request.deadline_ms - (self.clock() - request.received_at) * 1000
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,9 +1,9 @@
-"""A simulation of many balancers that measures the work all of them send to each warming endpoint.
+"""A simulation of many balancers that measures the work that they send together to each warming endpoint.
 
 It is a seeded discrete-event simulation of the policy on a virtual clock, without sockets and without
 waiting. It checks one rule: in the window that ends at any attempt, the work that arrives at a warming
-endpoint must not exceed `slow_start_overload_factor` times what its present capacity can do in such a window.
-Work is measured in requests of mean work.
+endpoint must not exceed `slow_start_overload_factor` times the work that it can do in such a window at its
+present capacity. Work is measured in requests of mean work.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 WORK = {"small": 0.75, "large": 2.0}
 LARGE_FRACTION = 0.2
 START_MS = 100_000.0
-# How long an endpoint that does not serve requests takes to respond.
+# Response time of an endpoint at which all attempts fail.
 FAILURE_DURATION_MS = 2.0
 
 
@@ -44,10 +44,10 @@
 class SimulatedEndpoint:
     """An endpoint, with the work that has recently arrived there."""
 
-    started_at_ms: float = 0.0  # 0 means long ago
-    outcome: Outcome = Outcome.SUCCEEDED  # of all attempts that do not time out
+    started_at_ms: float = 0.0  # 0 if it has been warm from the beginning
+    outcome: Outcome = Outcome.SUCCEEDED  # outcome of all attempts that do not time out
     is_ready: bool = True
-    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # in the last window: time and work
+    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # time and work in the last window
     work_in_window: float = 0.0
     idle_at_ms: float = 0.0  # when all its work will be done
 
@@ -81,7 +81,7 @@
 
     def handle(self, event: Event) -> None:
         for action in self.policy.handle(event, self._clock.now):
-            self._perform(action)
+            self._execute_action(action)
 
     def _receive_request(self, _: None) -> None:
         self.schedule_next_request()
@@ -91,7 +91,7 @@
         self._open_requests[request_id] = SimulatedRequest(request_class)
         self.handle(RequestReceived(request_id, request_class.name, request_class.deadline_ms))
 
-    def _perform(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -137,7 +137,7 @@
         balancers: The number of balancers.
         endpoints: The number of endpoints, all warm at the start.
         rate_per_s: The capacity of a warm endpoint, in requests of mean work per second.
-        load: The request rate as a fraction of the capacity of all endpoints, if they are warm.
+        load: The request rate as a fraction of the total capacity of all endpoints when warm.
         seed: The seed of the random generator.
         slow_start: The slow-start settings.
         skewed: Whether some balancers get eight times as many requests as others; otherwise all get the same.
@@ -275,5 +275,5 @@
             endpoint.work_in_window -= endpoint.arrivals.popleft()[1]
         factor = self.settings.slow_start_overload_factor
         limit = factor * capacity * self._rate_per_s * window_ms / 1_000
-        slack = 2 * math.sqrt(limit) + 2
-        self.max_excess = max(self.max_excess, (endpoint.work_in_window - limit) / slack)
+        tolerance = 2 * math.sqrt(limit) + 2
+        self.max_excess = max(self.max_excess, (endpoint.work_in_window - limit) / tolerance)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -34,13 +34,13 @@
     from loadbalancer.settings import Settings
 
 
-def test_equal_endpoints_get_equally_many_requests() -> None:
+def test_requests_spread_over_equal_endpoints() -> None:
     counts = count_by_endpoint(PolicyHarness(4), 2_000)
     assert len(counts) == 4
     assert min(counts.values()) > 100
 
 
-def test_requests_follow_learned_capacity() -> None:
+def test_requests_are_distributed_by_learned_capacity() -> None:
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 10.0, "s1": 30.0})
     counts = Counter(harness.serve(duration_ms=10.0) for _ in range(200))
@@ -53,7 +53,7 @@
     assert abs(counts["s0"] - counts["s1"]) <= 4
 
 
-def test_a_new_endpoint_starts_at_the_median_capacity() -> None:
+def test_new_endpoint_starts_at_median_capacity() -> None:
     harness = PolicyHarness(3)
     serve_many(harness, {"s0": 10.0, "s1": 20.0, "s2": 60.0})
     harness.update_endpoints(*endpoint_list(3), Endpoint("new"))
@@ -61,10 +61,11 @@
     assert counts["s0"] >= counts["new"] > counts["s2"]
 
 
-def test_endpoints_without_evidence_are_drawn_by_weight() -> None:
-    """With many balancers, no endpoint has an attempt of this one in flight.
+def test_endpoints_without_evidence_are_sampled_by_weight() -> None:
+    """If four endpoints were always sampled, the largest of them would be selected too often.
 
-    If four endpoints were always drawn, the largest of them would have the lowest load, 1 / capacity.
+    One of many balancers rarely has an attempt in flight at any of them, and then the largest has the lowest
+    load, 1 / capacity.
     """
     counts: Counter[str] = Counter()
     for seed in range(1_000):
@@ -78,21 +79,21 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf"), float("nan")])
-def test_invalid_weights_in_the_list_are_tolerated(weight: float) -> None:
+def test_invalid_weights_are_tolerated(weight: float) -> None:
     harness = PolicyHarness(0)
     harness.update_endpoints(Endpoint("s0", weight=weight), Endpoint("s1"))
     assert {harness.serve() for _ in range(60)} == {"s0", "s1"}
 
 
-def test_one_of_many_balancers_uses_a_stable_subset() -> None:
-    """Spread over all endpoints, requests are too few at each to learn its capacity or reuse connections."""
+def test_subset_is_stable() -> None:
+    """Spread over all endpoints, requests would be too few at each to learn capacity or reuse connections."""
     subsets = []
     for seed in range(40):
         harness = PolicyHarness(60, seed=seed, balancers=300)
         subsets.append({harness.serve() for _ in range(300)})
         harness.update_endpoints(Endpoint("s60"), kind=EndpointListKind.DELTA)
         assert len({harness.serve() for _ in range(100)} - subsets[-1]) <= 1, (
-            "a new entry replaces at most one of them"
+            "a new entry replaces at most one endpoint of the subset"
         )
     assert {len(subset) for subset in subsets} == {12}
     assert len(set[str]().union(*subsets)) > 55, "different balancers have different subsets"
@@ -100,7 +101,7 @@
     assert len({harness.serve() for _ in range(400)}) == 20, "with few balancers, each uses all endpoints"
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
+def test_actions_depend_only_on_events_and_seed() -> None:
     def run(seed: int) -> list[object]:
         harness = PolicyHarness(6, seed=seed)
         for i in range(200):
@@ -134,7 +135,7 @@
     return EndpointSelector(settings, idempotency, slow_start, estimator, Random(1))
 
 
-def test_a_tie_goes_to_the_larger_capacity() -> None:
+def test_tie_goes_to_larger_capacity() -> None:
     now, settings = 1_000.0, make_settings()
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(2)), now)
@@ -145,5 +146,5 @@
     request = Request(1, READ, expires_at=now + 1_000)
     selected = [selector.select(request, now) for _ in range(2_000)]
     counts = Counter(endpoint.entry.name for endpoint in selected if endpoint)
-    assert counts["s0"] > 1_900, "s1 is selected only if none of the four draws is s0: 1 in 81"
+    assert counts["s0"] > 1_900, "s1 is selected only if none of the four samples is s0: 1 in 81"
     assert counts["s1"] > 5
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -11,7 +11,7 @@
 
 
 class DiscoveryServer:
-    """A discovery service that answers each request with the next queued response, once there is one.
+    """A discovery service that answers each request with the next queued response, as soon as one is queued.
 
     Attributes:
         responses: The queued responses, encoded.
@@ -45,7 +45,7 @@
                 request = await read_message(reader)
                 self.requests.put_nowait(request.start_line)
                 reply = asyncio.ensure_future(self.responses.get())
-                # The balancer sends nothing before it has the response: the read ends only at a disconnect.
+                # The balancer sends nothing while it waits for the response: only a disconnect ends the read.
                 disconnect = asyncio.ensure_future(reader.read(1))
                 await asyncio.wait((reply, disconnect), return_when=asyncio.FIRST_COMPLETED)
                 if disconnect.done():
@@ -59,14 +59,14 @@
         self.connection_closed.set()
         writer.close()
 
-    def publish(self, index: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
+    def publish(self, version: int, *entries: dict[str, Any], snapshot: bool = False) -> None:
         """Queue a response with an endpoint list, or with changes to it."""
-        self.responses.put_nowait(list_response(index, *entries, snapshot=snapshot))
+        self.responses.put_nowait(list_response(version, *entries, snapshot=snapshot))
 
 
 def list_response(
-    index: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
+    version: int, *entries: dict[str, Any], snapshot: bool = False, indent: int | None = None
 ) -> bytes:
     """Return an encoded response with an endpoint list, or with changes to it."""
-    document = {"index": index, "snapshot": snapshot, "endpoints": entries}
+    document = {"index": version, "snapshot": snapshot, "endpoints": entries}
     return response(200, json.dumps(document, indent=indent).encode())
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -23,7 +23,7 @@
 
 
 def endpoint_list(*entries: dict[str, Any], is_complete: bool = False) -> EndpointList:
-    """Return an endpoint list as read from discovery: the complete list, or changes to it."""
+    """Return an endpoint list as read from discovery: the complete list, or only changed entries."""
     return read_endpoint_list({"index": 1, "snapshot": is_complete, "endpoints": list(entries)})
 
 
@@ -60,7 +60,7 @@
 
 @asynccontextmanager
 async def full_backlog() -> AsyncIterator[str]:
-    """Yield the address of a listener with a full backlog, which establishes no further connection."""
+    """Yield the address of a listener whose backlog is full, so that no further connect completes."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -42,7 +42,7 @@
 
 
 def repository_files() -> Iterator[Path]:
-    """Yield the files of the repository, without those that tools create."""
+    """Yield the files of the repository, except for those that tools create."""
     for folder, folders, names in os.walk(ROOT):
         folders[:] = [
             name
@@ -54,7 +54,7 @@
         yield from (Path(folder, name) for name in names)
 
 
-def test_the_old_package_name_is_unused() -> None:
+def test_old_package_name_is_unused() -> None:
     found = [
         relative_path(path)
         for path in repository_files()
@@ -71,13 +71,13 @@
 
 
 def link_target_exists(page: Path, target: str, anchor: str) -> bool:
-    """Whether the target of a link exists, and contains the heading of the link's anchor if there is one."""
+    """Return whether the target of a link exists, with the heading that the anchor refers to, if any."""
     path = page.parent / target if target else page
     return path.exists() and (not anchor or anchor in heading_anchors(path))
 
 
 def heading_anchors(page: Path) -> set[str]:
-    """Return the anchors of a page's headings, derived from their text as code hosts do."""
+    """Return the anchors that code hosting sites derive from the text of a page's headings."""
     headings = re.findall(r"^#+ (.*)$", page.read_text(encoding="utf-8"), re.MULTILINE)
     return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
@@ -109,7 +109,7 @@
     assert identifiers_of(page) - known == set()
 
 
-def test_the_decision_index_lists_every_record() -> None:
+def test_decision_index_lists_every_record() -> None:
     index = (ROOT / "docs" / "decisions" / "README.md").read_text(encoding="utf-8")
     records = [path.name for path in DECISIONS if path.name != "README.md"]
     assert records
@@ -120,7 +120,7 @@
     ("page", "packages"),
     [("ARCHITECTURE.md", ("loadbalancer", "testbed")), ("POLICY.md", ("loadbalancer/policy",))],
 )
-def test_a_page_names_every_module_of_its_packages(page: str, packages: tuple[str, ...]) -> None:
+def test_page_names_every_module(page: str, packages: tuple[str, ...]) -> None:
     text = (ROOT / "docs" / page).read_text(encoding="utf-8")
     modules = [
         path
@@ -150,9 +150,9 @@
             yield part.value.strip()
 
 
-def test_the_on_call_page_quotes_every_message() -> None:
+def test_on_call_page_quotes_every_message() -> None:
     page = (ROOT / "docs" / "ONCALL.md").read_text(encoding="utf-8")
     texts = [text for path in (ROOT / "loadbalancer").rglob("*.py") for text in message_texts(path)]
     long_texts = {text for text in texts if len(text) >= MIN_TEXT_LENGTH}
-    assert long_texts, "no message found: LOGGING_FUNCTIONS must name the functions that write lines"
+    assert long_texts, "no message found: LOGGING_FUNCTIONS must name the functions that write log lines"
     assert {text for text in long_texts if text not in page} == set()
--- a/tests/testbed/discovery/test_discovery.py
+++ b/tests/testbed/discovery/test_discovery.py
@@ -67,7 +67,7 @@
         assert await watcher.request_list(f"?after={first}&wait_ms=60000") == (second, False, both)
         assert (await watcher.request_list())[2]["s0"]["status"] == "terminating"
         third = discovery.apply_changes([removed])
-        # A removed entry is sent in deltas only; of two changes of one entry, only the later is sent.
+        # A removed entry is sent only in deltas; of two changes to one entry, only the later is sent.
         assert await watcher.request_list(f"?after={second}&wait_ms=60000") == (
             third,
             False,
@@ -79,14 +79,14 @@
             {"s0": removed, "s1": weighted},
         )
         assert await watcher.request_list() == (third, True, {"s1": weighted, "s2": three_entries()[2]})
-        # Versions that were never issued, or are no longer remembered, get a snapshot.
+        # A watch from a version that was never issued or is no longer remembered gets a snapshot.
         assert (await watcher.request_list(f"?after={third + 5}&wait_ms=60000"))[:2] == (third, True)
         fourth = discovery.replace_entries(three_entries())
         assert (await watcher.request_list(f"?after={third}&wait_ms=60000"))[:2] == (fourth, True)
         assert await watcher.request_list(f"?after={fourth}&wait_ms=0") == (fourth, False, {})
 
 
-async def test_forgotten_changes_are_replaced_by_a_snapshot(
+async def test_discarded_changes_are_replaced_by_snapshot(
     discovery: Discovery, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("testbed.discovery.endpoint_history.MAX_REMEMBERED_CHANGES", 1)
@@ -119,7 +119,7 @@
             assert (await watcher.request(query, path)).start_line.split(" ")[1] == status
 
 
-async def test_next_request_within_200_ms_continues_the_watch() -> None:
+async def test_next_request_within_200_ms_continues_watch() -> None:
     now = [10.0]
 
     discovery = Discovery(lambda: now[0])
@@ -165,7 +165,7 @@
     await discovery.stop()
 
 
-async def test_unresponsive_group_responds_once_it_is_up(discovery: Discovery) -> None:
+async def test_unresponsive_group_responds_after_recovery(discovery: Discovery) -> None:
     await discovery.start("127.32.0.9")
     version = discovery.replace_entries(three_entries())
     healthy, unresponsive = (
@@ -182,7 +182,7 @@
         version = discovery.apply_changes([three_entries()[0] | {"weight": 2.0}])
         assert read_list(await read_message(first_watcher.reader))[0] == version
         assert discovery.agents[1].written_version == -1
-        async with WatchClient(unresponsive) as third_watcher:  # it still accepts connections
+        async with WatchClient(unresponsive) as third_watcher:  # unresponsive agents accept connections
             third_watcher.send()
             await wait_until(lambda: discovery.counts().requests == 3, "the third request has been received")
             assert discovery.agents[1].written_version == -1
@@ -191,7 +191,7 @@
             assert read_list(await read_message(second_watcher.reader))[0] == version
 
 
-async def test_agent_is_down_and_responses_are_delayed(discovery: Discovery) -> None:
+async def test_down_agent_and_delayed_responses(discovery: Discovery) -> None:
     version = discovery.replace_entries(three_entries())
     up, down = discovery.agent_address(0, "r0"), discovery.agent_address(1, "r1")
     discovery.set_state(AgentState(), group="r1")
@@ -208,14 +208,14 @@
         assert (await first_watcher.request_list())[0] == version
         assert loop.time() >= sent_at + 0.045  # the loop's timers round to milliseconds
         discovery.set_state(AgentState(), agent=1)
-    async with WatchClient(down) as again:
-        assert (await again.request_list())[0] == version
+    async with WatchClient(down) as reconnected:
+        assert (await reconnected.request_list())[0] == version
     await discovery.stop()
     with pytest.raises(ConnectionError):
         await asyncio.open_connection(*up)
 
 
-async def test_agent_goes_down_before_it_accepts(discovery: Discovery) -> None:
+async def test_down_agent_refuses_first_connection(discovery: Discovery) -> None:
     address = discovery.agent_address(0)
     discovery.set_state(AgentState(AgentMode.DOWN), agent=0)
     with pytest.raises(ConnectionError):
--- a/tests/testbed/runs/test_loaded_runs.py
+++ b/tests/testbed/runs/test_loaded_runs.py
@@ -10,18 +10,17 @@
 from testbed.runs import added_time
 from testbed.runs.real_depth import run as real_depth
 
-LOG = structlog.wrap_logger(
-    structlog.testing.CapturingLogger(), processors=[]
-)  # not affected by how other tests configure logging
+# Independent of how other tests configure logging.
+LOG = structlog.wrap_logger(structlog.testing.CapturingLogger(), processors=[])
 
 
 def test_added_time_measures_both_paths_and_reports_late_load() -> None:
     plan = added_time.Plan(
         run="added_time",
-        about="A trial.",
+        about="A short run.",
         seed=5,
         sizes=(3,),
-        per_s=50.0,  # so few that requests hardly overlap: on a slow machine, the balancer sheds some that do
+        per_s=50.0,  # requests rarely overlap: on a slow machine, overlapping requests would be shed
         class_name="look-up",
         deadline_ms=2_000.0,
         service_ms=0.0,
@@ -44,10 +43,10 @@
     ]
 
 
-def test_real_depth_measures_each_fault_at_the_last_tier() -> None:
+def test_real_depth_measures_each_fault_at_last_tier() -> None:
     plan = real_depth.Plan(
         run="real_depth",
-        about="A trial.",
+        about="A short run.",
         seed=5,
         sizes=(2,),
         faults_at=(2,),
--- a/tests/testbed/test_experiment.py
+++ b/tests/testbed/test_experiment.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from testbed.experiment import EXPERIMENTS_FOLDER, ExperimentError, Plan, RunKind, formerly, read_plan
+from testbed.experiment import EXPERIMENTS_FOLDER, ExperimentError, Plan, RunKind, read_plan, renamed_field
 from testbed.results import RunResult
 from testbed.runs import RUN_KINDS
 
-VALID_PLAN = 'run = "none"\nabout = "Nothing."\nseed = 1\nsizes = [1, 2]\n'
+VALID_PLAN = 'run = "none"\nabout = "An empty run."\nseed = 1\nsizes = [1, 2]\n'
 RUN_KINDS_FOR_TESTS = {"none": RunKind(Plan, lambda plan, log: RunResult())}
 
 
@@ -39,7 +39,7 @@
 
 def test_renamed_field_is_read_under_either_name(tmp_path: Path) -> None:
     class RenamedPlan(Plan):
-        new_s: Annotated[float, formerly("new_s", "old_s")] = 0.0
+        new_s: Annotated[float, renamed_field("new_s", "old_s")] = 0.0
 
     run_kinds = {"none": RunKind(RenamedPlan, lambda plan, log: RunResult())}
     path = tmp_path / "renamed.toml"
--- a/tests/testbed/test_results.py
+++ b/tests/testbed/test_results.py
@@ -40,7 +40,7 @@
     return [Point(n=n, ms=ms) for n, ms in pairs]
 
 
-def test_columns_of_nested_rows_keep_field_order() -> None:
+def test_columns_of_nested_rows_are_in_field_order() -> None:
     row = OuterRow(first=1, part=InnerRow(a=2, b=3), last=4)
     assert list(row.columns().items()) == [("first", 1), ("a", 2), ("b", 3), ("last", 4)]
     assert OuterRow(first=1, part=InnerRow(), last=4).columns() == {"first": 1, "a": None, "last": 4}
@@ -57,14 +57,14 @@
     assert noisy == fit_line([0, 1, 2], [0.0, 2.0, 1.0], x="n", y="ms (noisy)")
     assert (noisy.slope, noisy.intercept) == pytest.approx((0.5, 0.5))
     assert noisy.slope_error == pytest.approx((1.5 / 2) ** 0.5)
-    with pytest.raises(ValueError, match="two sizes"):
+    with pytest.raises(ValueError, match="at least two different sizes"):
         fit_columns(points((1, 1.0)), "ms", "n")
 
 
 def test_invalid_result_has_no_rows_or_fits(tmp_path: Path) -> None:
     result = RunResult(points((1, 2.0), (2, 4.0)))
     result.fits.append(fit_columns(result.rows, "ms", "n"))
-    write_result(tmp_path / "good.json", "good", {"about": "A line."}, result)
+    write_result(tmp_path / "good.json", "good", {"about": "Points on a line."}, result)
     good = json.loads((tmp_path / "good.json").read_text())
     assert good["valid"]
     assert good["rows"] == [{"n": 1, "ms": 2.0}, {"n": 2, "ms": 4.0}]
@@ -72,10 +72,10 @@
     assert {"program", "python", "numpy"} <= good["versions"].keys()
     assert good["machine"]["cores"] > 0
     assert "2 (+- 0) x n" in format_result(good)
-    result.invalid_reasons.append("the load was late")
-    write_result(tmp_path / "late.json", "late", {"about": "A line."}, result)
+    result.invalid_reasons.append("requests were sent late")
+    write_result(tmp_path / "late.json", "late", {"about": "Points on a line."}, result)
     late = json.loads((tmp_path / "late.json").read_text())
     assert not late["valid"]
     assert late["rows"] == []
     assert late["fits"] == []
-    assert "no figures: the load was late" in format_result(late)
+    assert "no figures: requests were sent late" in format_result(late)
--- a/tests/testbed/test_settings.py
+++ b/tests/testbed/test_settings.py
@@ -12,7 +12,9 @@
         balancers=7, tier=1, pushed=False, zone="r0-z0", limits={"mayDuplicate": True}
     )
     configuration = read_configuration(
-        configuration_text("n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, index=41),
+        configuration_text(
+            "n1", "127.0.0.1:0", ("127.0.0.2", 8500), entries, settings, seed=5, list_version=41
+        ),
         warnings.append,
     )
     assert warnings == []
@@ -47,5 +49,5 @@
     assert {zones.count(zone) for zone in zones} == {10}
     assert len({zone.partition("-")[0] for zone in zones}) == 8
     assert len({e["name"] for e in entries}) == len({e["address"] for e in entries}) == 290
-    # As the WIRE page requires, no group number is used in two zones.
+    # The WIRE page requires that no group number is used in two zones.
     assert len({(e["zone"], e["group"]) for e in entries}) == len({e["group"] for e in entries})
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -28,21 +28,21 @@
         (UpstreamMode.HANG, NO_RESPONSE, NO_RESPONSE, {"hung": 1, "abandoned": 1}),
         (UpstreamMode.RESET, NO_RESPONSE, NO_RESPONSE, {"reset": 2}),
         (
-            UpstreamMode.REFUSE,
+            UpstreamMode.REFUSE_CONNECTIONS,
             NO_RESPONSE,
             NO_RESPONSE,
             {"requests": 0, "health_checks": 0, "connections": 0},
         ),
     ],
 )
-async def test_each_mode_responds_and_counts(
+async def test_responses_and_counts_by_mode(
     upstreams: UpstreamGroup,
     mode: UpstreamMode,
     status: int,
     health_status: int,
     changed_counts: dict[str, int],
 ) -> None:
-    (upstream,) = await upstreams.start(1, first_octet=82)
+    (upstream,) = await upstreams.start(1, second_octet=82)
     assert upstream.address[0] == "127.82.0.1"
     await upstream.set_behaviour(Behaviour(mode))
     timeout_ms = 20.0 if mode is UpstreamMode.HANG else 5_000.0
@@ -50,7 +50,7 @@
     assert await send_request(client, timeout_ms) == status
     health_check = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
     assert (await client.send(health_check, timeout_ms / 1000)).status == health_status
-    # A request that fails on a reused connection is sent again; one that is reset on a new connection is not.
+    # The client resends a request that failed on a reused connection, but not one reset on a new connection.
     expected_counts = {
         "requests": 1,
         "health_checks": 1,
@@ -68,7 +68,7 @@
 
 
 async def test_rejected_request_is_marked_as_not_run(upstreams: UpstreamGroup) -> None:
-    (upstream,) = await upstreams.start(1, first_octet=82)
+    (upstream,) = await upstreams.start(1, second_octet=82)
     await upstream.set_behaviour(Behaviour(UpstreamMode.REJECT))
     reader, writer = await asyncio.open_connection(*upstream.address)
     writer.write(compose_request("read", next(REQUEST_IDS), 100.0))
@@ -78,10 +78,10 @@
     writer.close()
 
 
-async def test_fraction_of_requests_fails_according_to_seed() -> None:
-    async def statuses_with(seed: int) -> list[int]:
+async def test_seed_determines_failing_requests() -> None:
+    async def statuses_with_seed(seed: int) -> list[int]:
         upstreams = UpstreamGroup(seed)
-        (upstream,) = await upstreams.start(1, first_octet=82)
+        (upstream,) = await upstreams.start(1, second_octet=82)
         await upstream.set_behaviour(Behaviour(UpstreamMode.FAIL, fraction=0.5))
         client = Client(upstream.address)
         statuses = [await send_request(client) for _ in range(64)]
@@ -89,15 +89,15 @@
         upstreams.close()
         return statuses
 
-    first = await statuses_with(1)
+    first = await statuses_with_seed(1)
     assert 16 < first.count(500) < 48
-    assert await statuses_with(1) == first != await statuses_with(2)
+    assert await statuses_with_seed(1) == first != await statuses_with_seed(2)
 
 
-async def test_chain_passes_on_remaining_time_under_new_ids() -> None:
+async def test_chain_forwards_remaining_time_with_new_ids() -> None:
     clock = SteppingClock(step=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
-    chain = await upstreams.start(3, first_octet=82)
+    chain = await upstreams.start(3, second_octet=82)
     received: list[ReceivedRequest] = []
     for number, upstream in enumerate(chain):
         upstream.on_request = received.append
@@ -111,26 +111,26 @@
     assert len({request.request_id for request in received}) == 3
     assert {(request.class_name, request.key) for request in received} == {("read", "k1")}
     await chain[2].set_behaviour(Behaviour(UpstreamMode.REJECT))
-    assert await send_request(client) == 500  # an upstream fails if the next tier does
+    assert await send_request(client) == 500  # an upstream fails if the next tier fails
     assert [upstream.counts.failed for upstream in chain] == [1, 1, 0]
     assert await send_request(client, 50.0) == 500  # no time remains for a request to the next tier
     assert [upstream.counts.requests for upstream in chain] == [3, 2, 2]
     upstreams.close()
 
 
-async def test_abandoned_request_is_cancelled_at_the_next_tier(upstreams: UpstreamGroup) -> None:
-    top, bottom = await upstreams.start(2, first_octet=82)
+async def test_abandoned_request_is_cancelled_at_next_tier(upstreams: UpstreamGroup) -> None:
+    top, bottom = await upstreams.start(2, second_octet=82)
     top.forward = forward_through(Client(bottom.address), request_ids(seed=2))
     await bottom.set_behaviour(Behaviour(UpstreamMode.HANG))
     task = asyncio.ensure_future(send_request(Client(top.address)))
-    await wait_until(lambda: bottom.counts.hung, "the last tier holds the request")
+    await wait_until(lambda: bottom.counts.hung, "the last tier has received the request")
     task.cancel()
     await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
 
-async def test_upstream_process_serves_counts_and_ends() -> None:
-    process = UpstreamProcess(3, 0.0, seed=1, first_octet=82)
+async def test_upstream_process_serves_and_counts() -> None:
+    process = UpstreamProcess(3, 0.0, seed=1, second_octet=82)
     try:
         assert [await send_request(Client(address)) for address in process.addresses] == [200] * 3
         counts = process.counts()
