--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -66,7 +66,7 @@
     return str(deploy["run"])
 
 
-def free_address(host: str) -> str:
+def find_free_address(host: str) -> str:
     """Return `host:port` with a port that is currently free."""
     with socket.socket() as listener:
         listener.bind((host, 0))
@@ -144,14 +144,14 @@
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        while await self._health_status() != 200:
+        while await self._check_health() != 200:
             if self._process.returncode is not None:
                 raise BalancerExitedError(self._process.returncode, self.log())
             if loop.time() > deadline:
                 raise BalancerNotReadyError(timeout_s, self.log())
             await asyncio.sleep(_HEALTH_CHECK_INTERVAL_S)
 
-    async def _health_status(self) -> int:
+    async def _check_health(self) -> int:
         """Send one health check and return the response status, or 0 if there is no response."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from testbed import settings
-from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, find_free_address
 from testbed.discovery.service import Discovery
 from testbed.http import client as http_client
 from testbed.load import streams as load
@@ -118,7 +118,7 @@
         balancer_settings = settings.balancer_settings(balancers=size)
         text = settings.configuration_text(
             "n1",
-            free_address(_BALANCER_HOST),
+            find_free_address(_BALANCER_HOST),
             discovery.agent_address(0),
             entries,
             balancer_settings,
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from testbed import settings
-from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, find_free_address
 from testbed.balancer.watch_only_process import WatchOnlyProcess
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
@@ -132,7 +132,7 @@
         stack.callback(process.stop)
         group.processes.append(process)
     for number in range(watch_only_count, watch_only_count + real_count):
-        listen = free_address(_REAL_BALANCER_HOST_FORMAT.format(number - watch_only_count + 1))
+        listen = find_free_address(_REAL_BALANCER_HOST_FORMAT.format(number - watch_only_count + 1))
         balancer = await RealBalancer.start(configuration_text(number, listen), SOURCE_TREE_COMMAND)
         stack.push_async_callback(balancer.stop)
         group.real_balancers.append(balancer)
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from testbed import settings
-from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, find_free_address
 from testbed.discovery.service import Discovery
 from testbed.http import client as http_client
 from testbed.upstream.group import UpstreamGroup
@@ -45,7 +45,7 @@
 
     async def start(self) -> None:
         """Start the upstreams and the balancers, and connect them once all balancers are ready."""
-        await self._start_direct()
+        await self._start_direct_chain()
         for tier in range(self._depth):
             await self._start_tier(tier)
         await self._start_balancers()
@@ -53,7 +53,7 @@
         for upstream in self.tiers[-1]:
             upstream.on_request = self._record_deadline
 
-    async def _start_direct(self) -> None:
+    async def _start_direct_chain(self) -> None:
         """Start the direct chain."""
         upstreams = await self._upstreams.start(self._depth)
         for upstream, next_upstream in itertools.pairwise(upstreams):
@@ -88,7 +88,7 @@
         """Return the configuration of balancer `number` that sends to `tier`, both numbered from 0."""
         return settings.configuration_text(
             f"n{tier}-{number}",
-            free_address(f"127.78.{tier}.{number + 1}"),
+            find_free_address(f"127.78.{tier}.{number + 1}"),
             self._discovery_services[tier].agent_address(number),
             self._discovery_services[tier].entries,
             settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
--- a/tests/testbed/balancer/test_real.py
+++ b/tests/testbed/balancer/test_real.py
@@ -20,7 +20,7 @@
 
 def configuration_listening_on(host: str, **settings: object) -> str:
     text = config_text("127.0.0.1:1", [], **settings)
-    return text.replace('"listen": "127.0.0.1:0"', f'"listen": "{real.free_address(host)}"')
+    return text.replace('"listen": "127.0.0.1:0"', f'"listen": "{real.find_free_address(host)}"')
 
 
 def file_names(folder: Path) -> list[str]:
