--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -49,7 +49,7 @@
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
     await wait_until_idle(harness)
-    assert not upstream.connections
+    assert not upstream.connection_count
 
 
 async def test_disconnect_while_retry_connects_prevents_retry(
@@ -199,7 +199,7 @@
     skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
-    assert upstream.connections == 1, "the connection carries the next request"
+    assert upstream.connection_count == 1, "the connection carries the next request"
 
 
 async def test_disconnect_prevents_retry_of_uncancellable_attempt(
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -137,7 +137,7 @@
         assert bool(reply) == bool(prefix)
     # If the timeout started when the connection is accepted, there would be ten sweeps.
     assert len(sweeps) <= 6
-    assert not upstream.connections
+    assert not upstream.connection_count
 
 
 async def test_client_sending_single_bytes_times_out(
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -177,7 +177,7 @@
     harness.proxy.abort_open_requests()
     client.send()
     assert status(await client.read_response()) == 503
-    assert not upstream.connections
+    assert not upstream.connection_count
 
 
 async def test_open_requests_get_response_when_shutdown_ends(
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -75,7 +75,7 @@
     client.writer.write(raw)
     assert status(await client.read_response()) == expected_status
     assert await client.reader.read() == b""
-    assert upstream.connections == 0
+    assert upstream.connection_count == 0
     assert not harness.proxy.open_requests
 
 
@@ -105,7 +105,7 @@
     client.writer.write(raw)
     assert status(await client.read_response()) == expected_status
     assert not upstream.received
-    assert upstream.connections == 0
+    assert upstream.connection_count == 0
 
 
 async def test_input_after_rejection_is_discarded(start_proxy: StartProxy) -> None:
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -54,13 +54,13 @@
     harness = await start_proxy(upstream)
     for _ in range(3):
         assert status(await harness.send_request("/pay/x", b"debit")) == 200
-    assert upstream.connections == 1
+    assert upstream.connection_count == 1
     upstream.writers[0].close()
     await upstream.writers[0].wait_closed()
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == 200
     assert outcomes(events) == [Outcome.SUCCEEDED]
-    assert upstream.connections == 2
+    assert upstream.connection_count == 2
 
 
 async def test_tcp_no_delay_is_set_on_both_sides(start_proxy: StartProxy) -> None:
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -106,12 +106,12 @@
 
     def all_connected_or_finished() -> bool:
         assert pools.open_connections <= 5
-        return upstream.connections >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
+        return upstream.connection_count >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
         all_connected_or_finished,
         "five attempts have connected and seven have ended",
-        state=lambda: (upstream.connections, [attempt.outcomes for attempt in attempts]),
+        state=lambda: (upstream.connection_count, [attempt.outcomes for attempt in attempts]),
     )
-    assert pools.open_connections == upstream.connections == 5
+    assert pools.open_connections == upstream.connection_count == 5
     assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -93,7 +93,7 @@
     await send_request()
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the balancer's limit is 0.8 of 60 s
     await send_request()
-    assert upstream.connections == 3
+    assert upstream.connection_count == 3
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
     pools.close_expired()
     assert pools.open_connections == 0
@@ -167,7 +167,7 @@
     harness = await start_proxy(upstream)
     assert (await harness.send_request()).body == b"the answer"
     assert (await harness.send_request()).body == b"the next"
-    assert upstream.connections == 2  # the first connection is not reused
+    assert upstream.connection_count == 2  # the first connection is not reused
 
 
 async def test_reuse_delay_between_requests(start_server: StartServer) -> None:
@@ -179,7 +179,7 @@
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
-    assert upstream.connections == 1
+    assert upstream.connection_count == 1
 
 
 async def test_timed_out_attempt_is_closed_before_policy_event(start_proxy: StartProxy) -> None:
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -17,7 +17,7 @@
 
     Attributes:
         received: The received requests.
-        connections: The number of accepted connections.
+        connection_count: The number of accepted connections.
         writers: The writer of each connection.
         request_received: Set when a request is received.
         connection_closed: Set once the balancer has closed a connection.
@@ -26,7 +26,7 @@
     def __init__(self, *scripts: Script | bytes) -> None:
         self._scripts = scripts or (response(),)
         self.received: list[ReceivedMessage] = []
-        self.connections = 0
+        self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.request_received = asyncio.Event()
         self.connection_closed = asyncio.Event()
@@ -43,7 +43,7 @@
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
         try:
             while True:
--- a/tests/testbed/http/test_client.py
+++ b/tests/testbed/http/test_client.py
@@ -24,7 +24,7 @@
     upstream = ScriptedUpstream(wait_for_both_requests, wait_for_both_requests, abort, response())
     client = Client(read_address(await upstream.start()))
     assert tuple(await asyncio.gather(send_request(client), send_request(client))) == (200, 200)
-    assert client.opened_connections == upstream.connections == 2
+    assert client.opened_connections == upstream.connection_count == 2
     assert await send_request(client) == 200
     assert (client.opened_connections, len(upstream.received)) == (3, 4)
     assert upstream.received[2].headers["x-request-id"] == upstream.received[3].headers["x-request-id"]
