--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -60,9 +60,9 @@
     from loadbalancer.network.proxy import Proxy
 
     loop = asyncio.get_running_loop()
-    stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signal_number, stop.set)
+        loop.add_signal_handler(signal_number, stop_requested.set)
     proxy = Proxy(configuration, loop)
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, path)
     _log_unhandled_exceptions(loop, proxy)
@@ -71,7 +71,7 @@
         _reload(proxy, path)
     gc.freeze()  # startup objects live as long as the process: the collector need not scan them
     gc.enable()
-    await stop.wait()
+    await stop_requested.wait()
     await proxy.listener.shut_down()
 
 
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -110,12 +110,12 @@
         whose client does not read the response.
         """
         self._disconnect()
-        self._transport.abort_after(timeouts.WRITE_STALL_TIMEOUT_S)
+        self._transport.schedule_abort(timeouts.WRITE_STALL_TIMEOUT_S)
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Drop the requests of the connection and cancel its timer."""
         self._disconnect()
-        self._transport.cancel_timer()
+        self._transport.cancel_scheduled_abort()
         self._on_closed(self)
 
     def resume_writing(self) -> None:
@@ -125,7 +125,7 @@
     def _disconnect(self) -> None:
         self._transport.is_disconnected = True
         self._transport.discards_input = True
-        self._pipeline.abandon()
+        self._pipeline.drop_requests()
 
     # ---- closing --------------------------------------------------------------------------------
 
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -42,7 +42,7 @@
     Attributes:
         loop: The event loop.
         handler: Receives the requests.
-        report: Logs a message together with the exception that is being handled.
+        log_exception: Logs a message together with the exception that is being handled.
         classes: The request classes of the settings, by name.
         buffers: Counts the bytes that are buffered for all connections.
         is_shutting_down: Whether health checks fail, so that no new clients are sent to this balancer.
@@ -51,7 +51,7 @@
 
     loop: asyncio.AbstractEventLoop
     handler: RequestHandler
-    report: Callable[[str], None]
+    log_exception: Callable[[str], None]
     classes: dict[str, RequestClass]
     buffers: BufferAccount
     is_shutting_down: bool = False
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -55,7 +55,7 @@
             return
         self._last_eviction_at = now
         remaining_evictions = max(len(self._connections) // EVICTION_DIVISOR, 1)
-        for connection in sorted(self._connections, key=_eviction_order):
+        for connection in sorted(self._connections, key=_eviction_sort_key):
             if not connection.is_awaiting_request() and remaining_evictions <= 0:
                 break
             remaining_evictions -= connection.close_if_timed_out(
@@ -65,6 +65,6 @@
             )
 
 
-def _eviction_order(connection: ClientConnection) -> tuple[bool, float]:
+def _eviction_sort_key(connection: ClientConnection) -> tuple[bool, float]:
     """Return a sort key: connections without a complete request first, then the longest idle ones."""
     return not connection.is_awaiting_request(), connection.idle_since
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -95,8 +95,14 @@
         max_elapsed_s = SHUTDOWN_ACCEPT_S + self._max_deadline_s
         while self._listener.connections and self._elapsed_s() < max_elapsed_s:
             for connection in self._listener.connections:
-                is_new = connection.idle_since >= time.monotonic() - SHUTDOWN_NEW_CONNECTION_GRACE_S
-                if not is_new and not connection.is_abort_scheduled and connection.can_close_without_loss():
+                is_recently_active = (
+                    connection.idle_since >= time.monotonic() - SHUTDOWN_NEW_CONNECTION_GRACE_S
+                )
+                if (
+                    not is_recently_active
+                    and not connection.is_abort_scheduled
+                    and connection.can_close_without_loss()
+                ):
                     connection.close_gracefully()
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
 
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -59,7 +59,7 @@
         """
         self._responder = responder
 
-    def abandon(self) -> None:
+    def suppress_response(self) -> None:
         """Suppress the response if it has not been sent yet: the client has disconnected."""
         self._awaits_response = False
 
--- a/loadbalancer/network/client/listener.py
+++ b/loadbalancer/network/client/listener.py
@@ -52,7 +52,7 @@
         configuration: Configuration,
         loop: asyncio.AbstractEventLoop,
         handler: RequestHandler,
-        report: Callable[[str], None],
+        log_exception: Callable[[str], None],
     ) -> None:
         """Bind the socket; nothing is accepted before `start`.
 
@@ -60,10 +60,10 @@
             configuration: The configuration of the balancer.
             loop: The event loop.
             handler: Receives the requests.
-            report: Logs a message together with the exception that is being handled.
+            log_exception: Logs a message together with the exception that is being handled.
         """
         self.loop = loop
-        self.context = _create_context(configuration, loop, handler, report)
+        self.context = _create_context(configuration, loop, handler, log_exception)
         self.max_deadline_s = max(c.deadline_ms for c in configuration.settings.classes) / MS_PER_S
         self.connection_limit = max(
             configuration.descriptor_limit // 2 - RESERVED_DESCRIPTORS, MIN_CONNECTION_LIMIT
@@ -135,13 +135,13 @@
     configuration: Configuration,
     loop: asyncio.AbstractEventLoop,
     handler: RequestHandler,
-    report: Callable[[str], None],
+    log_exception: Callable[[str], None],
 ) -> ConnectionContext:
     limit_bytes = int(configuration.memory_limit_mb * CLIENT_MEMORY_FRACTION * BYTES_PER_MB)
     return ConnectionContext(
         loop,
         handler,
-        report,
+        log_exception,
         classes={c.name: c for c in configuration.settings.classes},
         buffers=BufferAccount(limit_bytes),
     )
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -103,19 +103,19 @@
         self.reader.discard_input()
         self.advance()
 
-    def abandon(self) -> None:
+    def drop_requests(self) -> None:
         """Drop all requests, since the client has disconnected, and notify the handler of the current one."""
         request = self._current_request
         self._current_request = None
         self.reader.close()
         self._update_buffer_account()
         if request is not None:
-            request.abandon()
+            request.suppress_response()
             self._context.handler.handle_disconnect(request)
 
     def _may_resume_reading(self) -> bool:
         is_paused = self._transport.is_reading_paused and self._transport.is_open
-        return is_paused and self.reader.may_resume()
+        return is_paused and self.reader.can_resume_reading()
 
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
@@ -139,7 +139,7 @@
         try:
             self._context.handler.handle_request(request)
         except Exception:  # noqa: BLE001  the client must get a response after any error
-            self._context.report("a request could not be handled")
+            self._context.log_exception("a request could not be handled")
             request.respond(500)
 
     def _write_response(self, status: int, headers: Headers, body: bytes, *, is_final: bool) -> None:
--- a/loadbalancer/network/client/request_arrival.py
+++ b/loadbalancer/network/client/request_arrival.py
@@ -32,7 +32,7 @@
         self.started_at = connected_at
         self.has_received_request = False
 
-    def begin(self, now: float) -> None:
+    def record_first_byte(self, now: float) -> None:
         """Record that the first byte of a request has arrived.
 
         For the first request of a connection `started_at` remains the time when the client connected.
@@ -41,7 +41,7 @@
         if self.has_received_request:
             self.started_at = now
 
-    def complete(self) -> float:
+    def record_complete_request(self) -> float:
         """Record that the current request is complete.
 
         Returns:
--- a/loadbalancer/network/client/request_parser.py
+++ b/loadbalancer/network/client/request_parser.py
@@ -99,7 +99,7 @@
     def on_message_begin(self) -> None:
         """Reset the state for a new request."""
         if not self._arrival.is_arriving:
-            self._arrival.begin(time.monotonic())
+            self._arrival.record_first_byte(time.monotonic())
         self._target = b""
         self._headers = []
         self._body_parts = []
@@ -149,7 +149,7 @@
         request = IncomingRequest(
             head,
             b"".join(self._body_parts),
-            self._arrival.complete(),
+            self._arrival.record_complete_request(),
             keep_alive=self._require_parser().should_keep_alive(),
         )
         self._body_parts = []
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -76,7 +76,7 @@
         """Return whether there is input to parse and the queue of requests is not too long."""
         return bool(self._unparsed) and len(self.requests) <= MAX_PIPELINED_REQUESTS
 
-    def may_resume(self) -> bool:
+    def can_resume_reading(self) -> bool:
         """Return whether the queue is short enough to resume reading after it was paused."""
         return len(self.requests) <= MAX_PIPELINED_REQUESTS // 2
 
@@ -84,7 +84,7 @@
         """Buffer bytes of the connection; nothing is parsed yet."""
         self.last_received_at = time.monotonic()
         if not self.arrival.is_arriving and not self._unparsed:
-            self.arrival.begin(self.last_received_at)
+            self.arrival.record_first_byte(self.last_received_at)
         self._unparsed += data
 
     def parse_slice(self) -> Rejection | None:
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -127,9 +127,9 @@
         if self._transport.get_write_buffer_size() == 0:
             # The event loop shuts the socket down in its next iteration: a request could arrive before that.
             shutdown_write(self._transport)
-        self.abort_after(linger_s)
+        self.schedule_abort(linger_s)
 
-    def abort_after(self, delay_s: float) -> None:
+    def schedule_abort(self, delay_s: float) -> None:
         """Abort the connection after a delay; no effect if a timer is already running."""
         if self._transport is not None and self._abort_timer is None:
             self._abort_timer = self._loop.call_later(delay_s, self._transport.abort)
@@ -139,8 +139,8 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def cancel_timer(self) -> None:
-        """Cancel the timer of `abort_after`."""
+    def cancel_scheduled_abort(self) -> None:
+        """Cancel the timer of `schedule_abort`."""
         if self._abort_timer is not None:
             self._abort_timer.cancel()
 
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -44,13 +44,13 @@
                 output_stream.write("\n".join(reply) + "\n")
                 output_stream.flush()
         except (LoadBalancerError, UnicodeDecodeError) as error:
-            self._report(reader, error)
+            self._print_input_error(reader, error)
             return 1
         except BrokenPipeError:
             return 1
         return 0
 
-    def _report(self, reader: BatchReader, error: Exception) -> None:
+    def _print_input_error(self, reader: BatchReader, error: Exception) -> None:
         """Write an error message with the position and reason of invalid input."""
         line = reader.line[:_MAX_LOGGED_LINE_CHARS]
         print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._error_output)
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -231,14 +231,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The first attempt succeeds before the hedged request has a connection."""
-    connects = DelayedConnects(monkeypatch, undelayed=1)
+    connects = DelayedConnects(monkeypatch, undelayed_count=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
     client = await harness.client()
     client.send(deadline="1200m")
     await connects.connect_pending.wait()  # the hedged request is connecting
-    first = next(upstream for upstream in upstreams if upstream.received)
-    first.writers[0].write(response(200, b"first"))
+    first_upstream = next(upstream for upstream in upstreams if upstream.received)
+    first_upstream.writers[0].write(response(200, b"first"))
     assert (await client.read_response()).body == b"first"
     connects.allowed.set()
     await wait_until_idle(harness)
@@ -246,4 +246,4 @@
     other.send(deadline="400m")
     await other.read_response()  # every earlier request has arrived by now
     received = [request.headers["x-request-id"] for upstream in upstreams for request in upstream.received]
-    assert received.count(first.received[0].headers["x-request-id"]) == 1
+    assert received.count(first_upstream.received[0].headers["x-request-id"]) == 1
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -36,18 +36,18 @@
 
 
 def before_each_timeout_check(
-    monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
+    monkeypatch: pytest.MonkeyPatch, callback: Callable[[ClientConnection, float], None]
 ) -> None:
     """Call a function, with a connection and the current time, before each check of its timeouts."""
     close_if_timed_out = ClientConnection.close_if_timed_out
 
-    def act_then_check(
+    def call_then_check(
         connection: ClientConnection, now: float, request_timeout_s: float, idle_timeout_s: float
     ) -> bool:
-        act(connection, now)
+        callback(connection, now)
         return close_if_timed_out(connection, now, request_timeout_s, idle_timeout_s)
 
-    monkeypatch.setattr(ClientConnection, "close_if_timed_out", act_then_check)
+    monkeypatch.setattr(ClientConnection, "close_if_timed_out", call_then_check)
 
 
 def has_request_timed_out(connection: ClientConnection, now: float) -> bool:
@@ -95,8 +95,8 @@
     def abort_then_block_loop() -> None:
         abort_open_requests()
         setup_allowed.set()
-        busy_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
-        asyncio.get_running_loop().call_soon(time.sleep, busy_s)
+        block_duration_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
+        asyncio.get_running_loop().call_soon(time.sleep, block_duration_s)
 
     monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_block_loop)
     await listener.shut_down()
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -64,7 +64,7 @@
 )
 
 
-def idempotent_request(number: int) -> bytes:
+def request_with_idempotency_key(number: int) -> bytes:
     return request_bytes("/put", number, b"keyed").replace(b"\r\n\r\n", b"\r\nIdempotency-Key: k1\r\n\r\n", 1)
 
 
@@ -154,8 +154,8 @@
         (request_bytes("/pay", 1, b"debit"), NOT_RUN_RESPONSE),
         (request_bytes("/read", 1), response(500)),
         (request_bytes("/read", 1), reset_connection),
-        (idempotent_request(1), response(500)),  # a retry with an idempotency key
-        (idempotent_request(1), reset_connection),
+        (request_with_idempotency_key(1), response(500)),  # a retry with an idempotency key
+        (request_with_idempotency_key(1), reset_connection),
     ],
     ids=["503", "500", "reset", "keyed 500", "keyed reset"],
 )
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -26,7 +26,7 @@
     return status, output.getvalue(), errors.getvalue()
 
 
-def test_each_batch_is_answered() -> None:
+def test_reply_is_written_for_each_batch() -> None:
     status, output, _ = run_host(
         instance_start_batch()
         + "\nsync time=105.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=read\neob\n"
@@ -118,7 +118,7 @@
     assert errors == ""
 
 
-def run_process(instances: list[int], hash_seed: str) -> str:
+def run_host_process(instances: list[int], hash_seed: str) -> str:
     """Return the replies of a process that hosts these instances."""
     text = "".join(
         ["sync time=100.0 batch=1\n", SHARED_LIST, *(instance_start_line(i, 11 + i) for i in instances)]
@@ -140,12 +140,12 @@
 
 
 def test_actions_are_deterministic_per_instance() -> None:
-    combined_output = run_process([1, 2], "1")
-    assert combined_output == run_process([1, 2], "2")
+    combined_output = run_host_process([1, 2], "1")
+    assert combined_output == run_host_process([1, 2], "2")
     for instance in (1, 2):
         instance_lines = [line for line in combined_output.split("\n") if f"who={instance} " in line]
         single_instance_lines = [
-            line for line in run_process([instance], "3").split("\n") if f"who={instance} " in line
+            line for line in run_host_process([instance], "3").split("\n") if f"who={instance} " in line
         ]
         assert instance_lines == single_instance_lines
         assert instance_lines
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -64,7 +64,8 @@
 
     Args:
         monkeypatch: Replaces `UpstreamPool.connect` until the end of the test.
-        undelayed: The number of connections that are established without delay before the first delayed one.
+        undelayed_count: The number of connections that are established without delay before the first
+            delayed one.
 
     Attributes:
         connect_pending: Set once a delayed connection waits for `allowed`.
@@ -72,7 +73,7 @@
         on_established: Called when a delayed connection is established.
     """
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, undelayed: int = 0) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, undelayed_count: int = 0) -> None:
         self.connect_pending = asyncio.Event()
         self.allowed = asyncio.Event()
         self.on_established: Callable[[], None] = lambda: None
@@ -82,7 +83,7 @@
         async def delayed_connect(pool: UpstreamPool) -> UpstreamConnection:
             connection = await connect(pool)
             connects.append(pool)
-            if len(connects) > undelayed:
+            if len(connects) > undelayed_count:
                 self.connect_pending.set()
                 await self.allowed.wait()
                 self.on_established()
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -29,7 +29,17 @@
     ".pytest_cache",
     ".hypothesis",
 )
-LOGGING_FUNCTIONS = {"LogMessage", "write", "exception", "report", "note", "_note", "warn", "_warn", "print"}
+LOGGING_FUNCTIONS = {
+    "LogMessage",
+    "write",
+    "exception",
+    "log_exception",
+    "note",
+    "_note",
+    "warn",
+    "_warn",
+    "print",
+}
 FILE_NAME = re.compile(r"\.(py|toml|md|json|txt)$")
 # Snake case, upper case with underscores, or camel case.
 CODE_IDENTIFIER = re.compile(r"_|[a-z][A-Z]")
