--- a/loadbalancer/actions.py
+++ b/loadbalancer/actions.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt that is in flight; the host reports its end with `AttemptFinished`.
+    """Cancel an attempt that is in flight; the host then reports the outcome with `AttemptFinished`.
 
     Attributes:
         request_id: The id of the request.
@@ -72,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Set a timer; the host sends `TimerFired` when it fires.
+    """Set a timer; the host reports with `TimerFired` that the timer has fired.
 
     Attributes:
-        at_ms: The time at which it fires, on the clock of the events.
+        at_ms: The time at which the timer fires, on the clock of the events.
         timer: The value to return in `TimerFired`.
     """
 
@@ -87,7 +87,7 @@
 class StartHealthCheck:
     """Send a health check to an endpoint; the host reports the result with `HealthCheckFinished`.
 
-    The policy never returns this action: it judges endpoints by the outcomes of attempts.
+    The policy never returns this action: it assesses endpoints by the outcomes of attempts.
 
     Attributes:
         endpoint: The name of the endpoint to check.
--- a/loadbalancer/endpoints.py
+++ b/loadbalancer/endpoints.py
@@ -14,7 +14,7 @@
     DRAINING = "draining"
     """It finishes its open requests and accepts no new ones."""
     REMOVED = "gone"
-    """Its process has ended, or no longer belongs to the service."""
+    """The process has ended, or no longer belongs to the service."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     """One process of the upstream service, as an entry of the endpoint list.
 
     Attributes:
-        name: Its identity in the list. A restarted process may keep the name.
+        name: The name that identifies the endpoint in the list. A restarted process may keep the name.
         state: Whether it accepts new requests.
         zone: The zone that it runs in; empty if unknown.
         cell: The number of its cell. The endpoints of a cell share the idempotency keys of classes with
--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -49,7 +49,7 @@
     NOT_SENT = "not sent"
     """The attempt ended before anything was sent."""
     UNKNOWN = "unknown"
-    """The host does not know how it ended; the request may have had an effect."""
+    """The host does not know how the attempt ended; the request may have had an effect."""
 
 
 UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -74,16 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request of a client has arrived. It must get exactly one final response.
+    """A client's request has arrived; exactly one final response to it must be sent.
 
     Attributes:
         request_id: The id of the request in all later events and actions; unique among open requests.
-        class_name: The name of its `RequestClass`.
-        remaining_ms: The time from now until its deadline.
-        tenant: The name of the tenant whose quota it counts against; None if it has no tenant.
+        class_name: The name of the request's `RequestClass`.
+        remaining_ms: The time from now until the request's deadline.
+        tenant: The name of the tenant whose quota the request counts against; None if there is no tenant.
         is_client_retry: Whether the client marks the request as a retry. The policy does not use the mark:
             it infers a late retry from `remaining_ms`.
-        cost_hint_ms: Its expected processing time on one standard core; 0 if unknown.
+        cost_hint_ms: The expected processing time on one standard core; 0 if unknown.
     """
 
     request_id: int
@@ -115,8 +115,8 @@
         request_id: The id of the request.
         attempt_index: The index of the attempt among those of the request, from 0 in the order of the
             `StartAttempt` actions.
-        endpoint: The name of the endpoint that it was sent to.
-        outcome: How it ended.
+        endpoint: The name of the endpoint that the attempt was sent to.
+        outcome: How the attempt ended.
         is_request_complete: Whether the request needs no further response: the client has the final response,
             from this attempt or another one, or has disconnected.
         load_report: The endpoint's load report, in the order of `Settings.load_report_fields`; empty if it
--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -1,4 +1,4 @@
-"""Measures how long a connection waited in the kernel's accept queue, from the TCP_INFO socket option."""
+"""Measures how long a connection waited in the kernel's accept queue, with the TCP_INFO socket option."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from typing import NamedTuple
 
 MAX_QUEUE_AGE_S = 60.0
-"""Upper bound of the reported ages."""
+"""Ages above this are reported as this value."""
 
 MS_PER_S = 1000
-_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv and tcpi_last_ack_recv: elapsed milliseconds
+_TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv, tcpi_last_ack_recv: ms since the last arrival
 
 
 class QueueAges(NamedTuple):
-    """How long a connection had been in the kernel's accept queue when it was accepted.
+    """The ages of a connection and of its first request at the time when the connection is accepted.
 
     Attributes:
         connection_age_s: Time since the client connected.
-        request_age_s: Time since the last bytes arrived; 0 if none have.
+        request_age_s: Time since the last bytes of the client arrived; 0 if none have arrived.
     """
 
     connection_age_s: float
@@ -26,9 +26,9 @@
 
 
 def measure_queue_ages(accepted: socket.socket) -> QueueAges:
-    """Return how long a newly accepted connection and its first bytes waited, as reported by the kernel.
+    """Return how long ago a newly accepted client connected and last sent bytes, as reported by the kernel.
 
-    Both ages are 0 where the kernel does not report them.
+    Both ages are 0 if the kernel does not report them.
     """
     try:
         tcp_info = accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -31,7 +31,7 @@
         connected_at: float,
         first_request_received_at: float | None,
     ) -> None:
-        """Create a connection; both times are in seconds of the monotonic clock.
+        """Create a connection; both times are in seconds on the monotonic clock.
 
         Args:
             context: State and services shared by the connections of the listener.
@@ -75,11 +75,11 @@
 
     @property
     def is_abort_scheduled(self) -> bool:
-        """Whether one side of the connection is closed and a timer will abort it."""
+        """Whether a timer will abort the connection, one side of which is already closed."""
         return self._transport.is_abort_scheduled
 
     def is_awaiting_request(self) -> bool:
-        """Return whether the first request or the rest of a request is awaited, and no other is open."""
+        """Return whether no request is open, and the first request or the rest of one has yet to arrive."""
         return self.expiry.is_awaiting_request()
 
     def can_close_without_loss(self) -> bool:
@@ -95,7 +95,8 @@
     def data_received(self, data: bytes) -> None:
         """Parse the input, or discard it after a rejection or a graceful close.
 
-        Unread input would make the kernel send a reset, which could overtake the last response.
+        Input is read even if it is discarded: unread input would make the kernel send a reset, which could
+        overtake the last response.
         """
         if self._transport.discards_input:
             self._transport.discard(data)
@@ -106,8 +107,8 @@
     def eof_received(self) -> None:
         """Treat a client that closes its sending side as disconnected.
 
-        The event loop closes the transport once its write buffer is empty; the timer aborts a connection
-        whose client does not read the response.
+        The event loop closes the transport once the write buffer is empty. The timer aborts the connection
+        if the client does not read the response, so that the buffer never becomes empty.
         """
         self._disconnect()
         self._transport.schedule_abort(timeouts.WRITE_STALL_TIMEOUT_S)
@@ -134,5 +135,5 @@
         return self.expiry.close_if_timed_out(now, request_timeout_s, idle_timeout_s)
 
     def close_gracefully(self) -> None:
-        """Close the sending side and discard input for a time; see `ClientTransport.close_gracefully`."""
+        """Close the sending side, then discard input for a short time; see `ClientTransport`."""
         self._transport.close_gracefully(timeouts.LINGER_TIMEOUT_S)
--- a/loadbalancer/network/client/context.py
+++ b/loadbalancer/network/client/context.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ConnectionContext:
-    """The state and services of a listener that its connections use.
+    """The state and services that a listener shares with its connections.
 
     Attributes:
         loop: The event loop.
@@ -45,8 +45,9 @@
         log_exception: Logs a message together with the exception that is being handled.
         classes: The request classes of the settings, by name.
         buffers: Counts the bytes that are buffered for all connections.
-        is_shutting_down: Whether health checks fail, so that no new clients are sent to this balancer.
-        closes_connections: Whether each response closes its connection.
+        is_shutting_down: Whether the listener is shutting down; health checks then fail, so that clients use
+            another balancer.
+        closes_connections: Whether each response closes the connection that it is sent on.
     """
 
     loop: asyncio.AbstractEventLoop
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -23,7 +23,7 @@
 
 
 class ConnectionEviction:
-    """Applies the timeouts to all connections of a listener."""
+    """Closes the connections of a listener that have exceeded a timeout."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connections: Collection[ClientConnection]) -> None:
         self._loop = loop
@@ -46,8 +46,8 @@
 
         All connections whose request did not arrive in time are closed, then the longest idle ones, so that
         a flood of connections without requests cannot block new clients. A connection with an open request
-        is not closed, unless its client has stopped reading responses, or has disconnected while reading
-        from the connection was paused. A call within `MIN_EVICTION_INTERVAL_S` of the last eviction has no
+        is closed only if its client has stopped reading responses, or has disconnected while reading from
+        the connection was paused. A call within `MIN_EVICTION_INTERVAL_S` of the last eviction has no
         effect.
         """
         now = time.monotonic()
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionExpiry:
-    """Applies the timeouts to one connection: for the arrival of requests, idle time and unread responses."""
+    """Applies to one connection the timeouts for request arrival, for idle time and for unread responses."""
 
     def __init__(self, transport: ClientTransport, reader: RequestReader, pipeline: RequestPipeline) -> None:
         self._transport = transport
@@ -28,7 +28,7 @@
         return not self._pipeline.has_open_request() and not self._reader.arrival.is_arriving
 
     def is_awaiting_request(self) -> bool:
-        """Return whether the first request or the rest of a request is awaited, and no other is open."""
+        """Return whether no request is open, and the first request or the rest of one has yet to arrive."""
         arrival = self._reader.arrival
         is_awaited = arrival.is_arriving or not arrival.has_received_request
         return is_awaited and not self._pipeline.has_open_request()
@@ -47,7 +47,7 @@
         unread bytes first, and a request found there is read although the timeout has passed.
 
         Args:
-            now: Seconds of the monotonic clock.
+            now: The current time, in seconds on the monotonic clock.
             request_timeout_s: How long a request may take to arrive.
             idle_timeout_s: How long the connection may stay idle.
 
@@ -86,7 +86,7 @@
         return True
 
     def _abort_if_stalled(self, now: float) -> None:
-        """Abort if the client does not read its responses: its queued requests would never be handled."""
+        """Abort if the client has stopped reading responses, since its queued requests cannot be handled."""
         stalled_s = now - self._pipeline.idle_since
         if self._pipeline.has_only_queued_requests() and stalled_s > timeouts.WRITE_STALL_TIMEOUT_S:
             self._transport.abort()
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -13,20 +13,20 @@
     from loadbalancer.network.client.context import ConnectionContext
 
 SHUTDOWN_MAX_DEADLINE_S = 3.0
-"""Limit on the deadline that determines how long the shutdown may take.
+"""Upper limit on the time that the shutdown allows for responses.
 
-That deadline is the longest one of the request classes. The platform that runs the process waits no longer
-than this limit for responses, even if deadlines are longer.
+Below the limit, this time is the longest deadline of the request classes. The platform that runs the process
+waits for responses no longer than the limit, even if a deadline is longer.
 """
 
 SHUTDOWN_ACCEPT_S = 0.5
-"""How long new connections are accepted after SIGTERM, since clients may still open some."""
+"""How long to accept connections after SIGTERM: clients may still open new ones."""
 
 SHUTDOWN_KEEP_ALIVE_S = 1.5
-"""How long connections are kept open after SIGTERM, since another balancer may still be restarting."""
+"""How long to keep connections open after SIGTERM: another balancer may still be restarting."""
 
 SHUTDOWN_NEW_CONNECTION_GRACE_S = 0.1
-"""How long a new connection is kept open for its first request to arrive."""
+"""How long to keep a connection open after it was opened, or after a response, for a request to arrive."""
 
 SHUTDOWN_POLL_INTERVAL_S = 0.01
 """Interval between checks of the accept queue and of the connections."""
@@ -67,11 +67,11 @@
         self._listener = listener
         self._context = context
         self._started_at = time.monotonic()
-        # The platform waits as long as the longest deadline; half of that is reserved for the last responses.
+        # The platform waits for the longest deadline; the second half is reserved for the last responses.
         self._max_deadline_s = min(listener.max_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
 
     async def run(self) -> None:
-        """Shut down; return when all connections are closed or the time limit is exceeded."""
+        """Shut down; return when all connections are closed, or after the open requests have been aborted."""
         self._context.is_shutting_down = True
         await self._accept_last_connections()
         self._listener.close()
@@ -108,8 +108,8 @@
 
     async def _abort_open_requests(self) -> None:
         self._context.handler.abort_open_requests()
-        # On a busy loop a sleep of any length may take a single iteration, while a connection that was
-        # accepted just before needs several to be set up, read and responded to.
+        # On a busy loop a sleep of any length may take a single iteration. A connection that has just been
+        # accepted needs several iterations until it is set up, its request read and the response written.
         for _ in range(SHUTDOWN_FINAL_ITERATIONS):
             await asyncio.sleep(SHUTDOWN_FINAL_ITERATION_S)
 
--- a/loadbalancer/network/client/incoming_request.py
+++ b/loadbalancer/network/client/incoming_request.py
@@ -20,7 +20,7 @@
 
 
 class IncomingRequest:
-    """A complete request of a client; it gets exactly one final response.
+    """A complete request of a client; only the first final response to it is sent.
 
     Attributes:
         head: The validated head.
@@ -28,7 +28,7 @@
         received_at: When the request arrived (seconds of the monotonic clock).
         keep_alive: Whether the connection may stay open after the response.
         size_bytes: The memory that the request occupies.
-        number: Identifies the request to the handler, which assigns it; -1 until then.
+        number: The number by which the handler identifies the request; -1 until the handler assigns one.
     """
 
     __slots__ = (
@@ -70,7 +70,7 @@
             self._responder.respond(self, status, headers or [], body)
 
     def has_client_disconnected(self) -> bool:
-        """Return whether the client has disconnected, as the kernel reports it; true without a responder."""
+        """Return whether the client has disconnected according to the kernel; true if no responder is set."""
         return self._responder is None or self._responder.has_client_disconnected()
 
 
@@ -81,7 +81,7 @@
         """Handle a request; the handler calls `request.respond` now or later."""
 
     def handle_disconnect(self, request: IncomingRequest) -> None:
-        """Handle the disconnect of the client of an open request; no response can reach it any more."""
+        """Handle a disconnect of the client that sent an open request; no response can reach it any more."""
 
     def abort_open_requests(self) -> None:
         """Respond to all open requests at once, since the process is about to end."""
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -26,7 +26,7 @@
     """Reads the requests of a connection, passes them to the handler one at a time, and writes the responses.
 
     Attributes:
-        reader: Parses the input, and holds the queued requests.
+        reader: Parses the input, and queues the requests.
         idle_since: When the last response was written, or when the client connected if there has been none
             (seconds of the monotonic clock).
     """
@@ -37,7 +37,7 @@
         self._current_request: IncomingRequest | None = None
         self._rejection: Rejection | None = None  # written after the responses to earlier requests
         self._is_dispatching = False
-        self._accounted_bytes = 0  # share of this connection in the buffer account
+        self._accounted_bytes = 0  # what this connection has added to the buffer account
         self.reader = reader
         self.idle_since = reader.arrival.started_at
 
@@ -56,7 +56,7 @@
     def parse_input(self) -> None:
         """Parse the received bytes, up to the limit on queued requests."""
         self._update_buffer_account()
-        # Otherwise many clients together could exhaust the memory.
+        # Without this limit, many clients together could exhaust the memory.
         if self._context.buffers.is_limit_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
@@ -104,7 +104,7 @@
         self.advance()
 
     def drop_requests(self) -> None:
-        """Drop all requests, since the client has disconnected, and notify the handler of the current one."""
+        """Drop all requests after a disconnect, and notify the handler if it is handling one of them."""
         request = self._current_request
         self._current_request = None
         self.reader.close()
--- a/loadbalancer/network/client/rejection.py
+++ b/loadbalancer/network/client/rejection.py
@@ -23,7 +23,7 @@
     """Raised while parsing a request that is not acceptable.
 
     Attributes:
-        rejection: The error response that the client gets.
+        rejection: The error response to send to the client.
     """
 
     def __init__(self, rejection: Rejection) -> None:
--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -34,7 +34,7 @@
     b"idempotency-key",
     b"host",
 )
-# Each attempt gets its own X-Deadline; Expect concerns only the client and the balancer.
+# X-Deadline is set for each attempt; Expect concerns only the client and the balancer.
 _NOT_FORWARDED = frozenset((b"x-deadline", b"expect"))
 
 HeaderMap = dict[bytes, bytes]
@@ -42,14 +42,14 @@
 
 
 class RequestHead(NamedTuple):
-    """The validated head of a request; a health check has only a method and a target.
+    """The validated head of a request; for a health check, only the method and the target are set.
 
     Attributes:
         method: The method: GET or POST.
         target: The path and query.
         request_id: The value of X-Request-Id.
         class_name: The name of the request class.
-        deadline_ms: How long the client waits for the response, from when the request was sent.
+        deadline_ms: How long the client waits for the response after sending the request.
         tenant: The value of X-Tenant; None if there is none.
         is_client_retry: Whether the client marks the request as a retry.
         cost_hint_ms: The client's estimate of the service time; 0 if there is none.
@@ -98,7 +98,7 @@
     _check_method(method, request_class, header_map)
     _check_class_header(header_map, request_class)
     request_id = _read_request_id(header_map)
-    # No client waits longer than the deadline of its class: a longer one would only retain state needlessly.
+    # No client waits longer than the deadline of the class; a longer deadline would only retain state.
     deadline_ms = min(_read_deadline_ms(header_map), request_class.deadline_ms)
     return RequestHead(
         method,
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -20,7 +20,7 @@
 """Limit on the queued requests of one connection; no input is parsed while it is exceeded."""
 
 SLICE_BYTES = 8_192
-"""Number of bytes parsed at a time; the requests in one slice may exceed `MAX_PIPELINED_REQUESTS`."""
+"""Number of bytes in a slice; one slice may contain more than `MAX_PIPELINED_REQUESTS` requests."""
 
 
 class RequestReader:
@@ -32,8 +32,8 @@
     Attributes:
         requests: The complete requests that have not been removed yet, the oldest first.
         arrival: Tracks when the current request began to arrive, and whether it is complete.
-        last_received_at: When bytes were last received (seconds of the monotonic clock); -inf before the
-            first.
+        last_received_at: When bytes were last received (seconds of the monotonic clock); -inf if none have
+            been received.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Number of bytes held: unparsed input, the incomplete request, and queued requests."""
+        """Number of bytes buffered: unparsed input, the incomplete request, and queued requests."""
         return len(self._unparsed) + self._partial_bytes + sum(r.size_bytes for r in self.requests)
 
     @property
@@ -73,11 +73,11 @@
         return bool(self._partial_bytes or self._unparsed)
 
     def can_parse(self) -> bool:
-        """Return whether there is input to parse and the queue of requests is not too long."""
+        """Return whether there is unparsed input, and `MAX_PIPELINED_REQUESTS` is not exceeded."""
         return bool(self._unparsed) and len(self.requests) <= MAX_PIPELINED_REQUESTS
 
     def can_resume_reading(self) -> bool:
-        """Return whether the queue is short enough to resume reading after it was paused."""
+        """Return whether the queue is short enough to resume reading after a pause."""
         return len(self.requests) <= MAX_PIPELINED_REQUESTS // 2
 
     def receive(self, data: bytes) -> None:
@@ -104,7 +104,7 @@
             # A request ended in this slice, so any incomplete one lies within the slice.
             self._partial_bytes = len(data) if self.arrival.is_arriving else 0
         elif self._partial_bytes - self._parser.partial_body_bytes > MAX_HEAD_BYTES:
-            # Otherwise the parser would buffer a head, chunk extensions or trailers of any length.
+            # Without this limit, the parser would buffer a head, chunk extensions or trailers of any length.
             return HEAD_TOO_LARGE
         return None
 
--- a/loadbalancer/network/client/timeouts.py
+++ b/loadbalancer/network/client/timeouts.py
@@ -34,7 +34,7 @@
 """
 
 SHORT_LINGER_TIMEOUT_S = 0.05
-"""Replaces `LINGER_TIMEOUT_S` on a connection on which no request began to arrive in time."""
+"""Replaces `LINGER_TIMEOUT_S` if no request has begun to arrive on the connection in time."""
 
 ACCEPT_RETRY_INTERVAL_S = 0.05
 """Delay before accepting is retried at the connection limit or after a shortage of descriptors."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -36,7 +36,7 @@
         self.is_reading_paused = False
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Use a transport that has been set up."""
+        """Use a transport that the event loop has set up."""
         self._transport = transport
         # With limits of 0, `resume_writing` is called when the last byte of a response has been sent.
         transport.set_write_buffer_limits(high=0, low=0)
@@ -56,7 +56,7 @@
 
     @property
     def is_abort_scheduled(self) -> bool:
-        """Whether one side is closed and a timer will abort the connection."""
+        """Whether a timer will abort the connection, one side of which is already closed."""
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,7 +1,7 @@
 """The settings of a balancer instance: request classes, tenants, limits and slow start.
 
-An instance receives them at its start, over the simulator's wire or in the file that `LB_CONFIG` names;
-`loadbalancer.settings_reader` reads both. All durations are in milliseconds. The dataclasses are frozen, and
+The settings are read when an instance starts, from the simulator's wire or the file that `LB_CONFIG` names;
+see `loadbalancer.settings_reader`. All durations are in milliseconds. The dataclasses are frozen, and
 raise `InvalidSettingsError` when they are created with a value out of range.
 """
 
@@ -105,23 +105,23 @@
         tier: The number of tiers before this one; 0 for the tier that clients send requests to. Only the
             balancers of tier 0 shed load.
         zone: The zone that the instance runs in; empty if unknown.
-        polls_discovery: Whether the policy must request the endpoint list with `WatchEndpoints`; otherwise
-            the host sends updates on its own.
-        poll_deadline_ms: The maximum time between two polls of discovery. The backoff after failures is at
-            most a third of this time.
+        polls_discovery: Whether the policy must request the endpoint list with `WatchEndpoints`; if false,
+            the host sends updates without a request.
+        poll_deadline_ms: The maximum time between two polls of discovery. The backoff after failures does not
+            exceed a third of this time.
         max_attempts: The maximum number of attempts of a request, including the first one and hedged ones.
         connect_timeout_ms: The time after which a connect fails. An attempt that needs a new connection may
             be sent up to this much later than it starts.
         may_cancel: Whether an attempt in flight may be cancelled.
         may_hedge: Whether an attempt may start while an earlier one of the same request is in flight.
-        may_health_check: Whether health checks are allowed. The policy sends none and does not use it.
+        may_health_check: Whether health checks are allowed. The policy sends none and ignores this setting.
         max_retry_after_ms: The maximum `Retry-After` of a rejection; 0 if rejections must not have one.
-        slow_start_ms: The time from its start for which an endpoint warms up; 0 if endpoints start warm.
+        slow_start_ms: How long an endpoint warms up after its process has started; 0 if endpoints start warm.
         slow_start_initial_fraction: The fraction of its full capacity that an endpoint has at its start,
             above 0. The fraction grows linearly to 1 over `slow_start_ms`.
-        slow_start_overload_factor: The amount of work within one window above which a warming endpoint fails,
-            as a multiple of the endpoint's current capacity.
-        slow_start_window_ms: The length of that window.
+        slow_start_overload_factor: A warming endpoint fails if it receives more work within one window than
+            this multiple of its current capacity.
+        slow_start_window_ms: The length of the window of `slow_start_overload_factor`.
         over_quota_weight: The value of a response to a request over its tenant's quota, as a fraction of the
             value of one within the quota, from 0 to 1.
         tick_ms: The resolution of the host's clock: timers may fire up to this much late.
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -1,9 +1,9 @@
 """Reads settings from flat `path=value` fields, for the simulator's wire and the file that `LB_CONFIG` names.
 
-The names of the settings, and the words for enum values, are those of the wire. No other module contains
-them, except for the settings that `loadbalancer.configuration` uses itself. Each field is text, which
-`read_number`, `read_integer`, `read_flag` and `read_enum` convert to a typed value. Each error is a
-`FieldError` that names the field.
+The names of the settings, and the words for enum values, are those of the wire. They occur in no other
+module, except for the names of the settings that `loadbalancer.configuration` uses itself. Each field is
+text, which `read_number`, `read_integer`, `read_flag` and `read_enum` convert to a typed value. Each error is
+a `FieldError` that names the field.
 """
 
 from __future__ import annotations
--- a/loadbalancer/simulator/__main__.py
+++ b/loadbalancer/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loadbalancer.simulator`: host balancer instances on the wire, on standard input and output."""
+"""`python -m loadbalancer.simulator`: run a simulator host on standard input and output."""
 
 import sys
 
--- a/loadbalancer/simulator/batch_reader.py
+++ b/loadbalancer/simulator/batch_reader.py
@@ -1,9 +1,9 @@
 """The framing of the simulator's wire: groups the lines of the input into batches of typed messages.
 
-The input is a sequence of batches. A batch begins with a `sync` line, which contains its time, and ends with
-an `eob` line. Each line between them is a message, or belongs to an endpoint list that later messages refer
-to by its number: a `ledger` line, followed by an `m` line for each entry. Empty lines between batches are
-skipped.
+The input is a sequence of batches. A batch begins with a `sync` line, which contains the simulated time, and
+ends with an `eob` line. Each line in between is a message, or belongs to an endpoint list: a `ledger` line,
+which contains the number by which later messages refer to the list, is followed by an `m` line for each
+entry. Empty lines between batches are skipped.
 """
 
 from __future__ import annotations
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -122,7 +122,7 @@
 
 
 def parse_instance_started(fields: Fields, warn: Warn) -> InstanceStarted:
-    """Return the message that starts an instance. All fields except for its id and seed are settings."""
+    """Return the message that starts an instance. Fields other than its id and seed are settings."""
     seed = read_integer(fields, "prng")
     settings_fields = {name: value for name, value in fields.items() if name not in ("who", "prng")}
     settings = read_settings(settings_fields, warn)
@@ -282,7 +282,7 @@
 
 
 def _error_type_name(error: BaseException) -> str:
-    """Return the name of an error's type; for the package's own errors, that of the built-in base class."""
+    """Return the name of an error's type; for errors of this package, the name of the built-in base class."""
     types = type(error).__mro__ if isinstance(error, LoadBalancerError) else (type(error),)
     return next(t.__name__ for t in types if t.__module__ != LoadBalancerError.__module__)
 
--- a/loadbalancer/simulator/host.py
+++ b/loadbalancer/simulator/host.py
@@ -24,7 +24,7 @@
     """The balancer instances of one process; they share no state."""
 
     def __init__(self, error_output: TextIO) -> None:
-        """Start without instances; errors and warnings are written to `error_output`."""
+        """Create a host without instances; errors and warnings are written to `error_output`."""
         self._error_output = error_output
         self._written_warnings: set[str] = set()
         # By instance id; None for an instance whose policy has raised an error.
@@ -51,12 +51,12 @@
         return 0
 
     def _print_input_error(self, reader: BatchReader, error: Exception) -> None:
-        """Write an error message with the position and reason of invalid input."""
+        """Write an error message that states where the input is invalid, and why."""
         line = reader.line[:_MAX_LOGGED_LINE_CHARS]
         print(f"loadbalancer: batch {reader.batch_id}, line {line!r}: {error}", file=self._error_output)
 
     def _warn(self, text: str) -> None:
-        """Write a warning, unless the same one has been written before."""
+        """Write a warning; the same warning is written only once."""
         if text not in self._written_warnings:
             self._written_warnings.add(text)
             print(f"loadbalancer: {text}", file=self._error_output)
@@ -101,7 +101,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output, and return the exit status."""
+    """Run a host on standard input and output, and return the exit status."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     return Host(sys.stderr).run(sys.stdin, sys.stdout)
--- a/loadbalancer/simulator/messages.py
+++ b/loadbalancer/simulator/messages.py
@@ -20,8 +20,8 @@
 
     Attributes:
         instance: The id of the instance.
-        seed: The seed of all its random draws.
-        settings: The settings of its policy.
+        seed: The seed of all random draws of the instance.
+        settings: The settings of the policy.
     """
 
     instance: str
@@ -44,7 +44,7 @@
 
     Attributes:
         instance: The id of the instance.
-        event: The event to pass to its policy.
+        event: The event to pass to the policy.
     """
 
     instance: str
@@ -55,7 +55,7 @@
 
 
 class Batch(NamedTuple):
-    """The messages of one instant of simulated time; the simulator waits for one reply to all of them.
+    """The messages of one instant of simulated time; the simulator waits for a single reply to them.
 
     Attributes:
         batch_id: The id of the batch, repeated in the last line of the reply.
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -119,7 +119,7 @@
 async def test_pipelined_request_starts_once_previous_response_is_read(
     start_proxy: StartProxy,
 ) -> None:
-    """The next request must start without further bytes from the client."""
+    """The next request must be sent to the upstream without further bytes from the client."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
     client, received_bytes = await connect_without_reading_response(harness), b""
@@ -131,7 +131,7 @@
 async def test_disconnect_with_unread_response_drops_pipelined_request(
     start_proxy: StartProxy,
 ) -> None:
-    """Otherwise the next request would start once the client reads the response, despite the disconnect."""
+    """If the disconnect did not drop the queued request, it would be sent once the response is read."""
     upstream = Upstream(response(200, b"x" * 60_000))
     harness = await start_proxy(upstream)
     client = await connect_without_reading_response(harness)
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -210,7 +210,7 @@
     )
     waiting = harness.connect_socket()
     waiting.sendall(request_bytes("/read", 2))
-    # The eviction comes before the event loop can read this request.
+    # The eviction runs before the event loop can read this request.
     send_without_event_loop(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
     set_timeouts_under_pressure(monkeypatch, 0.0)
     monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
--- a/tests/network/client/test_client_disconnects.py
+++ b/tests/network/client/test_client_disconnects.py
@@ -124,7 +124,7 @@
 async def test_disconnect_during_policy_delay_prevents_attempt(
     start_proxy: StartProxy, disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disconnect is unread when the policy's timer fires and starts the attempt."""
+    """The policy's timer starts the attempt before the event loop has noticed the disconnect."""
     harness = await start_proxy(Upstream())
     await open_idle_connections(harness, monkeypatch)
     client, disconnected = harness.connect_socket(), asyncio.Event()
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -29,14 +29,14 @@
     clients = [await harness.client() for _ in range(100)]
     started_at = time.monotonic()
     assert status(await harness.send_request()) == 200
-    assert time.monotonic() - started_at < 3.0  # how long a client waits
+    assert time.monotonic() - started_at < 3.0  # clients wait for a response no longer than this
     for client in clients:
         assert await client.reader.read() == b""
 
 
 async def test_idle_connections_are_evicted_early_for_waiting_clients(start_proxy: StartProxy) -> None:
-    """Without early eviction, 168 connections kept for 2 s each would serve only 84 requests per second."""
-    # A client whose request races with the close of its connection retries it on a new one.
+    """Without early eviction, 168 connections kept for 2 s each would allow only 84 requests per second."""
+    # If a request races with the close of its connection, the client retries the request on a new one.
     assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
     harness = await start_proxy(Upstream(), tier=1)  # tier 1 does not shed load
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -50,7 +50,7 @@
 async def test_connections_stay_open_for_keep_alive_time(
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise clients would have no balancer to use while another one restarts."""
+    """If connections closed at once, clients would have no balancer to use while another one restarts."""
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=60.0, max_deadline_s=120.0)
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
@@ -73,7 +73,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise requests would be lost: the platform kills the process soon after the maximum deadline."""
+    """Requests sent later would be lost: the platform kills the process soon after the maximum deadline."""
     set_shutdown_times(monkeypatch, keep_alive_s=60.0)
     harness = await start_proxy(Upstream())
     client = await connect_and_get_response(harness)
@@ -146,7 +146,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise the kernel would reset the queued connections when the listening socket is closed."""
+    """If connections were still queued, the kernel would reset them when the listening socket is closed."""
     set_shutdown_times(monkeypatch, accept_s=0.0)
     upstream = Upstream(never_respond, response())
     harness = await start_proxy(upstream)
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -52,7 +52,7 @@
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A leak would grow with the number of requests and connections."""
-    # Otherwise the size of the pool would depend on how many requests are sent within the delay.
+    # With a delay, the size of the pool would depend on how many requests are sent within the delay.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
 
     def count_objects() -> Counter[str]:
--- a/tests/support/disconnecting_clients.py
+++ b/tests/support/disconnecting_clients.py
@@ -16,7 +16,7 @@
     from loadbalancer.network.upstream.connection import UpstreamConnection
     from tests.support.proxy_harness import ProxyHarness
 
-# Limits that allow hedged requests, with a connect timeout above any delay of a connect in the tests.
+# Limits that allow hedged requests; the connect timeout is longer than any delayed connect in the tests.
 HEDGING_LIMITS = {
     "attemptsCap": 3,
     "connIdle": 60_000.0,
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -11,7 +11,7 @@
 
 
 class DiscoveryServer:
-    """A discovery service that answers each request with the next queued response, as soon as one is queued.
+    """A discovery service that responds to each request with the next queued response, once there is one.
 
     Attributes:
         responses: The queued responses, encoded.
@@ -38,7 +38,7 @@
             writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Respond to the requests of one connection."""
         self.writers.append(writer)
         try:
             while True:
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -8,12 +8,12 @@
 from tests.support.http_messages import ReceivedMessage, read_message, response
 from tests.support.sockets import socket_address
 
-# Handles a request, and can leave it without a response.
+# Responds to a request, or leaves it without a response.
 Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
 
 
 class Upstream:
-    """A server that handles its nth request with the nth script, and all later requests with the last one.
+    """A server that handles the nth request with the nth script, or with the last one if there is no nth.
 
     Attributes:
         received: The received requests.
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -53,7 +53,11 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop with a simulated clock, which connects to the simulated discovery service of a port."""
+    """An event loop with a simulated clock, whose connections lead to simulated discovery services.
+
+    Attributes:
+        discoveries: The simulated discovery services, by port.
+    """
 
     def __init__(self) -> None:
         self._selector_with_clock = _SimulatedClockSelector(selectors.DefaultSelector())
@@ -111,14 +115,14 @@
 
 
 class SimulatedDiscovery:
-    """A discovery service with faults.
+    """A simulated discovery service, on which a fault can be imposed.
 
     Attributes:
         fault: The current fault, one of `FAULTS`; empty if there is none.
         version: The version of the endpoint list.
         connections: The open connections.
-        attempts: The times of connects during a fault of `CONNECT_FAULTS` and of received requests, in
-            seconds.
+        attempts: The times at which a balancer tried to reach the service, in seconds: those of received
+            requests, and of connects during a fault of `CONNECT_FAULTS`.
         requests: The request lines of the requests.
         watches: The start and the maximum wait of each watch request, in seconds.
         on_attempt: Called for each connect during a fault of `CONNECT_FAULTS`, and for each request.
@@ -266,7 +270,11 @@
         self.proxy.reconfigure(configuration(json.dumps(document)))
 
     async def wait_for_drain(self) -> float:
-        """Return the time at which the policy learns of the drain, after closing the listener."""
+        """Wait until the policy learns of the drain, then close the listener.
+
+        Returns:
+            The time at which the policy learned of the drain.
+        """
         learned_at: float = await asyncio.wait_for(self.drain_learned_at, 120)
         self.stop()
         return learned_at
