--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -234,7 +234,7 @@
     connects = DelayedConnects(monkeypatch, undelayed_count=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send(deadline="1200m")
     await connects.connect_pending.wait()  # the hedged request is connecting
     first_upstream = next(upstream for upstream in upstreams if upstream.received)
@@ -242,7 +242,7 @@
     assert (await client.read_response()).body == b"first"
     connects.allowed.set()
     await wait_until_idle(harness)
-    other = await harness.client()
+    other = await harness.connect_client()
     other.send(deadline="400m")
     await other.read_response()  # every earlier request has arrived by now
     received = [request.headers["x-request-id"] for upstream in upstreams for request in upstream.received]
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -172,7 +172,7 @@
 
     remainders = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
     harness = await start_proxy(Upstream())
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(request_bytes("/read", 1)[:-2])
     client_socket = client.writer.transport.get_extra_info("socket")
 
@@ -196,7 +196,7 @@
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
     listener.connection_limit = 2
-    idle = await harness.client()
+    idle = await harness.connect_client()
     idle.send()
     assert status(await idle.read_response()) == 200
     setup_allowed = delay_connection_setup(monkeypatch)
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -26,7 +26,7 @@
 ) -> None:
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 20
-    clients = [await harness.client() for _ in range(100)]
+    clients = [await harness.connect_client() for _ in range(100)]
     started_at = time.monotonic()
     assert status(await harness.send_request()) == 200
     assert time.monotonic() - started_at < 3.0  # clients wait for a response no longer than this
@@ -41,7 +41,7 @@
 
     harness = await start_proxy(Upstream(), tier=1)  # tier 1 does not shed load
     harness.proxy.listener.connection_limit = 20
-    clients = [await harness.client() for _ in range(60)]
+    clients = [await harness.connect_client() for _ in range(60)]
     for client in clients:
         client.send(deadline="4000m")
     for client in clients:
@@ -54,8 +54,8 @@
     """Accepting is retried at intervals, not only when a connection closes."""
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 2
-    first = await harness.client()
-    second = await harness.client()
+    first = await harness.connect_client()
+    second = await harness.connect_client()
     for client in (first, second):
         client.send()
         assert status(await client.read_response()) == 200
--- a/tests/network/client/test_connection_timeouts.py
+++ b/tests/network/client/test_connection_timeouts.py
@@ -41,7 +41,7 @@
     monkeypatch.setattr(timeouts, "REQUEST_TIMEOUT_S", 0.1)
 
     harness = await start_proxy(Upstream())
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(sent)
     assert (await client.reader.read())[:12] == expected_prefix
     client.writer.close()
@@ -75,11 +75,11 @@
 
     upstream = Upstream(response(), never_respond)
     harness = await start_proxy(upstream)
-    idle = await harness.client()
+    idle = await harness.connect_client()
     idle.send()
     assert status(await idle.read_response()) == 200
     upstream.request_received.clear()
-    busy = await harness.client()
+    busy = await harness.connect_client()
     busy.send("/pay/x", b"debit")
     await upstream.request_received.wait()
     assert await idle.reader.read() == b""
--- a/tests/network/client/test_graceful_shutdown.py
+++ b/tests/network/client/test_graceful_shutdown.py
@@ -41,7 +41,7 @@
 
 async def connect_and_get_response(harness: ProxyHarness) -> Client:
     """Return a client that has received the response to its first request."""
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send()
     assert status(await client.read_response()) == 200
     return client
@@ -93,8 +93,8 @@
     set_shutdown_times(monkeypatch, keep_alive_s=0.0)
     upstream = Upstream(response(), never_respond, response())
     harness = await start_proxy(upstream)
-    idle = await harness.client()
-    busy = await harness.client()
+    idle = await harness.connect_client()
+    busy = await harness.connect_client()
     idle.send()
     assert status(await idle.read_response()) == 200
     upstream.request_received.clear()
@@ -152,10 +152,10 @@
     harness = await start_proxy(upstream)
     listener = harness.proxy.listener
     listener.connection_limit = 1
-    busy = await harness.client()
+    busy = await harness.connect_client()
     busy.send("/pay/x", b"debit")
     await upstream.request_received.wait()
-    queued = await harness.client()  # waits in the accept queue
+    queued = await harness.connect_client()  # waits in the accept queue
     queued.send()
     shutdown = asyncio.ensure_future(listener.shut_down())
     await wait_until(lambda: listener.context.is_shutting_down, "the shutdown has begun", poll_interval_s=0.0)
@@ -173,7 +173,7 @@
     """The process ends before an upstream could respond, so no attempt is started."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
-    client = await harness.client()
+    client = await harness.connect_client()
     harness.proxy.abort_open_requests()
     client.send()
     assert status(await client.read_response()) == 503
@@ -187,7 +187,7 @@
     set_shutdown_times(monkeypatch, accept_s=0.0, keep_alive_s=0.0, max_deadline_s=0.2)
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send("/pay/x", b"debit")
     await upstream.request_received.wait()
     events = record_events(harness)
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -28,10 +28,10 @@
     buffers.limit_bytes = 200_000
     clients: list[Client] = []
     for _ in range(4):
-        clients.append(await harness.client())
+        clients.append(await harness.connect_client())
         for _ in range(4):
             clients[-1].send("/pay/x", b"x" * 60_000)
-    health_client = await harness.client()
+    health_client = await harness.connect_client()
     await wait_until(
         lambda: any(connection.discards_input for connection in listener.connections),
         "a connection discards its input",
--- a/tests/network/client/test_request_validation.py
+++ b/tests/network/client/test_request_validation.py
@@ -71,7 +71,7 @@
 ) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(raw)
     assert status(await client.read_response()) == expected_status
     assert await client.reader.read() == b""
@@ -101,7 +101,7 @@
 ) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(raw)
     assert status(await client.read_response()) == expected_status
     assert not upstream.received
@@ -110,7 +110,7 @@
 
 async def test_input_after_rejection_is_discarded(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(b"POST /pay HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n")
     client.writer.write(b"x" * 6_000_000)
     assert status(await client.read_response()) == 413
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -24,7 +24,7 @@
         writer.write(response(200, received.start_line.encode()))
 
     harness = await start_proxy(Upstream(echo))
-    client = await harness.client()
+    client = await harness.connect_client()
     for i in range(40):
         client.send(f"/read/{i}")
     for i in range(40):
@@ -34,7 +34,7 @@
 async def test_input_after_connection_close_is_ignored(start_proxy: StartProxy) -> None:
     """Otherwise a later slice is parsed, and a response is written after the write side has been closed."""
     harness = await start_proxy()
-    client = await harness.client()
+    client = await harness.connect_client()
     head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
     head += b"x" * (request_reader.SLICE_BYTES - len(head) - 4) + b"\r\n\r\n"
     errors: list[object] = []
@@ -65,7 +65,7 @@
 
 async def test_tcp_no_delay_is_set_on_both_sides(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send()
     await client.read_response()
     (client_connection,) = harness.proxy.listener.connections
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -116,7 +116,7 @@
     first, second = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(first, second)
     events = record_events(harness)
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send(deadline="1200m")
     await asyncio.gather(first.request_received.wait(), second.request_received.wait())
     second.writers[0].write(response(200, b"second"))
@@ -130,7 +130,7 @@
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
     events = record_events(harness)
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send()
     await upstream.request_received.wait()
     client.writer.close()
@@ -169,6 +169,6 @@
 
 async def test_healthz_returns_200(start_proxy: StartProxy) -> None:
     harness = await start_proxy()
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
     assert status(await client.read_response()) == 200
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -17,8 +17,8 @@
 async def test_duplicate_id_is_rejected(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
-    first = await harness.client()
-    second = await harness.client()
+    first = await harness.connect_client()
+    second = await harness.connect_client()
     first.send("/pay/x", b"debit", x_request_id="same")
     await upstream.request_received.wait()
     second.send("/pay/x", b"debit", x_request_id="same")
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -72,7 +72,7 @@
         for upstream in self.upstreams:
             upstream.stop()
 
-    async def client(self) -> Client:
+    async def connect_client(self) -> Client:
         """Connect a client, which `stop` disconnects."""
         client = Client()
         self._clients.append(client)
@@ -90,7 +90,7 @@
 
         The arguments are those of `Client.send`.
         """
-        client = await self.client()
+        client = await self.connect_client()
         client.send(*args, **kwargs)
         reply = await client.read_response()
         client.writer.close()
