--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -148,7 +148,7 @@
         return connection
 
     monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
-    assert await ObservedAttempt(pools).outcome() is Outcome.CONNECT_FAILED
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
     assert pools.open_connections == 0
 
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -26,14 +26,14 @@
 async def test_connect_timeout_is_connect_failure() -> None:
     async with full_backlog() as address:
         pools = make_pools(address)
-        assert await ObservedAttempt(pools).outcome() is Outcome.CONNECT_FAILED
+        assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.CONNECT_FAILED
         assert pools.open_connections == 0
 
 
 async def test_attempt_timeout_while_connecting_is_connect_failure() -> None:
     async with full_backlog() as address:
         pools = make_pools(address, connectTimeout=60_000.0)
-        assert await ObservedAttempt(pools, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
+        assert await ObservedAttempt(pools, timeout_s=0.05).wait_for_outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_reset_during_write_is_connect_failure() -> None:
@@ -49,7 +49,7 @@
     port = server.sockets[0].getsockname()[1]
     attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
     await accepted.wait()
-    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    assert await attempt.wait_for_outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_cancel_and_response_end_attempt_once(start_server: StartServer) -> None:
@@ -74,7 +74,7 @@
     pools.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
     assert pool.draining_since is not None
     pool.draining_since -= 0.5  # the grace period ends during the connect
-    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    assert await attempt.wait_for_outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
 
 
@@ -84,7 +84,7 @@
     pools = make_pools(address)
 
     async def send_request() -> None:
-        assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+        assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
         assert pools.open_connections == 1
 
     await send_request()
@@ -113,14 +113,14 @@
     pools = make_pools(await start_server(upstream))
     pools.update_endpoints(endpoint_list(entry("s1", await start_server(other_upstream))))
     pools.connection_limit.max_connections = 1
-    assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
     attempt_factory = UpstreamAttemptFactory(asyncio.get_running_loop(), pools)
     attempt = attempt_factory.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
     await other_upstream.request_received.wait()
     assert pools.open_connections == 1
     # The balancer lacks a descriptor; this must not count as a failure of the upstream.
-    assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.NOT_SENT
     attempt.cancel()
 
 
@@ -173,12 +173,12 @@
 async def test_reuse_delay_between_requests(start_server: StartServer) -> None:
     upstream = Upstream()
     pools = make_pools(await start_server(upstream))
-    assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
     assert pools.pool("s0").take_idle_connection() is None  # not immediately after the response
     pools.pool("s0").idle_connections[0].idle_since -= 0.01  # and not 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
-    assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
     assert upstream.connection_count == 1
 
 
@@ -211,7 +211,7 @@
     server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
     port = server.sockets[0].getsockname()[1]
     attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
-    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    assert await attempt.wait_for_outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_descriptor_shortage_is_not_an_upstream_failure(
@@ -224,7 +224,7 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     monkeypatch.setattr(UpstreamPool, "connect", fail_to_connect)
-    assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.NOT_SENT
 
 
 CLASSES_WITH_SHORT_OBJECTIVE = [
--- a/tests/support/upstream_attempts.py
+++ b/tests/support/upstream_attempts.py
@@ -51,7 +51,7 @@
         self.outcomes.append(outcome)
         self.finished.set()
 
-    async def outcome(self) -> Outcome:
+    async def wait_for_outcome(self) -> Outcome:
         """Wait for the outcome, which must be the only one reported."""
         await self.finished.wait()
         (outcome,) = self.outcomes
