--- a/loadbalancer/network/client/connection_table.py
+++ b/loadbalancer/network/client/connection_table.py
@@ -50,11 +50,11 @@
             self._context, self._remove, now - ages.connection_age_s, request_received_at
         )
         self._connections.add(connection)
-        task = self._context.loop.create_task(self.set_up(connection, accepted))
+        task = self._context.loop.create_task(self.set_up_connection(connection, accepted))
         self._setup_tasks.add(task)
         task.add_done_callback(self._setup_tasks.discard)
 
-    async def set_up(self, connection: ClientConnection, accepted: socket.socket) -> None:
+    async def set_up_connection(self, connection: ClientConnection, accepted: socket.socket) -> None:
         """Create the transport of a connection; from then on, the event loop reads its socket."""
         try:
             await self._context.loop.connect_accepted_socket(lambda: connection, accepted)
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -57,15 +57,15 @@
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Delay the setup of each accepted connection until the returned event is set."""
     setup_allowed = asyncio.Event()
-    set_up = ConnectionTable.set_up
+    set_up_connection = ConnectionTable.set_up_connection
 
-    async def delayed_set_up(
+    async def delayed_set_up_connection(
         connections: ConnectionTable, connection: ClientConnection, accepted: socket.socket
     ) -> None:
         await setup_allowed.wait()
-        await set_up(connections, connection, accepted)
+        await set_up_connection(connections, connection, accepted)
 
-    monkeypatch.setattr(ConnectionTable, "set_up", delayed_set_up)
+    monkeypatch.setattr(ConnectionTable, "set_up_connection", delayed_set_up_connection)
     return setup_allowed
 
 
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -91,7 +91,7 @@
 
     def write(self, data: Any) -> None:
         if self._is_open:
-            self._discovery.on_request(self, bytes(data).split(b"\r\n")[0].decode())
+            self._discovery.handle_request(self, bytes(data).split(b"\r\n")[0].decode())
 
     def abort(self) -> None:
         if self._is_open:
@@ -161,7 +161,7 @@
         protocol.connection_made(connection)
         return connection, protocol
 
-    def on_request(self, connection: SimulatedConnection, request_line: str) -> None:
+    def handle_request(self, connection: SimulatedConnection, request_line: str) -> None:
         """Handle a request, given by its request line."""
         if not connection.is_unresponsive:
             self.attempts.append(self.loop.time())
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("key", ["listen", "discovery", "settings"])
-def test_missing_key_is_named(key: str) -> None:
+def test_missing_key_is_named_in_error(key: str) -> None:
     document = json.loads(config_text("127.0.0.1:9", []))
     del document[key]
     with pytest.raises(MissingKeyError, match=f"^'{key}' is missing$"):
@@ -49,7 +49,7 @@
         ({"tick": 0.0}, "tick_ms is 0.0: it must be above 0"),
     ],
 )
-def test_invalid_setting_is_named(settings: dict[str, Any], reason: str) -> None:
+def test_invalid_setting_is_named_in_error(settings: dict[str, Any], reason: str) -> None:
     with pytest.raises(ConfigurationError) as raised:
         read_document(json.loads(config_text("127.0.0.1:9", [], **settings)))
     assert raised.value.reason == str(raised.value) == reason
