--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -236,8 +236,8 @@
     """Add a nested setting to `fields` in the format of the wire.
 
     The keys of nested objects are joined by dots. A list of objects becomes one field with its length, and
-    the fields of each object under a path with its index. Any other list becomes one field with its values
-    joined by commas.
+    the fields of each object, whose paths contain the index of the object. Any other list becomes one field
+    with its values joined by commas.
 
     Args:
         value: The setting: an object, a list or a scalar; null means that the setting is absent.
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -15,10 +15,10 @@
     from loadbalancer.network.client.connection import ClientConnection
 
 EVICTION_DIVISOR = 4
-"""An eviction closes idle connections until 1/4 of all connections are closed.
+"""An eviction closes idle connections until it has closed 1/4 of all connections.
 
-Connections whose request did not arrive in time count towards the 1/4; all of them are closed, even if that
-is more than 1/4.
+Before that, it closes all connections whose request did not arrive in time; they count towards the 1/4, but
+are closed even if there are more of them.
 """
 
 
@@ -31,7 +31,7 @@
         self._last_eviction_at = -math.inf
 
     def sweep(self) -> None:
-        """Close connections that have exceeded a timeout, now and every `SWEEP_INTERVAL_S` from now on.
+        """Close connections that have exceeded a timeout, at once and every `SWEEP_INTERVAL_S` seconds afterwards.
 
         The timeout of the first request starts when the client connects, so it includes the time in the
         accept queue.
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -43,8 +43,8 @@
     Attributes:
         name: The name that requests refer to; unique among the classes of a service.
         latency_objective_ms: The latency up to which a response has its full value; above 0.
-        deadline_ms: The time from the client's first attempt after which the client gives up and a response
-            has no value; above 0.
+        deadline_ms: How long after the first attempt the client gives up; a later response has no value.
+            Above 0.
         idempotency: Whether a request may be processed more than once.
         idempotency_scope: For a keyed class: which endpoints share its keys.
         idempotency_window_ms: For a keyed class: how long an endpoint remembers a key.
--- a/loadbalancer/timers.py
+++ b/loadbalancer/timers.py
@@ -1,7 +1,7 @@
 """The timers that the policy sets.
 
 The host of the policy receives a timer in a `SetTimer` action and returns it unchanged in a `TimerFired`
-event. The policy never cancels a timer; it ignores one that is no longer needed when it fires.
+event. The policy never cancels a timer. It ignores the event of a timer that is no longer needed.
 """
 
 from __future__ import annotations
--- a/tests/support/simulated_discovery.py
+++ b/tests/support/simulated_discovery.py
@@ -124,7 +124,7 @@
         attempts: The times at which a balancer tried to reach the service, in seconds: those of received
             requests, and of connects during a fault of `CONNECT_FAULTS`.
         requests: The request lines of the requests.
-        watches: The start and the maximum wait of each watch request, in seconds.
+        watches: For each watch request, when it arrived and how long it may wait, in seconds.
         on_attempt: Called for each connect during a fault of `CONNECT_FAULTS`, and for each request.
     """
 
@@ -205,7 +205,7 @@
         return list_response(self.version, *self._entries, snapshot=snapshot)
 
     def begin_outage(self, fault: str) -> None:
-        """Begin an outage, and apply its fault to the open connections."""
+        """Begin an outage with one of `FAULTS`, and apply the fault to the open connections."""
         self.fault = fault
         for connection in list(self.connections):
             if fault in ("refuses", "resets"):
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -15,7 +15,7 @@
 # Time limit of an asynchronous test; only a hanging test comes near it.
 TEST_TIMEOUT_S = 10.0
 
-# Time limit of a wait: below the time limit of a test, so that the failure describes the condition.
+# Time limit of `wait_until`: shorter than that of a test, so that the failure describes the condition.
 WAIT_TIMEOUT_S = 8.0
 
 # Sleep between two checks: short compared to any timeout that a test sets.
