--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -31,7 +31,7 @@
         self._last_eviction_at = -math.inf
 
     def sweep(self) -> None:
-        """Close connections that have exceeded a timeout, at once and every `SWEEP_INTERVAL_S` seconds afterwards.
+        """Close connections that have exceeded a timeout; repeat this every `SWEEP_INTERVAL_S` seconds.
 
         The timeout of the first request starts when the client connects, so it includes the time in the
         accept queue.
