--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streaming response has begun: the deadline is met, and no further attempt may start.
+    """A streaming response has begun: the deadline is met, and the policy must start no further attempt.
 
     Attributes:
         request_id: The id of the request.
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -138,7 +138,7 @@
             return
         try:
             self._context.handler.handle_request(request)
-        except Exception:  # noqa: BLE001  the client must get a response after any error
+        except Exception:  # noqa: BLE001  the client must receive a response after any error
             self._context.log_exception("a request could not be handled")
             request.respond(500)
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -26,7 +26,7 @@
 
 
 class IdempotencyScope(enum.Enum):
-    """Which endpoints share idempotency keys: each drops a request that another one has processed."""
+    """The endpoints that share idempotency keys: each drops a request that another one has processed."""
 
     ALL = "all"
     """All endpoints of the service."""
