--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -36,7 +36,7 @@
         self.is_reading_paused = False
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Use a transport that has been set up."""
+        """Use a transport that the event loop has set up."""
         self._transport = transport
         # With limits of 0, `resume_writing` is called when the last byte of a response has been sent.
         transport.set_write_buffer_limits(high=0, low=0)
@@ -56,7 +56,7 @@
 
     @property
     def is_abort_scheduled(self) -> bool:
-        """Whether one side is closed and a timer will abort the connection."""
+        """Whether a timer will abort the connection, one side of which is already closed."""
         return self._abort_timer is not None
 
     def has_unsent_bytes(self) -> bool:
@@ -127,9 +127,9 @@
         if self._transport.get_write_buffer_size() == 0:
             # The event loop shuts the socket down in its next iteration: a request could arrive before that.
             shutdown_write(self._transport)
-        self.abort_after(linger_s)
+        self.schedule_abort(linger_s)
 
-    def abort_after(self, delay_s: float) -> None:
+    def schedule_abort(self, delay_s: float) -> None:
         """Abort the connection after a delay; no effect if a timer is already running."""
         if self._transport is not None and self._abort_timer is None:
             self._abort_timer = self._loop.call_later(delay_s, self._transport.abort)
@@ -139,8 +139,8 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def cancel_timer(self) -> None:
-        """Cancel the timer of `abort_after`."""
+    def cancel_scheduled_abort(self) -> None:
+        """Cancel the timer of `schedule_abort`."""
         if self._abort_timer is not None:
             self._abort_timer.cancel()
 
--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -36,18 +36,18 @@
 
 
 def before_each_timeout_check(
-    monkeypatch: pytest.MonkeyPatch, act: Callable[[ClientConnection, float], None]
+    monkeypatch: pytest.MonkeyPatch, callback: Callable[[ClientConnection, float], None]
 ) -> None:
     """Call a function, with a connection and the current time, before each check of its timeouts."""
     close_if_timed_out = ClientConnection.close_if_timed_out
 
-    def act_then_check(
+    def call_then_check(
         connection: ClientConnection, now: float, request_timeout_s: float, idle_timeout_s: float
     ) -> bool:
-        act(connection, now)
+        callback(connection, now)
         return close_if_timed_out(connection, now, request_timeout_s, idle_timeout_s)
 
-    monkeypatch.setattr(ClientConnection, "close_if_timed_out", act_then_check)
+    monkeypatch.setattr(ClientConnection, "close_if_timed_out", call_then_check)
 
 
 def has_request_timed_out(connection: ClientConnection, now: float) -> bool:
@@ -57,15 +57,15 @@
 def delay_connection_setup(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
     """Delay the setup of each accepted connection until the returned event is set."""
     setup_allowed = asyncio.Event()
-    set_up = ConnectionTable.set_up
+    set_up_connection = ConnectionTable.set_up_connection
 
-    async def delayed_set_up(
+    async def delayed_set_up_connection(
         connections: ConnectionTable, connection: ClientConnection, accepted: socket.socket
     ) -> None:
         await setup_allowed.wait()
-        await set_up(connections, connection, accepted)
+        await set_up_connection(connections, connection, accepted)
 
-    monkeypatch.setattr(ConnectionTable, "set_up", delayed_set_up)
+    monkeypatch.setattr(ConnectionTable, "set_up_connection", delayed_set_up_connection)
     return setup_allowed
 
 
@@ -95,8 +95,8 @@
     def abort_then_block_loop() -> None:
         abort_open_requests()
         setup_allowed.set()
-        busy_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
-        asyncio.get_running_loop().call_soon(time.sleep, busy_s)
+        block_duration_s = 2 * timeouts.ACCEPT_RETRY_INTERVAL_S
+        asyncio.get_running_loop().call_soon(time.sleep, block_duration_s)
 
     monkeypatch.setattr(harness.proxy, "abort_open_requests", abort_then_block_loop)
     await listener.shut_down()
@@ -137,7 +137,7 @@
         assert bool(reply) == bool(prefix)
     # If the timeout started when the connection is accepted, there would be ten sweeps.
     assert len(sweeps) <= 6
-    assert not upstream.connections
+    assert not upstream.connection_count
 
 
 async def test_client_sending_single_bytes_times_out(
@@ -172,7 +172,7 @@
 
     remainders = [request_bytes("/read", 1)[-2:], request_bytes("/read", 2)[-2:]]
     harness = await start_proxy(Upstream())
-    client = await harness.client()
+    client = await harness.connect_client()
     client.writer.write(request_bytes("/read", 1)[:-2])
     client_socket = client.writer.transport.get_extra_info("socket")
 
@@ -196,7 +196,7 @@
     harness = await start_proxy(Upstream())
     listener = harness.proxy.listener
     listener.connection_limit = 2
-    idle = await harness.client()
+    idle = await harness.connect_client()
     idle.send()
     assert status(await idle.read_response()) == 200
     setup_allowed = delay_connection_setup(monkeypatch)
@@ -210,7 +210,7 @@
     )
     waiting = harness.connect_socket()
     waiting.sendall(request_bytes("/read", 2))
-    # The eviction comes before the event loop can read this request.
+    # The eviction runs before the event loop can read this request.
     send_without_event_loop(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
     set_timeouts_under_pressure(monkeypatch, 0.0)
     monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
--- a/tests/support/scripted_upstream.py
+++ b/tests/support/scripted_upstream.py
@@ -8,16 +8,16 @@
 from tests.support.http_messages import ReceivedMessage, read_message, response
 from tests.support.sockets import socket_address
 
-# Handles a request, and can leave it without a response.
+# Responds to a request, or leaves it without a response.
 Script = Callable[["ReceivedMessage", asyncio.StreamWriter], Awaitable[None]]
 
 
 class Upstream:
-    """A server that handles its nth request with the nth script, and all later requests with the last one.
+    """A server that handles the nth request with the nth script, or with the last one if there is no nth.
 
     Attributes:
         received: The received requests.
-        connections: The number of accepted connections.
+        connection_count: The number of accepted connections.
         writers: The writer of each connection.
         request_received: Set when a request is received.
         connection_closed: Set once the balancer has closed a connection.
@@ -26,7 +26,7 @@
     def __init__(self, *scripts: Script | bytes) -> None:
         self._scripts = scripts or (response(),)
         self.received: list[ReceivedMessage] = []
-        self.connections = 0
+        self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.request_received = asyncio.Event()
         self.connection_closed = asyncio.Event()
@@ -43,7 +43,7 @@
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
         try:
             while True:
