--- a/loadbalancer/network/action_performer.py
+++ b/loadbalancer/network/action_executor.py
@@ -55,7 +55,7 @@
         self._loop.call_later(delay_s, self._dispatch, TimerFired(action.timer))
 
 
-class ActionPerformer:
+class ActionExecutor:
     """Performs the policy's actions, one at a time.
 
     Args:
@@ -86,7 +86,7 @@
         self._endpoint_watch = endpoint_watch
         self._log = log
 
-    def perform(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         """Perform an action."""
         match action:
             case StartAttempt():
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -47,22 +47,22 @@
         self._log = log
         self._events: deque[tuple[Event, ProxiedRequest | None]] = deque()
         self._is_dispatching = False
-        self._perform: Callable[[Action], None] = _raise_handlers_not_set
+        self._execute: Callable[[Action], None] = _raise_handlers_not_set
         self._end_failed_request: Callable[[int | None], None] = _raise_handlers_not_set
 
     def set_handlers(
-        self, perform: Callable[[Action], None], end_failed_request: Callable[[int | None], None]
+        self, execute: Callable[[Action], None], end_failed_request: Callable[[int | None], None]
     ) -> None:
         """Set the functions that handle actions and failures.
 
         They cannot be passed to the constructor, since the objects that provide them need the dispatcher.
 
         Args:
-            perform: Performs one action of the policy.
+            execute: Performs one action of the policy.
             end_failed_request: Ends the request whose event or action failed, given its number; the number is
                 None if the event or action belongs to no request.
         """
-        self._perform = perform
+        self._execute = execute
         self._end_failed_request = end_failed_request
 
     def dispatch(self, event: Event, request: ProxiedRequest | None = None) -> None:
@@ -87,7 +87,7 @@
     def _handle(self, event: Event, request: ProxiedRequest | None) -> None:
         for action in self._decide(event, request):
             try:
-                self._perform(action)
+                self._execute(action)
             except Exception:  # noqa: BLE001  an action may raise any exception
                 # An exception in one action must not prevent the actions after it.
                 self._log.exception(f"could not perform {action!r}")
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.events import ClientDisconnected, RequestReceived
-from loadbalancer.network.action_performer import ActionPerformer, PolicyTimers
+from loadbalancer.network.action_executor import ActionExecutor, PolicyTimers
 from loadbalancer.network.client.listener import Listener
 from loadbalancer.network.clock import Clock
 from loadbalancer.network.deadline_watchdog import POLICY_DEADLINE_MARGIN_MS, DeadlineWatchdog
@@ -76,14 +76,14 @@
             configuration, self._endpoint_lists.apply, self._endpoint_lists.report_failure
         )
         self._watchdog = DeadlineWatchdog(loop, self._requests, self.dispatcher.dispatch)
-        self.dispatcher.set_handlers(self._make_performer().perform, self._watchdog.respond)
+        self.dispatcher.set_handlers(self._make_action_executor().execute, self._watchdog.respond)
         self._is_shut_down = False
         self._known_endpoints = configuration.known_endpoints
 
-    def _make_performer(self) -> ActionPerformer:
+    def _make_action_executor(self) -> ActionExecutor:
         dispatch = self.dispatcher.dispatch
         attempt_factory = UpstreamAttemptFactory(self._loop, self.upstream_pools)
-        return ActionPerformer(
+        return ActionExecutor(
             self._requests,
             PolicyTimers(self._loop, self.clock, dispatch),
             AttemptRunner(self._requests, attempt_factory, self.clock, dispatch, self.handle_disconnect),
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -39,13 +39,13 @@
 
 
 def test_event_from_action_waits_for_other_actions(dispatcher: EventDispatcher, order: list[str]) -> None:
-    def perform(action: Action) -> None:
+    def execute(action: Action) -> None:
         assert isinstance(action, LogMessage)
         order.append(action.text)
         if len(order) == 2:
             dispatcher.dispatch(SECOND_EVENT)
 
-    dispatcher.set_handlers(perform, lambda number: None)
+    dispatcher.set_handlers(execute, lambda number: None)
     dispatcher.dispatch(FIRST_EVENT)
     assert order == ["EndpointListUpdate", "one", "two", "HealthCheckFinished", "one", "two"]
 
@@ -55,13 +55,13 @@
 ) -> None:
     failed_requests: list[int | None] = []
 
-    def perform(action: Action) -> None:
+    def execute(action: Action) -> None:
         assert isinstance(action, LogMessage)
         order.append(action.text)
         if action.text == "one":
             raise OSError
 
-    dispatcher.set_handlers(perform, failed_requests.append)
+    dispatcher.set_handlers(execute, failed_requests.append)
     dispatcher.dispatch(FIRST_EVENT)
     assert order == ["EndpointListUpdate", "one", "two"]
     assert failed_requests == [None]
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -110,7 +110,7 @@
     assert own_modules == {"loadbalancer"} | {
         f"loadbalancer.{name}"
         for name in (
-            "__main__ actions configuration endpoints errors events network network.action_performer "
+            "__main__ actions configuration endpoints errors events network network.action_executor "
             "network.client network.client.accept_queue network.client.connection "
             "network.client.connection_table network.client.context network.client.eviction "
             "network.client.expiry network.client.graceful_shutdown network.client.incoming_request "
