--- a/loadbalancer/network/endpoint_list_updater.py
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -45,7 +45,7 @@
         kind = EndpointListKind.SNAPSHOT if endpoint_list.is_complete else EndpointListKind.DELTA
         self._apply(kind, endpoint_list)
 
-    def report_failure(self) -> None:
+    def report_watch_failure(self) -> None:
         """Notify the policy that the watch has failed."""
         self._dispatch(EndpointListUpdate(EndpointListKind.FAILED))
 
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -73,7 +73,7 @@
             self.upstream_pools, self.dispatcher.dispatch, on_endpoints_applied
         )
         self.endpoint_watch = EndpointWatch(
-            configuration, self._endpoint_lists.apply, self._endpoint_lists.report_failure
+            configuration, self._endpoint_lists.apply, self._endpoint_lists.report_watch_failure
         )
         self._watchdog = DeadlineWatchdog(loop, self._requests, self.dispatcher.dispatch)
         self.dispatcher.set_handlers(self._make_action_executor().execute, self._watchdog.respond)
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -65,7 +65,7 @@
     assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
 
-async def test_unanswered_poll_times_out(
+async def test_poll_without_response_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Otherwise upstreams that were replaced in the meantime would still be sent requests."""
@@ -94,11 +94,11 @@
     """A retry delay could exceed the drain grace of an upstream, which would then be sent requests."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
-    for index in (8, 9):
+    for version in (8, 9):
         await harness.discovery.requests.get()
         harness.discovery.responses.put_nowait(b"no answer\r\n\r\n")
         await harness.discovery.requests.get()
-        harness.discovery.publish(index)
+        harness.discovery.publish(version)
     assert "after=9&" in await harness.discovery.requests.get()
 
 
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -64,7 +64,9 @@
     recovery_delay_s: float
 
 
-async def delay_after_outage(loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage) -> float:
+async def measure_delay_after_outage(
+    loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage
+) -> float:
     """Return the time in seconds from an outage's end until the policy learns of a change made during it."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, discovery_mode)
@@ -93,12 +95,14 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_during_outage_is_received_in_time(fault: str, discovery_mode: str) -> None:
     """A retry delay of a minute (`askWithin` is 120 s) or a request timeout of 11 s would be too long."""
-    polled = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    pushed = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait is random
-    for values in itertools.product(*(polled if discovery_mode == "ask" else pushed), (0.0, 0.3, 2.0)):
+    polling_values = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
+    push_values = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait is random
+    for values in itertools.product(
+        *(polling_values if discovery_mode == "ask" else push_values), (0.0, 0.3, 2.0)
+    ):
         outage = Outage(*values)
         delay_s = run_simulated(
-            partial(delay_after_outage, fault=fault, discovery_mode=discovery_mode, outage=outage)
+            partial(measure_delay_after_outage, fault=fault, discovery_mode=discovery_mode, outage=outage)
         )
         assert delay_s + LIST_TRANSFER_S < MAX_LIST_DELAY_S - MARGIN_S, outage
 
@@ -227,7 +231,7 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
-async def attempt_times_in_outage(
+async def contact_times_in_outage(
     loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
 ) -> list[float]:
     """Return the times of the attempts of several balancers while discovery has a fault."""
@@ -248,7 +252,7 @@
     duration_s, balancers = 60.0, 20
     for fault in FAULTS:
         attempts = run_simulated(
-            partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+            partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
         )
         mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
         assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
@@ -257,7 +261,7 @@
             "within a tenth of a second, fewer than a third of the balancers make an attempt"
         )
     repeated_attempts = run_simulated(
-        partial(attempt_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+        partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
     )
     assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
@@ -298,18 +302,18 @@
 
 async def test_connection_close_from_discovery_is_respected() -> None:
     """Otherwise each response with `Connection: close` would leak a connection that discovery keeps open."""
-    open_connections, index, all_served = 0, 7, asyncio.Event()
+    open_connections, version, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal open_connections, index
+        nonlocal open_connections, version
         open_connections += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await read_message(reader)
-            index += 1
-            if index == 40:
+            version += 1
+            if version == 40:
                 all_served.set()
                 return
-            body = json.dumps({"index": index, "snapshot": False, "endpoints": []}).encode()
+            body = json.dumps({"index": version, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
             await reader.read()
         open_connections -= 1
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartServer
 
-DESCRIPTORS = 256
-CLIENTS = 320
+DESCRIPTOR_LIMIT = 256
+IDLE_CLIENTS = 320
 
 
 async def hold_idle_connection(port: int) -> None:
@@ -61,7 +61,7 @@
 def write_configuration(path: Path, port: int, discovery_port: int) -> None:
     document: dict[str, Any] = json.loads(config_text(f"127.0.0.1:{discovery_port}", []))
     document["listen"] = f"127.0.0.1:{port}"
-    document["limits"] = {"memory_mb": 192, "sockets": DESCRIPTORS}
+    document["limits"] = {"memory_mb": 192, "sockets": DESCRIPTOR_LIMIT}
     path.write_text(json.dumps(document))
 
 
@@ -74,13 +74,13 @@
         discovery_socket.bind(("127.0.0.1", 0))  # not listening yet: connections are refused
         port = free_port()
         write_configuration(path, port, discovery_socket.getsockname()[1])
-        async with running_program(path, DESCRIPTORS) as process:
+        async with running_program(path, DESCRIPTOR_LIMIT) as process:
             assert b"list is unreachable" in await read_log_line(process)
-            clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
+            clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(IDLE_CLIENTS))
             # Of these clients, which keep connecting, the balancer accepts less than a third.
-            client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
+            client_descriptors = DESCRIPTOR_LIMIT // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
-            assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
+            assert client_descriptors <= max_open <= DESCRIPTOR_LIMIT // 2, (
                 "the rest is for upstreams and discovery"
             )
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -51,7 +51,7 @@
     assert await program.process.wait() == 0
 
 
-async def test_indented_list_with_lower_index_is_applied(start_proxy: StartProxy) -> None:
+async def test_indented_list_with_lower_version_is_applied(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
     await harness.send_request()
     assert "after=7&" in await harness.discovery.requests.get()
@@ -181,20 +181,23 @@
     assert "injected policy error" in capsys.readouterr().err
 
 
-READ = {"name": "read", "target": 2000.0, "deadline": 5000.0, "effect": "retryable"}
-LIMITS = {"attemptsCap": 1, "connectTimeout": 500.0}
+READ_CLASS = {"name": "read", "target": 2000.0, "deadline": 5000.0, "effect": "retryable"}
+ATTEMPT_LIMITS = {"attemptsCap": 1, "connectTimeout": 500.0}
 
 
 @pytest.mark.parametrize(
     "settings",
     [
-        {"classes": [READ]},
-        {"classes": [READ | {"worth": None, "lateShare": None, "keyScope": None}]},
-        {"classes": [READ | {"worth": 0}]},
-        {"classes": [READ | {"target": 300.0, "deadline": 200.0}]},
+        {"classes": [READ_CLASS]},
+        {"classes": [READ_CLASS | {"worth": None, "lateShare": None, "keyScope": None}]},
+        {"classes": [READ_CLASS | {"worth": 0}]},
+        {"classes": [READ_CLASS | {"target": 300.0, "deadline": 200.0}]},
         {"orgs": []},
         {"orgs": None, "contract": None, "zone": None, "tier": 0, "unheardOf": {"a": [1, {"b": None}]}},
-        {"limits": LIMITS | {"connIdle": 0, "mayCancel": None, "retryAfter": True, "maxRetryAfter": None}},
+        {
+            "limits": ATTEMPT_LIMITS
+            | {"connIdle": 0, "mayCancel": None, "retryAfter": True, "maxRetryAfter": None}
+        },
         {"contract": {"drainGrace": 0, "cold": 0, "coldFrom": 1.0}},
         {"balancers": 500, "discovery": "push"},
     ],
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -26,12 +26,12 @@
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
     await harness.discovery.requests.get()
-    for index in (3, 1):  # two switches, each to a list with a lower index
+    for version in (3, 1):  # two switches, each to a list with a lower index
         new_discovery = DiscoveryServer()
         harness.proxy.reconfigure(configuration(config_text(await start_server(new_discovery), [])))
         assert await new_discovery.requests.get() == "GET /v1/servers HTTP/1.1"
-        new_discovery.publish(index, entry("s1", await start_server(second)), snapshot=True)
-        assert f"?after={index}&" in await new_discovery.requests.get()
+        new_discovery.publish(version, entry("s1", await start_server(second)), snapshot=True)
+        assert f"?after={version}&" in await new_discovery.requests.get()
     await harness.discovery.connection_closed.wait()
     harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
     kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -59,18 +59,18 @@
 """
 
 # The audit event and its first argument for each step of the startup.
-START_STEPS = {
+STARTUP_STEPS = {
     "imports the event loop": ("import", "uvloop"),
     "opens its configuration": ("open", "config.json"),
     "has read its configuration": ("runs", ""),
     "binds": ("socket.bind", ""),
 }
-AT_EACH_STEP = pytest.mark.parametrize("step", START_STEPS)
+at_each_startup_step = pytest.mark.parametrize("step", STARTUP_STEPS)
 
 
 def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
     """Return a command that runs the program and sends it a signal at a step of its startup."""
-    event, first_argument = START_STEPS[step]
+    event, first_argument = STARTUP_STEPS[step]
     if event == "open":
         first_argument = str(path)
     return [sys.executable, "-c", SIGNALLED_PROGRAM, event, first_argument, str(int(number))]
@@ -88,7 +88,7 @@
     )
 
 
-@AT_EACH_STEP
+@at_each_startup_step
 async def test_sighup_during_startup_reloads_configuration(
     start_server: StartServer, step: str, tmp_path: Path
 ) -> None:
@@ -115,7 +115,7 @@
             process.kill()
 
 
-@AT_EACH_STEP
+@at_each_startup_step
 def test_sigterm_during_startup_ends_program_silently(step: str, tmp_path: Path) -> None:
     """The signal itself ends the program or, once the event loop runs, a graceful shutdown does."""
     path = tmp_path / "config.json"
