--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -54,7 +54,7 @@
         on_update: Callable[[EndpointList], None],
         on_failed: Callable[[], None],
     ) -> None:
-        """Prepare the watch; no request is sent before `start_if_pushed` or `start_watch`.
+        """Prepare the watch; no request is sent before `start_if_lists_are_pushed` or `start_watch`.
 
         Args:
             configuration: Has the address of discovery, and the endpoint list that is known at the start.
@@ -81,7 +81,7 @@
         """The connection of the latest request; None before the first one is established."""
         return self._connection
 
-    def start_if_pushed(self) -> None:
+    def start_if_lists_are_pushed(self) -> None:
         """Start the watch if lists are pushed; if discovery is polled, the policy starts it by an action."""
         if not self._polls_discovery:
             self.start_watch()
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -69,11 +69,11 @@
         self.listener = Listener(configuration, loop, self, self.log.exception)
         self._requests = OpenRequests()
         self.dispatcher = EventDispatcher(self.balancer, self.clock, self._requests, self.log)
-        self._endpoint_lists = EndpointListUpdater(
+        self._endpoint_list_updater = EndpointListUpdater(
             self.upstream_pools, self.dispatcher.dispatch, on_endpoints_applied
         )
         self.endpoint_watch = EndpointWatch(
-            configuration, self._endpoint_lists.apply, self._endpoint_lists.report_watch_failure
+            configuration, self._endpoint_list_updater.apply, self._endpoint_list_updater.report_watch_failure
         )
         self._watchdog = DeadlineWatchdog(loop, self._requests, self.dispatcher.dispatch)
         self.dispatcher.set_handlers(self._make_action_executor().execute, self._watchdog.respond)
@@ -104,8 +104,8 @@
         Args:
             accepts_clients: Whether to listen for clients; false for a balancer that serves none.
         """
-        self._endpoint_lists.apply_cached(self._known_endpoints)
-        self.endpoint_watch.start_if_pushed()
+        self._endpoint_list_updater.apply_cached(self._known_endpoints)
+        self.endpoint_watch.start_if_lists_are_pushed()
         self._close_expired_connections()
         if accepts_clients:
             self.listener.start()
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -174,7 +174,7 @@
             if outcome in (Outcome.RESET, Outcome.TIMED_OUT) and not self._connection.is_request_written():
                 # The upstream cannot have processed a request whose last byte was not sent.
                 outcome = Outcome.CONNECT_FAILED
-            self._connection.release(reuse=response is not None)
+            self._connection.release(is_response_complete=response is not None)
         on_end(outcome, response)
 
 
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -139,14 +139,19 @@
         """Record that the connection carries no request from now on."""
         self.idle_since = time.monotonic()
 
-    def release(self, *, reuse: bool) -> None:
+    def release(self, *, is_response_complete: bool) -> None:
         """End the current request, and report the connection as reusable or close it.
 
         Args:
-            reuse: Whether the request ended with a complete response.
+            is_response_complete: Whether the request ended with a complete response.
         """
         self._handler = None
-        if reuse and self._is_request_written and self._parser is not None and self._parser.may_reuse:
+        if (
+            is_response_complete
+            and self._is_request_written
+            and self._parser is not None
+            and self._parser.may_reuse
+        ):
             self._on_reusable(self)
         else:
             self.close()
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -68,7 +68,7 @@
 at_each_startup_step = pytest.mark.parametrize("step", STARTUP_STEPS)
 
 
-def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
+def signalled_program_command(step: str, path: Path, number: signal.Signals) -> list[str]:
     """Return a command that runs the program and sends it a signal at a step of its startup."""
     event, first_argument = STARTUP_STEPS[step]
     if event == "open":
@@ -98,7 +98,7 @@
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(config_text(await start_server(new_discovery), []))
     process = await asyncio.create_subprocess_exec(
-        *signalled_program(step, path, signal.SIGHUP),
+        *signalled_program_command(step, path, signal.SIGHUP),
         cwd=ROOT,
         env=os.environ | {"LB_CONFIG": str(path)},
     )
@@ -121,7 +121,7 @@
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(path.read_text())
-    completed = run_program(signalled_program(step, path, signal.SIGTERM), path)
+    completed = run_program(signalled_program_command(step, path, signal.SIGTERM), path)
     assert completed.returncode == (0 if step == "binds" else -signal.SIGTERM)
     assert "Traceback" not in completed.stderr
     assert completed.stdout == ""
