--- a/loadbalancer/network/action_executor.py
+++ b/loadbalancer/network/action_executor.py
@@ -1,4 +1,4 @@
-"""Performs the policy's actions: sets timers, sends responses, starts attempts and health checks."""
+"""Executes the policy's actions: sets timers, sends responses, starts attempts and health checks."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
         self._dispatch = dispatch
 
     def set(self, action: SetTimer) -> None:
-        """Set a timer; the policy gets `TimerFired` when it expires."""
+        """Set a timer; the policy receives `TimerFired` when it expires."""
         delay_s = max(action.at_ms - self._clock.now(), 0.0) / 1000
         self._loop.call_later(delay_s, self._dispatch, TimerFired(action.timer))
 
 
 class ActionExecutor:
-    """Performs the policy's actions, one at a time.
+    """Executes the policy's actions, one at a time.
 
     Args:
         requests: The open requests, which actions refer to by number.
@@ -87,7 +87,7 @@
         self._log = log
 
     def execute(self, action: Action) -> None:
-        """Perform an action."""
+        """Execute one action."""
         match action:
             case StartAttempt():
                 self._attempt_runner.start(action)
--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -6,10 +6,10 @@
 
 
 class Clock:
-    """The Unix time at the start, plus the time that has passed on the monotonic clock since.
+    """Adds the time that has passed on the monotonic clock to the Unix time at which the clock was created.
 
-    Later changes of the system clock have no effect. The times can be compared with the start times of
-    endpoints, which are Unix times too.
+    Later changes of the system clock have no effect. The times of this clock can be compared with the start
+    times of endpoints, which are Unix times too.
     """
 
     def __init__(self) -> None:
--- a/loadbalancer/network/deadline_watchdog.py
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -1,8 +1,8 @@
 """The deadline watchdog: responds to requests that are still open shortly before the client's deadline.
 
-The deadline budget of a request is the time until the client's deadline. The policy gets the budget minus
-`POLICY_DEADLINE_MARGIN_MS`. A request that is still open `WATCHDOG_MARGIN_MS` before the client's deadline
-shows that the policy, or the code that performs its actions, has failed; the watchdog then responds instead.
+The deadline budget of a request is the time until the client's deadline. The policy receives the budget minus
+`POLICY_DEADLINE_MARGIN_MS`. If a request is still open `WATCHDOG_MARGIN_MS` before the client's deadline, the
+policy or the code that executes its actions has failed, and the watchdog responds instead.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
 
 POLICY_DEADLINE_MARGIN_MS = 10.0
-"""Time between the policy's deadline and the client's, in which the response reaches the client."""
+"""Time between the policy's deadline and the client's deadline, in which the response reaches the client."""
 
 WATCHDOG_MARGIN_MS = 5.0
 """Time between the watchdog's response and the client's deadline.
@@ -30,7 +30,7 @@
 
 
 class DeadlineWatchdog:
-    """Ends requests without the policy: near their deadlines, after failures of the policy, and at shutdown.
+    """Responds in place of the policy: near the deadline, after a failure of the policy, and at shutdown.
 
     Args:
         loop: The event loop, which runs the timers.
@@ -61,7 +61,7 @@
     def respond(self, number: int | None) -> None:
         """Respond to a request if it is still open, and end its attempts.
 
-        The status is 502 if an attempt may have had an effect, and 503 if none can have had one.
+        The status is 502 if an attempt may have had an effect, or may still have one, and 503 otherwise.
 
         Args:
             number: The number of the request; None and unknown numbers are ignored.
--- a/loadbalancer/network/discovery/__init__.py
+++ b/loadbalancer/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the watch on the endpoint list, and its connection."""
+"""Discovery: the watch on the endpoint list, the timing of its requests, and its connection."""
--- a/loadbalancer/network/discovery/connection.py
+++ b/loadbalancer/network/discovery/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to discovery, and the errors of its requests."""
+"""An HTTP connection to discovery, and the errors that its requests can raise."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 BODY_TIMEOUT_S = 0.5
 """Time limit from the first byte of a response to its last.
 
-Detects a truncated response before the timeout of the request, which includes a long wait.
+Detects a truncated response long before the request times out: the timeout of a watch request also includes
+the time for which discovery waits for a change.
 """
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-"""Maximum size of a response; an endpoint list of 7,000 entries takes 930 kB."""
+"""Maximum size of a response; an endpoint list of 7,000 entries has 930 kB."""
 
 
 class DiscoveryError(LoadBalancerError):
@@ -58,7 +59,7 @@
     """One connection to discovery; it carries one request at a time.
 
     Attributes:
-        is_closed: Whether the connection cannot carry another request.
+        is_closed: Whether the connection has ended, or must not be reused for another request.
     """
 
     def __init__(self) -> None:
@@ -66,7 +67,7 @@
         self._transport: asyncio.Transport | None = None
         self._parser = ResponseParser(MAX_RESPONSE_BYTES)
         self._response: asyncio.Future[Response] | None = None
-        self._timeout: asyncio.Timeout | None = None  # of a request whose response has not begun
+        self._timeout: asyncio.Timeout | None = None  # set until the response begins
 
     @property
     def is_receiving(self) -> bool:
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -1,9 +1,9 @@
 """Watches the endpoint list of discovery by long polling.
 
-The watch sends one HTTP request after another. As long as no list of this discovery service is known, it
-requests the complete list, which is returned immediately. After that it sends watch requests, which state
-the version of the known list and a wait: discovery responds when the list changes, or when the wait has
-ended. The list in the configuration counts as known.
+The watch sends one HTTP request after another. Until a list from the current discovery service is known, it
+requests the complete list, which discovery returns immediately. After that it sends watch requests, which
+state the version of the known list and a wait time: discovery responds when the list changes, or when the
+wait time has passed. A list in the configuration counts as one from the first discovery service.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
 WATCH_TIMEOUT_MARGIN_S = 1.0
-"""Time from the end of a watch request's wait to the timeout of the request.
+"""Time from the end of the wait time of a watch request until the request times out.
 
-A list that the request should have returned must be received within one second of the timeout.
+After the timeout, the list that the request should have returned must be received within one second.
 """
 
 RESPONSE_TIMEOUT_S = 2.5
 """Timeout of a request for the complete list, which discovery returns immediately.
 
-After a switch to another discovery service, its list must be received within 4 s.
+After a switch to another discovery service, the list of that service must be received within 4 s.
 """
 
 CONNECT_TIMEOUT_S = 1.0
-"""Timeout for connecting: shorter than that of a request, since a host that is down never responds."""
+"""Timeout for connecting; shorter than that of a request, since a host that is down never responds."""
 
-_NO_VERSION = -1  # while no list of the discovery service is known
+_NO_VERSION = -1  # until a list from the discovery service is known
 
 
 class EndpointWatch:
     """Watches the endpoint list of discovery.
 
-    Once started, it sends the next request after each response. After a failed request, the retry schedule
-    decides whether the watch continues or ends; `start_watch` restarts a watch that has ended.
+    Once started, the watch sends the next request after each response. After a failed request, the retry
+    schedule decides whether the watch sends a retry or ends; `start_watch` restarts a watch that has ended.
     """
 
     def __init__(
@@ -57,9 +57,9 @@
         """Prepare the watch; no request is sent before `start_if_lists_are_pushed` or `start_watch`.
 
         Args:
-            configuration: Has the address of discovery, and the endpoint list that is known at the start.
+            configuration: Contains the address of discovery, and the endpoint list that is known at startup.
             on_update: Called with the list in each response: a snapshot or a delta.
-            on_failed: Called when a failed request has ended the watch.
+            on_failed: Called when the watch has ended because a request failed.
         """
         self._on_update = on_update
         self._on_failed = on_failed
@@ -78,11 +78,11 @@
 
     @property
     def connection(self) -> DiscoveryConnection | None:
-        """The connection of the latest request; None before the first one is established."""
+        """The last connection to the current discovery service; None if none has been established."""
         return self._connection
 
     def start_if_lists_are_pushed(self) -> None:
-        """Start the watch if lists are pushed; if discovery is polled, the policy starts it by an action."""
+        """Start the watch if lists are pushed; if discovery is polled, `WatchEndpoints` starts the watch."""
         if not self._polls_discovery:
             self.start_watch()
 
@@ -94,8 +94,8 @@
     def switch_to(self, address: Address) -> None:
         """Switch to another discovery service immediately, beginning with its complete list.
 
-        The versions of the old service's list have no meaning for the new one. The watch is restarted, so
-        that neither a late list of the old service nor a retry delay after its failures has an effect.
+        The list versions of the old service have no meaning for the new one. The watch is restarted, so that
+        a list that still arrives from the old service is ignored, and a pending retry delay is cancelled.
         """
         if self._task is not None:
             self._task.cancel()
--- a/loadbalancer/network/endpoint_list_updater.py
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -23,7 +23,7 @@
     Args:
         upstream_pools: The connection pools.
         dispatch: Passes an event to the policy.
-        on_applied: Called with each endpoint list once the policy has applied it, if given.
+        on_applied: Called with each endpoint list once the policy has applied it; may be None.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._on_applied = on_applied
 
     def apply_cached(self, endpoint_list: EndpointList) -> None:
-        """Apply the list from the configuration, which is known before discovery is reached."""
+        """Apply the list from the configuration, which is available before discovery has responded."""
         self._apply(EndpointListKind.CACHED, endpoint_list)
 
     def apply(self, endpoint_list: EndpointList) -> None:
@@ -46,7 +46,7 @@
         self._apply(kind, endpoint_list)
 
     def report_watch_failure(self) -> None:
-        """Notify the policy that the watch has failed."""
+        """Notify the policy that the watch has ended because a request to discovery failed."""
         self._dispatch(EndpointListUpdate(EndpointListKind.FAILED))
 
     def _apply(self, kind: EndpointListKind, endpoint_list: EndpointList) -> None:
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes events to the policy one at a time, and performs the resulting actions in order."""
+"""Passes events to the policy one at a time, and executes the resulting actions in order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from loadbalancer.policy.balancer import LoadBalancer
 
 MAX_LOGGED_EVENT_CHARS = 500
-"""Maximum length of the log line on an event that the policy failed to handle."""
+"""Maximum length of the message, without traceback, about an event that the policy failed to handle."""
 
 _HANDLERS_NOT_SET = "an event was dispatched before the handlers were set"
 
@@ -28,7 +28,7 @@
     """Queues events for the policy.
 
     An event that is dispatched while another one is being handled, for example by an action that completes
-    immediately, remains in the queue until all actions for the current event have been performed. An
+    immediately, remains in the queue until all actions for the current event have been executed. An
     exception in the policy or in an action is logged, and ends only the request that it concerns.
 
     Args:
@@ -58,7 +58,7 @@
         They cannot be passed to the constructor, since the objects that provide them need the dispatcher.
 
         Args:
-            execute: Performs one action of the policy.
+            execute: Executes one action of the policy.
             end_failed_request: Ends the request whose event or action failed, given its number; the number is
                 None if the event or action belongs to no request.
         """
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -1,4 +1,4 @@
-"""The table of requests that the proxy has accepted and not finished."""
+"""The table of requests that the proxy has accepted and that are not finished."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
     Attributes:
         number: The number of the request; the `request_id` of the policy's events and actions.
-        incoming: The client's request, which gets exactly one response.
+        incoming: The client's request, to which exactly one response is sent.
         expires_at_ms: The policy's deadline, on the policy's clock.
-        attempts: The attempts in order; None for an attempt that never started.
+        attempts: The attempts by their index; None in place of an attempt that could not be started.
         is_open: Whether the client still waits for the response.
         may_have_run: Whether an attempt that has ended may have had an effect.
         running_attempts: The number of attempts that have not ended.
@@ -53,11 +53,14 @@
         self._watchdog_timer: asyncio.TimerHandle | None = None
 
     def set_watchdog_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Set the timer of the deadline watchdog, which is cancelled when the request is closed."""
+        """Store the timer of the deadline watchdog, which `close` cancels."""
         self._watchdog_timer = timer
 
     def close(self) -> None:
-        """Mark the request as closed: the client has disconnected, or its response is about to be sent."""
+        """Mark the request as closed: its client has disconnected, or its response is about to be sent.
+
+        Cancels the timer of the deadline watchdog.
+        """
         self.is_open = False
         if self._watchdog_timer is not None:
             self._watchdog_timer.cancel()
@@ -83,7 +86,7 @@
 
 
 class OpenRequests:
-    """The accepted requests by number, until they are finished, and the request ids in use."""
+    """Holds the accepted requests by number until they are finished, and the request ids in use."""
 
     def __init__(self) -> None:
         self._by_number: dict[int, ProxiedRequest] = {}
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -35,8 +35,8 @@
 class Proxy:
     """One load balancer: turns I/O into events for the policy, and the policy's actions into I/O.
 
-    The policy makes all decisions on the requests that are passed to it; only the deadline watchdog responds
-    to such a request without the policy.
+    The policy makes all decisions on the requests that are passed to it; apart from the policy, only the
+    deadline watchdog responds to such requests.
 
     Attributes:
         log: The log of the balancer.
@@ -54,7 +54,7 @@
         loop: asyncio.AbstractEventLoop,
         on_endpoints_applied: Callable[[EndpointList], None] | None = None,
     ) -> None:
-        """Bind the listening socket; nothing else happens before `start`.
+        """Bind the listening socket; clients are accepted, and requests sent, only after `start`.
 
         Args:
             configuration: The configuration of the balancer.
@@ -95,11 +95,11 @@
 
     @property
     def open_requests(self) -> int:
-        """The number of requests that wait for a response, or have running attempts or queued events."""
+        """The number of requests that have no response yet, or have running attempts or queued events."""
         return len(self._requests)
 
     def start(self, *, accepts_clients: bool = True) -> None:
-        """Apply the known endpoint list, watch discovery, and begin to accept clients.
+        """Apply the known endpoint list, start watching discovery, and begin to accept clients.
 
         Args:
             accepts_clients: Whether to listen for clients; false for a balancer that serves none.
@@ -123,7 +123,10 @@
     # ---- requests from clients (RequestHandler) -------------------------------------------------
 
     def handle_request(self, incoming: IncomingRequest) -> None:
-        """Accept a request that has been received completely."""
+        """Pass a request that has been received completely to the policy.
+
+        The response is 409 if the request id is in use, and 503 if the process is about to end.
+        """
         if self._is_shut_down:
             incoming.respond(503)  # the process ends before any upstream could respond
             return
@@ -153,6 +156,6 @@
             request.drop_unsent_attempts()
 
     def abort_open_requests(self) -> None:
-        """Respond to all open requests at the end of the graceful shutdown, and to later ones on arrival."""
+        """Respond to all open requests at the end of the graceful shutdown; reject later ones on arrival."""
         self._is_shut_down = True
         self._watchdog.respond_to_all()
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -8,7 +8,7 @@
 """Length of a generation; ids of finished requests are remembered for one to two generations."""
 
 MAX_FINISHED_IDS = 4_096
-"""Number of finished ids in a generation at which the next generation begins."""
+"""Maximum number of finished ids in a generation; when it is reached, the next generation begins."""
 
 
 class RequestIds:
@@ -42,7 +42,7 @@
         return True
 
     def finish(self, request_id: bytes) -> None:
-        """Move an id from the open to the finished ones; its request must have no running attempt."""
+        """Mark the id of an open request as finished; the request must have no running attempt."""
         self._open.discard(request_id)
         now_s = time.monotonic()
         age_s = now_s - self._generation_started_at_s
--- a/loadbalancer/network/response_parser.py
+++ b/loadbalancer/network/response_parser.py
@@ -56,7 +56,7 @@
 
     @property
     def may_reuse(self) -> bool:
-        """Whether the connection may carry a further request."""
+        """Whether the connection may be reused for another request."""
         return self._may_reuse
 
     def feed(self, data: bytes) -> Response | None:
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -10,7 +10,7 @@
     import asyncio
 
 RESERVED_DESCRIPTORS = 24
-"""Number of file descriptors kept free, both in the share of client connections and in that of upstreams.
+"""Number of descriptors that the limits on client connections and on upstream connections each leave free.
 
 They are for the event loop, the log, the connection to discovery and connections that are being closed.
 """
@@ -35,10 +35,10 @@
 
 
 def peek(transport: asyncio.BaseTransport) -> bytes | None:
-    """Look at the next byte that the kernel has received and the event loop has not read yet.
+    """Return the next byte that the kernel has received, without removing it from the receive buffer.
 
     Returns:
-        The byte; `b""` if the connection has ended; None if it is open and has no unread byte.
+        The byte; `b""` if the connection has ended; None if it is open and the receive buffer is empty.
     """
     with _BorrowedSocket(transport) as borrowed:
         try:
@@ -50,7 +50,7 @@
 
 
 def shutdown_write(transport: asyncio.BaseTransport) -> None:
-    """Shut down the sending side of a connection immediately; the event loop closes the socket only later.
+    """Shut down the sending side of a connection at once; `transport.abort` closes the socket only later.
 
     The write buffer of the transport must be empty. Has no effect on a transport that is closing.
     """
--- a/loadbalancer/network/upstream/attempt.py
+++ b/loadbalancer/network/upstream/attempt.py
@@ -27,20 +27,20 @@
 """Header of a 503 or 504 response which states that the upstream did not begin to process the request."""
 
 OnAttemptEnd = Callable[[Outcome, Response | None], None]
-"""A callback that gets the outcome of an attempt, and the response if it is complete."""
+"""Receives the outcome of an attempt, and the response if one was received completely."""
 
 
 class ConnectionSource(Protocol):
     """Provides the connection of an attempt.
 
     Attributes:
-        connect_timeout_s: How long opening a connection may take.
+        connect_timeout_s: Time limit for opening a connection.
     """
 
     connect_timeout_s: float
 
     def take_idle_connection(self) -> UpstreamConnection | None:
-        """Remove and return an idle connection, if one may be used."""
+        """Remove and return an idle connection that may be reused; return None if there is none."""
 
     async def connect(self) -> UpstreamConnection:
         """Open a connection, or raise OSError or ConnectionLimitError."""
@@ -59,8 +59,8 @@
         loop: The event loop.
         connection_source: Provides the connection.
         encode_request: Returns the bytes of the request; called just before they are written.
-        on_end: Called exactly once, even if several events coincide.
-        is_response_needed: Returns whether a response is still needed.
+        on_end: Called exactly once, even if several events that end the attempt coincide.
+        is_response_needed: Returns whether the client still waits for a response.
     """
 
     __slots__ = (
@@ -93,11 +93,11 @@
 
     @property
     def connection(self) -> UpstreamConnection | None:
-        """The connection that the request was sent on; None before that."""
+        """The connection that carries the request; None until the request is sent."""
         return self._connection
 
     def start(self, timeout_s: float) -> None:
-        """Send the request on an idle connection, or open one; `on_end` is not called before this returns."""
+        """Send the request on an idle or a new connection; `on_end` is not called before this returns."""
         self._timer = self._loop.call_later(timeout_s, self.handle_timeout)
         connection = self._connection_source.take_idle_connection()
         if connection is not None:
@@ -106,7 +106,7 @@
             self._connect_task = self._loop.create_task(self._connect())
 
     def cancel(self) -> None:
-        """End the attempt and close its connection, which notifies the upstream."""
+        """End the attempt and close its connection, so that the upstream notices the cancellation."""
         self._finish(Outcome.CANCELLED)
 
     def drop_if_unsent(self) -> None:
@@ -150,8 +150,8 @@
             connection.close()
             self._finish(Outcome.CONNECT_FAILED)
         elif not self._is_response_needed():
-            # While the connection was being opened, the client disconnected, or got its response from another
-            # attempt.
+            # While the connection was being opened, the client disconnected, or received the response of
+            # another attempt.
             self._connection_source.add_idle_connection(connection)
             self._finish(Outcome.NOT_SENT)
         else:
@@ -187,8 +187,8 @@
 
 
 def _outcome_of_failed_connect(error: Exception) -> Outcome:
-    # A lack of resources in this process must not be reported as a failed connect, which the policy would
-    # count against the endpoint.
+    # The policy counts a failed connect as a failure of the endpoint, so a lack of resources in this process
+    # must be reported as another outcome.
     if isinstance(error, ConnectionLimitError):
         return Outcome.NOT_SENT
     if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
--- a/loadbalancer/network/upstream/attempt_factory.py
+++ b/loadbalancer/network/upstream/attempt_factory.py
@@ -1,4 +1,4 @@
-"""Starts attempts at endpoints, on connections of their pools."""
+"""Starts attempts on connections from the pools of the endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class UpstreamAttemptFactory:
-    """Creates attempts, and starts each on a connection of its endpoint's pool.
+    """Creates and starts attempts, each on a connection from the pool of its endpoint.
 
     Args:
         loop: The event loop.
@@ -41,7 +41,8 @@
             timeout_s: The time limit of the attempt, including the time to connect.
             encode_request: Returns the bytes of the request; called just before they are written.
             on_end: Called exactly once with the outcome, after this method has returned.
-            is_response_needed: Returns whether a response is still needed.
+            is_response_needed: Returns whether a response is still needed; called before the request is sent
+                on a new connection.
 
         Returns:
             The attempt; None if the endpoint is no longer on the endpoint list.
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -50,8 +50,8 @@
     def start(self, action: StartAttempt) -> None:
         """Start the next attempt of a request.
 
-        If the client has disconnected, or the endpoint is no longer on the endpoint list, the attempt ends
-        at once.
+        If the client no longer waits for a response, or the endpoint is no longer on the endpoint list, the
+        attempt ends without being sent.
 
         Raises:
             KeyError: The request is finished or unknown.
@@ -60,10 +60,10 @@
         index = len(request.attempts)
         request.running_attempts += 1
         attempt: UpstreamAttempt | None = None
-        outcome = Outcome.NOT_SENT  # the outcome if the client no longer waits
+        outcome = Outcome.NOT_SENT  # if the client no longer waits
         if self._is_response_needed(request):
             attempt = self._start_attempt(request, index, action)
-            outcome = Outcome.CONNECT_FAILED  # the outcome if the endpoint is no longer on the list
+            outcome = Outcome.CONNECT_FAILED  # if the endpoint is no longer on the list
         request.attempts.append(attempt)
         if attempt is None:
             self._on_finished(request, index, action.endpoint, outcome, None)
@@ -89,9 +89,9 @@
         )
 
     def _is_response_needed(self, request: ProxiedRequest) -> bool:
-        """Return whether the client still waits.
+        """Return whether the client still waits for the response.
 
-        Checks the client's socket, since the event loop may not have read the end of the connection yet.
+        Checks the client's socket: the event loop may not have noticed yet that the client has disconnected.
         """
         if request.is_open and request.incoming.has_client_disconnected():
             self._on_disconnect(request.incoming)
@@ -102,7 +102,7 @@
     ) -> None:
         """Record the end of an attempt.
 
-        The first successful response is sent to the client before the policy gets the event.
+        The first successful response is sent to the client before the event is passed to the policy.
         """
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
--- a/loadbalancer/network/upstream/connection.py
+++ b/loadbalancer/network/upstream/connection.py
@@ -65,7 +65,7 @@
     # ---- callbacks of the event loop ------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the limits of the write buffer to 0, so that `resume_writing` is called when it is empty."""
+        """Set the limits of the write buffer to 0, so that an empty buffer triggers `resume_writing`."""
         self._transport = cast("asyncio.Transport", transport)
         set_no_delay(transport)
         self._transport.set_write_buffer_limits(high=0, low=0)
@@ -101,7 +101,7 @@
             self._handler.handle_reset()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Report the end to the pool first, then to the request that was in progress."""
+        """Report the end of the connection to the pool, then to the handler of the request in progress."""
         self._report_closed()
         if self._handler is not None:
             self._handler.handle_reset()
@@ -109,7 +109,7 @@
     # ---- for the attempt and the pool -----------------------------------------------------------
 
     def send(self, request: bytes, handler: ResponseHandler) -> None:
-        """Write a request; its response goes to the handler.
+        """Write a request, and pass its response to the handler.
 
         Raises:
             InvalidStateError: The connection has not been established.
@@ -129,18 +129,18 @@
     def is_alive(self) -> bool:
         """Return whether the connection can carry a request.
 
-        Looks at the socket itself, since the connection may have ended after the event loop last polled it.
+        Checks the socket itself: the connection may have ended after the event loop last polled the socket.
         """
         if self._is_closed or self._transport is None or self._transport.is_closing():
             return False
-        return peek(self._transport) is None  # neither the end of the connection, nor unexpected bytes
+        return peek(self._transport) is None  # neither the end of the connection nor unexpected bytes
 
     def mark_idle(self) -> None:
-        """Record that the connection carries no request from now on."""
+        """Record the current time as the time at which the connection became idle."""
         self.idle_since = time.monotonic()
 
     def release(self, *, is_response_complete: bool) -> None:
-        """End the current request, and report the connection as reusable or close it.
+        """Detach the handler of the current request; report the connection as reusable, or close it.
 
         Args:
             is_response_complete: Whether the request ended with a complete response.
@@ -159,8 +159,8 @@
     def close(self) -> None:
         """Close the connection; its sending side is shut down before this returns.
 
-        The event loop closes the socket only in its next iteration. By then the next attempt of the request
-        may have been sent, and both would be processed at the same time.
+        The event loop closes the socket only in its next iteration. By then another attempt of the same
+        request may have been sent; without the shutdown, upstreams could process both at the same time.
         """
         self._report_closed()
         if self._transport is not None:
--- a/loadbalancer/network/upstream/connection_limit.py
+++ b/loadbalancer/network/upstream/connection_limit.py
@@ -11,22 +11,22 @@
     from collections.abc import Callable
 
 UPSTREAM_DESCRIPTORS_FRACTION = 0.5
-"""Fraction of the file descriptors for upstream connections; the rest is for client connections."""
+"""Fraction of the file descriptors that is for upstream connections; the rest is for client connections."""
 
 MIN_CONNECTION_LIMIT = 4
-"""Lower bound of the connection limit, which applies if very few descriptors are available."""
+"""Lower bound of the connection limit, for a process that may open only very few descriptors."""
 
 
 class ConnectionLimit:
     """Counts the connections of all pools, and limits their number.
 
     Args:
-        descriptor_limit: The number of file descriptors that the process may have open.
+        descriptor_limit: The maximum number of file descriptors that the process may have open.
         close_idle_connection: Closes the connection that has been idle for the longest time, in any pool;
             returns false if no connection is idle.
 
     Attributes:
-        max_connections: The number of connections that may be open at a time.
+        max_connections: The maximum number of connections that may be open.
         open_connections: The number of connections that are open or being opened.
     """
 
--- a/loadbalancer/network/upstream/health_checks.py
+++ b/loadbalancer/network/upstream/health_checks.py
@@ -36,7 +36,7 @@
         self._dispatch = dispatch
 
     def start(self, endpoint: str) -> None:
-        """Check an endpoint; the outcome is `NOT_SENT` if the endpoint is no longer on the endpoint list."""
+        """Start a health check; the outcome is `NOT_SENT` if the endpoint has left the endpoint list."""
         on_end = partial(self._on_end, endpoint)
         timeout_s = HEALTH_CHECK_TIMEOUT_MS / 1000
         if self._attempt_factory.start_attempt(endpoint, timeout_s, _encode_request, on_end) is None:
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -15,13 +15,13 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList, EndpointListEntry
 
 IDLE_TIMEOUT_FRACTION = 0.8
-"""Fraction of the upstream's idle timeout for which an idle connection is kept.
+"""Fraction of the upstream's idle timeout after which the balancer closes an idle connection.
 
-A request that is sent while the upstream closes the connection would end with a reset.
+If a request were sent while the upstream closes the connection, it would end with a reset.
 """
 
 REUSE_DELAY_S = 0.02
-"""Minimum time between a response and the next request on its connection.
+"""Minimum time between a response and the next request on the same connection.
 
 Stray bytes may arrive some milliseconds after a response.
 """
@@ -29,7 +29,7 @@
 DRAIN_GRACE_FRACTION = 0.5
 """Fraction of the drain grace during which a request may still be sent on a new connection.
 
-For the upstream, the grace period began before this process received the endpoint list, which may have been
+The grace period of the upstream began before this process received the endpoint list, which may have been
 delayed in a buffer.
 """
 
@@ -38,10 +38,10 @@
     """The time limits that all pools share.
 
     Attributes:
-        connect_s: How long opening a connection may take.
-        idle_s: How long a connection may stay idle.
-        send_while_draining_s: How long after the start of draining a request may still be sent on a new
-            connection.
+        connect_s: Time limit for opening a connection.
+        idle_s: Time limit for a connection to stay idle.
+        send_while_draining_s: Period after the start of draining in which a request may still be sent on a
+            new connection.
     """
 
     connect_s: float
@@ -69,9 +69,9 @@
         timeouts: The time limits.
 
     Attributes:
-        connect_timeout_s: How long opening a connection may take.
-        draining_since: When this process learned that the upstream drains or was removed, in seconds of
-            `time.monotonic`; None if neither is the case.
+        connect_timeout_s: Time limit for opening a connection.
+        draining_since: When this process learned that the upstream is draining, or that it was removed, moved
+            or restarted, in seconds of `time.monotonic`; None if none of this is the case.
     """
 
     def __init__(
@@ -89,12 +89,12 @@
         self._loop = loop
         self._limit = limit
         self._timeouts = timeouts
-        self._idle_connections: list[UpstreamConnection] = []  # the most recently used last
+        self._idle_connections: list[UpstreamConnection] = []  # in the order of their last use
         self._is_retired = False
 
     @property
     def idle_connections(self) -> tuple[UpstreamConnection, ...]:
-        """The idle connections, the most recently used last."""
+        """The idle connections in the order of their last use."""
         return tuple(self._idle_connections)
 
     @property
@@ -103,10 +103,11 @@
         return self._idle_connections[0] if self._idle_connections else None
 
     def take_idle_connection(self) -> UpstreamConnection | None:
-        """Remove and return the most recently used idle connection that is alive; close dead ones.
+        """Remove and return the most recently used idle connection that may be reused.
 
-        A connection is not reused until `REUSE_DELAY_S` has passed since its last response. Stray bytes that
-        follow the response arrive in this time; they must not be taken for the response to the next request.
+        Connections that have ended or have exceeded the idle time limit are closed. A connection is not
+        reused until `REUSE_DELAY_S` has passed since its last response: stray bytes that follow the response
+        arrive in this time, and must not be taken for the response to the next request.
         """
         now = time.monotonic()
         for connection in reversed(self._idle_connections[:]):
@@ -123,12 +124,12 @@
         """Open a connection.
 
         Raises:
-            ConnectionLimitError: No further connection may be open.
+            ConnectionLimitError: The limit on open connections is reached, and none of them is idle.
             OSError: The upstream cannot be reached, or this process lacks a resource.
         """
-        # The connection is counted before it is established. Otherwise attempts that start in one iteration
-        # of the event loop could together exceed the limit, and use descriptors that are reserved for the
-        # connection to discovery, among others.
+        # The connection is counted before it is established. If it were counted later, attempts that start in
+        # one iteration of the event loop could together exceed the limit, and use descriptors that are
+        # reserved, for example for the connection to discovery.
         self._limit.acquire()
         connection = UpstreamConnection(self.add_idle_connection, self._on_connection_closed)
         try:
@@ -139,7 +140,7 @@
         return connection
 
     def add_idle_connection(self, connection: UpstreamConnection) -> None:
-        """Add a connection to the idle ones; close it if the upstream drains or was removed."""
+        """Add a connection to the idle ones; close it if the upstream is draining or the pool is retired."""
         if self._is_retired or self.draining_since is not None:
             connection.close()
             return
@@ -147,7 +148,7 @@
         self._idle_connections.append(connection)
 
     def may_send(self) -> bool:
-        """Return whether the upstream does not drain, or the drain grace leaves time for a request."""
+        """Return whether a request may be sent: the upstream is ready, or its drain grace leaves time."""
         if self.draining_since is None:
             return True
         return time.monotonic() < self.draining_since + self._timeouts.send_while_draining_s
@@ -157,13 +158,13 @@
         self.draining_since = None
 
     def start_draining(self) -> None:
-        """Close the idle connections, and keep connections from being reused: the upstream drains."""
+        """Close the idle connections, and prevent the reuse of the others: the upstream is draining."""
         if self.draining_since is None:
             self.draining_since = time.monotonic()
             self.close_idle_connections()
 
     def retire(self) -> None:
-        """Close the idle connections, and prevent any reuse: the upstream was removed, moved or restarted."""
+        """Close the idle connections, and forbid reuse: the upstream was removed, moved or restarted."""
         self._is_retired = True
         if self.draining_since is None:
             self.draining_since = time.monotonic()
@@ -219,7 +220,10 @@
         return self._pools.get(endpoint)
 
     def update_endpoints(self, endpoint_list: EndpointList) -> None:
-        """Apply an endpoint list: retire the pools of upstreams that were removed, moved or restarted."""
+        """Create the pools of new upstreams, and drain or retire pools, as an endpoint list requires.
+
+        A pool is retired if its upstream was removed, moved or restarted.
+        """
         if endpoint_list.is_complete:
             names = {entry.endpoint.name for entry in endpoint_list.endpoints}
             for name in self._pools.keys() - names:
@@ -257,7 +261,7 @@
             pool.close_idle_connections()
 
     def close_expired(self) -> None:
-        """Close the connections that have been idle for too long, before the upstreams do."""
+        """Close the connections that have exceeded the idle time limit, before the upstreams close them."""
         cutoff = time.monotonic() - self._timeouts.idle_s
         for pool in self._pools.values():
             pool.close_idle_before(cutoff)
--- a/loadbalancer/network/upstream/request_bytes.py
+++ b/loadbalancer/network/upstream/request_bytes.py
@@ -17,7 +17,7 @@
 
     Args:
         incoming: The client's request.
-        timeout_ms: The time limit of the attempt, from now.
+        timeout_ms: The time limit of the attempt, which starts now.
     """
 
     __slots__ = ("_expires_at_s", "_incoming")
