--- a/tests/network/discovery/__init__.py
+++ b/tests/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the watch on discovery."""
+"""Tests of the watch on the endpoint list of discovery."""
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -68,14 +68,14 @@
 async def test_poll_without_response_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise upstreams that were replaced in the meantime would still be sent requests."""
+    """If the poll never timed out, requests would still be sent to upstreams that were replaced meanwhile."""
     harness = await start_proxy(Upstream(reset_connection))
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
     assert float(request_line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
     harness.discovery.responses.put_nowait(response(503, b""))
     monkeypatch.setattr(retry_schedule, "WATCH_WAIT_MS", 100)
-    await harness.discovery.requests.get()  # never answered
+    await harness.discovery.requests.get()  # gets no response
     started_at = asyncio.get_running_loop().time()
     await harness.discovery.requests.get()
     elapsed_s = asyncio.get_running_loop().time() - started_at
@@ -91,7 +91,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A retry delay could exceed the drain grace of an upstream, which would then be sent requests."""
+    """A retry delay could exceed the drain grace of an upstream, to which requests would still be sent."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
     for version in (8, 9):
@@ -106,7 +106,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Requests to a local agent cost little, so its timeout is shorter than that of a central service."""
+    """Requests to a local agent cost little, so they time out earlier than requests to a central service."""
     harness = await start_proxy(Upstream(), discovery="push")
     request_line = await harness.discovery.requests.get()
     wait_ms = float(request_line.partition("wait_ms=")[2].split(" ")[0])
@@ -116,13 +116,13 @@
     monkeypatch.setattr(retry_schedule, "PUSH_WATCH_WAIT_MS", 100)
     await harness.discovery.requests.get()
     harness.discovery.publish(9)
-    await harness.discovery.requests.get()  # never answered
+    await harness.discovery.requests.get()  # gets no response
     await harness.discovery.connection_closed.wait()
     assert "after=9&" in await harness.discovery.requests.get()
 
 
 async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """Otherwise draining upstreams would be sent requests until the poll times out."""
+    """If the rest were awaited until the poll times out, draining upstreams would be used in the meantime."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""After failures of discovery, the policy gets the endpoint list in time.
+"""The policy receives the endpoint list in time after failures of discovery.
 
 Most tests simulate discovery and the clock (`simulated_discovery`).
 """
@@ -34,16 +34,18 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# Time limit for the policy to get a list, or a change, after discovery has it and is reachable.
+# Time limit until the policy receives a list or a change, once discovery has it and can be reached.
 MAX_LIST_DELAY_S = 6.0
-# The same limit, measured from the end of the wait of an unresponsive watch request, if that is later.
+# Time limit until the policy receives a change that an unresponsive watch request missed, from the end of the
+# wait time of that request. The later one of this limit and `MAX_LIST_DELAY_S` applies.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
-# The same limit, measured from a SIGHUP that switches to another discovery service.
+# Time limit until the policy receives the list of another discovery service, from the switch (SIGHUP) to it.
 MAX_SWITCH_DELAY_S = 4.0
+# Part of `MAX_LIST_DELAY_S` that must remain unused.
 MARGIN_S = 1.0
 # Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
-# Largest random factor of a retry delay.
+# Maximum random factor by which a retry delay is multiplied.
 MAX_DELAY_JITTER = 1.5
 
 
@@ -52,10 +54,10 @@
     """An outage of discovery.
 
     Attributes:
-        poll_deadline_ms: The balancer's `askWithin`.
+        poll_deadline_ms: The `askWithin` setting of the balancer.
         min_duration_s: Minimum duration of the outage.
         seed: The balancer's seed.
-        recovery_delay_s: Time from a failed attempt to the end of the outage.
+        recovery_delay_s: Time from a failed attempt to reach discovery until the end of the outage.
     """
 
     poll_deadline_ms: float
@@ -67,7 +69,10 @@
 async def measure_delay_after_outage(
     loop: SimulatedLoop, fault: str, discovery_mode: str, outage: Outage
 ) -> float:
-    """Return the time in seconds from an outage's end until the policy learns of a change made during it."""
+    """Return the time in seconds from the end of an outage until the policy receives a change of the list.
+
+    The list changes at the end of the outage.
+    """
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, outage.seed, outage.poll_deadline_ms, discovery_mode)
     await asyncio.sleep(1.0)
@@ -96,7 +101,7 @@
 def test_change_during_outage_is_received_in_time(fault: str, discovery_mode: str) -> None:
     """A retry delay of a minute (`askWithin` is 120 s) or a request timeout of 11 s would be too long."""
     polling_values = ((3_000.0, 10_000.0, 120_000.0), (0.0, 4.0, 20.0, 300.0), (1, 2, 3))
-    push_values = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait is random
+    push_values = ((10_000.0,), (0.0, 4.0, 60.0), (1,))  # only the wait time is random
     for values in itertools.product(
         *(polling_values if discovery_mode == "ask" else push_values), (0.0, 0.3, 2.0)
     ):
@@ -110,7 +115,7 @@
 async def check_missed_change(
     loop: SimulatedLoop, *, discovery_mode: str, seed: int, watch_count: int
 ) -> None:
-    """Make the connection unresponsive during a watch request, and then change the list."""
+    """Make the connection unresponsive during a watch request, change the list, and check the delay."""
     discovery = SimulatedDiscovery(loop, 1)
     proxy = WatchingProxy(discovery, seed, 10_000.0, discovery_mode)
     for _ in range(watch_count):
@@ -134,14 +139,14 @@
 async def check_switch_after_failures(
     loop: SimulatedLoop, *, fault: str, discovery_mode: str, seed: int, delay_before_switch_s: float
 ) -> None:
-    """Switch to a discovery service with a fault during an outage of the old one, and change its list."""
+    """During an outage, switch to another discovery service, which at first has a fault; check the delay."""
     old_discovery, new_discovery = SimulatedDiscovery(loop, 1), SimulatedDiscovery(loop, 2)
     proxy = WatchingProxy(old_discovery, seed, 120_000.0, discovery_mode)
     await asyncio.sleep(1.0)
     old_discovery.begin_outage("refuses")
     await asyncio.sleep(40.0)
     attempts = len(old_discovery.attempts)
-    # Wait for the next attempt, after which the policy sets its timer again.
+    # Wait for the next attempt to reach discovery, after which the policy sets its timer again.
     await wait_until(
         lambda: len(old_discovery.attempts) > attempts, "discovery gets another attempt", poll_interval_s=0.01
     )
@@ -154,7 +159,7 @@
         new_discovery.on_attempt = lambda: None
         new_discovery.drain_upstream()
 
-    # Recovers after the first request was received or failed.
+    # The new service recovers once its first request has been received or has failed.
     new_discovery.on_attempt = lambda: loop.call_soon(recover)
     proxy.switch_to(new_discovery)
     learned_at = await proxy.wait_for_drain()
@@ -181,7 +186,7 @@
 
 
 async def check_switches_during_outage(loop: SimulatedLoop) -> None:
-    """Switch seven times while all discovery services refuse connections; the last one recovers."""
+    """Switch seven times while all discovery services refuse connections; finally the last one recovers."""
     discovery_services = [SimulatedDiscovery(loop, port) for port in range(1, 9)]
     proxy = WatchingProxy(discovery_services[0], 1, 120_000.0, "ask")
     await asyncio.sleep(1.0)
@@ -234,7 +239,7 @@
 async def contact_times_in_outage(
     loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
 ) -> list[float]:
-    """Return the times of the attempts of several balancers while discovery has a fault."""
+    """Return the times at which several balancers tried to reach discovery during an outage."""
     discovery = SimulatedDiscovery(loop, 1)
     proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
     await asyncio.sleep(1.0)
@@ -274,7 +279,7 @@
     max_backoff_s = poll_backoff.MAX_BACKOFF_MS / 1000 * MAX_DELAY_JITTER
     recovery_s = retry_schedule.RECOVERY_WAIT_MS / 1000 + timeout_margin_s
     limit_s = MAX_LIST_DELAY_S - MARGIN_S
-    # Discovery recovers, or gets the change, just after the start of a request that fails.
+    # Worst case: discovery recovers, or receives the change, just after the start of a request that fails.
     assert max_backoff_s + LIST_TRANSFER_S < limit_s, (
         "the request fails at once, and the next one starts after a backoff period"
     )
@@ -301,7 +306,7 @@
 
 
 async def test_connection_close_from_discovery_is_respected() -> None:
-    """Otherwise each response with `Connection: close` would leak a connection that discovery keeps open."""
+    """If the watch did not close the connection, each response would leak one that discovery keeps open."""
     open_connections, version, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/discovery/test_retry_schedule.py
+++ b/tests/network/discovery/test_retry_schedule.py
@@ -1,4 +1,4 @@
-"""The waits of watch requests and the delays of retries, where lists are polled and where they are pushed."""
+"""The wait times of watch requests and the delays of retries, for polled and for pushed lists."""
 
 from __future__ import annotations
 
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -32,7 +32,7 @@
 
 
 async def test_input_after_connection_close_is_ignored(start_proxy: StartProxy) -> None:
-    """Otherwise a later slice is parsed, and a response is written after the write side has been closed."""
+    """If a later slice were parsed, its response would be written after the write side has been closed."""
     harness = await start_proxy()
     client = await harness.client()
     head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
@@ -77,7 +77,7 @@
 
 
 async def test_graceful_close_reaches_idle_client_at_once(start_proxy: StartProxy) -> None:
-    """Otherwise a request that arrives before the event loop closes the socket would be discarded."""
+    """Until the client notices the end of the connection, it may send a request, which would be discarded."""
     harness = await start_proxy(Upstream())
     client = harness.connect_socket()
     (connection,) = await wait_until(lambda: harness.proxy.listener.connections, "the client is accepted")
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -29,7 +29,7 @@
 
 
 async def hold_idle_connection(port: int) -> None:
-    """Hold an idle connection, and open a new one each time the balancer closes it."""
+    """Hold an idle connection, and open a new one each time the balancer closes the current one."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         with contextlib.suppress(ConnectionError):
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the maximum number of descriptors open until one second after `min_count` are reached."""
+    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -66,7 +66,7 @@
 
 
 async def test_idle_clients_do_not_exhaust_descriptors(start_server: StartServer, tmp_path: Path) -> None:
-    """Idle clients must not use up the descriptors for discovery and upstreams while discovery is down."""
+    """While discovery is down, idle clients must not use up the descriptors for discovery and upstreams."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
@@ -77,7 +77,7 @@
         async with running_program(path, DESCRIPTOR_LIMIT) as process:
             assert b"list is unreachable" in await read_log_line(process)
             clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(IDLE_CLIENTS))
-            # Of these clients, which keep connecting, the balancer accepts less than a third.
+            # All clients keep connecting, but fewer than a third of them can be connected at the same time.
             client_descriptors = DESCRIPTOR_LIMIT // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
             assert client_descriptors <= max_open <= DESCRIPTOR_LIMIT // 2, (
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The event dispatcher in isolation: the order of events and actions, and dispatch without handlers."""
+"""The event dispatcher without a proxy: the order of events and actions, and dispatch without handlers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def order() -> list[str]:
-    """The names of handled events and the texts of performed actions, in order."""
+    """The names of handled events and the texts of executed actions, in order."""
     return []
 
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -1,4 +1,4 @@
-"""Races between events, each forced into the order that is harder to handle."""
+"""Races between two events, each forced into the order that is more difficult to handle."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The upstream may have processed the request, which must not be retried unless it is idempotent."""
+    """The upstream may have processed the request, so that only an idempotent request may be retried."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
--- a/tests/network/test_program.py
+++ b/tests/network/test_program.py
@@ -39,7 +39,7 @@
 
 
 def test_signals_after_event_loop_has_closed_are_ignored(tmp_path: Path) -> None:
-    """Closing the event loop must not restore the default action of the signals, which ends the process."""
+    """Closing the event loop must not restore the default signal actions, which would end the process."""
     program = """if True:
         import asyncio, os, signal
         from loadbalancer import __main__ as program
@@ -80,7 +80,7 @@
 
 
 def test_configuration_warning_without_stderr(tmp_path: Path) -> None:
-    """Python sets `sys.stderr` to None if descriptor 2 is closed at startup; here it stays open."""
+    """The test sets `sys.stderr` to None, as Python does if descriptor 2 is closed at startup."""
     program = """if True:
         import asyncio, os, signal, sys
         from loadbalancer import __main__ as program
--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -1,4 +1,4 @@
-"""The complete proxy on loopback sockets: forwarding, and the response to each outcome of an attempt."""
+"""The proxy on loopback sockets: forwarding, and the client's response after each outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     harness = await start_proxy(upstream)
     events = record_events(harness)
     assert status(await harness.send_request("/pay/x", b"debit")) == client_status
-    # The policy may retry a rejected attempt, which had no effect; the other outcomes here forbid a retry.
+    # Only a rejected attempt, which had no effect, may be retried; the other outcomes here forbid a retry.
     assert set(outcomes(events)) == {outcome}
     assert len(upstream.received) == (3 if outcome is Outcome.REJECTED else 1)
 
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -1,4 +1,4 @@
-"""Readiness: the work of the program before it accepts clients, and what it must not wait for.
+"""Readiness: what the program does before it accepts clients, and what it must not wait for.
 
 The tests check the steps of the startup instead of its duration, which depends on the machine.
 """
@@ -29,10 +29,10 @@
     from collections.abc import Iterator
 
 ROOT = Path(__file__).parents[2]
-# The largest endpoint list that is expected.
+# Number of entries of the largest endpoint list that is expected.
 MAX_LIST_ENTRIES = 7_000
 
-# Runs `before`, starts the program, terminates it as it begins to listen, and prints `expression` as JSON.
+# Runs `before`, starts the program, sends SIGTERM when it begins to listen, and prints `expression` as JSON.
 SCRIPT = """if True:
     import gc, json, os, signal, sys
     {before}
@@ -49,7 +49,10 @@
 
 
 def evaluate_after_start(tmp_path: Path, expression: str, before: str = "pass", entries: int = 6) -> Any:
-    """Start the program with known endpoints, terminate it, and return the value of an expression in it."""
+    """Run the program until it listens, and return the value of an expression that its process evaluates.
+
+    The configuration of the program contains `entries` known endpoints.
+    """
     known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entries)]
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", known))
--- a/tests/network/test_reload.py
+++ b/tests/network/test_reload.py
@@ -26,14 +26,14 @@
     events = record_events(harness)
     assert status(await harness.send_request()) == 200
     await harness.discovery.requests.get()
-    for version in (3, 1):  # two switches, each to a list with a lower index
+    for version in (3, 1):  # two switches, each to a list with a lower version
         new_discovery = DiscoveryServer()
         harness.proxy.reconfigure(configuration(config_text(await start_server(new_discovery), [])))
         assert await new_discovery.requests.get() == "GET /v1/servers HTTP/1.1"
         new_discovery.publish(version, entry("s1", await start_server(second)), snapshot=True)
         assert f"?after={version}&" in await new_discovery.requests.get()
     await harness.discovery.connection_closed.wait()
-    harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # too late: its connection is closed
+    harness.discovery.publish(8, entry("s9", "127.0.0.1:9"))  # not received: the connection is closed
     kinds = [event.kind for event in events if isinstance(event, EndpointListUpdate)]
     assert kinds == [EndpointListKind.SNAPSHOT, EndpointListKind.SNAPSHOT]
     assert harness.proxy.upstream_pools.endpoint_names == {"s1"}
@@ -57,7 +57,7 @@
 
 
 async def test_connect_to_discovery_times_out() -> None:
-    """The timeout for connecting is shorter than that of a request."""
+    """The watch fails after the connect timeout, which is shorter than the timeout of a request."""
     async with full_backlog() as address:
         failed = asyncio.Event()
         config = configuration(config_text(address, [entry("s0", "127.0.0.1:9")]))
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -25,7 +25,7 @@
     assert status(await second.read_response()) == 409
     upstream.writers[0].write(response(200, b"unaffected"))
     assert (await first.read_response()).body == b"unaffected"
-    second.send("/pay/x", b"debit", x_request_id="same")  # the first request with this id has run
+    second.send("/pay/x", b"debit", x_request_id="same")  # the first request with this id is finished
     assert status(await second.read_response()) == 409
     assert len(upstream.received) == 1
 
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -21,8 +21,8 @@
 
 ROOT = Path(__file__).parents[2]
 
-# Runs the program as `python -m` does. At one audit event, the configuration file is replaced and the program
-# gets a signal. Arguments: the name of the event, its first argument (or ""), the number of the signal.
+# Runs the program as `python -m` does. At one audit event, the configuration file is replaced and a signal is
+# sent. Arguments: the name of the event, the first argument of the event (or ""), the number of the signal.
 SIGNALLED_PROGRAM = """if True:
     import asyncio, os, runpy, sys
     enter_runner = asyncio.Runner.__enter__
@@ -40,7 +40,7 @@
     runpy.run_module("loadbalancer", run_name="__main__")
 """
 
-# Runs the program; as it begins to listen, a SIGTERM and the request of a client arrive.
+# Runs the program; when it begins to listen, a SIGTERM and the request of a client arrive.
 PROGRAM_WITH_EARLY_CLIENT = """if True:
     import os, signal, socket
     from loadbalancer import __main__ as program
@@ -58,7 +58,7 @@
     print(clients[0].makefile("rb").read().partition(b"\\r\\n")[0].decode())
 """
 
-# The audit event and its first argument for each step of the startup.
+# For each step of the startup, the name and first argument of the audit event at which the signal is sent.
 STARTUP_STEPS = {
     "imports the event loop": ("import", "uvloop"),
     "opens its configuration": ("open", "config.json"),
@@ -117,7 +117,7 @@
 
 @at_each_startup_step
 def test_sigterm_during_startup_ends_program_silently(step: str, tmp_path: Path) -> None:
-    """The signal itself ends the program or, once the event loop runs, a graceful shutdown does."""
+    """Before the event loop runs, the signal itself ends the program; later, a graceful shutdown does."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(path.read_text())
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -37,7 +37,7 @@
 
 
 async def test_reset_during_write_is_connect_failure() -> None:
-    """The upstream resets the connection while a part of the request is still in the balancer's buffer."""
+    """The upstream resets the connection while a part of the request is still in the write buffer."""
     accepted = asyncio.Event()
 
     async def read_ten_bytes_and_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -73,7 +73,7 @@
     pool = pools.pool("s0")
     pools.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
     assert pool.draining_since is not None
-    pool.draining_since -= 0.5  # the grace period ends during the connect
+    pool.draining_since -= 0.5  # the grace period ends while the connection is being opened
     assert await attempt.outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
 
@@ -91,7 +91,7 @@
     pools.close_idle_connections("s0")
     assert pools.open_connections == 0
     await send_request()
-    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the balancer's limit is 0.8 of 60 s
+    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the idle time limit is 0.8 of 60 s
     await send_request()
     assert upstream.connections == 3
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
@@ -119,7 +119,7 @@
     assert attempt is not None
     await other_upstream.request_received.wait()
     assert pools.open_connections == 1
-    # The balancer lacks a descriptor; this must not count as a failure of the upstream.
+    # The balancer may not open a further connection; this must not count as a failure of the upstream.
     assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
     attempt.cancel()
 
@@ -148,7 +148,7 @@
 
 async def test_cached_endpoint_list_is_applied_first(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
-    assert harness.proxy.balancer.ready_endpoints  # before the first iteration of the event loop
+    assert harness.proxy.balancer.ready_endpoints  # even before the first iteration of the event loop
     assert harness.discovery.requests.empty()
 
 
@@ -183,7 +183,7 @@
 
 
 async def test_timed_out_attempt_is_closed_before_policy_event(start_proxy: StartProxy) -> None:
-    """Otherwise upstreams could process two attempts at once until the event loop closes the connection."""
+    """If a retry started before the connection is closed, upstreams could process both attempts at once."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
     disconnect_results = list[bool]()
