--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -96,7 +96,7 @@
     harness = await start_proxy(Upstream(), discovery="push")
     for version in (8, 9):
         await harness.discovery.requests.get()
-        harness.discovery.responses.put_nowait(b"no answer\r\n\r\n")
+        harness.discovery.responses.put_nowait(b"not HTTP\r\n\r\n")
         await harness.discovery.requests.get()
         harness.discovery.publish(version)
     assert "after=9&" in await harness.discovery.requests.get()
@@ -126,6 +126,6 @@
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
-    assert "wait_ms" in request_line, "a watch request, whose response may begin late"
+    assert "wait_ms" in request_line, "only a watch request has a response that may begin late"
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.requests.get(), 5)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -148,7 +148,9 @@
     attempts = len(old_discovery.attempts)
     # Wait for the next attempt to reach discovery, after which the policy sets its timer again.
     await wait_until(
-        lambda: len(old_discovery.attempts) > attempts, "discovery gets another attempt", poll_interval_s=0.01
+        lambda: len(old_discovery.attempts) > attempts,
+        "discovery receives another attempt",
+        poll_interval_s=0.01,
     )
     await asyncio.sleep(delay_before_switch_s)
     new_discovery.fault = fault
@@ -203,7 +205,9 @@
     shortest_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000 * 0.5
     assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
     earlier_attempts = sum(len(discovery.attempts) for discovery in discovery_services[1:-1])
-    assert earlier_attempts == len(discovery_services) - 2, "no service gets an attempt after the next switch"
+    assert earlier_attempts == len(discovery_services) - 2, (
+        "each service must receive one attempt, and none after the switch to the next one"
+    )
     last_discovery.fault = ""
     last_discovery.drain_upstream()
     learned_at = await proxy.wait_for_drain()
@@ -289,7 +293,7 @@
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + max_request_s + push_delay_s + LIST_TRANSFER_S < limit_s, (
-        "the same where lists are pushed"
+        "the same if lists are pushed"
     )
     # An open watch becomes unresponsive.
     assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
@@ -300,9 +304,11 @@
     assert max(response_s, connect_s) + retry_delay_s + LIST_TRANSFER_S < MAX_SWITCH_DELAY_S
     assert connect_s + response_s + retry_delay_s + LIST_TRANSFER_S < limit_s
     assert max_backoff_s < retry_schedule.SWITCH_PERIOD_S, (
-        "an earlier timer fires while the watch itself retries"
+        "a timer set before the switch fires while the watch itself retries"
+    )
+    assert max_request_s >= discovery_connection.BODY_TIMEOUT_S, (
+        "a truncated response must not fail later than a missing one"
     )
-    assert max_request_s >= discovery_connection.BODY_TIMEOUT_S, "a truncated response fails no later"
 
 
 async def test_connection_close_from_discovery_is_respected() -> None:
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -106,7 +106,7 @@
         request_line = asyncio.ensure_future(new_discovery.requests.get())
         exit_code = asyncio.ensure_future(process.wait())
         await asyncio.wait((request_line, exit_code), return_when=asyncio.FIRST_COMPLETED)
-        assert not exit_code.done(), f"ended with {process.returncode}"
+        assert not exit_code.done(), f"the program ended with exit code {process.returncode}"
         assert request_line.result() == "GET /v1/servers HTTP/1.1"
         process.terminate()
         assert await exit_code == 0
