--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -42,7 +42,7 @@
     ]
 
 
-async def test_draining_upstream_gets_no_new_requests(start_proxy: StartProxy) -> None:
+async def test_draining_upstream_receives_no_new_requests(start_proxy: StartProxy) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request("/pay/x", b"debit")) == 200
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -19,7 +19,7 @@
     from tests.support.fixture_types import StartProxy
 
 
-async def test_pipelined_requests_get_responses_in_order(start_proxy: StartProxy) -> None:
+async def test_responses_to_pipelined_requests_are_in_order(start_proxy: StartProxy) -> None:
     async def echo(received: ReceivedMessage, writer: asyncio.StreamWriter) -> None:
         writer.write(response(200, received.start_line.encode()))
 
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -97,7 +97,7 @@
     assert pools.open_connections == 0
 
 
-async def test_disconnect_after_liveness_check_is_reset(
+async def test_disconnect_after_liveness_check_counts_as_reset(
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -127,7 +127,7 @@
     assert completed.stdout == ""
 
 
-def test_request_during_early_sigterm_gets_response(tmp_path: Path) -> None:
+def test_request_during_early_sigterm_receives_response(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
     completed = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
