--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Adds the time that has passed on the monotonic clock to the Unix time at which the clock was created.
+    """Returns the Unix time at its creation plus the time that has passed since on the monotonic clock.
 
     Later changes of the system clock have no effect. The times of this clock can be compared with the start
     times of endpoints, which are Unix times too.
--- a/loadbalancer/network/discovery/__init__.py
+++ b/loadbalancer/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the watch on the endpoint list, the timing of its requests, and its connection."""
+"""The client of the discovery service; it watches the endpoint list."""
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -82,7 +82,7 @@
         return self._connection
 
     def start_if_lists_are_pushed(self) -> None:
-        """Start the watch if lists are pushed; if discovery is polled, `WatchEndpoints` starts the watch."""
+        """Start the watch if lists are pushed; otherwise the policy starts it (`WatchEndpoints`)."""
         if not self._polls_discovery:
             self.start_watch()
 
@@ -92,7 +92,7 @@
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def switch_to(self, address: Address) -> None:
-        """Switch to another discovery service immediately, beginning with its complete list.
+        """Switch to another discovery service immediately, and first request the complete list.
 
         The list versions of the old service have no meaning for the new one. The watch is restarted, so that
         a list that still arrives from the old service is ignored, and a pending retry delay is cancelled.
--- a/loadbalancer/network/endpoint_list_updater.py
+++ b/loadbalancer/network/endpoint_list_updater.py
@@ -1,6 +1,6 @@
 """Applies endpoint lists to the connection pools, and then to the policy.
 
-The pools come first, so that every endpoint that the policy may select has a pool.
+The pools are updated first, so that every endpoint that the policy may select has a pool.
 """
 
 from __future__ import annotations
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -11,7 +11,7 @@
 """Length of the interval to which `MAX_LINES` applies."""
 
 MAX_LINES = 50
-"""Maximum number of lines in an interval; it bounds the output of an error that keeps recurring."""
+"""Maximum number of lines in an interval; it limits the output of a recurring error."""
 
 
 class RateLimitedLog:
--- a/loadbalancer/network/response_parser.py
+++ b/loadbalancer/network/response_parser.py
@@ -60,7 +60,7 @@
         return self._may_reuse
 
     def feed(self, data: bytes) -> Response | None:
-        """Parse further bytes of the connection.
+        """Parse the next bytes received on the connection.
 
         Returns:
             The response if these bytes complete it; None otherwise.
--- a/loadbalancer/network/sockets.py
+++ b/loadbalancer/network/sockets.py
@@ -1,4 +1,4 @@
-"""Socket operations that asyncio transports do not offer, and the reserve of file descriptors."""
+"""Socket operations that asyncio transports do not offer, and the number of reserved file descriptors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 RESERVED_DESCRIPTORS = 24
 """Number of descriptors that the limits on client connections and on upstream connections each leave free.
 
-They are for the event loop, the log, the connection to discovery and connections that are being closed.
+These descriptors are for the event loop, the log, the connection to discovery and connections that are being
+closed.
 """
 
 
--- a/loadbalancer/network/upstream/connection_limit.py
+++ b/loadbalancer/network/upstream/connection_limit.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
 UPSTREAM_DESCRIPTORS_FRACTION = 0.5
-"""Fraction of the file descriptors that is for upstream connections; the rest is for client connections."""
+"""Fraction of file descriptors that upstream connections may use; client connections may use the rest."""
 
 MIN_CONNECTION_LIMIT = 4
 """Lower bound of the connection limit, for a process that may open only very few descriptors."""
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -148,7 +148,7 @@
         self._idle_connections.append(connection)
 
     def may_send(self) -> bool:
-        """Return whether a request may be sent: the upstream is ready, or its drain grace leaves time."""
+        """Return whether the upstream is ready, or its drain grace leaves enough time for a request."""
         if self.draining_since is None:
             return True
         return time.monotonic() < self.draining_since + self._timeouts.send_while_draining_s
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def start_proxy(cleanup_stack: AsyncExitStack) -> StartProxy:
-    """Return a function that starts a proxy with its upstreams; its arguments are those of `ProxyHarness`."""
+    """Return a function with the arguments of `ProxyHarness` that starts a proxy with its upstreams."""
 
     async def start(*upstreams: Upstream, **arguments: Any) -> ProxyHarness:
         harness = ProxyHarness(*upstreams, **arguments)
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -122,7 +122,7 @@
 
 
 async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """If the rest were awaited until the poll times out, draining upstreams would be used in the meantime."""
+    """If the watch awaited the rest until the poll times out, draining upstreams would still be used."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -39,7 +39,8 @@
 # Time limit until the policy receives a change that an unresponsive watch request missed, from the end of the
 # wait time of that request. The later one of this limit and `MAX_LIST_DELAY_S` applies.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
-# Time limit until the policy receives the list of another discovery service, from the switch (SIGHUP) to it.
+# Time limit from a switch to another discovery service (SIGHUP) until the policy receives the list of that
+# service.
 MAX_SWITCH_DELAY_S = 4.0
 # Part of `MAX_LIST_DELAY_S` that must remain unused.
 MARGIN_S = 1.0
@@ -295,7 +296,7 @@
     assert connect_s + max_request_s + push_delay_s + LIST_TRANSFER_S < limit_s, (
         "the same if lists are pushed"
     )
-    # An open watch becomes unresponsive.
+    # The connection of an open watch request becomes unresponsive.
     assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
     assert limit_s > retry_schedule.PUSH_WATCH_WAIT_MS / 1000 + timeout_margin_s + LIST_TRANSFER_S
     # After SIGHUP the first request to the new discovery service fails.
--- a/tests/network/test_connection_reuse.py
+++ b/tests/network/test_connection_reuse.py
@@ -32,7 +32,7 @@
 
 
 async def test_input_after_connection_close_is_ignored(start_proxy: StartProxy) -> None:
-    """If a later slice were parsed, its response would be written after the write side has been closed."""
+    """If later input were parsed, its response would be written after the write side has been closed."""
     harness = await start_proxy()
     client = await harness.client()
     head = b"GET /healthz HTTP/1.1\r\nConnection: close\r\nX-Pad: "
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -175,7 +175,7 @@
     pools = make_pools(await start_server(upstream))
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
     assert pools.pool("s0").take_idle_connection() is None  # not immediately after the response
-    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # and not 10 ms later
+    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
     assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
