--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -79,7 +79,7 @@
     started_at = asyncio.get_running_loop().time()
     await harness.discovery.requests.get()
     elapsed_s = asyncio.get_running_loop().time() - started_at
-    assert elapsed_s < 3, "a missed update has to be requested again by then"
+    assert elapsed_s < 3, "a missed update must be requested again within 3 s"
     new_upstream = Upstream()
     harness.discovery.publish(8, entry("s9", await start_server(new_upstream)), snapshot=True)
     await harness.discovery.requests.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -150,7 +150,7 @@
     # Wait for the next attempt to reach discovery, after which the policy sets its timer again.
     await wait_until(
         lambda: len(old_discovery.attempts) > attempts,
-        "discovery receives another attempt",
+        "the balancer has tried again to reach discovery",
         poll_interval_s=0.01,
     )
     await asyncio.sleep(delay_before_switch_s)
@@ -207,7 +207,7 @@
     assert 60.0 / MAX_LIST_DELAY_S < len(last_discovery.attempts) - attempts_before <= 60.0 / shortest_delay_s
     earlier_attempts = sum(len(discovery.attempts) for discovery in discovery_services[1:-1])
     assert earlier_attempts == len(discovery_services) - 2, (
-        "each service must receive one attempt, and none after the switch to the next one"
+        "each service must be tried once, and not again after the switch to the next service"
     )
     last_discovery.fault = ""
     last_discovery.drain_upstream()
@@ -268,7 +268,7 @@
         assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
         assert max(map(slots.count, set(slots))) < balancers / 3, (
-            "within a tenth of a second, fewer than a third of the balancers make an attempt"
+            "within a tenth of a second, fewer than a third of the balancers try to reach discovery"
         )
     repeated_attempts = run_simulated(
         partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
@@ -294,7 +294,7 @@
     )
     push_delay_s = retry_schedule.PUSH_RETRY_DELAY_S
     assert connect_s + max_request_s + push_delay_s + LIST_TRANSFER_S < limit_s, (
-        "the same if lists are pushed"
+        "if lists are pushed, the request fails after both timeouts, and the retry follows a fixed delay"
     )
     # The connection of an open watch request becomes unresponsive.
     assert timeout_margin_s + poll_delay_s + LIST_TRANSFER_S < MAX_UNRESPONSIVE_WATCH_DELAY_S
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -273,4 +273,6 @@
     assert count_received("read") - reads_before <= 4, (
         "only occasional requests test whether the upstream has recovered"
     )
-    assert count_received("pay") - pays_before >= 20, "requests of the other class are still sent to it"
+    assert count_received("pay") - pays_before >= 20, (
+        "requests of the other class must still be sent to the failing upstream"
+    )
