--- a/loadbalancer/network/clock.py
+++ b/loadbalancer/network/clock.py
@@ -6,10 +6,10 @@
 
 
 class Clock:
-    """The Unix time at the start, plus the time that has passed on the monotonic clock since.
+    """Returns the Unix time at its creation plus the time that has passed since on the monotonic clock.
 
-    Later changes of the system clock have no effect. The times can be compared with the start times of
-    endpoints, which are Unix times too.
+    Later changes of the system clock have no effect. The times of this clock can be compared with the start
+    times of endpoints, which are Unix times too.
     """
 
     def __init__(self) -> None:
--- a/tests/network/test_event_dispatcher.py
+++ b/tests/network/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The event dispatcher in isolation: the order of events and actions, and dispatch without handlers."""
+"""The event dispatcher without a proxy: the order of events and actions, and dispatch without handlers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def order() -> list[str]:
-    """The names of handled events and the texts of performed actions, in order."""
+    """The names of handled events and the texts of executed actions, in order."""
     return []
 
 
@@ -39,13 +39,13 @@
 
 
 def test_event_from_action_waits_for_other_actions(dispatcher: EventDispatcher, order: list[str]) -> None:
-    def perform(action: Action) -> None:
+    def execute(action: Action) -> None:
         assert isinstance(action, LogMessage)
         order.append(action.text)
         if len(order) == 2:
             dispatcher.dispatch(SECOND_EVENT)
 
-    dispatcher.set_handlers(perform, lambda number: None)
+    dispatcher.set_handlers(execute, lambda number: None)
     dispatcher.dispatch(FIRST_EVENT)
     assert order == ["EndpointListUpdate", "one", "two", "HealthCheckFinished", "one", "two"]
 
@@ -55,13 +55,13 @@
 ) -> None:
     failed_requests: list[int | None] = []
 
-    def perform(action: Action) -> None:
+    def execute(action: Action) -> None:
         assert isinstance(action, LogMessage)
         order.append(action.text)
         if action.text == "one":
             raise OSError
 
-    dispatcher.set_handlers(perform, failed_requests.append)
+    dispatcher.set_handlers(execute, failed_requests.append)
     dispatcher.dispatch(FIRST_EVENT)
     assert order == ["EndpointListUpdate", "one", "two"]
     assert failed_requests == [None]
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -21,8 +21,8 @@
 
 ROOT = Path(__file__).parents[2]
 
-# Runs the program as `python -m` does. At one audit event, the configuration file is replaced and the program
-# gets a signal. Arguments: the name of the event, its first argument (or ""), the number of the signal.
+# Runs the program as `python -m` does. At one audit event, the configuration file is replaced and a signal is
+# sent. Arguments: the name of the event, the first argument of the event (or ""), the number of the signal.
 SIGNALLED_PROGRAM = """if True:
     import asyncio, os, runpy, sys
     enter_runner = asyncio.Runner.__enter__
@@ -40,7 +40,7 @@
     runpy.run_module("loadbalancer", run_name="__main__")
 """
 
-# Runs the program; as it begins to listen, a SIGTERM and the request of a client arrive.
+# Runs the program; when it begins to listen, a SIGTERM and the request of a client arrive.
 PROGRAM_WITH_EARLY_CLIENT = """if True:
     import os, signal, socket
     from loadbalancer import __main__ as program
@@ -58,19 +58,19 @@
     print(clients[0].makefile("rb").read().partition(b"\\r\\n")[0].decode())
 """
 
-# The audit event and its first argument for each step of the startup.
-START_STEPS = {
+# For each step of the startup, the name and first argument of the audit event at which the signal is sent.
+STARTUP_STEPS = {
     "imports the event loop": ("import", "uvloop"),
     "opens its configuration": ("open", "config.json"),
     "has read its configuration": ("runs", ""),
     "binds": ("socket.bind", ""),
 }
-AT_EACH_STEP = pytest.mark.parametrize("step", START_STEPS)
+at_each_startup_step = pytest.mark.parametrize("step", STARTUP_STEPS)
 
 
-def signalled_program(step: str, path: Path, number: signal.Signals) -> list[str]:
+def signalled_program_command(step: str, path: Path, number: signal.Signals) -> list[str]:
     """Return a command that runs the program and sends it a signal at a step of its startup."""
-    event, first_argument = START_STEPS[step]
+    event, first_argument = STARTUP_STEPS[step]
     if event == "open":
         first_argument = str(path)
     return [sys.executable, "-c", SIGNALLED_PROGRAM, event, first_argument, str(int(number))]
@@ -88,7 +88,7 @@
     )
 
 
-@AT_EACH_STEP
+@at_each_startup_step
 async def test_sighup_during_startup_reloads_configuration(
     start_server: StartServer, step: str, tmp_path: Path
 ) -> None:
@@ -98,7 +98,7 @@
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(config_text(await start_server(new_discovery), []))
     process = await asyncio.create_subprocess_exec(
-        *signalled_program(step, path, signal.SIGHUP),
+        *signalled_program_command(step, path, signal.SIGHUP),
         cwd=ROOT,
         env=os.environ | {"LB_CONFIG": str(path)},
     )
@@ -106,7 +106,7 @@
         request_line = asyncio.ensure_future(new_discovery.requests.get())
         exit_code = asyncio.ensure_future(process.wait())
         await asyncio.wait((request_line, exit_code), return_when=asyncio.FIRST_COMPLETED)
-        assert not exit_code.done(), f"ended with {process.returncode}"
+        assert not exit_code.done(), f"the program ended with exit code {process.returncode}"
         assert request_line.result() == "GET /v1/servers HTTP/1.1"
         process.terminate()
         assert await exit_code == 0
@@ -115,19 +115,19 @@
             process.kill()
 
 
-@AT_EACH_STEP
+@at_each_startup_step
 def test_sigterm_during_startup_ends_program_silently(step: str, tmp_path: Path) -> None:
-    """The signal itself ends the program or, once the event loop runs, a graceful shutdown does."""
+    """Before the event loop runs, the signal itself ends the program; later, a graceful shutdown does."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
     path.with_suffix(".json.new").write_text(path.read_text())
-    completed = run_program(signalled_program(step, path, signal.SIGTERM), path)
+    completed = run_program(signalled_program_command(step, path, signal.SIGTERM), path)
     assert completed.returncode == (0 if step == "binds" else -signal.SIGTERM)
     assert "Traceback" not in completed.stderr
     assert completed.stdout == ""
 
 
-def test_request_during_early_sigterm_gets_response(tmp_path: Path) -> None:
+def test_request_during_early_sigterm_receives_response(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", [entry("s0", "127.0.0.1:9")]))
     completed = run_program([sys.executable, "-c", PROGRAM_WITH_EARLY_CLIENT], path)
