--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -33,7 +33,7 @@
         self.short_term_interarrival_ms = 0.0
         self.long_term_interarrival_ms = 0.0
 
-    def start(self, now: float) -> None:
+    def record_endpoint_list(self, now: float) -> None:
         """Record that an endpoint list has arrived; only the first call has an effect."""
         self.started_at = min(self.started_at, now)
 
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -23,9 +23,9 @@
 These outcomes, and those of the two constants below, are tuples: a lookup in a set would call
 `Enum.__hash__`, which is slow because it is implemented in Python.
 """
-LIVENESS_EVIDENCE_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
+LIVENESS_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
 """Outcomes that show whether an idle connection was alive."""
-NO_EVIDENCE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)
+INCONCLUSIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)
 """Outcomes that say nothing about the endpoint, since this balancer ended the attempt."""
 
 
@@ -79,15 +79,15 @@
         endpoint, class_name = attempt.endpoint, request.request_class.name
         endpoint.advance_to(now)
         endpoint.last_used_at = now if outcome in REUSABLE_CONNECTION_OUTCOMES else math.inf
-        if outcome in LIVENESS_EVIDENCE_OUTCOMES:
+        if outcome in LIVENESS_OUTCOMES:
             self._idle_limit.record(attempt.idle_ms, is_unresponsive=outcome is not Outcome.SUCCEEDED)
         if outcome is Outcome.CONNECT_FAILED:
             endpoint.record_connect_failure()
-        elif outcome not in NO_EVIDENCE_OUTCOMES and outcome is not Outcome.TIMED_OUT:
+        elif outcome not in INCONCLUSIVE_OUTCOMES and outcome is not Outcome.TIMED_OUT:
             endpoint.connect_failures = 0.0
         if outcome is Outcome.SUCCEEDED:
             self._record_success(attempt, request, now)
-        elif outcome not in NO_EVIDENCE_OUTCOMES:
+        elif outcome not in INCONCLUSIVE_OUTCOMES:
             endpoint.busy_ms += max(attempt.times_out_at - now, 0.0)
             if outcome is Outcome.TIMED_OUT:
                 self._record_missing_response(attempt, request, now)
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -129,7 +129,7 @@
             return
         if event.kind is not EndpointListKind.CACHED:
             self._actions += self._poll_backoff.record_success()
-        self._arrivals.start(now)
+        self._arrivals.record_endpoint_list(now)
         self._endpoints.update(event, now)
         self._available_capacity.invalidate(now)
         self._slow_start.invalidate()
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -8,8 +8,8 @@
 from loadbalancer.policy.arrivals import ArrivalRate
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import (
-    EVIDENCE_TIME_CONSTANT_MS,
-    EVIDENCE_UPDATE_INTERVAL_MS,
+    STATISTICS_TIME_CONSTANT_MS,
+    STATISTICS_UPDATE_INTERVAL_MS,
     EndpointStats,
 )
 
@@ -60,7 +60,7 @@
         self._median_updated_at = -math.inf
         self.median = 0.0
         self.served_work_per_ms = 0.0
-        self.time_constant_ms = EVIDENCE_TIME_CONSTANT_MS
+        self.time_constant_ms = STATISTICS_TIME_CONSTANT_MS
 
     def estimates(self, endpoints: list[EndpointStats], median: float, now: float) -> list[float]:
         """Return the capacity of each endpoint, in the order given.
@@ -70,7 +70,7 @@
         estimates = []
         is_any_warming_up = now < self._warmup.active_until
         for endpoint in endpoints:
-            if now - endpoint.updated_at >= EVIDENCE_UPDATE_INTERVAL_MS:
+            if now - endpoint.updated_at >= STATISTICS_UPDATE_INTERVAL_MS:
                 endpoint.advance_to(now)
             prior = median * endpoint.weight
             pseudo_busy_ms = PSEUDO_OBSERVATIONS / prior
@@ -108,7 +108,7 @@
         # decay between two of them.
         interval_ms = self._arrivals.short_term_interarrival_ms
         required_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
-        time_constant_ms = min(max(EVIDENCE_TIME_CONSTANT_MS, required_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
+        time_constant_ms = min(max(STATISTICS_TIME_CONSTANT_MS, required_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
         self.time_constant_ms = time_constant_ms
         for endpoint in ready:
             endpoint.capacity_time_constant_ms = time_constant_ms
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -10,13 +10,13 @@
 
 from loadbalancer.endpoints import Endpoint
 
-EVIDENCE_TIME_CONSTANT_MS = 6_000.0
+STATISTICS_TIME_CONSTANT_MS = 6_000.0
 """Time constant, in ms, of the decay of evidence.
 
 It is long enough to cover a few attempts at an endpoint, and short enough that an ejected endpoint is
 selected again within seconds.
 """
-EVIDENCE_UPDATE_INTERVAL_MS = 20.0
+STATISTICS_UPDATE_INTERVAL_MS = 20.0
 """Age, in ms, at which evidence is advanced before it is read; small compared with the time constant."""
 MAX_FAILED_ATTEMPTS = 4.0
 """Upper bound of the count of failed attempts and of the count of failed connects.
@@ -57,7 +57,7 @@
     in_flight: int = 0
     served_work: float = 0.0
     busy_ms: float = 0.0
-    capacity_time_constant_ms: float = EVIDENCE_TIME_CONSTANT_MS
+    capacity_time_constant_ms: float = STATISTICS_TIME_CONSTANT_MS
     outcomes: dict[str, tuple[float, float]] = field(default_factory=dict)
     connect_failures: float = 0.0
     last_used_at: float = math.inf
@@ -77,7 +77,7 @@
         decay = math.exp((self.updated_at - now) / self.capacity_time_constant_ms)
         self.served_work *= decay
         self.busy_ms = self.busy_ms * decay + self.in_flight * (now - self.updated_at)
-        decay = math.exp((self.updated_at - now) / EVIDENCE_TIME_CONSTANT_MS)
+        decay = math.exp((self.updated_at - now) / STATISTICS_TIME_CONSTANT_MS)
         self.outcomes = {
             name: (succeeded * decay, failed * decay) for name, (succeeded, failed) in self.outcomes.items()
         }
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,6 +1,6 @@
 """Outlier detection: which endpoints are temporarily ejected from selection."""
 
-from loadbalancer.policy.endpoint_stats import EVIDENCE_UPDATE_INTERVAL_MS, EndpointStats
+from loadbalancer.policy.endpoint_stats import STATISTICS_UPDATE_INTERVAL_MS, EndpointStats
 
 EJECTION_MIN_FAILURES = 2.0
 """Minimum number of recent failed attempts at an outlier; a single one may be due to the request.
@@ -48,8 +48,8 @@
     endpoint again.
     """
     for endpoint in endpoints:
-        has_evidence = endpoint.outcomes or endpoint.connect_failures
-        if has_evidence and now - endpoint.updated_at >= EVIDENCE_UPDATE_INTERVAL_MS:
+        has_statistics = endpoint.outcomes or endpoint.connect_failures
+        if has_statistics and now - endpoint.updated_at >= STATISTICS_UPDATE_INTERVAL_MS:
             endpoint.advance_to(now)
     reachable = [e for e in endpoints if e.connect_failures <= 1] or endpoints
     # An endpoint without outcomes is no outlier. Most have none, so the check saves most of the calls.
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -145,12 +145,12 @@
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
-        floor = (
+        min_sustainable = (
             MIN_SUSTAINABLE_PER_CAPACITY
             * self._available_capacity.weight
             / self._available_capacity.balancer_count.estimate
         )
-        limit = inflation * (concurrency + floor)
+        limit = inflation * (concurrency + min_sustainable)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
 
     def _update_mean(self, in_flight: int, now: float) -> None:
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -75,14 +75,14 @@
         zone_sums = list(accumulate(_zone_adjusted_weights(eligible, capacities, self._own_zone)))
         capacity_sums = list(accumulate(capacities))
         random = self._random.random
-        best, selected = (math.inf, 0.0, 0.0), eligible[-1]
+        lowest_key, selected = (math.inf, 0.0, 0.0), eligible[-1]
         for sample in range(MAX_SAMPLED_ENDPOINTS):
             sums = capacity_sums if sample else zone_sums
             i = min(bisect(sums, random() * sums[-1]), len(eligible) - 1)
             endpoint, capacity = eligible[i], capacities[i]
-            load = ((endpoint.in_flight + 1) / capacity, -capacity, random())
-            if load < best:
-                best, selected = load, endpoint
+            sort_key = ((endpoint.in_flight + 1) / capacity, -capacity, random())
+            if sort_key < lowest_key:
+                lowest_key, selected = sort_key, endpoint
             if not endpoint.in_flight:
                 break
         return selected
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -152,10 +152,10 @@
             self._balancer_count.estimate * len(subset) / len(self._endpoints.ready), 1.0
         )
         age_ms = now - arrivals.started_at
-        missing_evidence = (
+        unlearned_fraction = (
             math.exp(-age_ms / capacity.time_constant_ms) if capacity.served_work_per_ms else 1.0
         )
-        arrival_rate = missing_evidence * arrivals.long_term_rate_per_ms(now)
+        arrival_rate = unlearned_fraction * arrivals.long_term_rate_per_ms(now)
         own_rate = capacity.served_work_per_ms * len(subset) + arrival_rate
         rate = own_rate / sum(e.weight for e in subset) * self._balancers_per_endpoint
         self._warm_rate_per_ms = max(rate, capacity.median)
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -76,8 +76,8 @@
         self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
 
     def schedule_next_request(self) -> None:
-        wait_ms = self._simulation.random.expovariate(self.requests_per_ms)
-        self._clock.schedule(self._clock.now + wait_ms, self._receive_request, None)
+        interval_ms = self._simulation.random.expovariate(self.requests_per_ms)
+        self._clock.schedule(self._clock.now + interval_ms, self._receive_request, None)
 
     def handle(self, event: Event) -> None:
         for action in self.policy.handle(event, self._clock.now):
@@ -143,7 +143,7 @@
         skewed: Whether some balancers get eight times as many requests as others; otherwise all get the same.
 
     Attributes:
-        tenth: A tenth of the number of endpoints.
+        batch_size: A tenth of the number of endpoints.
         requests: The number of requests received; `served` and `rejected` count the final responses.
         warming_attempts: The number of attempts at warming endpoints.
         max_excess: The largest excess of the work in a window over its limit, relative to the tolerance for
@@ -167,7 +167,7 @@
             classes=(SMALL, LARGE), balancers=balancers, max_attempts=4, may_hedge=True, **slow_start
         )
         self.endpoints = {f"s{i}": SimulatedEndpoint() for i in range(endpoints)}
-        self.tenth = max(endpoints // 10, 1)
+        self.batch_size = max(endpoints // 10, 1)
         self.requests, self.served, self.rejected, self.warming_attempts = 0, 0, 0, 0
         self.max_excess = -math.inf
         self._rate_per_s = rate_per_s
@@ -182,8 +182,8 @@
         for balancer, weight in zip(self.balancers, weights, strict=True):
             balancer.requests_per_ms = weight / sum(weights) * requests_per_ms
 
-    def run(self, span_ms: float) -> None:
-        self.clock.run_until(self.clock.now + span_ms)
+    def run(self, duration_ms: float) -> None:
+        self.clock.run_until(self.clock.now + duration_ms)
 
     # ---- changes --------------------------------------------------------------------------------
 
@@ -205,8 +205,8 @@
         """In each step, remove a tenth of the endpoints, the oldest first, and add as many new ones."""
         old_names = list(self.endpoints)
         for step in range(steps):
-            self.remove_endpoints(old_names[step * self.tenth : (step + 1) * self.tenth])
-            self.add_endpoints(self.tenth)
+            self.remove_endpoints(old_names[step * self.batch_size : (step + 1) * self.batch_size])
+            self.add_endpoints(self.batch_size)
             self.run(interval_ms)
 
     def set_outcome(self, names: list[str], outcome: Outcome) -> None:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -111,8 +111,8 @@
         if started_attempts(actions):
             in_flight.append((harness.now + 600, request, first_endpoint(actions)))
         counts.append(len(in_flight))
-    half = counts[len(counts) // 2 :]
-    return sum(half) / len(half)
+    second_half = counts[len(counts) // 2 :]
+    return sum(second_half) / len(second_half)
 
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -109,7 +109,7 @@
     assert endpoint.served_work / endpoint.busy_ms == pytest.approx(1 / (2 * mean_ms), rel=0.25)
 
 
-def test_evidence_lasts_longer_at_low_request_rate() -> None:
+def test_time_constant_grows_at_low_request_rate() -> None:
     """With a fixed time constant of 6 s, evidence would decay between two requests.
 
     Each of hundreds of balancers would then select slow endpoints as often as fast ones.
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -87,8 +87,8 @@
         harness.now += 20
         harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
 
-    def hedge_delay_ms(hint: float) -> float:
-        timer = actions_of_type(harness.request(cost_hint_ms=hint)[1], SetTimer)[0]
+    def hedge_delay_ms(hint_ms: float) -> float:
+        timer = actions_of_type(harness.request(cost_hint_ms=hint_ms)[1], SetTimer)[0]
         assert isinstance(timer, SetTimer)
         return timer.at_ms - harness.now
 
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -7,9 +7,9 @@
 from tests.policy.helpers import PAY, PolicyHarness, actions_of_type, first_endpoint
 
 
-def closes_idle_connections(harness: PolicyHarness, interval_ms: float) -> bool:
+def closes_idle_connections(harness: PolicyHarness, idle_ms: float) -> bool:
     """Serve a request after an idle time; return whether idle connections were closed for it."""
-    harness.now += interval_ms
+    harness.now += idle_ms
     request, actions = harness.request(PAY)
     harness.now += 20
     harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -46,14 +46,14 @@
     for _ in range(requests):
         harness.now += interval_ms
         request, actions = harness.request(request_class)
-        attempts_made = 0
+        attempt_count = 0
         while started := started_attempts(actions):
             harness.now += 5
             outcome = next(outcomes)
-            actions = harness.finish(request, attempts_made, started[0].endpoint, outcome)
+            actions = harness.finish(request, attempt_count, started[0].endpoint, outcome)
             responses += outcome is Outcome.SUCCEEDED
-            attempts_made += 1
-        retries += max(attempts_made - 1, 0)
+            attempt_count += 1
+        retries += max(attempt_count - 1, 0)
     return retries, responses
 
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -61,7 +61,7 @@
     assert counts["s0"] >= counts["new"] > counts["s2"]
 
 
-def test_endpoints_without_evidence_are_sampled_by_weight() -> None:
+def test_unused_endpoints_are_sampled_by_weight() -> None:
     """If four endpoints were always sampled, the largest of them would be selected too often.
 
     One of many balancers rarely has an attempt in flight at any of them, and then the largest has the lowest
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -39,14 +39,14 @@
 
 def add_tenth_of_endpoints(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
-    simulation.add_endpoints(simulation.tenth)
+    simulation.add_endpoints(simulation.batch_size)
     simulation.run(OBSERVATION_MS)
 
 
 def add_tenth_during_burst(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.scale_request_rate(1.5)
-    simulation.add_endpoints(simulation.tenth)
+    simulation.add_endpoints(simulation.batch_size)
     simulation.run(OBSERVATION_MS)
 
 
@@ -64,17 +64,17 @@
 
 def restart_third_of_endpoints(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
-    third = list(simulation.endpoints)[: len(simulation.endpoints) // 3]
-    simulation.remove_endpoints(third)
+    removed = list(simulation.endpoints)[: len(simulation.endpoints) // 3]
+    simulation.remove_endpoints(removed)
     simulation.run(5_000.0)
-    simulation.restart_endpoints(third)
+    simulation.restart_endpoints(removed)
     simulation.run(OBSERVATION_MS)
 
 
 def restart_balancers_and_add_tenth(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.restart_balancers()
-    simulation.add_endpoints(simulation.tenth)
+    simulation.add_endpoints(simulation.batch_size)
     simulation.run(OBSERVATION_MS)
 
 
@@ -93,14 +93,14 @@
 def set_half_to_reject(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.REJECTED)
-    simulation.add_endpoints(simulation.tenth)
+    simulation.add_endpoints(simulation.batch_size)
     simulation.run(OBSERVATION_MS)
 
 
 def set_half_unreachable(simulation: SlowStartSimulation) -> None:
     simulation.run(LEARNING_MS)
     simulation.set_outcome(list(simulation.endpoints)[::2], Outcome.CONNECT_FAILED)
-    simulation.add_endpoints(simulation.tenth)
+    simulation.add_endpoints(simulation.batch_size)
     simulation.run(OBSERVATION_MS)
 
 
