--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: sheds requests depending on priority weight, tenant quota and lateness.
+"""Admission control: sheds requests by their priority weight, tenant quota and lateness.
 
 docs/POLICY.md has the formulas and the reasons for the constants.
 """
@@ -9,35 +9,35 @@
 from loadbalancer.settings import RequestClass, Settings
 
 PRIORITY_EXPONENT = 1 / 3
-"""Exponent of the relative priority weight.
+"""Exponent applied to the relative priority weight, the weight of a class divided by the largest weight.
 
 With an exponent of 1, a class with an eighth of the largest weight is shed as early as requests over quota.
-With 1/2, one class still gets less service than the minimum that every class must get.
+With 1/2, fewer requests of one class are still served than the minimum required for every class.
 """
 FULL_TIMEOUT_FRACTION = 0.9
-"""A request whose remaining time is below this fraction of its class's maximum counts as a client retry.
+"""Fraction of the longest remaining time of a class; a request with less counts as a client retry.
 
-The maximum is the longest remaining time seen for the class. A client retry has less, since the client's
+The remaining time of a client retry is shorter than the longest one seen for the class, since the client's
 first attempt has used up part of the deadline.
 """
 MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS
-"""Time constant, in requests of a class, of the exponential decay of its maximum remaining time.
+"""Time constant of the exponential decay of a class's longest remaining time, in requests of that class.
 
-Without the decay, the maximum would not follow clients that shorten their timeouts.
+Without the decay, the value would remain too high after clients shorten their timeouts.
 """
 QUOTA_BURST_MS = 2_000.0
-"""Bucket size, in ms of quota: a tenant may use this much of its quota in a burst.
+"""Time, in ms, in which a tenant's quota fills its empty bucket; determines the largest burst.
 
 A bucket that grows with the square root of the number of balancers has no advantage.
 """
 
 
 class Quotas:
-    """One token bucket per tenant for this balancer's part of the quota; each request costs one token.
+    """One token bucket per tenant, filled at this balancer's part of the quota; each request costs one token.
 
-    Assumes that a tenant's requests spread evenly over the balancers. A tenant whose quota per balancer is
-    below 1 / QUOTA_BURST_MS (0.5 requests per second) always counts as over quota, since its bucket is too
-    small for one token.
+    Each balancer's part is the quota divided by the number of balancers; this assumes that a tenant's
+    requests spread evenly over them. A tenant whose quota per balancer is below 1 / QUOTA_BURST_MS (0.5
+    requests per second) always counts as over quota, since its bucket is too small for one token.
     """
 
     def __init__(self, settings: Settings, balancer_count: BalancerCountEstimator) -> None:
@@ -59,7 +59,7 @@
         return self._tokens[tenant] < 1
 
     def spend(self, tenant: str | None) -> None:
-        """Take the token for a request that was admitted within the quota."""
+        """Remove the token of a request that was admitted within the quota."""
         if tenant in self._tokens:
             self._tokens[tenant] -= 1
 
@@ -68,8 +68,8 @@
     """Admits or sheds requests: the more important a request, the higher the load at which it is shed.
 
     The importance, from 0 to 1, is the relative priority weight of the class to the power of
-    PRIORITY_EXPONENT, times `over_quota_weight` for a request over quota, times the class's `late_value`
-    for a late client retry.
+    PRIORITY_EXPONENT. It is multiplied by `over_quota_weight` for a request over quota, and by the class's
+    `late_value` for a late client retry.
     """
 
     def __init__(self, settings: Settings, overload: OverloadDetector, quotas: Quotas) -> None:
@@ -85,7 +85,7 @@
     ) -> bool:
         """Return whether to admit a request that arrives now.
 
-        Only the first tier sheds load: in later tiers, shedding would waste the work done by earlier ones.
+        Only the first tier sheds load: shedding in later tiers would waste the work done by earlier ones.
         """
         if not self._is_first_tier:
             return True
@@ -96,7 +96,7 @@
             importance *= request_class.late_value
         if self._overload.is_overloaded(importance, now):
             return False
-        # A shed request spends no token: its client may retry, and the request would be charged twice.
+        # A shed request spends no token: if the client retried, the request would be charged twice.
         if not is_over_quota:
             self._quotas.spend(tenant)
         return True
--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -5,13 +5,13 @@
 from loadbalancer.settings import Settings
 
 SHORT_TERM_REQUESTS = 30
-"""Number of requests in the short-term mean, which adapts within seconds at tens of requests per second."""
+"""Number of requests in the short-term mean; it adapts within seconds at tens of requests per second."""
 LONG_TERM_REQUESTS = 1_000
-"""Number of requests in the long-term mean, the baseline: a burst of tens of requests hardly changes it."""
+"""Number of requests in the long-term mean; a burst of tens of requests hardly changes it."""
 
 
 class ArrivalRate:
-    """Estimates the mean interarrival time of requests, and from it their rate.
+    """Estimates the mean interarrival time and the arrival rate of requests.
 
     The mean of the first N intervals is arithmetic; after that it is an exponential moving average in which
     each new interval has the weight 1/N. N is SHORT_TERM_REQUESTS or LONG_TERM_REQUESTS.
@@ -63,10 +63,12 @@
     def _rate_per_ms(self, interarrival_ms: float, requests: int, now: float) -> float:
         """Return the inverse of a mean interarrival time over the given number of requests.
 
-        If fewer requests have arrived, the rate is their number divided by the time since the start plus one
-        slow-start window; the window keeps the rate low right after the start. Otherwise the mean
-        interarrival time is increased by the clock's resolution over the number of requests, since it is 0 if
-        all requests arrive within one clock tick.
+        The clock's resolution, divided by the number of requests, is added to the mean interarrival time,
+        which is 0 if all requests arrive within one clock tick.
+
+        If fewer requests than the given number have arrived, the rate is their count divided by the sum of
+        the time since `started_at` and one slow-start window. The window keeps the rate low right after the
+        start.
         """
         if self._count >= requests:
             return 1.0 / (interarrival_ms + self._tick_ms / requests)
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Records the start and the end of each attempt as evidence on endpoints, classes and connections."""
+"""Updates the statistics on endpoints, classes and connections at the start and the end of each attempt."""
 
 import math
 
@@ -14,8 +14,8 @@
 """Time without a response, in expected service times, after which an attempt counts as one full failure.
 
 The expected service time of a request is the mean service time of its class times the request's expected
-work. An attempt that ends earlier counts as a fraction of a failure, in proportion to its duration: a short
-wait is weak evidence.
+work. An attempt that ends earlier without a response counts as a fraction of a failure, in proportion to its
+duration: a healthy endpoint may not have responded by then either.
 """
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
 """Outcomes after which the connection can be reused.
@@ -24,13 +24,17 @@
 `Enum.__hash__`, which is slow because it is implemented in Python.
 """
 LIVENESS_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
-"""Outcomes that show whether an idle connection was alive."""
+"""Outcomes that show whether an idle connection was still alive when it was used."""
 INCONCLUSIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.NOT_SENT)
-"""Outcomes that say nothing about the endpoint, since this balancer ended the attempt."""
+"""Outcomes that do not show whether the endpoint is healthy, since this balancer ended the attempt."""
 
 
 class AttemptRecorder:
-    """Updates the evidence on endpoints, service times, sustainable concurrency and idle connections."""
+    """Updates statistics from the outcomes of attempts.
+
+    These are the statistics of the endpoints, the mean service times, the estimate of the sustainable
+    concurrency and the learned idle limit of connections.
+    """
 
     def __init__(
         self,
@@ -56,7 +60,8 @@
 
         Args:
             endpoint: The endpoint that the attempt is sent to.
-            idle_ms: How long its connection has been idle; 0 if it is new, in use or unknown.
+            idle_ms: How long the connection of the attempt has been idle; 0 if the connection is new, in use
+                or unknown.
             timeout_ms: The time until the attempt times out.
             now: The current time.
             is_shedding: Whether the balancer is shedding load.
@@ -73,8 +78,8 @@
     def record_end(self, attempt: Attempt, outcome: Outcome, request: Request, now: float) -> None:
         """Record the end of an attempt.
 
-        A failed attempt adds its full timeout to the busy time of the endpoint, and no served work. Otherwise
-        an endpoint that fails quickly would appear to be fast.
+        A failed attempt adds its full timeout to the busy time of the endpoint, and no served work. If only
+        its duration were added, an endpoint that fails quickly would appear to be fast.
         """
         endpoint, class_name = attempt.endpoint, request.request_class.name
         endpoint.advance_to(now)
@@ -97,7 +102,7 @@
         self._in_flight -= 1
 
     def record_abandoned(self, attempt: Attempt, request: Request, now: float) -> None:
-        """Record that the request has finished while this attempt has no response yet."""
+        """Record that the request has finished before this attempt got a response."""
         self._idle_limit.record(attempt.idle_ms, is_unresponsive=True)
         self._record_missing_response(attempt, request, now)
 
@@ -118,8 +123,8 @@
         elapsed_ms, service_times = now - attempt.started_at, self._service_times
         if attempt.is_baseline:
             service_times.record_baseline(class_name, elapsed_ms / expected_work)
-        # This call may recompute the available capacity, which advances and reads the evidence of every
-        # endpoint. Therefore the attempt is added to the evidence only afterwards.
+        # This call may recompute the available capacity, which advances and reads the statistics of every
+        # endpoint. Therefore the attempt is added to the statistics only afterwards.
         self._sustainable_concurrency.record_completion(
             expected_work * service_times.baseline_ms(class_name), now
         )
--- a/loadbalancer/policy/attempt_starter.py
+++ b/loadbalancer/policy/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Starts attempts: selects the endpoint, closes connections that may be dead and sets the hedge timer."""
+"""Starts attempts: selects an endpoint, closes connections that may be dead and sets the hedge timer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptStarter:
-    """Starts attempts, up to the maximum number per request and only while time remains."""
+    """Starts attempts until a request has reached its maximum number of attempts or has expired."""
 
     def __init__(
         self,
@@ -38,12 +38,15 @@
         self._slow_start = slow_start
 
     def start(self, request: Request, now: float, *, is_shedding: bool) -> list[Action]:
-        """Start the next attempt of a request, and return the actions for it.
+        """Start the next attempt of a request, and return the actions that carry it out.
+
+        The list is empty if the request is about to expire, has reached its maximum number of attempts, or
+        has no eligible endpoint.
 
-        The list is empty if the request has no time or no attempt left, or if no endpoint is eligible.
         `CloseIdleConnections` precedes an attempt whose connection may be dead: a first attempt if the
-        connection has been idle for the learned limit, a retry or hedged attempt if it has been idle at all.
-        Connections count as idle only while this balancer has no attempt in flight at their endpoint.
+        connection has been idle for at least the learned limit, a retry or hedged attempt if the connection
+        has been idle at all. Connections count as idle only while this balancer has no attempt in flight at
+        the endpoint.
 
         Args:
             request: The request.
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -1,4 +1,4 @@
-"""The available capacity: the weight of the endpoints that can take requests."""
+"""The available capacity: the total weight of the healthy endpoints, reduced for those in slow start."""
 
 import math
 from typing import TYPE_CHECKING
@@ -19,17 +19,17 @@
 
 
 class AvailableCapacity:
-    """Sums the weight of the endpoints that can take requests, and updates the balancer count with each sum.
+    """Sums the weights of the healthy endpoints, and updates the balancer count with each sum.
 
-    An endpoint in slow start counts with its weight times its warm-up fraction, an outlier not at all.
-    Weights are relative: the endpoint list gives an ordinary endpoint the weight 1.
+    The weight of an endpoint in slow start is multiplied by its warm-up fraction; outliers are left out.
+    Weights are relative: an ordinary endpoint has the weight 1 in the endpoint list.
 
     If limits counted the capacity of unreachable or warming endpoints in full, the requests admitted for them
     would all go to the other endpoints.
 
     Attributes:
         balancer_count: The estimated number of balancers.
-        weight: The last sum; 1 if no endpoint can take requests, so that no limit derived from it is 0.
+        weight: The last sum; 1 if no endpoint is healthy, so that no limit derived from the sum is 0.
         reachable: The ready endpoints that accept connections; all ready ones if connects fail at all of
             them.
     """
@@ -43,7 +43,7 @@
         self.reachable: list[EndpointStats] = []
 
     def invalidate(self, now: float) -> None:
-        """Make the next call of `update` recompute the sum, after a change of the endpoint list."""
+        """Make the next call of `update` recompute the sum; the endpoint list has changed."""
         self._updated_at = min(self._updated_at, now - UPDATE_INTERVAL_MS)
 
     def update(self, now: float) -> float:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,7 +1,8 @@
-"""The policy of one balancer instance; the events that it takes are in loadbalancer/events.py.
+"""The policy of one balancer instance; loadbalancer/events.py defines the events that it handles.
 
-A request that is not shed gets a first attempt. When an attempt finishes, the client has its response, a
-retry starts, or the request fails. docs/POLICY.md explains the mechanisms.
+For each request that is not shed, the policy starts a first attempt. When the last attempt in flight ends
+without a response for the client, the policy starts a retry, or rejects or fails the request.
+docs/POLICY.md explains the mechanisms.
 """
 
 import math
@@ -46,16 +47,18 @@
 from loadbalancer.timers import EndpointListTimer, HedgeTimer, Timer
 
 SHEDDING_HOLD_TIME_MS = 6_000.0
-"""How long the balancer counts as shedding load after it has shed a request, in milliseconds.
+"""Time after a shed request during which the balancer counts as shedding load, in milliseconds.
 
-During this time further shed requests are not logged, and no attempt counts toward the baseline service time.
+During this time further shed requests are not logged, and attempts that start do not count toward the
+baseline service time.
 """
 
 
 class LoadBalancer:
     """The policy of one balancer instance.
 
-    The host passes it events in the order in which they happen, and carries out the actions that it returns.
+    The host calls `handle` with each event, in the order in which the events happen, and carries out the
+    returned actions.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -91,7 +94,7 @@
 
     @property
     def open_requests(self) -> int:
-        """The number of requests that have no final response yet or still have attempts in flight."""
+        """The number of requests without a final response or with attempts still in flight."""
         return len(self._requests)
 
     @property
@@ -144,14 +147,14 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Reject a request before its first attempt; log the reason unless load was already being shed."""
+        """Reject a request before its first attempt; log the reason if the balancer was not shedding load."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_HOLD_TIME_MS
         self._respond_with_failure(request)
 
     def _start_attempt(self, request: Request, now: float) -> bool:
-        """Start the next attempt of a request if one is allowed; return whether it has started."""
+        """Start the next attempt of a request if one is allowed; return whether it was started."""
         actions = self._attempt_starter.start(request, now, is_shedding=now <= self._shedding_until)
         self._actions += actions
         return bool(actions)
@@ -161,7 +164,7 @@
             case EndpointListTimer():
                 self._actions.append(WatchEndpoints())
             case HedgeTimer(request_id):
-                # Hedging is suspended as soon as requests of the lowest importance would be shed.
+                # Hedging is suspended at the load at which requests of the lowest importance, 0, are shed.
                 request = self._requests.get(request_id)
                 if request and self._hedging.allows(request) and not self._overload.is_overloaded(0.0, now):
                     self._start_retry(request, now)
@@ -181,7 +184,7 @@
         self._requests.remove_if_finished(request)
 
     def _finish_request(self, request: Request, outcome: Outcome, now: float) -> None:
-        """Finish a request whose client needs no further response.
+        """Finish a request whose response is complete or whose client has disconnected.
 
         Attempts still in flight are recorded as abandoned and, if the settings allow it, cancelled.
         """
@@ -194,7 +197,7 @@
         self._cancel_open_attempts(request)
 
     def _start_retry(self, request: Request, now: float) -> bool:
-        """Start a retry or hedged attempt if its budget has a token; return whether it has started."""
+        """Start a retry or hedged attempt if its budget has a token; return whether it was started."""
         budget = self._retry_budgets.budget_for(request)
         if not budget.has_token() or request.is_streaming or not self._start_attempt(request, now):
             return False
--- a/loadbalancer/policy/balancer_count.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -1,4 +1,4 @@
-"""The number of balancers that serve this tier, this one included."""
+"""Estimates the number of balancers of this tier, including this one."""
 
 import math
 
@@ -13,24 +13,25 @@
 
 
 class BalancerCountEstimator:
-    """Estimates how many balancers serve requests, since no message reports their number.
+    """Estimates how many balancers of this tier are running; no message reports their number.
 
     The balancers and endpoints of a zone fail together, and the requests of the failed balancers move to the
-    others. So the estimate is the configured number times the larger of two ratios, which is capped at 1:
+    other balancers. So the estimate is the configured number times the larger of two ratios, capped at 1:
 
         weight ratio        = weight of the healthy endpoints / its baseline
         interarrival ratio  = short-term / long-term mean interarrival time
 
-    The estimate decreases only if both ratios do. One ratio alone is no evidence: a burst also shortens the
-    interarrival times, and endpoints may be removed while all balancers remain. Before the second request the
-    interarrival ratio is 0. Assumes that the zones have balancers in proportion to their endpoints, and that
-    clients spread evenly over the remaining balancers.
+    The estimate decreases only if both ratios do. Neither ratio alone shows a loss of balancers: a burst also
+    shortens the interarrival times, and endpoints may be removed while all balancers remain. Before the
+    second request the interarrival ratio is 0. The estimate assumes that the number of balancers in each zone
+    is proportional to the number of endpoints there, and that clients spread evenly over the remaining
+    balancers.
 
-    With the configured number alone, capacity and quotas would go unused after the loss of a zone: the
-    balancers of that zone no longer use their part, so each of the others must use more than before.
+    If the configured number were used after the loss of a zone, the capacity and quotas assigned to the lost
+    balancers would be unused, since the other balancers would not increase their parts.
 
     Attributes:
-        estimate: The estimated number of balancers, this one included; at least 1, not necessarily an
+        estimate: The estimated number of balancers, including this one; at least 1, not necessarily an
             integer.
     """
 
@@ -45,8 +46,8 @@
 
         Args:
             weight: The total weight of the healthy endpoints, regardless of their warm-up fractions.
-            previous_update_at: When the previous weight was summed, or up to 100 ms earlier if the endpoint
-                list has changed since; minus infinity at the first update.
+            previous_update_at: The time of the previous update, or up to 100 ms before it if the endpoint
+                list has changed since then; minus infinity at the first update.
             now: The current time.
         """
         decayed_weight = self._baseline_weight * math.exp(
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -1,4 +1,4 @@
-"""The learned capacity of each endpoint, in work per millisecond of busy time.
+"""Estimates the capacity of each endpoint, in work per millisecond of busy time.
 
 docs/POLICY.md has the formula, its source and the reasons for the constants.
 """
@@ -16,41 +16,41 @@
 MIN_ATTEMPTS_PER_TIME_CONSTANT = 4.0
 """Minimum mean number of attempts per endpoint of the subset within one time constant.
 
-At low request rates, the time constant is lengthened accordingly. The number exceeds PSEUDO_OBSERVATIONS, so
-that the evidence of one time constant outweighs the prior.
+At low request rates, the time constant is increased until it covers this number. The number exceeds
+PSEUDO_OBSERVATIONS, so that the attempts within one time constant outweigh the prior.
 """
 MAX_CAPACITY_TIME_CONSTANT_MS = 20_000.0
 """Upper bound of the time constant, in ms: estimates must follow a recovered endpoint within a minute."""
 PSEUDO_OBSERVATIONS = 2.0
-"""Number of attempts at the prior's rate that are added to the evidence on each endpoint.
+"""Number of fictitious attempts, served at the prior capacity, that are added to each endpoint's statistics.
 
-With two, a single slow response at an endpoint with little evidence does not distort its estimate much.
+With two, a single slow response of an endpoint with few attempts does not distort the estimate much.
 """
 MIN_SERVED_WORK = 0.5
-"""Work, in units of the mean request, that an endpoint must have served recently to count in the median."""
+"""Recently served work, in units of the mean request, above which an endpoint is included in the median."""
 MEDIAN_INTERVAL_MS = 500.0
-"""Age, in ms, at which the median is recomputed; sorting all endpoints for each request costs too much."""
+"""Age, in ms, at which the median is recomputed; sorting all endpoints for each request is too expensive."""
 
 
 class CapacityEstimator:
-    """Estimates the capacity of each endpoint, shrunk toward a prior where there is little evidence.
+    """Estimates the capacity of each endpoint, shrunk toward a prior if few attempts have been recorded.
 
         prior    = median * weight
         capacity = (served_work + k) / (busy_ms + k / prior),  k = PSEUDO_OBSERVATIONS
 
     `served_work` is the work that the endpoint has served for this balancer, and `busy_ms` the total time
-    that this balancer's attempts have spent there; both decay exponentially. By Little's law their quotient
-    is the throughput of these attempts divided by their mean number in flight. `median` is the median of
-    served_work / (busy_ms * weight) over the endpoints with evidence.
+    that this balancer's attempts have spent there; both decay exponentially. By Little's law, served_work /
+    busy_ms is the throughput of these attempts divided by their mean number in flight. `median` is the median
+    of served_work / (busy_ms * weight) over the endpoints that have recently served work.
 
-    The prior is needed because each of hundreds of balancers calls an endpoint too rarely to learn its
-    capacity from its own attempts alone.
+    The prior is needed because one of hundreds of balancers sends an endpoint too few requests to learn the
+    endpoint's capacity from its own attempts alone.
 
     Attributes:
-        median: Capacity per unit of weight, in work per ms; 0 until there is evidence on an endpoint.
+        median: Median capacity per unit of weight, in work per ms; 0 until an endpoint has served work.
         served_work_per_ms: The mean rate at which a warm endpoint of the subset serves work for this
             balancer.
-        time_constant_ms: The time constant by which evidence on capacity decays.
+        time_constant_ms: The time constant with which `served_work` and `busy_ms` decay.
     """
 
     def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate) -> None:
@@ -81,10 +81,10 @@
         return estimates
 
     def current_median(self, now: float) -> float:
-        """Return the median, recomputed if it is at least MEDIAN_INTERVAL_MS old; 1 until there is evidence.
+        """Return the median, recomputed after MEDIAN_INTERVAL_MS; 1 until an endpoint has served work.
 
-        Without evidence all endpoints are selected by their weight alone, so any positive value will do. When
-        all evidence has decayed, the last median is kept.
+        Until an endpoint has served work, endpoints are selected by weight alone, and any positive value
+        gives the same result. If no endpoint has served work recently, the last median is kept.
         """
         if now - self._median_updated_at >= MEDIAN_INTERVAL_MS:
             self._median_updated_at = now
@@ -104,8 +104,8 @@
         # A sum that decays with the time constant T converges to T times the rate at which it is added to.
         if warm_served_work := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_work_per_ms = sum(warm_served_work) / len(warm_served_work) / self.time_constant_ms
-        # Each of hundreds of balancers starts few attempts: with a short time constant, the evidence would
-        # decay between two of them.
+        # Each of hundreds of balancers starts few attempts: with a short time constant, the statistics of an
+        # endpoint would decay to nearly 0 between two attempts.
         interval_ms = self._arrivals.short_term_interarrival_ms
         required_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
         time_constant_ms = min(max(STATISTICS_TIME_CONSTANT_MS, required_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -9,7 +9,7 @@
 from loadbalancer.settings import Settings
 
 MIN_SUBSET_SIZE = 12
-"""Minimum number of endpoints in the subset, so that several remain after the loss of a few."""
+"""Minimum number of endpoints in the subset; several must remain after the loss of a few."""
 BALANCERS_PER_ENDPOINT = 30
 """Mean number of balancers whose subsets contain a given endpoint.
 
@@ -22,11 +22,11 @@
     """Computes the warm-up fraction of an endpoint: its present capacity as a fraction of its full capacity.
 
     With the initial fraction i, the age a of the process and the slow-start time T, the fraction is
-    1 - (1 - i) (1 - a / T): a linear ramp from i at the start of the process to 1 at the age T. Both i and T
-    are settings.
+    1 - (1 - i) (1 - a / T): it increases linearly from i at the start of the process to 1 at the age T. Both
+    i and T are settings.
 
     Attributes:
-        active_until: The time after which all listed endpoints are warm, in milliseconds.
+        active_until: The time from which all ready endpoints are warm, in milliseconds.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -55,11 +55,11 @@
 
         max(MIN_SUBSET_SIZE, ready endpoints * BALANCERS_PER_ENDPOINT / balancers)
 
-    Each balancer draws a rank for each endpoint once, so a subset is random but stable: a new endpoint
-    displaces at most one of its members.
+    Each balancer draws a random rank once for each endpoint, so the subset is random but stable: a new
+    endpoint replaces at most one endpoint of the subset.
 
-    Without subsets, each of many balancers would call every endpoint too rarely to learn its capacity or to
-    reuse a connection.
+    Without subsets, each of many balancers would send every endpoint too few requests to learn the endpoint's
+    capacity or to reuse a connection.
 
     Attributes:
         warmup: The warm-up ramp of the endpoints in slow start.
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""The idempotency rules: which endpoints may get another attempt of a request."""
+"""The idempotency rules: they determine which endpoints may receive another attempt of a request."""
 
 from loadbalancer.policy.endpoint_set import EndpointSet
 from loadbalancer.policy.endpoint_stats import EndpointStats
@@ -7,23 +7,23 @@
 
 
 class IdempotencyRules:
-    """Limits the next attempt to endpoints where the request cannot take effect a second time."""
+    """Restricts attempts to endpoints where the request cannot have its effect a second time."""
 
     def __init__(self, settings: Settings, endpoints: EndpointSet) -> None:
         self._settings = settings
         self._endpoints = endpoints
 
     def eligible(self, request: Request, now: float) -> list[EndpointStats]:
-        """Return the endpoints that may get the next attempt of a request.
+        """Return the endpoints that may receive the next attempt of a request.
 
-        If no attempt may have run, or the class is safe to repeat, these are the balancer's subset. If the
-        class is not idempotent, there are none. For a class with idempotency keys, they are the endpoints in
-        the scope of the key while its window is open, since these know the key from the first attempt that
-        may have run.
+        - If no earlier attempt may have run, or the class is safe to repeat: the balancer's subset.
+        - If the class is not idempotent: none.
+        - If the class uses idempotency keys: the ready endpoints in the scope of the key, as long as the
+          idempotency window is open. They know the key from the first attempt that may have run, except those
+          that have restarted since then; these may have lost the key and are excluded.
 
-        A retry must not arrive after the window. It may have to wait for a connect, so the window must stay
-        open for longer than the clock's resolution plus the connect timeout. Endpoints that have restarted
-        since the first attempt are excluded, since they may have forgotten the key.
+        A retry must arrive before the window ends. It may first have to open a connection, so the window must
+        remain open for longer than the clock's resolution plus the connect timeout.
         """
         request_class = request.request_class
         first = next((a for a in request.attempts if a.may_have_run), None)
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle time after which connections are dead, learned from attempts on idle connections."""
+"""Learns the idle time after which connections are dead from the attempts made on idle connections."""
 
 import math
 from bisect import bisect_left
@@ -7,18 +7,18 @@
 MAX_SAMPLES = 40
 """Number of the most recent attempts on idle connections, from which the limit is learned.
 
-After a change of the true limit, 40 such attempts replace the old evidence.
+After a change of the true limit, the old samples are replaced within 40 such attempts.
 """
 MIN_UNRESPONSIVE = 2.0
-"""Minimum number of attempts without a response that is needed to infer a limit.
+"""Minimum number of attempts without a response from which a limit is inferred.
 
-A single one may be due to the endpoint.
+The cause of a single one may be the endpoint instead of the connection.
 """
 MIN_UNRESPONSIVE_FRACTION = 0.6
 """Minimum fraction of attempts without a response among those on connections idle for the limit or longer.
 
-It is less than 1 because other attempts may have used a connection in the meantime, which has then been idle
-for less time than estimated.
+It is less than 1 because the idle time of a connection may be overestimated: another attempt may have used
+the connection in the meantime.
 """
 
 
@@ -26,24 +26,24 @@
     """Learns the idle time after which connections are dead.
 
     A middlebox or the endpoint may drop an idle connection without sending a packet, and each attempt on such
-    a connection takes its full timeout. The drawback is that, where attempts get no response for another
-    reason, working connections are closed and attempts have to open new ones.
+    a connection would last until its timeout. The drawback is that, if attempts get no response for another
+    reason, working connections are closed and later attempts have to open new ones.
     """
 
     def __init__(self) -> None:
         # For each attempt: the idle time of its connection in milliseconds, and whether it got no response.
         self._samples: deque[tuple[float, bool]] = deque(maxlen=MAX_SAMPLES)
-        self.limit_ms = math.inf  # the shortest idle time at which connections are found dead
+        self.limit_ms = math.inf  # shortest idle time of dead connections; infinity if none is known
 
     def record(self, idle_ms: float, *, is_unresponsive: bool) -> None:
-        """Record an attempt on a connection that had been idle, and update the limit.
+        """Record an attempt, and update the limit if the connection had been idle.
 
         The limit is the shortest idle time t of an attempt without a response such that the attempts with an
         idle time of t or longer satisfy both `MIN_UNRESPONSIVE` and `MIN_UNRESPONSIVE_FRACTION`.
 
         Args:
-            idle_ms: How long the connection had been idle; 0 if it was new or in use; such attempts are
-                ignored.
+            idle_ms: How long the connection had been idle; 0 if it was new, in use or unknown, in which case
+                the attempt is ignored.
             is_unresponsive: Whether the attempt got no response.
         """
         if not idle_ms:
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -8,7 +8,7 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
-"""Limit on the attempts in flight of all balancers per unit of available capacity, for importance 0."""
+"""Limit on the attempts in flight of all balancers, per unit of available capacity, for importance 0."""
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
 """The same limit for importance 1.
 
@@ -24,44 +24,46 @@
 overloaded.
 """
 BURST_Z_SCORE = 1.0
-"""Standard deviations above the limit at which a count is treated as a burst, not as a random peak."""
+"""Standard deviations above the limit from which a count is treated as a burst, not as a random peak."""
 MIN_BURST_ATTEMPTS = 8
 """Minimum number of attempts in flight that can count as a burst.
 
-With hundreds of balancers, the limit of each is less than one attempt, and the normal approximation of a
-Poisson count does not hold there.
+With hundreds of balancers, the limit of each is less than one attempt, and for so small a mean the normal
+approximation of a Poisson count is not valid.
 """
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
-"""Attempts of all balancers per unit of available capacity that are sustainable even without evidence.
+"""Attempts of all balancers, per unit of available capacity, that are always considered sustainable.
 
-Otherwise an estimate that has decayed to zero would keep out the requests needed to renew it.
+Without this minimum, an estimate that has decayed to zero would remain there: all requests would be shed, and
+none could complete to raise it.
 """
 AVERAGING_TIME_CONSTANT_MS = 1_000.0
-"""Time constant, in ms, of the means over attempts.
+"""Time constant, in ms, of the mean of the attempts in flight and of the sustainable concurrency.
 
-It is longer than a request takes, and shorter than the time in which an overload makes endpoints slow.
+It is longer than the duration of a request, and shorter than the time in which an overload slows endpoints.
 """
 INITIAL_SUSTAINABLE_FRACTION = 0.25
 """Initial sustainable concurrency, before the first completion, as a fraction of its upper limit.
 
-With a limit of 8 attempts per unit of capacity, it is two attempts per unit.
+With an upper limit of 8 attempts per unit of capacity, the initial value is two attempts per unit.
 """
 
 
 class SustainableConcurrency:
     """Estimates how many attempts of this balancer the endpoints and the tiers behind them can sustain.
 
-    By Little's law that is the completion rate times the service time without load. Each completed attempt
-    adds its baseline service time divided by the time constant T, and the sum decays exponentially:
+    By Little's law this number is the completion rate times the baseline service time, the service time
+    without load. Each completed attempt adds its baseline service time divided by the time constant T, and
+    the sum decays exponentially:
 
         concurrency(t) = sum over completions i of baseline_ms[i] / T * exp(-(t - t[i]) / T)
 
-    The attempts in flight divided by this estimate are the latency inflation: the latency of an attempt as a
-    multiple of its baseline service time. Assumes that the work of a completed attempt took its baseline
-    service time.
+    The number of attempts in flight divided by this estimate is the latency inflation: the mean latency as a
+    multiple of the baseline service time. The estimate assumes that, without load, each completed attempt
+    would have taken its baseline service time.
 
-    The estimate detects an overload behind the endpoints. Neither the endpoint list nor the limit by endpoint
-    capacity covers the tiers behind them.
+    The estimate detects an overload of the tiers behind the endpoints, which neither the endpoint list nor
+    the limit on attempts per unit of endpoint capacity shows.
     """
 
     def __init__(self, available_capacity: AvailableCapacity) -> None:
@@ -71,10 +73,11 @@
         self._updated_at = -math.inf
 
     def estimate(self, now: float) -> float:
-        """Return the concurrency in attempts, at most this balancer's part of the limit for importance 1.
+        """Return the estimate, capped at this balancer's part of the capacity limit for importance 1.
 
-        A balancer without evidence begins at a fraction of the limit. Otherwise balancers that start together
-        would use all of it before the first responses show the load.
+        Before the first completion, the estimate is a fraction of this limit. If new balancers began with
+        the full limit, balancers that start together would use it up before the first responses show an
+        overload.
         """
         limit = (
             MAX_IN_FLIGHT_PER_CAPACITY
@@ -95,11 +98,11 @@
 
 
 class OverloadDetector:
-    """Compares the attempts in flight with two limits: endpoint capacity and sustainable concurrency.
+    """Compares the attempts in flight with two limits, from endpoint capacity and sustainable concurrency.
 
-    This detects an overload of any cause (more requests, fewer endpoints, slower endpoints) before the
-    endpoints slow down. Latency alone shows an overload too late, and where the work of requests varies
-    widely, latency is high without any overload.
+    This detects an overload of any cause (more requests, fewer endpoints, slower endpoints) before latency
+    increases. Latency alone shows an overload too late, and if the work of requests varies widely, latency is
+    high for some requests without any overload.
     """
 
     def __init__(self, available_capacity: AvailableCapacity) -> None:
@@ -109,9 +112,9 @@
         self._updated_at = 0.0
 
     def is_overloaded(self, importance: float, now: float) -> bool:
-        """Return whether to shed requests of an importance, from 0 (lowest) to 1 (highest)."""
+        """Return whether to shed requests of the given importance, from 0 (lowest) to 1 (highest)."""
         capacity = self._available_capacity.update(now)
-        # Attempts at draining or unreachable endpoints are no load on those that can take requests.
+        # Attempts at draining or unreachable endpoints add no load to the reachable ones.
         in_flight = sum(e.in_flight for e in self._available_capacity.reachable)
         self._update_mean(in_flight, now)
         return self._exceeds_capacity(in_flight, importance, capacity) or self._exceeds_sustainable(
@@ -119,12 +122,13 @@
         )
 
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
-        """Return whether all balancers together have more attempts in flight than endpoint capacity allows.
+        """Return whether the attempts in flight of all balancers together reach the limit from capacity.
 
-        Each other balancer is assumed to have this one's mean, not its current count: a random peak does not
-        occur at all balancers at once. A burst that arrives at all of them is not in the mean yet, so a count
-        above the Poisson bound of this balancer's part of the limit counts as an overload as well. Assumes
-        that clients spread evenly over the balancers; one that has more than its part of them sheds load too
+        Each other balancer is assumed to have this balancer's mean number of attempts in flight, not its
+        current number: a random peak does not occur at all balancers at once. A burst that arrives at all
+        balancers does not show in the mean yet, so the current number also counts as an overload if it
+        reaches the Poisson bound for this balancer's part of the limit. This assumes that clients spread
+        evenly over the balancers; a balancer that receives more requests than the others sheds load too
         early.
         """
         max_per_capacity = (
@@ -137,11 +141,11 @@
         return total_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
 
     def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
-        """Return whether the latency inflation is too high for an importance.
+        """Return whether the latency inflation is too high for requests of the given importance.
 
-        Both the current count and the mean must reach the limit: the count alone may be a random peak, and
-        the mean alone may stem from attempts that have ended. As with the capacity limit, a count above the
-        Poisson bound of the limit is sufficient by itself.
+        Both the current number of attempts in flight and its mean must reach the limit: the current number
+        alone may be a random peak, and the mean alone may stem from attempts that have ended. As with the
+        capacity limit, a current number that reaches the Poisson bound for the limit is sufficient by itself.
         """
         inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
@@ -160,7 +164,7 @@
 
 
 def _exceeds_poisson_bound(count: int, mean: float) -> bool:
-    """Return whether a count is too high for a Poisson variable with this mean.
+    """Return whether a count is too high to be a random peak of a Poisson variable with the given mean.
 
     The standard deviation of a Poisson variable is the square root of its mean.
     """
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -13,20 +13,20 @@
 If a poll takes longer than this to fail, MIN_DELAY_MS determines the delay.
 """
 MAX_BACKOFF_MS = 2_000.0
-"""Maximum time between two polls, in milliseconds; 3 s with jitter.
+"""Maximum time between two polls, in milliseconds, before jitter; with jitter 3 s.
 
-The operators allow 6 s from the return of discovery until the balancers have its list.
+The operators require that balancers have the endpoint list within 6 s after discovery has become reachable.
 """
 MIN_DELAY_MS = 250.0
 """Minimum time from a failure to the next poll, in milliseconds.
 
-A poll that took longer than the backoff to fail is repeated soon: an update that a broken watch missed must
-arrive within 2 s of the watch's timeout.
+It applies to a poll that took longer than the backoff to fail. It is short because an update missed by a
+watch request that got no response must be received within 2 s of the request's timeout.
 """
 MAX_DOUBLINGS = 9
-"""Number of doublings after which the exponent stops growing.
+"""Maximum number of doublings of the backoff.
 
-In a long outage, 2 to the power of the number of failures would overflow a float.
+Without a maximum, 2 to the power of the number of failures would overflow a float in a long outage.
 """
 
 
@@ -57,9 +57,9 @@
     def _next_poll_time(self, now: float) -> float:
         """Count a failed poll and return the time of the next one.
 
-        The backoff is the time from poll to poll, not from failure to poll: a poll that was slow to fail has
-        used up part of it. A random factor between 0.5 and 1.5 keeps the balancers from all polling discovery
-        at the same time when it returns.
+        The backoff is measured from one poll to the next, not from a failure to the next poll: a poll that is
+        slow to fail uses up part of the backoff. A random factor between 0.5 and 1.5 prevents the balancers
+        from all polling discovery at the same time when it becomes reachable.
         """
         max_backoff_ms = min(MAX_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
         backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_backoff_ms)
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -18,12 +18,12 @@
     """One attempt of a request. Times are in milliseconds on the clock of the events."""
 
     endpoint: EndpointStats
-    idle_ms: float  # how long its connection had been idle; 0 if it was new, in use or unknown
+    idle_ms: float  # how long the connection had been idle; 0 if it was new, in use or unknown
     started_at: float
     times_out_at: float
-    is_baseline: bool  # whether it started without load and so counts toward the baseline service time
+    is_baseline: bool  # whether it started without load, so that it counts toward the baseline service time
     is_open: bool = True  # whether it is in flight
-    may_have_run: bool = True  # whether it may have had an effect; false once its outcome rules that out
+    may_have_run: bool = True  # whether it may have had an effect; false if the outcome rules that out
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -32,8 +32,8 @@
 
     id: int
     request_class: RequestClass
-    expires_at: float  # when a response becomes worthless to the client, in milliseconds
-    work: float = 1.0  # its cost hint relative to the mean of all hints; 1 without a hint
+    expires_at: float  # time after which a response has no value to the client, in milliseconds
+    work: float = 1.0  # the request's cost hint divided by the mean of all hints; 1 without a hint
     attempts: list[Attempt] = field(default_factory=list)  # in the order of their start
     is_response_pending: bool = True  # whether the client still waits for the final response
     is_streaming: bool = False  # whether a streaming response has begun; no further attempt may start then
@@ -69,8 +69,8 @@
     def add(self, event: RequestReceived, now: float) -> Request:
         """Add a request that has arrived, and return it.
 
-        It expires at its deadline or, in a class whose late responses have no value, at its latency objective
-        if that is earlier.
+        The request expires at its deadline. If late responses of its class have no value, it expires at the
+        latency objective if that is earlier.
 
         Raises:
             DuplicateRequestError: A request with this id is open.
@@ -92,7 +92,7 @@
         return self._requests.get(request_id)
 
     def find(self, event: AttemptFinished | ResponseStarted) -> Request:
-        """Return the request that an event of one of its attempts refers to.
+        """Return the request that an event refers to.
 
         Raises:
             UnknownRequestError: The request is not open, or has no such attempt.
@@ -103,6 +103,6 @@
         return request
 
     def remove_if_finished(self, request: Request) -> None:
-        """Remove a request that needs no response and has no attempt in flight."""
+        """Remove a request if it needs no further response and has no attempt in flight."""
         if not request.is_response_pending and not request.has_open_attempt():
             self._requests.pop(request.id, None)
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -16,17 +16,18 @@
 MAX_SAMPLED_ENDPOINTS = 4
 """Maximum number of endpoints sampled for an attempt.
 
-The published algorithm needs two. More cost little, since sampling continues only while every endpoint
-sampled so far has an attempt of this balancer in flight.
+The published algorithm needs two. Sampling more adds little cost, since sampling continues only while every
+endpoint sampled so far has an attempt of this balancer in flight.
 """
 
 
 class EndpointSelector:
-    """Selects the endpoint for an attempt among the eligible ones.
+    """Selects the endpoint for an attempt among the eligible endpoints.
 
-    The algorithm is Algorithm 1 of Berenbrink et al., "Balls into non-uniform bins": it samples endpoints
-    with probability proportional to capacity and selects the one that would have the lowest load with the
-    attempt, (attempts in flight + 1) / capacity. A tie goes to the larger capacity.
+    This is Algorithm 1 of Berenbrink et al., "Balls into non-uniform bins": it samples endpoints with
+    probability proportional to capacity and selects the sampled endpoint with the lowest load. The load is
+    (attempts in flight + 1) / capacity, which includes the attempt to be started. Of endpoints with equal
+    load, the one with the larger capacity is selected.
     """
 
     def __init__(
@@ -47,8 +48,7 @@
         """Return the endpoint for the next attempt of a request; None if no endpoint is eligible.
 
         The eligible endpoints are those that the idempotency rules and slow start allow, except the outliers
-        for the class. Endpoints that the request has been sent to before are eligible only if there are no
-        others.
+        for the class. Endpoints that the request has already been sent to are eligible only if no others are.
         """
         median = self._capacity.current_median(now)
         eligible = self._idempotency.eligible(request, now)
@@ -64,13 +64,13 @@
     def _sample_by_capacity(self, eligible: list[EndpointStats], capacities: list[float]) -> EndpointStats:
         """Sample endpoints by capacity and return the one with the lowest load.
 
-        Only the first sample prefers the balancer's own zone, which would otherwise be overloaded while
-        endpoints of other zones are idle.
+        Only the first sample prefers the balancer's own zone. If all samples did, endpoints of that zone
+        could be overloaded while endpoints of other zones are idle.
 
-        Sampling ends at the first endpoint without an attempt of this balancer in flight. Among several such
-        endpoints, the one with the largest capacity has the lowest load, 1 / capacity. If sampling continued,
-        balancers with few requests each would all select that endpoint and overload it. With the early end,
-        they select such endpoints in proportion to capacity.
+        Sampling stops at the first endpoint without an attempt of this balancer in flight. The load of such
+        an endpoint is 1 / capacity, so if sampling continued, the one with the largest capacity would be
+        preferred, and many balancers with few requests each would overload it. Because sampling stops, they
+        select endpoints without attempts in proportion to capacity.
         """
         zone_sums = list(accumulate(_zone_adjusted_weights(eligible, capacities, self._own_zone)))
         capacity_sums = list(accumulate(capacities))
@@ -91,12 +91,13 @@
 def _zone_adjusted_weights(
     endpoints: list[EndpointStats], capacities: list[float], own_zone: str
 ) -> list[float]:
-    """Return the weights for the first sample, which keep requests in the balancer's zone up to its capacity.
+    """Return the weights for the first sample, which prefers the balancer's zone up to the zone's capacity.
 
-    With balancers spread evenly over the zones, each zone has to serve the mean of the zones' capacities. A
-    zone below the mean keeps as many requests as its capacity allows; the rest spills over to the zones above
-    the mean, in proportion to their excess over it. A zone above the mean keeps all its requests. The weights
-    are the capacities if the balancer's zone is unknown, has no endpoint, or is the only one.
+    If the balancers are spread evenly over the zones, each zone has to serve as many requests as a zone of
+    mean capacity can. A zone below the mean capacity serves as many of its requests as its own capacity
+    allows; the others spill over to the zones above the mean, in proportion to their excess over the mean. A
+    zone above the mean serves all its requests. The weights are the capacities if the balancer's zone is
+    unknown, has no endpoint, or is the only one.
     """
     zone_capacities: dict[str, float] = {}
     for endpoint, capacity in zip(endpoints, capacities, strict=True):
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -1,31 +1,30 @@
-"""Service times by class, with and without load, and the work of a request derived from its cost hint."""
+"""Mean service times by class, with and without load, and the work of a request from its cost hint."""
 
 from loadbalancer.settings import Settings
 
 SMOOTHING_ATTEMPTS = 50.0
-"""Number of attempts over which the means are smoothed.
+"""Number of attempts over which the means of service times and of cost hints are smoothed.
 
-Each new attempt has a weight of 1/50, so the standard deviation of a mean is a tenth of that of a single
-attempt.
+Each new value has a weight of 1/50, so the standard deviation of a mean is a tenth of that of a single value.
 """
 INITIAL_OBJECTIVE_FRACTION = 0.2
 """Initial service time of a class, as a fraction of its latency objective.
 
-At five times this service time a response is just within the objective; a larger fraction would leave too
-little time for waiting under load.
+A response that takes five times this service time is just within the objective. A larger fraction would
+leave too little time for queuing under load.
 """
 BASELINE_PSEUDO_OBSERVATIONS = 2.0
-"""Pseudo-observations of the initial value in the mean of the baseline service times.
+"""Number of attempts that the initial value counts as in the mean of the baseline service times.
 
-With two, the first attempt changes the baseline by only a third of the difference.
+With two, the first attempt changes the baseline by only a third of the difference to it.
 """
 
 
 class ServiceTimes:
-    """Averages the service time of each class: over all attempts, and over those without load (the baseline).
+    """Averages the service times of each class: of all attempts, and of those without load (the baseline).
 
     Both are exponential moving averages over SMOOTHING_ATTEMPTS successful attempts, in ms, and start at
-    INITIAL_OBJECTIVE_FRACTION of the latency objective. At first the baseline is an arithmetic mean in which
+    INITIAL_OBJECTIVE_FRACTION of the latency objective. The baseline begins as an arithmetic mean in which
     the initial value counts as BASELINE_PSEUDO_OBSERVATIONS attempts, so it is learned within a few attempts.
     """
 
@@ -42,7 +41,7 @@
         return self._mean_ms[class_name]
 
     def baseline_ms(self, class_name: str) -> float:
-        """Return the service time of a class without load, at least the initial value.
+        """Return the mean service time of a class without load, but not less than the initial value.
 
         Without this lower bound, the latency inflation of very short requests would count as an overload.
         """
@@ -56,8 +55,8 @@
         """Add a successful attempt without load to the baseline.
 
         Args:
-            class_name: The class of its request.
-            elapsed_ms: Its service time divided by the expected work of its request.
+            class_name: The class of the request.
+            elapsed_ms: The service time of the attempt divided by the expected work of the request.
         """
         attempts = min(self._baseline_attempts[class_name] + 1, SMOOTHING_ATTEMPTS)
         self._baseline_attempts[class_name] = attempts
@@ -65,7 +64,7 @@
 
 
 class CostHints:
-    """Compares the cost hint of each request with the exponential moving average of all of them."""
+    """Compares the cost hint of each request with the exponential moving average of all cost hints."""
 
     def __init__(self) -> None:
         self._mean_ms = 0.0
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: limits the requests that all balancers together send to an endpoint that is warming up.
 
-An endpoint fails if it gets too much work within one window while it warms up. No balancer sees the requests
-of the others, so each one estimates what all of them send and keeps its own part small enough that the sum
-stays within the limit. docs/POLICY.md derives the formulas in "Slow start over all balancers".
+An endpoint fails if it receives too much work within one window while it warms up. No balancer sees the
+requests of the other balancers, so each balancer estimates the requests of all of them and restricts its own
+so that the sum remains within the limit. docs/POLICY.md derives the formulas in "Slow start over all
+balancers".
 """
 
 import math
@@ -16,26 +17,27 @@
 from loadbalancer.settings import Settings
 
 SAFETY_FRACTION = 0.5
-"""Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean number allowed there.
+"""Sum of all balancers' budgets for a warming endpoint, as a fraction of the mean number of attempts allowed.
 
-The other half is a margin for requests with more than average work and for balancers that get more requests
-than others.
+The other half is a margin for requests with more than average work and for balancers that receive more
+requests than others.
 """
 Z_SCORE = 5.0
 """z-score of the upper bound of a Poisson count.
 
 It is as large as 5 because requests differ in work, so the work in a window varies more than the number of
-requests does.
+requests.
 """
 UPDATE_INTERVAL_MS = 100.0
 """Age, in milliseconds, at which the estimates are recomputed; computing them less often saves CPU time."""
 
 
 class SlowStart:
-    """Limits the attempts at warming endpoints so that all balancers together keep to the configured limit.
+    """Limits attempts at warming endpoints so that all balancers together comply with the configured limit.
 
-    Two limits apply to each attempt. The rank rule allows only a fraction of the balancers to call a warming
-    endpoint. The budget limits how many attempts each of these balancers starts there within a window.
+    Two limits apply to each attempt. The rank rule allows only a fraction of the balancers to send requests
+    to a warming endpoint. The budget limits the number of attempts that each of these balancers starts there
+    within a window.
     """
 
     def __init__(
@@ -55,19 +57,19 @@
         self._capacity = capacity
         self._updated_at = -math.inf
         self._balancers_per_endpoint = 1.0
-        # Requests per millisecond, from all balancers together, per unit of warm weight.
+        # Requests per millisecond of all balancers together, per unit of weight of warm endpoints.
         self._warm_rate_per_ms = 0.0
         # Fraction of the balancers that may select warming endpoints as freely as warm ones.
         self._unrestricted_fraction = 1.0
 
     def invalidate(self) -> None:
-        """Make the next call recompute the estimates, after a change of the endpoint list."""
+        """Make the next call of `within_limits` recompute the estimates; the endpoint list has changed."""
         self._updated_at = -math.inf
 
     def within_limits(
         self, endpoints: list[EndpointStats], now: float, *, is_first_attempt: bool
     ) -> list[EndpointStats]:
-        """Return the endpoints that may get one more attempt: warm ones, and warming ones within limits."""
+        """Return the warm endpoints, and the warming ones that may receive one more attempt."""
         if now >= self._warmup.active_until:
             return endpoints
         self._update(now)
@@ -79,19 +81,20 @@
             endpoint.recent_starts.append(now)
 
     def _is_within_limits(self, endpoint: EndpointStats, now: float, *, is_first_attempt: bool) -> bool:
-        """Return whether an endpoint may get one more attempt of this balancer in the current window.
+        """Return whether an endpoint may receive one more attempt of this balancer in the current window.
 
-        Rank rule: the balancer calls a warming endpoint only if the random rank that it has drawn for the
-        endpoint is at most the larger of the unrestricted fraction and `_max_mean_starts`. The rank is the
+        Rank rule: the balancer uses a warming endpoint only if the random rank that it has drawn for the
+        endpoint is not above the larger of the unrestricted fraction and `_max_mean_starts`. The rank is the
         same in all windows, since a new rank in each window would be another chance to exceed the limit.
 
         Budget: `SAFETY_FRACTION` x overload factor x warm-up fraction x the balancer's own rate at a warm
         endpoint x window. Summed over all balancers, the budget is `SAFETY_FRACTION` of the mean that the
-        settings allow a warming endpoint of average weight. One attempt per window is always within the
+        settings allow for a warming endpoint of average weight. One attempt per window is always within the
         budget; the rank rule limits the sum of these attempts.
 
         The unrestricted fraction is computed from arriving requests, which do not include retries and hedged
-        attempts. While it is below 1, only `_max_mean_starts` determines whether the rank rule allows these.
+        attempts. For those, the rank rule ignores the unrestricted fraction while it is below 1 and uses only
+        `_max_mean_starts`.
         """
         fraction = self._warmup.fraction(endpoint, now)
         if fraction >= 1:
@@ -112,14 +115,15 @@
     def _max_mean_starts(self, weight: float) -> float:
         """Return the mean number of attempts that one balancer may start at an endpoint in a window.
 
-        The settings allow an endpoint a mean of N = overload factor x `weight` x warm rate x window. The
-        endpoint fails if a single window exceeds the limit N + 2 sqrt(N) + 2, which allows for the variation
-        of a Poisson count. The starts of many independent balancers are a Poisson count; with the mean m, its
-        upper bound is m + z sqrt(m). The largest m whose bound is within the limit solves
-        m + z sqrt(m) = limit, which gives sqrt(m) = sqrt(z^2/4 + limit) - z/2. The balancers that call the
-        endpoint share m equally.
+        The settings allow a mean of N = overload factor x `weight` x warm rate x window attempts at an
+        endpoint. The endpoint fails if the attempts in a single window exceed the limit N + 2 sqrt(N) + 2,
+        which allows for the variation of a Poisson count. The number of attempts that many independent
+        balancers start is a Poisson count; with the mean m, its upper bound is m + z sqrt(m). The largest m
+        whose bound is within the limit solves m + z sqrt(m) = limit, which gives
+        sqrt(m) = sqrt(z^2/4 + limit) - z/2. The balancers that use the endpoint share m equally.
 
-        If at most two balancers call it, one attempt of each never exceeds the limit, which is at least 2.
+        If no more than two balancers use the endpoint, one attempt of each never exceeds the limit, which is
+        at least 2.
 
         Args:
             weight: The weight of the endpoint times its warm-up fraction.
@@ -135,13 +139,14 @@
         """Recompute the warm rate and the unrestricted fraction if they are at least UPDATE_INTERVAL_MS old.
 
         The warm rate assumes that all balancers send requests at the same rate: it is this balancer's rate
-        per unit of weight, times the number of balancers that call an endpoint. The balancer's rate is what
-        its warm endpoints serve. While the evidence on that rate is incomplete, the arrival rate, spread
-        evenly over the subset, replaces the missing fraction. The lower bound is the median capacity: the
-        rate of an endpoint that always has one attempt in flight.
-
-        Without the arrival rate and the lower bound, balancers with few requests, or without evidence after a
-        restart, would estimate the capacity of an endpoint as nearly 0 and send it nothing.
+        per unit of weight, times the number of balancers that use an endpoint. This balancer's rate is the
+        rate at which its warm endpoints serve requests. After a restart this rate is too low at first; the
+        missing fraction, estimated from the time since the restart, is replaced by that fraction of the
+        arrival rate, spread evenly over the subset. The lower bound of the warm rate is the median capacity:
+        the rate of an endpoint that always has one attempt in flight.
+
+        Without the arrival rate and the lower bound, balancers that have few requests or have restarted would
+        estimate the capacity of an endpoint as nearly 0 and send no requests to warming endpoints.
         """
         subset = self._endpoints.subset
         if now - self._updated_at < UPDATE_INTERVAL_MS or not subset:
@@ -164,16 +169,16 @@
     def _compute_unrestricted_fraction(self, now: float) -> float:
         """Return the fraction of the balancers that may select warming endpoints as freely as warm ones.
 
-        Let W be the weight of the warm endpoints of the subset, V that of the warming ones (each times its
-        warm-up fraction), R this balancer's requests in a window, and M the sum of the limits
-        `_max_mean_starts`. An unrestricted balancer sends R V / (W + V) requests to warming endpoints, which
-        is within M if W + V >= R V / M. Otherwise only a fraction u of the balancers calls each warming
-        endpoint, and the warm endpoints get the rest: u solves u R V / (W + u V) = M. Without warm endpoints,
-        a balancer sends all its requests to those of the n endpoints of the subset that it may call, if there
-        are any, and u solves R (1 - (1 - u)^n) = M.
+        Let W be the total weight of the warm endpoints of the subset, V that of the warming endpoints (each
+        weight times the warm-up fraction), R the number of this balancer's requests in a window, and M the
+        sum of the limits `_max_mean_starts`. An unrestricted balancer sends R V / (W + V) requests to warming
+        endpoints, which is within M if W + V >= R V / M. If it is not, only a fraction u of the balancers
+        uses each warming endpoint, and the warm endpoints receive the other requests: u solves
+        u R V / (W + u V) = M. Without warm endpoints, a balancer sends all its requests to those of the n
+        endpoints of the subset that it may use, if there are any, and u solves R (1 - (1 - u)^n) = M.
 
-        The restriction keeps warming endpoints from getting the load of removed warm ones, or that of a
-        burst. Outliers count neither as warm nor as warming, since they get no requests.
+        The restriction prevents warming endpoints from receiving the load of removed warm endpoints or that
+        of a burst. Outliers count neither as warm nor as warming, since they receive no requests.
         """
         warm_weight = warming_weight = summed_limits = 0.0
         subset = self._endpoints.subset
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -47,12 +47,12 @@
 
 
 class PolicyHarness:
-    """A balancer with an endpoint list, a clock set by the test, and consecutive request ids.
+    """A balancer with an endpoint list, a clock that the test sets, and consecutive request ids.
 
     Attributes:
         balancer: The balancer under test.
         now: The time of the next event, in milliseconds.
-        actions: All actions so far.
+        actions: All actions that the balancer has returned.
     """
 
     def __init__(self, endpoints: int = 4, seed: int = 1, **changes: Any) -> None:
@@ -110,18 +110,18 @@
 
 
 def count_by_endpoint(harness: PolicyHarness, requests: int) -> Counter[str]:
-    """Serve requests one at a time, all with the same duration; count them by endpoint."""
+    """Serve requests sequentially, all with the same duration; count them by endpoint."""
     return Counter(harness.serve(duration_ms=20.0) for _ in range(requests))
 
 
 def serve_many(harness: PolicyHarness, durations_ms: dict[str, float], requests: int = 400) -> None:
-    """Serve requests one at a time, each with the duration of its endpoint."""
+    """Serve requests sequentially; the duration depends on the endpoint."""
     for _ in range(requests):
         harness.serve(duration_ms=durations_ms)
 
 
 def complete_startup(harness: PolicyHarness) -> PolicyHarness:
-    """Serve many short requests, so that the limits for a new balancer no longer apply."""
+    """Serve many short requests until the limits for a new balancer no longer apply."""
     for _ in range(400):
         harness.serve(duration_ms=0.1)
     return harness
--- a/tests/policy/rule_checker.py
+++ b/tests/policy/rule_checker.py
@@ -1,8 +1,9 @@
 """An independent checker of the actions of one balancer; it shares no code with the policy.
 
-It tracks the endpoint list, the requests and the attempts, and asserts at each action that the rules allow
-it: each request gets exactly one final response, in time; a request that may have run is repeated only where
-its class allows it; no attempt goes to an endpoint that is not ready; and no warming endpoint is overloaded.
+It tracks the endpoint list, the requests and the attempts, and asserts that each action complies with these
+rules: each request gets exactly one final response, in time; a request that may have run is repeated only
+where its class allows it; no attempt is sent to an endpoint that is not ready; and no warming endpoint is
+overloaded.
 """
 
 from __future__ import annotations
@@ -107,10 +108,10 @@
                 assert attempt.endpoint.zone == endpoint.zone, "request repeated outside its zone"
 
     def _check_warmup(self, endpoint: Endpoint, now: float) -> None:
-        """Check that a warming endpoint gets few attempts in a window.
+        """Check the number of attempts at a warming endpoint in a window.
 
-        The limit is the overload factor times the warm-up fraction times the largest number at a warm
-        endpoint so far, but at least 1.
+        The limit is the overload factor times the warm-up fraction times the largest number of attempts that
+        any warm endpoint has received in a window so far, but not less than 1.
         """
         starts_ms = self._starts_ms.setdefault(endpoint.name, [])
         recent = sum(start > now - self._settings.slow_start_window_ms for start in starts_ms)
@@ -132,7 +133,7 @@
         return initial + (1 - initial) * age_ms / self._settings.slow_start_ms
 
     def reset_endpoint(self, name: str) -> None:
-        """Discard the attempts at a restarted endpoint: they are no load on its new process."""
+        """Discard the attempts at a restarted endpoint: they add no load to the new process."""
         self._starts_ms[name] = []
 
     def cancel_attempt(self, request_id: int, attempt_index: int) -> bool:
@@ -146,7 +147,7 @@
         """Record the end of an attempt and, if it succeeded, the final response.
 
         Returns:
-            Whether the attempt was still in flight; if not, nothing has changed.
+            Whether the attempt was still in flight; if it was not, nothing is recorded.
         """
         request = self.requests[request_id]
         attempt = request.attempts[attempt_index]
@@ -171,7 +172,7 @@
         self._respond(request, FinalResponse.REJECTED, now)
 
     def fail(self, request_id: int, now: float) -> None:
-        """Check that a failure may be the response to a request now."""
+        """Check that a request may be answered with a failure now."""
         self._respond(self.requests[request_id], FinalResponse.FAILED, now)
 
     def _respond(self, request: TrackedRequest, response: FinalResponse, now: float) -> None:
--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,9 +1,9 @@
-"""A simulation of many balancers that measures the work that they send together to each warming endpoint.
+"""A simulation of many balancers that measures the total work that they send to each warming endpoint.
 
 It is a seeded discrete-event simulation of the policy on a virtual clock, without sockets and without
-waiting. It checks one rule: in the window that ends at any attempt, the work that arrives at a warming
-endpoint must not exceed `slow_start_overload_factor` times the work that it can do in such a window at its
-present capacity. Work is measured in requests of mean work.
+waiting. It measures compliance with one rule: in the window that ends at any attempt, the work that arrives
+at a warming endpoint must not exceed `slow_start_overload_factor` times the work that the endpoint can do in
+such a window at its present capacity. Work is measured in requests of mean work.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 class SimulatedEndpoint:
     """An endpoint, with the work that has recently arrived there."""
 
-    started_at_ms: float = 0.0  # 0 if it has been warm from the beginning
+    started_at_ms: float = 0.0  # 0 if the endpoint was warm at the start
     outcome: Outcome = Outcome.SUCCEEDED  # outcome of all attempts that do not time out
     is_ready: bool = True
-    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # time and work in the last window
+    arrivals: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work) in the last window
     work_in_window: float = 0.0
-    idle_at_ms: float = 0.0  # when all its work will be done
+    idle_at_ms: float = 0.0  # time at which all work received so far will be completed
 
 
 @dataclass
@@ -70,7 +70,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Discard all state, including the open requests, and send the endpoint list again."""
+        """Discard all state, including the open requests, and send the endpoint list to the new instance."""
         self.policy = LoadBalancer(self._simulation.settings, self._simulation.random.getrandbits(40))
         self._open_requests: dict[int, SimulatedRequest] = {}
         self.policy.handle(self._simulation.endpoint_list(), self._clock.now)
@@ -140,14 +140,15 @@
         load: The request rate as a fraction of the total capacity of all endpoints when warm.
         seed: The seed of the random generator.
         slow_start: The slow-start settings.
-        skewed: Whether some balancers get eight times as many requests as others; otherwise all get the same.
+        skewed: Whether some balancers receive eight times as many requests as others; if False, all receive
+            the same number on average.
 
     Attributes:
-        batch_size: A tenth of the number of endpoints.
+        batch_size: The number of endpoints that are added or replaced in one step: a tenth of them.
         requests: The number of requests received; `served` and `rejected` count the final responses.
         warming_attempts: The number of attempts at warming endpoints.
-        max_excess: The largest excess of the work in a window over its limit, relative to the tolerance for
-            random variation; above 1, an endpoint has been overloaded.
+        max_excess: The largest excess of the work in a window over the limit, divided by the tolerance for
+            random variation; a value above 1 shows that an endpoint was overloaded.
     """
 
     def __init__(
@@ -202,7 +203,7 @@
         self._start_processes(names)
 
     def replace_endpoints(self, steps: int, interval_ms: float) -> None:
-        """In each step, remove a tenth of the endpoints, the oldest first, and add as many new ones."""
+        """In each step, replace `batch_size` of the original endpoints with new ones."""
         old_names = list(self.endpoints)
         for step in range(steps):
             self.remove_endpoints(old_names[step * self.batch_size : (step + 1) * self.batch_size])
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Overload detection: load is shed before endpoints become overloaded, and not otherwise."""
+"""Overload detection: requests are shed before endpoints become overloaded, and not without an overload."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def count_admitted(
     harness: PolicyHarness, duration_ms: float, request_class: RequestClass, requests: int = 40
 ) -> int:
-    """Send requests one after another, all with the same duration, and count those admitted."""
+    """Send requests sequentially, all with the same duration, and count the admitted ones."""
     admitted = 0
     for _ in range(requests):
         request, actions = harness.request(request_class)
@@ -42,7 +42,7 @@
 
 
 def test_burst_above_limit_is_shed() -> None:
-    """A limit on a mean over seconds would admit entire bursts, after which endpoints would remain slow."""
+    """If only a mean over seconds were limited, bursts would be admitted and endpoints would remain slow."""
     harness = complete_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
     assert 10 <= len(in_flight) <= 20, "8 for each of 4 endpoints, shared by 2 balancers"
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("duration_ms", [50.0, 950.0])
 def test_large_requests_below_limit_are_admitted(duration_ms: float) -> None:
-    """A limit on latency alone would shed half of the important requests while endpoints are half idle."""
+    """If only latency were limited, half of the important requests would be shed at half-idle endpoints."""
     harness = complete_startup_without_baseline(PolicyHarness(4, balancers=2))
     in_flight: deque[tuple[int, str]] = deque()
     for _ in range(200):
@@ -69,7 +69,7 @@
 
 
 def test_one_late_response_sheds_no_load() -> None:
-    """After one late response, a limit on mean latency would shed a tenth of the requests at light load."""
+    """If mean latency were limited, one late response would cause a tenth of a light load to be shed."""
     harness = PolicyHarness(4)
     count_admitted(harness, 50.0, READ, 20)
     count_admitted(harness, 1_000.0, READ, 1)
@@ -77,7 +77,7 @@
 
 
 def test_shedding_ends_soon_after_overload() -> None:
-    """A limit that only responses raise would stay low, since few admitted requests give few responses."""
+    """If only responses raised the limit, it would remain low: few admitted requests, few responses."""
     harness = PolicyHarness(8)
     apply_load(harness, 950.0, (READ, None))
     harness.now += 4_000
@@ -90,13 +90,17 @@
 
 
 def test_limit_per_balancer_has_minimum() -> None:
-    """With hundreds of balancers, the limit divided by their number is less than one request."""
+    """Without a minimum, the limit of each of hundreds of balancers would be less than one request."""
     harness = PolicyHarness(8, balancers=400)
     assert all(started_attempts(harness.request()[1]) for _ in range(8))
 
 
 def mean_in_flight(harness: PolicyHarness, tenant: str, seconds: float) -> float:
-    """Return the mean number of 600 ms requests in flight, in the second half of a run with excess demand."""
+    """Send 50 requests per second, each of which lasts 600 ms, for `seconds`.
+
+    Returns:
+        The mean number of requests in flight in the second half of that time.
+    """
     for _ in range(20):
         harness.serve(duration_ms=600.0)  # sets the baseline service time
     in_flight: deque[tuple[float, int, str]] = deque()
@@ -117,7 +121,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_total_limit_is_independent_of_balancer_count(balancers: int) -> None:
-    """A minimum of eight attempts per balancer would add up to 11 per endpoint after the loss of a zone."""
+    """With a minimum limit of eight per balancer, endpoints would get 11 each after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
         "4 for each endpoint, over all balancers"
@@ -126,7 +130,7 @@
 
 @pytest.mark.parametrize(("change", "limit"), [({}, 48), ({"started_at_ms": 1_000.0}, 29)])
 def test_warming_endpoints_raise_limit_partially(change: dict[str, float], limit: int) -> None:
-    """If warming endpoints counted in full, the requests admitted for them would overload the warm ones."""
+    """If warming endpoints counted fully, the requests admitted for them would overload the warm ones."""
     harness = PolicyHarness(6)
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, **change)[3:])
     assert len(send_until_shed(harness)) <= limit
@@ -134,7 +138,10 @@
 
 
 def test_limit_excludes_unreachable_endpoints() -> None:
-    """Otherwise requests admitted for a lost zone would go to the others until the list shows the loss."""
+    """If unreachable endpoints counted, the others would get the requests admitted for a lost zone.
+
+    This would last until the endpoint list shows the loss.
+    """
     harness = complete_startup(PolicyHarness(6, max_attempts=1))
     in_flight = send_until_shed(harness)
     for request, endpoint in in_flight:
@@ -149,7 +156,7 @@
 
 
 def test_limit_ignores_attempts_at_draining_endpoints() -> None:
-    """During a rollout, attempts at draining endpoints must not use up the limit of the others."""
+    """If attempts at draining endpoints counted, they would use up the limit of the others in a rollout."""
     harness = PolicyHarness(6)
     endpoints = [first_endpoint(harness.request()[1]) for _ in range(24)]
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, state=EndpointState.DRAINING)[3:])
@@ -160,7 +167,7 @@
 
 
 def test_limit_holds_when_all_endpoints_fail() -> None:
-    """Attempts must count even if all endpoints are outliers; otherwise no request would be shed."""
+    """If attempts at outliers did not count, no request would be shed when all endpoints are outliers."""
     harness = PolicyHarness(4)
     for _ in range(60):
         request, actions = harness.request(PAY)
@@ -170,7 +177,7 @@
 
 
 def test_random_peak_is_not_shed() -> None:
-    """Otherwise random peaks at one of seven balancers would shed a twelfth of the requests within quota."""
+    """If random peaks counted as overload, one of seven balancers would shed a twelfth of a normal load."""
     harness = PolicyHarness(10, balancers=7)
     for _ in range(50):
         harness.serve(duration_ms=40.0)
@@ -189,9 +196,9 @@
 
 @pytest.mark.parametrize(("duration_ms", "all_admitted"), [(150.0, True), (1_500.0, False)])
 def test_overload_behind_endpoints_sheds_load(duration_ms: float, *, all_admitted: bool) -> None:
-    """The capacity limit covers only the endpoints and would let the tier behind them become overloaded."""
+    """If only the capacity of endpoints limited the load, the tier behind them could become overloaded."""
     harness = PolicyHarness(60, balancers=6)
-    harness.now = 1_700_000_000_000.0  # Unix time: the first estimates must not suffer from rounding
+    harness.now = 1_700_000_000_000.0  # Unix time: rounding must not distort the first estimates
     apply_load(harness, 150.0, (READ, None), rounds=300)
     admitted = apply_load(harness, duration_ms, (READ, None), rounds=600)["read"]
     assert (admitted == 600) is all_admitted, "75 of 80 in flight, at 7 times their baseline service time"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -43,9 +43,9 @@
 
 
 def test_low_priority_class_keeps_most_of_limit() -> None:
-    """Without the exponent, an eighth of the largest weight would give almost the limit of weight zero.
+    """Without the exponent, an eighth of the largest weight would give nearly the limit of weight 0.
 
-    A third of the requests of such a class would be shed.
+    A third of the requests of such a class would then be shed.
     """
     low, high = (
         replace(request_class, priority_weight=weight)
@@ -67,7 +67,7 @@
 
 
 def test_shed_request_spends_no_quota() -> None:
-    """Otherwise requests that clients retry after a rejection would be charged to the quota twice."""
+    """If shed requests spent quota, requests that clients retry after a rejection would be counted twice."""
     harness = complete_startup(PolicyHarness(4, tenants=(Tenant("small", 4.0),), over_quota_weight=0.1))
     in_flight = send_until_shed(harness)
     for _ in range(20):
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -19,7 +19,7 @@
     [(5, 10.0, True), (10, 10.0, False), (5, 40.0, False), (10, 40.0, False)],
 )
 def test_balancer_count_after_zone_loss(remaining: int, interval_ms: float, *, count_falls: bool) -> None:
-    """With a fixed count, three remaining balancers of seven would use three sevenths of the capacity."""
+    """If the count were fixed, three remaining balancers of seven would use 3/7 of the remaining capacity."""
     harness = PolicyHarness(10, balancers=4)
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:remaining])
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -1,4 +1,4 @@
-"""Capacity estimates of endpoints, and the evidence that they are based on."""
+"""Capacity estimates of endpoints, and the statistics that they are based on."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def make_recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
-    """Return an attempt recorder with one known endpoint, and the evidence on that endpoint."""
+    """Return an attempt recorder and the statistics of the only endpoint."""
     settings = make_settings()
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
@@ -72,7 +72,7 @@
 
 
 def test_failed_attempt_adds_its_timeout_to_busy_time() -> None:
-    """A fast failure must count neither as a fast response nor as an attempt still in flight."""
+    """A fast failure must not count as a fast response or as an attempt in flight."""
     recorder, endpoint = make_recorder_and_endpoint()
     attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
     assert endpoint.in_flight == 1
@@ -96,7 +96,7 @@
 
 
 def test_capacity_accounts_for_cost_hints() -> None:
-    """If each request counted as the same work, heavy-tailed work would make the estimates fluctuate."""
+    """If every request counted as equal work, estimates would fluctuate with heavy-tailed work."""
     recorder, endpoint = make_recorder_and_endpoint()
     cost_hints, now = CostHints(), START_MS
     for request_id, hint_ms in enumerate((20.0, 20.0, 20.0, 200.0) * 50):
@@ -110,7 +110,7 @@
 
 
 def test_time_constant_grows_at_low_request_rate() -> None:
-    """With a fixed time constant of 6 s, evidence would decay between two requests.
+    """With a fixed time constant of 6 s, the statistics would decay to nearly 0 between two requests.
 
     Each of hundreds of balancers would then select slow endpoints as often as fast ones.
     """
--- a/tests/policy/test_final_response.py
+++ b/tests/policy/test_final_response.py
@@ -1,4 +1,4 @@
-"""A request gets its final response as soon as no attempt can serve it any more."""
+"""A request gets a final response as soon as no attempt can serve it any more."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: when a second attempt starts while the first one is in flight, and when it must not."""
+"""Hedging: under which conditions a second attempt starts while the first one is in flight."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_attempt_has_full_timeout_without_hedging() -> None:
-    """With a timeout of four baselines, large requests would time out at one endpoint after another."""
+    """With a timeout of four baseline service times, large requests would time out at each endpoint."""
     harness = PolicyHarness(4, may_hedge=False)
     for _ in range(400):
         harness.serve(duration_ms=20.0)
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize(("after_ms", "retries"), [(1_600.0, 1), (1_750.0, 0)])
 def test_connect_timeout_shortens_retry_window(after_ms: float, retries: int) -> None:
-    """A retry that starts within the window of 2,000 ms may arrive up to 300 ms later, after the connect."""
+    """A retry that starts within the window of 2,000 ms may arrive 300 ms later, after a slow connect."""
     order = replace(GLOBAL_ORDER, latency_objective_ms=5_000, deadline_ms=9_000)
     harness = PolicyHarness(6, classes=(order,), connect_timeout_ms=300.0)
     request, actions = harness.request(order, remaining_ms=9_000)
--- a/tests/policy/test_idempotency_rules.py
+++ b/tests/policy/test_idempotency_rules.py
@@ -1,4 +1,4 @@
-"""The rules hold under seeded random events, including unusual ones and restarts of the balancer."""
+"""The rules of `RuleChecker` hold under seeded random events, including restarts of the balancer."""
 
 from __future__ import annotations
 
@@ -40,16 +40,16 @@
 START_MS = 50_000.0
 MEAN_STEP_MS = 15.0
 MEAN_ATTEMPT_MS = 80.0
-# Time from the opening of a watch to its first update or its failure.
+# Time from the start of a watch until the first update is received or the watch fails.
 WATCH_DELAY_MS = 30.0
-# A timer never fires at the time at which it is set.
+# Minimum time from setting a timer until it fires.
 TIMER_DELAY_MS = 0.01
 REMAINING_MS = (0.0, 1.0, 40.0, 400.0, 2_500.0)
 MAY_HAVE_RUN_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.UNKNOWN)
 
 
 class RandomWorkload:
-    """Sends random events to one balancer; the checker checks each action."""
+    """Sends random events to one balancer; a `RuleChecker` checks each action that it returns."""
 
     def __init__(self, seed: int, **changes: object) -> None:
         self.settings: Settings = make_settings(**({"tier": 1} | changes))
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle time after which connections are dead is learned, and such connections are closed."""
+"""The balancer learns the idle time after which connections are dead, and closes such connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_idle_limit_is_learned_from_timeouts() -> None:
-    """Otherwise attempts on connections dropped silently after a second of idle time would time out."""
+    """If no limit were learned, attempts on connections dropped after 1 s without use would time out."""
     harness = PolicyHarness(1, tier=1)  # inner tiers shed no load
     for _ in range(20):
         assert not closes_idle_connections(harness, 400.0)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Failing endpoints are ejected, and get requests again later."""
+"""Failing endpoints are ejected, and later receive requests again."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def count_while_s0_fails(harness: PolicyHarness, requests: int) -> Counter[str]:
-    """Count requests by endpoint while s0 fails quickly and the others serve."""
+    """Send requests while s0 fails quickly and the other endpoints succeed; count them by endpoint."""
     counts: Counter[str] = Counter()
     for _ in range(requests):
         request, actions = harness.request(PAY)
@@ -32,7 +32,7 @@
 
 
 def test_unreachable_endpoints_are_ejected_despite_past_successes() -> None:
-    """If earlier successes outweighed failed connects, endpoints of a lost zone would still get requests."""
+    """If past successes outweighed failed connects, endpoints of a lost zone would still get requests."""
     harness = PolicyHarness(5, seed=3)
     for _ in range(200):
         harness.serve(duration_ms=20.0)
--- a/tests/policy/test_retry_amplification.py
+++ b/tests/policy/test_retry_amplification.py
@@ -1,4 +1,4 @@
-"""Over a chain of tiers in which each endpoint has its own balancer, retries add up but don't multiply."""
+"""In a chain of tiers with a balancer at each endpoint, retries add up over the tiers but don't multiply."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from loadbalancer.policy import retry as retry_policy
 from testbed.runs.depth import run as depth
 
-# Endpoints per tier, and balancers before the first tier.
+# Number of endpoints per tier, and of balancers before the first tier.
 ENDPOINTS = 6
 
 
 def measure_rows(faults: list[dict[str, Any]], **changes: Any) -> list[dict[str, Any]]:
-    """Return the rows of a depth run, one per fault and depth, with 20 calls per second from clients."""
+    """Return the rows of a depth run, one per fault and depth; clients send 20 requests per second."""
     defaults: dict[str, Any] = {
         "run": "depth",
         "about": "Short chains of tiers.",
@@ -34,9 +34,9 @@
 
 @pytest.mark.parametrize("behaviour", ["fails", "refuses", "turns away"])
 def test_initial_tokens_limit_retries_at_failed_tier(behaviour: str) -> None:
-    """If arrivals added tokens, retries would multiply over the tiers.
+    """If arriving requests added tokens, retries would multiply over the tiers.
 
-    With 28 tiers, there would be 88 attempts for each admitted request, or 320 if none is processed.
+    With 28 tiers, there would be 88 attempts for each admitted request, or 320 if no attempt is processed.
     """
     for row in measure_rows([{"name": "lost", "behaviour": behaviour}]):
         assert row["served"] == 0
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries take tokens that responses add, so over a chain of tiers they add up but don't multiply."""
+"""Retries cost tokens that only responses add, so over a chain of tiers they add up but don't multiply."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def inner_tier_harness(seed: int = 1, *, may_hedge: bool = False) -> PolicyHarness:
-    """Return a balancer behind the first tier, where no load is shed, with eight warm endpoints."""
+    """Return a balancer of the second tier, which sheds no load, with eight warm endpoints."""
     return PolicyHarness(8, seed, slow_start_ms=0, tier=1, may_hedge=may_hedge)
 
 
@@ -41,7 +41,7 @@
     request_class: RequestClass = READ,
     interval_ms: float = 0.0,
 ) -> tuple[int, int]:
-    """Send requests whose attempts end with the given outcomes in turn; count the retries and responses."""
+    """Send requests whose attempts end with the given outcomes in turn; return the retries and responses."""
     retries = responses = 0
     for _ in range(requests):
         harness.now += interval_ms
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_retries_stop_when_tokens_run_out(outcome: Outcome) -> None:
-    """If arriving requests added tokens, each tier would keep adding a fifth to the requests it receives."""
+    """If requests added tokens, each tier would continue to send a fifth more attempts than it receives."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.RETRY_MAX_TOKENS,
         0,
@@ -77,7 +77,7 @@
 def test_transparent_retries_stop_when_tokens_run_out(
     outcome: Outcome,
 ) -> None:
-    """Without a budget, each request would use up its maximum number of attempts."""
+    """Without a budget, each request would be retried until its maximum number of attempts."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.TRANSPARENT_RETRY_MAX_TOKENS,
         0,
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("outcome", UNPROCESSED_OUTCOMES[:2])
 def test_budget_covers_two_transparent_retries_per_request(outcome: Outcome) -> None:
-    """With half of the connections refused, a budget refilled by requests would run out too early."""
+    """If requests refilled the budget, it would run out too early with half of the connections refused."""
     harness = inner_tier_harness()
     assert send_requests(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
@@ -121,7 +121,7 @@
     ],
 )
 def test_new_balancer_has_only_initial_tokens(outcome: Outcome, limit: float) -> None:
-    """Thirty balancers that restart during an outage add a few retries each, not a full bucket each."""
+    """If buckets began full, thirty balancers restarting in an outage would add many retries to the load."""
     assert retry_policy.RETRY_INITIAL_TOKENS < retry_policy.RETRY_MAX_TOKENS / 2
     assert (
         sum(send_requests(inner_tier_harness(seed=seed), 50, repeat(outcome))[0] for seed in range(30))
@@ -184,7 +184,7 @@
 
 def test_hedged_attempts_spend_retry_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = harness_with_full_buckets(may_hedge=True)
-    # Overload would suspend hedging as well.
+    # An overload would also suspend hedging.
     monkeypatch.setattr(OverloadDetector, "is_overloaded", lambda _, importance, now: False)
     assert count_hedged_attempts(harness, 40) == retry_policy.RETRY_MAX_TOKENS
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -64,8 +64,8 @@
 def test_unused_endpoints_are_sampled_by_weight() -> None:
     """If four endpoints were always sampled, the largest of them would be selected too often.
 
-    One of many balancers rarely has an attempt in flight at any of them, and then the largest has the lowest
-    load, 1 / capacity.
+    One of many balancers rarely has an attempt in flight at any of the four. The load of each is then
+    1 / capacity, which is lowest at the largest.
     """
     counts: Counter[str] = Counter()
     for seed in range(1_000):
@@ -86,7 +86,7 @@
 
 
 def test_subset_is_stable() -> None:
-    """Spread over all endpoints, requests would be too few at each to learn capacity or reuse connections."""
+    """Without a subset, each endpoint gets too few requests to learn its capacity or reuse connections."""
     subsets = []
     for seed in range(40):
         harness = PolicyHarness(60, seed=seed, balancers=300)
@@ -112,7 +112,7 @@
 
 
 class FixedCapacities(CapacityEstimator):
-    """An estimator with given capacities."""
+    """A capacity estimator that returns fixed capacities."""
 
     def __init__(self, endpoints: EndpointSet, arrivals: ArrivalRate, capacities: dict[str, float]) -> None:
         super().__init__(endpoints, arrivals)
@@ -140,7 +140,7 @@
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(2)), now)
     selector = make_selector(settings, endpoints, {"s0": 2.0, "s1": 1.0})
-    # (3 + 1) / 2 ties with (1 + 1) / 1
+    # The loads are equal: (3 + 1) / 2 = (1 + 1) / 1.
     endpoints.by_name["s0"].in_flight = 3
     endpoints.by_name["s1"].in_flight = 1
     request = Request(1, READ, expires_at=now + 1_000)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,7 +1,7 @@
 """Slow start under the load of all balancers together, simulated with many instances of the policy.
 
-`TIGHT_LIMITS` allows an endpoint 3 requests per window at its start, hardly more than random variation.
-`LOOSE_LIMITS` allows it 50.
+`TIGHT_LIMITS` allows 3 requests per window at an endpoint that has just started, which hardly exceeds random
+variation. `LOOSE_LIMITS` allows 50.
 """
 
 from __future__ import annotations
@@ -151,7 +151,7 @@
     ],
 )
 def test_sum_of_minimum_budgets_is_limited(balancers: int, scenario: Scenario) -> None:
-    """If each of hundreds of balancers sent one request per window, an endpoint would get twice its limit."""
+    """If hundreds of balancers each sent one request per window, an endpoint would get twice its limit."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.9, 2, TIGHT_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("scenario", [add_one_endpoint, restart_third_of_endpoints, restart_all_endpoints])
 @pytest.mark.parametrize("balancers", [30, 300])
 def test_light_traffic_reaches_warming_endpoints(scenario: Scenario, balancers: int) -> None:
-    """Balancers that get one request every few seconds must reject hardly any if endpoints have capacity."""
+    """Balancers that get a request every few seconds must reject at most 2% if endpoints have capacity."""
     simulation = SlowStartSimulation(balancers, 20, RATE_PER_S, 0.05, 1, LOOSE_LIMITS)
     scenario(simulation)
     assert simulation.warming_attempts
@@ -189,7 +189,7 @@
 
 
 def test_retries_count_toward_slow_start_limit() -> None:
-    """If retries of rejected requests were not limited, a warming endpoint would get twelve in one window."""
+    """If the limit did not cover retries, a warming endpoint would get twelve of them in one window."""
     simulation = SlowStartSimulation(300, 20, RATE_PER_S, 0.9, 22, TIGHT_LIMITS)
     set_half_to_reject(simulation)
     assert simulation.warming_attempts
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -1,4 +1,4 @@
-"""The limits of one balancer on its requests to warming endpoints."""
+"""Slow-start limits on the requests that one balancer sends to warming endpoints."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -1,4 +1,4 @@
-"""Requests are kept in the balancer's zone up to the capacity of the zone."""
+"""Endpoints in the balancer's zone are preferred up to the capacity of the zone."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def count_by_zone(weights: dict[str, float]) -> Counter[str]:
-    """Count the first requests of new balancers in zone `a` by the zone of the endpoint, one in each zone."""
+    """Send the first request of each of 600 new balancers in zone `a`; count the requests by endpoint zone.
+
+    Each zone in `weights` has one endpoint of the given weight.
+    """
     counts: Counter[str] = Counter()
     for seed in range(600):
         harness = PolicyHarness(0, seed=seed, zone="a")
@@ -35,7 +38,10 @@
 
 
 def test_load_limits_zone_preference() -> None:
-    """Otherwise endpoints of one zone would get two or three times the requests of another and stay slow."""
+    """If load were ignored, one zone could get two or three times the requests of another.
+
+    The endpoints of that zone would then remain slow.
+    """
     in_own_zone = []
     for endpoints in (1, 3):
         in_own_zone.append(0)
@@ -47,16 +53,13 @@
             in_own_zone[-1] += sum(
                 first_endpoint(harness.request(PAY)[1])[0] == "a" for _ in range(2 * endpoints)
             )
-    assert in_own_zone[0] <= 45  # at most the first of two requests, and sometimes the second
-    assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # sampled by zone first, then selected by load alone
+    assert in_own_zone[0] <= 45  # the 30 first requests, and no more than half of the 30 second ones
+    assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # only the first sample prefers the zone
 
 
 def test_loaded_zone_spills_over_to_other_zones() -> None:
-    """One of two balancers must not send nearly all requests to the only endpoint of its zone.
-
-    Otherwise two of the four zones would be idle.
-    """
-    # Inner tiers shed no load, so a new balancer admits all 16 requests.
+    """If both balancers sent nearly all requests to their own zone, two of the four zones would be idle."""
+    # Only the first tier sheds load, so with tier=1 a new balancer admits all 16 requests.
     harness = PolicyHarness(0, zone="a", balancers=2, may_hedge=False, tier=1)
     harness.update_endpoints(*(Endpoint(zone, zone=zone) for zone in "abcd"))
     counts = Counter(first_endpoint(harness.request(PAY)[1]) for _ in range(16))
