--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -45,9 +45,9 @@
     """If only a mean over seconds were limited, bursts would be admitted and endpoints would remain slow."""
     harness = complete_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
-    assert 10 <= len(in_flight) <= 20, "8 for each of 4 endpoints, shared by 2 balancers"
+    assert 10 <= len(in_flight) <= 20, "the limit is 8 for each of 4 endpoints, shared by 2 balancers"
     logs = [a for a in harness.actions if isinstance(a, LogMessage) and "shedding" in a.text]
-    assert len(logs) == 1, "one line for successive shed requests"
+    assert len(logs) == 1, "one log line for successive shed requests"
     harness.now += 50
     for request, endpoint in in_flight[:5]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
@@ -124,7 +124,7 @@
     """With a minimum limit of eight per balancer, endpoints would get 11 each after the loss of a zone."""
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
-        "4 for each endpoint, over all balancers"
+        "the limit is 4 for each endpoint, over all balancers"
     )
 
 
@@ -162,7 +162,7 @@
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, state=EndpointState.DRAINING)[3:])
     remaining = sum(endpoint in ("s0", "s1", "s2") for endpoint in endpoints)
     assert remaining + len(send_until_shed(harness)) == pytest.approx(24, abs=1), (
-        "8 for each remaining endpoint"
+        "the limit is 8 for each remaining endpoint"
     )
 
 
@@ -191,7 +191,9 @@
         harness.serve(duration_ms=40.0)
     send_until_shed(harness)
     (rejection,) = (a for a in harness.request()[1] if isinstance(a, RejectRequest))
-    assert rejection.retry_after_ms == pytest.approx(expected, rel=0.05), "the baseline service time"
+    assert rejection.retry_after_ms == pytest.approx(expected, rel=0.05), (
+        "the mean service time, capped by the settings"
+    )
 
 
 @pytest.mark.parametrize(("duration_ms", "all_admitted"), [(150.0, True), (1_500.0, False)])
@@ -201,7 +203,9 @@
     harness.now = 1_700_000_000_000.0  # Unix time: rounding must not distort the first estimates
     apply_load(harness, 150.0, (READ, None), rounds=300)
     admitted = apply_load(harness, duration_ms, (READ, None), rounds=600)["read"]
-    assert (admitted == 600) is all_admitted, "75 of 80 in flight, at 7 times their baseline service time"
+    assert (admitted == 600) is all_admitted, (
+        "75 attempts in flight of a limit of 80, at 7 times the baseline service time"
+    )
     assert admitted > 200
 
 
@@ -211,7 +215,7 @@
     for _ in range(20):
         harness.serve(duration_ms=900.0)
     assert apply_load(harness, 900.0, (READ, None), rounds=600)["read"] > 540, (
-        "all but those of the first second"
+        "all requests except those of the first second"
     )
 
 
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -39,7 +39,9 @@
     assert admitted["high"] > 1.5 * admitted["low"] > 0
     harness = PolicyHarness(4, classes=(LOW_PRIORITY, HIGH_PRIORITY))
     assert send_until_shed(harness, LOW_PRIORITY)
-    assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, "capacity that the lower priority may not use"
+    assert len(send_until_shed(harness, HIGH_PRIORITY)) >= 4, (
+        "part of the limit is reserved for the higher priority"
+    )
 
 
 def test_low_priority_class_keeps_most_of_limit() -> None:
@@ -75,18 +77,18 @@
     for request, endpoint in in_flight[:6]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
     assert len(send_until_shed(harness, tenant="small")) == 6, (
-        "all within quota; any request over it would be shed here"
+        "all are within the quota; a request over quota would be shed"
     )
 
 
 def test_late_client_retry_is_shed_first() -> None:
     """Client retries past the latency objective have no value, so they are shed before first attempts."""
     harness = PolicyHarness(4)
-    assert started_attempts(harness.request(remaining_ms=1_900)[1]), "there is no other load"
+    assert started_attempts(harness.request(remaining_ms=1_900)[1]), "no request is shed without other load"
     for request, endpoint in send_until_shed(harness)[:6]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
     assert not started_attempts(harness.request(remaining_ms=1_900)[1]), (
-        "its client started 1,100 ms ago, with a latency objective of 1,000 ms"
+        "the first attempt of the client started 1,100 ms ago; the latency objective is 1,000 ms"
     )
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -26,7 +26,7 @@
     serve_at_interval(harness, interval_ms, 3)
     admitted_per_endpoint = len(send_until_shed(harness)) / remaining
     assert (admitted_per_endpoint > 4) if count_falls else (admitted_per_endpoint < 3), (
-        "of a limit of 8 for each endpoint"
+        "the limit is 8 for each endpoint, over all balancers"
     )
 
 
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -92,7 +92,7 @@
     harness.now += 5
     harness.finish(request, 0, failed, Outcome.ERROR)
     counts = Counter(harness.serve(duration_ms=1.0) for _ in range(40))
-    assert counts[failed] <= 10, "1,200 of 1,400 ms of busy time are at the failed endpoint"
+    assert counts[failed] <= 10, "the failed endpoint has 1,200 of 1,400 ms of busy time"
 
 
 def test_capacity_accounts_for_cost_hints() -> None:
@@ -122,4 +122,4 @@
         counts[
             harness.serve(duration_ms={f"s{i}": 1_500.0 if f"s{i}" == slow else 100.0 for i in range(12)})
         ] += 1
-    assert 0 < counts[slow] <= 6, "an even distribution would give it 12 of 150"
+    assert 0 < counts[slow] <= 6, "an even distribution would send 12 of 150 requests there"
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -42,9 +42,11 @@
         "hedged attempts use a new connection"
     )
     assert request_class is READ or int(hedged.endpoint[1]) // 2 == int(first.endpoint[1]) // 2, (
-        "must be in the same cell"
+        "a keyed request must remain in its cell"
+    )
+    assert not started_attempts(harness.handle(TimerFired(timer.timer))), (
+        "only one hedged attempt per request"
     )
-    assert not started_attempts(harness.handle(TimerFired(timer.timer))), "at most one hedged attempt"
     harness.now += 40
     assert CancelAttempt(request, 0) in harness.finish(request, 1, hedged.endpoint, Outcome.SUCCEEDED)
 
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -30,10 +30,8 @@
         harness.now += 1_000
         harness.finish(request, 0, "s0", Outcome.TIMED_OUT)
     closes_idle_connections(harness, 10.0)
-    assert closes_idle_connections(harness, 1_600.0), (
-        "idle for as long as before the attempts without a response"
-    )
-    assert not closes_idle_connections(harness, 400.0), "shorter idle times have proved safe"
+    assert closes_idle_connections(harness, 1_600.0), "idle for longer than the connections found dead"
+    assert not closes_idle_connections(harness, 400.0), "connections with shorter idle times were alive"
     for _ in range(60):
         closes_idle_connections(harness, 400.0)
-    assert not closes_idle_connections(harness, 1_600.0), "the evidence has been replaced"
+    assert not closes_idle_connections(harness, 1_600.0), "the samples with timeouts have been replaced"
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -53,4 +53,6 @@
         "unreachable endpoints are ejected even if they are the majority"
     )
     harness.now += 20_000
-    assert "s0" in count_by_endpoint(harness, 50), "gets requests again later"
+    assert "s0" in count_by_endpoint(harness, 50), (
+        "s0 receives requests again after the statistics have decayed"
+    )
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -44,7 +44,7 @@
     harness = PolicyHarness(2)
     serve_many(harness, {"s0": 10.0, "s1": 30.0})
     counts = Counter(harness.serve(duration_ms=10.0) for _ in range(200))
-    assert counts["s0"] > 1.7 * counts["s1"], "3 to 1 by the first estimates, approaching 1 to 1"
+    assert counts["s0"] > 1.7 * counts["s1"], "the ratio starts at 3 to 1 and approaches 1 to 1"
 
 
 def test_busy_endpoints_are_avoided() -> None:
@@ -74,7 +74,7 @@
             Endpoint("s0", weight=4.0), *(Endpoint(f"s{i}", weight=1.0) for i in range(1, 7))
         )
         counts[first_endpoint(harness.request()[1])] += 1
-    assert 330 < counts["s0"] < 470, "4 of 10 by weight"
+    assert 330 < counts["s0"] < 470, "s0 has 4 of 10 units of weight"
     assert min(counts.values()) > 60
 
 
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -32,7 +32,7 @@
 
 def test_small_zone_spills_over_to_larger_zones() -> None:
     counts = count_by_zone({"a": 1.0, "b": 3.0, "c": 2.0})
-    assert 240 < counts["a"] < 360, "its capacity is half of the mean of 2, so it keeps half"
+    assert 240 < counts["a"] < 360, "the capacity of zone a, 1, is half of the mean, 2"
     assert counts["c"] == 0
     assert counts["b"] == 600 - counts["a"]
 
