--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: when a second attempt starts while the first one is in flight, and when it must not."""
+"""Hedging: under which conditions a second attempt starts while the first one is in flight."""
 
 from __future__ import annotations
 
@@ -42,9 +42,11 @@
         "hedged attempts use a new connection"
     )
     assert request_class is READ or int(hedged.endpoint[1]) // 2 == int(first.endpoint[1]) // 2, (
-        "must be in the same cell"
+        "a keyed request must remain in its cell"
+    )
+    assert not started_attempts(harness.handle(TimerFired(timer.timer))), (
+        "only one hedged attempt per request"
     )
-    assert not started_attempts(harness.handle(TimerFired(timer.timer))), "at most one hedged attempt"
     harness.now += 40
     assert CancelAttempt(request, 0) in harness.finish(request, 1, hedged.endpoint, Outcome.SUCCEEDED)
 
@@ -62,7 +64,7 @@
 
 
 def test_attempt_has_full_timeout_without_hedging() -> None:
-    """With a timeout of four baselines, large requests would time out at one endpoint after another."""
+    """With a timeout of four baseline service times, large requests would time out at each endpoint."""
     harness = PolicyHarness(4, may_hedge=False)
     for _ in range(400):
         harness.serve(duration_ms=20.0)
@@ -87,8 +89,8 @@
         harness.now += 20
         harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
 
-    def hedge_delay_ms(hint: float) -> float:
-        timer = actions_of_type(harness.request(cost_hint_ms=hint)[1], SetTimer)[0]
+    def hedge_delay_ms(hint_ms: float) -> float:
+        timer = actions_of_type(harness.request(cost_hint_ms=hint_ms)[1], SetTimer)[0]
         assert isinstance(timer, SetTimer)
         return timer.at_ms - harness.now
 
