--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -27,7 +27,7 @@
 EXIT_INVALID_CONFIGURATION = 2
 
 MAX_LOGGED_CONTEXT_CHARS = 2000
-"""Length to which the event loop's description of an unhandled exception is truncated in the log."""
+"""Maximum length of a log line about an unhandled exception in the event loop."""
 
 
 def load_configuration(path: str, warn: Callable[[str], None]) -> Configuration:
--- a/loadbalancer/configuration.py
+++ b/loadbalancer/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the JSON configuration of a balancer, and endpoint lists in the format of discovery.
+"""Reads the JSON configuration of a balancer, and endpoint lists in the JSON format of discovery.
 
 In the configuration, the settings of the policy are nested objects with the names of the simulator's wire.
 They are flattened to the fields of the wire and read by `loadbalancer.settings_reader`, so that both hosts of
@@ -26,7 +26,7 @@
 DEFAULT_DESCRIPTOR_LIMIT = 1024
 """Limit on open file descriptors if the configuration sets none."""
 DEFAULT_MEMORY_LIMIT_MB = 192
-"""Limit on memory if the configuration sets none."""
+"""Limit on memory, in megabytes, if the configuration sets none."""
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 """Idle time after which upstreams close a connection, if `limits.connIdle` is not set."""
 DEFAULT_DRAIN_GRACE_MS = 0.0
@@ -76,7 +76,7 @@
 
 
 class EndpointListError(LoadBalancerError, ValueError):
-    """Base class of the errors in an endpoint list in the format of discovery."""
+    """Base class of errors in a JSON endpoint list."""
 
 
 class MalformedEndpointListError(EndpointListError):
@@ -106,7 +106,7 @@
 
 
 class EndpointList(NamedTuple):
-    """One response of discovery: an endpoint list, or the changes to one.
+    """One response of discovery: an endpoint list, or the changes to an earlier list.
 
     Attributes:
         version: The version of the list.
@@ -235,13 +235,13 @@
 def _flatten(value: object, path: str, fields: settings_reader.Fields) -> None:
     """Add a nested setting to `fields` in the format of the wire.
 
-    The keys of nested objects are joined by dots. A list of objects becomes one field with its length, and
-    the fields of each object, whose paths contain the index of the object. Any other list becomes one field
-    with its values joined by commas.
+    The keys of nested objects are joined by dots. A list of objects becomes one field with the length of the
+    list, and the fields of each object, with the index of the object in their paths. Any other list becomes
+    one field with its values joined by commas.
 
     Args:
         value: The setting: an object, a list or a scalar; null means that the setting is absent.
-        path: The path of the setting; empty for the object that holds all settings.
+        path: The path of the setting; empty for the object that contains all settings.
         fields: The fields to add to.
     """
     if isinstance(value, dict):
--- a/loadbalancer/network/client/accept_queue.py
+++ b/loadbalancer/network/client/accept_queue.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 MAX_QUEUE_AGE_S = 60.0
-"""Ages above this are reported as this value."""
+"""Maximum age that is reported; longer ages are reported as this value."""
 
 MS_PER_S = 1000
 _TCP_INFO = struct.Struct("=52xII")  # tcpi_last_data_recv, tcpi_last_ack_recv: ms since the last arrival
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -79,7 +79,7 @@
         return self._transport.is_abort_scheduled
 
     def is_awaiting_request(self) -> bool:
-        """Return whether no request is open, and the first request or the rest of one has yet to arrive."""
+        """Return whether no request is open, and a request is arriving or none has arrived yet."""
         return self.expiry.is_awaiting_request()
 
     def can_close_without_loss(self) -> bool:
--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -15,10 +15,10 @@
     from loadbalancer.network.client.connection import ClientConnection
 
 EVICTION_DIVISOR = 4
-"""An eviction closes idle connections until it has closed 1/4 of all connections.
+"""An eviction closes connections that have exceeded a timeout until it has closed 1/4 of all connections.
 
-Before that, it closes all connections whose request did not arrive in time; they count towards the 1/4, but
-are closed even if there are more of them.
+It first closes all connections whose request did not arrive in time, even if they are more than 1/4, and then
+the longest idle ones.
 """
 
 
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionExpiry:
-    """Applies to one connection the timeouts for request arrival, for idle time and for unread responses."""
+    """Applies the timeouts for request arrival, idle time and unread responses to one connection."""
 
     def __init__(self, transport: ClientTransport, reader: RequestReader, pipeline: RequestPipeline) -> None:
         self._transport = transport
@@ -28,7 +28,7 @@
         return not self._pipeline.has_open_request() and not self._reader.arrival.is_arriving
 
     def is_awaiting_request(self) -> bool:
-        """Return whether no request is open, and the first request or the rest of one has yet to arrive."""
+        """Return whether no request is open, and a request is arriving or none has arrived yet."""
         arrival = self._reader.arrival
         is_awaited = arrival.is_arriving or not arrival.has_received_request
         return is_awaited and not self._pipeline.has_open_request()
--- a/loadbalancer/network/client/graceful_shutdown.py
+++ b/loadbalancer/network/client/graceful_shutdown.py
@@ -15,8 +15,8 @@
 SHUTDOWN_MAX_DEADLINE_S = 3.0
 """Upper limit on the time that the shutdown allows for responses.
 
-Below the limit, this time is the longest deadline of the request classes. The platform that runs the process
-waits for responses no longer than the limit, even if a deadline is longer.
+The shutdown allows the longest deadline of any request class, up to this limit. The platform that runs the
+process waits for responses no longer than the limit, even if a deadline is longer.
 """
 
 SHUTDOWN_ACCEPT_S = 0.5
@@ -26,16 +26,19 @@
 """How long to keep connections open after SIGTERM: another balancer may still be restarting."""
 
 SHUTDOWN_NEW_CONNECTION_GRACE_S = 0.1
-"""How long to keep a connection open after it was opened, or after a response, for a request to arrive."""
+"""How long to wait for a request on a connection before it is closed.
+
+The time starts when the client connects, and again after each response.
+"""
 
 SHUTDOWN_POLL_INTERVAL_S = 0.01
 """Interval between checks of the accept queue and of the connections."""
 
 SHUTDOWN_FINAL_ITERATIONS = 5
-"""Minimum number of event loop iterations after the last responses."""
+"""Minimum number of event loop iterations after the open requests have been aborted."""
 
 SHUTDOWN_FINAL_ITERATION_S = 0.01
-"""Length of the sleep that lets one of these iterations run."""
+"""Duration of each sleep that lets the event loop run one of the final iterations."""
 
 
 class DrainableListener(Protocol):
@@ -67,7 +70,7 @@
         self._listener = listener
         self._context = context
         self._started_at = time.monotonic()
-        # The platform waits for the longest deadline; the second half is reserved for the last responses.
+        # The platform waits for responses this long; half of the time is reserved for the last responses.
         self._max_deadline_s = min(listener.max_deadline_s, SHUTDOWN_MAX_DEADLINE_S)
 
     async def run(self) -> None:
--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -37,7 +37,7 @@
         self._current_request: IncomingRequest | None = None
         self._rejection: Rejection | None = None  # written after the responses to earlier requests
         self._is_dispatching = False
-        self._accounted_bytes = 0  # what this connection has added to the buffer account
+        self._accounted_bytes = 0  # bytes that this connection has added to the buffer account
         self.reader = reader
         self.idle_since = reader.arrival.started_at
 
@@ -120,7 +120,7 @@
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
         try:
-            # Buffers no more than one response for a client that sends requests and never reads.
+            # At most one response is buffered for a client that sends requests and never reads responses.
             while self.has_only_queued_requests() and not self._transport.has_unsent_bytes():
                 request = self.reader.requests.popleft()
                 request.set_responder(self)
--- a/loadbalancer/network/client/request_arrival.py
+++ b/loadbalancer/network/client/request_arrival.py
@@ -46,8 +46,8 @@
 
         Returns:
             When the request arrived. If the first request of a connection arrived before the connection was
-            accepted, this is when it reached the kernel, so that the time in the accept queue
-            counts against the deadline.
+            accepted, this is when it reached the kernel, so that the time in the accept queue counts against
+            the deadline.
         """
         received_at = self._first_request_received_at
         if received_at is None:
--- a/loadbalancer/network/client/request_head.py
+++ b/loadbalancer/network/client/request_head.py
@@ -23,7 +23,7 @@
 _TARGET = re.compile(rb"/[\x21-\x7e]*")
 _TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
 
-# If one of these headers is repeated, two parsers could use different values.
+# A request that repeats one of these headers is rejected: two parsers could use different values.
 _UNIQUE_HEADERS = (
     b"content-length",
     b"transfer-encoding",
@@ -98,7 +98,8 @@
     _check_method(method, request_class, header_map)
     _check_class_header(header_map, request_class)
     request_id = _read_request_id(header_map)
-    # No client waits longer than the deadline of the class; a longer deadline would only retain state.
+    # No client waits longer than the deadline of its class. A longer deadline would only delay the release of
+    # the request's state.
     deadline_ms = min(_read_deadline_ms(header_map), request_class.deadline_ms)
     return RequestHead(
         method,
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -20,7 +20,7 @@
 """Limit on the queued requests of one connection; no input is parsed while it is exceeded."""
 
 SLICE_BYTES = 8_192
-"""Number of bytes in a slice; one slice may contain more than `MAX_PIPELINED_REQUESTS` requests."""
+"""Number of bytes parsed at a time; they may contain more than `MAX_PIPELINED_REQUESTS` requests."""
 
 
 class RequestReader:
--- a/loadbalancer/network/client/timeouts.py
+++ b/loadbalancer/network/client/timeouts.py
@@ -5,7 +5,7 @@
 REQUEST_TIMEOUT_S = 1.8
 """How long a complete request may take to arrive.
 
-The time starts when the client connects, or with the first byte for later requests on the connection.
+The time starts when the client connects or, for later requests on the connection, with their first byte.
 """
 
 REQUEST_TIMEOUT_UNDER_PRESSURE_S = 0.25
@@ -37,7 +37,7 @@
 """Replaces `LINGER_TIMEOUT_S` if no request has begun to arrive on the connection in time."""
 
 ACCEPT_RETRY_INTERVAL_S = 0.05
-"""Delay before accepting is retried at the connection limit or after a shortage of descriptors."""
+"""Delay before accepting is retried at the connection limit, or after descriptors or memory have run out."""
 
 MIN_EVICTION_INTERVAL_S = ACCEPT_RETRY_INTERVAL_S / 2
 """Minimum interval between evictions, each of which sorts all connections."""
--- a/loadbalancer/network/client/transport.py
+++ b/loadbalancer/network/client/transport.py
@@ -11,7 +11,7 @@
     import asyncio
 
 MAX_LINGER_BYTES = 1 << 20
-"""Limit on discarded input; above it, nothing more is read until the connection is aborted."""
+"""Maximum number of discarded bytes; above it, nothing more is read until the connection is aborted."""
 
 
 class ClientTransport:
@@ -23,7 +23,7 @@
         discards_input: Whether bytes that still arrive are discarded: the connection is closing, or its
             input was rejected.
         is_disconnected: Whether the client has closed the connection, or its sending side.
-        is_reading_paused: Whether reading waits until pipelined requests have been responded to.
+        is_reading_paused: Whether reading is paused until pipelined requests have been responded to.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -88,7 +88,7 @@
             self._transport.write(data)
 
     def pause_reading(self) -> None:
-        """Read no further until `resume_reading`."""
+        """Stop reading until `resume_reading` is called."""
         if self._transport is not None and not self.is_disconnected and not self.is_reading_paused:
             self.is_reading_paused = True
             self._transport.pause_reading()
@@ -100,7 +100,7 @@
             self._transport.resume_reading()
 
     def discard(self, data: bytes) -> None:
-        """Drop input; once the total exceeds `MAX_LINGER_BYTES`, nothing more is read."""
+        """Discard input; once more than `MAX_LINGER_BYTES` have been discarded, nothing more is read."""
         self._discarded_bytes += len(data)
         is_limit_exceeded = self._discarded_bytes > MAX_LINGER_BYTES
         if is_limit_exceeded and self._transport is not None and not self.is_disconnected:
@@ -125,7 +125,8 @@
         self.discards_input = True
         self._transport.write_eof()
         if self._transport.get_write_buffer_size() == 0:
-            # The event loop shuts the socket down in its next iteration: a request could arrive before that.
+            # The event loop itself would shut the socket down only in its next iteration, and a request could
+            # arrive before that.
             shutdown_write(self._transport)
         self.schedule_abort(linger_s)
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -111,11 +111,11 @@
             exceed a third of this time.
         max_attempts: The maximum number of attempts of a request, including the first one and hedged ones.
         connect_timeout_ms: The time after which a connect fails. An attempt that needs a new connection may
-            be sent up to this much later than it starts.
+            be sent up to this long after it starts.
         may_cancel: Whether an attempt in flight may be cancelled.
         may_hedge: Whether an attempt may start while an earlier one of the same request is in flight.
         may_health_check: Whether health checks are allowed. The policy sends none and ignores this setting.
-        max_retry_after_ms: The maximum `Retry-After` of a rejection; 0 if rejections must not have one.
+        max_retry_after_ms: The maximum `Retry-After` of a rejection; 0 if rejections must not set it.
         slow_start_ms: How long an endpoint warms up after its process has started; 0 if endpoints start warm.
         slow_start_initial_fraction: The fraction of its full capacity that an endpoint has at its start,
             above 0. The fraction grows linearly to 1 over `slow_start_ms`.
@@ -123,8 +123,8 @@
             this multiple of its current capacity.
         slow_start_window_ms: The length of the window of `slow_start_overload_factor`.
         over_quota_weight: The value of a response to a request over its tenant's quota, as a fraction of the
-            value of one within the quota, from 0 to 1.
-        tick_ms: The resolution of the host's clock: timers may fire up to this much late.
+            value of a response to a request within the quota, from 0 to 1.
+        tick_ms: The resolution of the host's clock: timers may fire late by up to this time.
         load_report_fields: The field names of an endpoint's load report, in order. The policy does not use
             load reports.
     """
--- a/loadbalancer/settings_reader.py
+++ b/loadbalancer/settings_reader.py
@@ -60,7 +60,7 @@
 
 
 class FieldError(LoadBalancerError, ValueError):
-    """Base class of the errors in a field."""
+    """Base class of errors in a field: it is missing, or its text is invalid."""
 
 
 class MissingFieldError(FieldError):
--- a/loadbalancer/simulator/codec.py
+++ b/loadbalancer/simulator/codec.py
@@ -138,7 +138,8 @@
         warn: Called with a message for an unknown kind, timer or outcome.
 
     Returns:
-        The event; None if the line is of an unknown kind, or of one that the policy does not use.
+        The event; None if the line is of an unknown kind or of a kind that the policy does not use, or names
+        an unknown timer.
 
     Raises:
         FieldError: A field is missing or malformed.
--- a/loadbalancer/simulator/errors.py
+++ b/loadbalancer/simulator/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the simulator's wire: lines that are malformed, or not allowed at their position."""
+"""Errors in the input from the simulator: lines that are malformed, or not allowed at their position."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WireError(LoadBalancerError, ValueError):
-    """Base class of the errors of the simulator's wire."""
+    """Base class of errors in the input from the simulator."""
 
 
 class MalformedPartError(WireError):
