--- a/loadbalancer/network/client/listener.py
+++ b/loadbalancer/network/client/listener.py
@@ -31,7 +31,7 @@
 
 BYTES_PER_MB = 1 << 20
 MS_PER_S = 1000
-_OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_RESOURCE_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Listener:
@@ -106,7 +106,7 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                if error.errno in _OUT_OF_RESOURCES:
+                if error.errno in _RESOURCE_SHORTAGE_ERRNOS:
                     break
                 continue
             self.connections.add(accepted)
--- a/loadbalancer/network/client/request_reader.py
+++ b/loadbalancer/network/client/request_reader.py
@@ -96,11 +96,11 @@
         data = self._unparsed[:SLICE_BYTES]
         self._unparsed = self._unparsed[SLICE_BYTES:]
         self._partial_bytes += len(data)
-        queued_before = len(self.requests)
+        previous_queue_length = len(self.requests)
         rejection = self._parser.feed(data)
         if rejection is not None:
             return rejection
-        if len(self.requests) > queued_before:
+        if len(self.requests) > previous_queue_length:
             # A request ended in this slice, so any incomplete one lies within the slice.
             self._partial_bytes = len(data) if self.arrival.is_arriving else 0
         elif self._partial_bytes - self._parser.partial_body_bytes > MAX_HEAD_BYTES:
