--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -22,7 +22,7 @@
 """The command that runs the balancer from this source tree with the current Python interpreter."""
 
 MAX_RUNNING_BALANCERS = 150
-"""The maximum number of balancers that run at the same time: each uses about 40 MiB of memory."""
+"""The maximum number of balancers that run at the same time, since each uses about 40 MiB of memory."""
 
 _HEALTH_CHECK_INTERVAL_S = 0.02
 _HEALTH_CHECK_TIMEOUT_S = 5.0
@@ -167,7 +167,7 @@
             writer.close()
 
     def log(self) -> str:
-        """Return the output of the process so far, standard output and error."""
+        """Return what the process has written to standard output and standard error so far."""
         return (self._folder / "log").read_text(encoding="utf-8", errors="replace")
 
     async def stop(self, kill_after_s: float = _KILL_AFTER_S) -> int:
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -134,7 +134,7 @@
         return request.number
 
     def disconnect(self, number: int) -> None:
-        """Handle the disconnect of a request's client; does nothing if the request has its response."""
+        """Handle the disconnect of a request's client; does nothing if the response has been sent."""
         request = self._requests.get(number)
         if request is not None and request.is_open:
             self._abandon(request)
--- a/testbed/chain/settings.py
+++ b/testbed/chain/settings.py
@@ -69,8 +69,8 @@
         return self._service_random.expovariate(1 / mean_ms)
 
     def draw_failure(self, fraction: float) -> bool:
-        """Draw whether a request fails.
+        """Draw whether a request fails, with the probability `fraction`.
 
-        The probability is `fraction`; from 1 on, every request fails and nothing is drawn.
+        If `fraction` is 1 or more, every request fails and no random number is drawn.
         """
         return fraction >= 1 or self._failure_random.random() < fraction
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -45,7 +45,7 @@
 
 
 def _experiment_path(name: str) -> Path:
-    """Return the path of an experiment, given as a TOML file or as the name of one in the package."""
+    """Return the path of an experiment, given its path (a TOML file) or its name in the package."""
     path = Path(name)
     return path if path.suffix == ".toml" else EXPERIMENTS_FOLDER / f"{name}.toml"
 
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListRequest:
-    """A request for the list: the version that the balancer has, and how long to wait for a newer version."""
+    """A request for the list: the version that the balancer has, and the maximum wait for a newer version."""
 
     known_version: int
     wait_ms: int
@@ -182,8 +182,8 @@
         self._agent = agent
         self._parser = RequestParser(self._on_request)
         self._transport: asyncio.Transport | None = None
-        self._known_version: int | None = None  # of the open request; None if no request is open
-        self._wait_expired = False  # whether to respond even if there is no newer version
+        self._known_version: int | None = None  # the version in the open request; None if no request is open
+        self._wait_expired = False  # if true, respond even without a newer version
         self._wait_timer: asyncio.TimerHandle | None = None
         self._delay_timer: asyncio.TimerHandle | None = None
 
--- a/testbed/discovery/churn.py
+++ b/testbed/discovery/churn.py
@@ -18,7 +18,7 @@
 IN_SERVICE = "in_service"
 DRAINING = "terminating"
 MAX_UNAVAILABLE_DIVISOR = 20
-"""The maximum number of entries out of service is the list length divided by this, but at least 1."""
+"""The maximum number of entries out of service is the list length divided by this number, but at least 1."""
 
 Change = tuple[EndpointEntry, ...]
 """Entries that change at the same time."""
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -48,7 +48,7 @@
         self._entries: dict[str, EndpointEntry] = {}
         self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, in the order of the changes
         self._oldest_version = 0  # all changes after this version are remembered
-        self._responses: dict[int, ListResponse] = {}  # for the current version, by known version
+        self._responses: dict[int, ListResponse] = {}  # cached for the current version, by known version
 
     @property
     def entries(self) -> list[EndpointEntry]:
--- a/testbed/http/client.py
+++ b/testbed/http/client.py
@@ -152,7 +152,7 @@
         cancelled, its connection is closed.
 
         Returns:
-            The response, or one with the status `NO_RESPONSE`.
+            The response; its status is `NO_RESPONSE` if none was received.
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/testbed/load/arrivals.py
+++ b/testbed/load/arrivals.py
@@ -15,7 +15,7 @@
     Args:
         rate_per_s: The mean rate.
         duration_s: The duration of the process; all arrival times are below it.
-        rng: Draws the exponentially distributed gaps; it draws one gap more than there are arrivals.
+        rng: Draws the exponentially distributed gaps; it draws one more gap than there are arrivals.
     """
     time_s = rng.expovariate(rate_per_s)
     while time_s < duration_s:
--- a/testbed/load/streams.py
+++ b/testbed/load/streams.py
@@ -83,7 +83,7 @@
 
 
 class _ScheduledRequest(NamedTuple):
-    """A request of a schedule, ordered by its time in seconds from the start."""
+    """A scheduled request; requests are ordered by their time in seconds from the start."""
 
     time_s: float
     stream_index: int
@@ -108,7 +108,7 @@
         self._request_ids = request_ids(seed)
         self._open_requests: set[asyncio.Task[None]] = set()
         self._start_s = 0.0
-        # Subtracts the connections opened before this run; `finish` adds all connections opened until then.
+        # Starts at minus the number of connections opened before this run; `finish` adds the total number.
         self.reports = {
             stream.name: StreamReport(opened_connections=-stream.opened_connections) for stream in streams
         }
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -70,7 +70,7 @@
     def busy_fraction(self) -> float:
         """Return the fraction of core time that was not idle; steal time counts as busy."""
         start, now = self._start, psutil.cpu_times()
-        # Guest time is part of user time and would count twice.
+        # Guest time is excluded, since user time already includes it.
         field_names = [name for name in now._fields if not name.startswith("guest")]
         elapsed = {name: getattr(now, name) - getattr(start, name) for name in field_names}
         total = sum(elapsed.values())
@@ -93,7 +93,7 @@
 
 
 class LoopLagMonitor:
-    """Measures the lag of an event loop with a timer of `LAG_INTERVAL_S`."""
+    """Measures the lag of an event loop with a timer that fires every `LAG_INTERVAL_S` seconds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -40,7 +40,7 @@
 _COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
 """The stored columns for which a line is fitted against the rate of changes."""
 _REAL_COST_COLUMNS = ("real_core_percent",)
-"""Further stored columns for which such a line is fitted if the plan has real balancers."""
+"""The stored columns of real balancers for which a line is fitted against the rate of changes."""
 
 
 class Plan(experiment.Plan):
@@ -78,7 +78,7 @@
 async def _measure_size(
     plan: Plan, watch_only_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
-    """Start watch-only and real balancers, and measure the rates one after another."""
+    """Start watch-only and real balancers, and measure them at one rate of change after another."""
     acknowledgements: list[VersionObservation] = []
 
     def on_watch(agent: int, known_version: int, at_s: float) -> None:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -35,21 +35,21 @@
     """
 
     median_applied_ms: float | None = stored_as("in_force_ms_median")
-    """Until the policy of a watch-only balancer has applied the change."""
+    """The delay until the policy of a watch-only balancer has applied the change."""
     p99_applied_ms: float | None = stored_as("in_force_ms_99")
     max_applied_ms: float | None = stored_as("in_force_ms_longest")
     median_applied_by_all_ms: float | None = stored_as("everywhere_ms_median")
-    """Until all watch-only balancers have applied the change; the median over the changes."""
+    """The delay until all watch-only balancers have applied the change; the median over the changes."""
     median_acknowledged_ms: float | None = stored_as("taken_up_ms_median")
-    """Until the next watch request of a watch-only balancer acknowledges the change."""
+    """The delay until the next watch request of a watch-only balancer acknowledges the change."""
     p99_acknowledged_ms: float | None = stored_as("taken_up_ms_99")
     max_acknowledged_ms: float | None = stored_as("taken_up_ms_longest")
     median_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_median")
-    """Until the next watch request of a real balancer acknowledges the change."""
+    """The delay until the next watch request of a real balancer acknowledges the change."""
     p99_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_99")
     max_real_acknowledged_ms: float | None = stored_as("real_taken_up_ms_longest")
     max_written_ms: float | None = stored_as("written_ms_longest")
-    """Until discovery has written the change to all open watches."""
+    """The delay until discovery has written the change to all open watches."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -72,11 +72,11 @@
     This cost does not depend on the rate, so it does not affect the slope that is fitted against the rate.
     """
     real_core_percent: float | None
-    """Mean processor time of a real balancer, as a percentage of a core; null if there is none."""
+    """Mean processor time of a real balancer, as a percentage of a core; null without real balancers."""
     requests_per_s: float = stored_as("calls_per_s")
     """Requests from a watch-only balancer to discovery."""
     bytes_per_s: float
-    """Bytes of these requests and their responses."""
+    """Bytes of a watch-only balancer's requests to discovery and of the responses."""
     snapshots: int = stored_as("whole_lists")
     """Snapshots that watch-only balancers received."""
     p99_loop_lag_ms: float = stored_as("loops_late_ms_99")
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -58,11 +58,11 @@
     requests_per_s: float = stored_as("calls_per_s")
     """Requests from the real balancer to discovery."""
     bytes_per_s: float
-    """Bytes of these requests and their responses."""
+    """Bytes of the real balancer's requests to discovery and of the responses."""
     watch_only_requests_per_s: float = stored_as("hollow_calls_per_s")
-    """Requests from a watch-only balancer to discovery, as the mean over all of them."""
+    """Requests from a watch-only balancer to discovery; the mean over all watch-only balancers."""
     watch_only_bytes_per_s: float = stored_as("hollow_bytes_per_s")
-    """Bytes of these requests and their responses."""
+    """Bytes of a watch-only balancer's requests to discovery and of the responses, as a mean."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -25,7 +25,7 @@
     """The fraction of requests that fail, if the behaviour is `Behaviour.FAILS`."""
     tier: Literal["first", "middle", "bottom"] = "bottom"
     servers: Annotated[int, Field(ge=0)] = 0
-    """The number of faulty servers; 0 for all of the tier."""
+    """The number of faulty servers; 0 means all servers of the tier."""
 
     def tier_number(self, depth: int) -> int:
         """Return the number of the tier of the faulty servers; tiers are numbered from 1."""
@@ -44,15 +44,18 @@
     calls_per_s: Positive = 100.0
     """The mean rate of client requests, which arrive as a Poisson process."""
     warm_s: NonNegative = 5.0
-    """The time before the fault in seconds; with 0 the fault is present from the first request on."""
+    """The time in seconds before the fault; if it is 0, the fault is present from the first request on."""
     fault_s: Annotated[Positive, renamed_field("fault_s", "trouble_s")] = 15.0
     """The duration of the fault in seconds."""
     after_s: NonNegative = 0.0
-    """The time after the fault in seconds; with 0 the fault lasts until the last request has finished."""
+    """The time in seconds after the fault; if it is 0, the fault lasts until the last request finishes."""
     single_call: bool = False
     """Whether only one request arrives during the fault."""
     idempotency: Annotated[Idempotency, renamed_field("idempotency", "effect")] = Idempotency.SAFE
-    """Keyed requests are deduplicated across all servers for `idempotency_window_ms`."""
+    """The idempotency of the requests.
+
+    Keyed requests are deduplicated across all servers for `idempotency_window_ms`.
+    """
     idempotency_window_ms: Annotated[
         NonNegative, renamed_field("idempotency_window_ms", "repeat_window_ms")
     ] = 2_000.0
@@ -69,7 +72,7 @@
     steady_service: bool = False
     """Whether service times are constant instead of exponentially distributed."""
     workers: Annotated[int, Field(ge=0)] = 64
-    """The limit on requests that a server works on concurrently; 0 for no limit."""
+    """The limit on requests that a server works on concurrently; 0 means no limit."""
     queue: Annotated[int, Field(ge=0)] = 64
     """The limit on requests that wait at a server; further requests are rejected."""
     events_max: Annotated[int, Field(ge=1), renamed_field("events_max", "events_most")] = 3_000_000
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -25,7 +25,7 @@
 WINDOW_MS = 500.0
 """The length of the time windows in which requests after the fault are counted."""
 SINGLE_REQUEST_DELAY_MS = 1_000.0
-"""The time between the end of the warm-up and a single request."""
+"""With `Plan.single_call`, the time from the end of the warm-up to the fault and its single request."""
 _OK = 200
 _UNAVAILABLE = 503
 
@@ -46,9 +46,9 @@
     """Fractions of client requests with a 200 response; null if there were no requests."""
 
     served: float | None
-    """For all requests that have a response."""
+    """The fraction for all requests; if the simulation was cut short, for those that have a response."""
     served_before: float | None
-    """For the requests before the fault.
+    """The fraction for requests that arrived before the fault.
 
     Requests in the last `WINDOW_MS` are excluded, since they may be in flight when the fault begins.
     """
@@ -106,12 +106,13 @@
     rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected because their queues were full."""
     p50_added_per_tier_ms: float | None = stored_as("added_a_hop_p50_ms")
-    """The median latency of served requests per tier, minus the expected latency.
+    """The median latency per tier of served requests, minus the expected latency per tier.
 
-    The expected latency per tier is that of two messages plus the mean service time.
+    The latency per tier is the latency of a request divided by the number of tiers. The expected latency is
+    the network latency of two messages plus the mean service time.
     """
     p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
-    """The 99th percentile of the same latency."""
+    """The 99th percentile of the latency per tier of served requests, minus the expected latency."""
     last_tier_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
@@ -147,9 +148,10 @@
         self._chain.set_behaviour(fault.tier_number(settings.depth), count, behaviour, fault.fraction)
 
     def _schedule_request(self, previous_ms: float) -> None:
-        """Schedule the request after the one at `previous_ms`, unless it would arrive after the end.
+        """Schedule the request after the one at `previous_ms`, unless the simulation ends before it arrives.
 
-        With `single_call`, an arrival between the warm-up and the end of the fault is moved after the fault.
+        With `single_call`, an arrival between the warm-up and the end of the fault is postponed until after
+        the fault.
         """
         time_ms = previous_ms + self._arrival_random.expovariate(self._plan.calls_per_s / 1000)
         if self._plan.single_call and self._warm_up_end_ms <= time_ms < self._fault_end_ms:
--- a/testbed/runs/list_size/lists.py
+++ b/testbed/runs/list_size/lists.py
@@ -76,7 +76,7 @@
         loop = asyncio.new_event_loop()
         self._balancer = LoadBalancer(configuration.settings, configuration.seed)
         self._upstream_pools = UpstreamPools(configuration, loop)
-        loop.close()  # not needed any more, since applying a list opens no connection
+        loop.close()  # not used later, since applying a list opens no connection
         self._entries = settings.endpoint_entries(entries, seed=plan.seed)
         self._discovery = Discovery()
         self._now_ms = _START_MS
@@ -128,7 +128,10 @@
         return body
 
     def row(self, undisturbed_rounds: Sequence[ListRound], columns: RoundColumns) -> ListRow:
-        """Return the row that combines all undisturbed rounds; this also measures the memory."""
+        """Measure the memory of a balancer with this list, and return the row of the benchmark.
+
+        The row combines the memory with the times of all undisturbed rounds.
+        """
         lists = [times for measured_round in undisturbed_rounds for times in measured_round.lists]
         deltas = [times for measured_round in undisturbed_rounds for times in measured_round.deltas]
         return ListRow(
@@ -162,7 +165,7 @@
         gc.collect()
         tracemalloc.start()
         before, _ = tracemalloc.get_traced_memory()
-        # No variable may refer to the configuration, or parts that the balancer discards would be counted.
+        # A variable for the configuration would keep the parts in memory that the balancer discards.
         balancer = WatchOnlyBalancer(
             read_configuration(text, ignore_message), asyncio.get_running_loop(), lambda _version, _at_s: None
         )
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -24,7 +24,10 @@
 INITIAL_CALIBRATIONS = 100
 """The number of calibrations at the start; their minimum is the time on an undisturbed core."""
 MAX_UNDISTURBED_RATIO = 1.25
-"""The limit on a calibration time divided by the minimum; with a busy sibling, the ratio is nearly 2."""
+"""The maximum ratio of a calibration time in an undisturbed round to the fastest calibration time.
+
+With a busy sibling, the ratio is nearly 2.
+"""
 _NS_PER_US = 1e3
 
 
@@ -36,7 +39,7 @@
     """The number of undisturbed rounds, from which the row is computed."""
     rounds_run: int = stored_as("rounds_played")
     max_calibration_us: float = stored_as("reference_us")
-    """The slowest calibration of the undisturbed rounds, in microseconds."""
+    """The longest calibration time of the undisturbed rounds, in microseconds."""
 
 
 RoundT = TypeVar("RoundT")
