--- a/testbed/runs/added_time.py
+++ b/testbed/runs/added_time.py
@@ -99,9 +99,9 @@
     result: RunResult[AddedTimeRow] = RunResult()
     for size in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            measured = runner.run(_measure_size(plan, size))
-        result.add(measured)
-        log.info("measured", **measured.row.columns(), doubts=measured.invalidity_reasons)
+            measured_row = runner.run(_measure_size(plan, size))
+        result.add(measured_row)
+        log.info("measured", **measured_row.row.columns(), doubts=measured_row.invalidity_reasons)
     if len(plan.sizes) > 1:
         result.fits = [fit_columns(result.rows, y, "entries") for y in _FITTED_COLUMNS]
     return result
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -101,9 +101,9 @@
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
         for multiple, duration_s in zip(plan.multiples, plan.spans_s, strict=True):
-            measured = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
-            result.add(measured)
-            log.info("under change", **measured.row.columns())
+            measured_row = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
+            result.add(measured_row)
+            log.info("under change", **measured_row.row.columns())
 
 
 async def _measure_rate(
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -205,8 +205,10 @@
             [request for request in requests if request.phase == phase] for phase in Phase
         )
         # Requests in flight when the fault begins do not show how the chain served requests before the fault.
-        settled = [request for request in before if request.received_at_ms < self._warm_up_end_ms - WINDOW_MS]
-        served_before = _served_fraction(settled)
+        counted_requests = [
+            request for request in before if request.received_at_ms < self._warm_up_end_ms - WINDOW_MS
+        ]
+        served_before = _served_fraction(counted_requests)
         shed = [request.status == _UNAVAILABLE and not request.was_attempted for request in during]
         return ServedColumns(
             served=_served_fraction(requests),
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -76,7 +76,7 @@
     """The measurements of a round, and the slower of the calibrations before and after it."""
 
     calibration_us: float
-    measured: Any
+    measurements: Any
 
 
 class BenchmarkRunner(Generic[RowT]):
@@ -112,10 +112,10 @@
         while (
             len(rounds) < self._max_rounds and sum(map(self._is_undisturbed, rounds)) < self._required_rounds
         ):
-            measured = benchmark.run_round()
+            measurements = benchmark.run_round()
             after = self._measure_calibration_us()
             self._min_calibration_us = min(self._min_calibration_us, after)
-            rounds.append(_MeasuredRound(max(before, after), measured))
+            rounds.append(_MeasuredRound(max(before, after), measurements))
             before = after
         self._measured_benchmarks.append((benchmark, rounds))
 
@@ -135,6 +135,6 @@
                 max_calibration_us=max(measured_round.calibration_us for measured_round in undisturbed),
             )
             result.rows.append(
-                benchmark.row([measured_round.measured for measured_round in undisturbed], columns)
+                benchmark.row([measured_round.measurements for measured_round in undisturbed], columns)
             )
         return result
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -68,13 +68,15 @@
 def _fits(plan: Plan, rows: list[ListSizeRow], endpoint_use: EndpointUse) -> list[Fit]:
     """Fit costs against the length of the list, for one choice of the endpoints that are used."""
     fits = []
-    matching = [row for row in rows if row.identity.keeps == endpoint_use]
+    matching_rows = [row for row in rows if row.identity.keeps == endpoint_use]
     for tier in plan.tiers:
-        decisions = [row for row in matching if isinstance(row, DecisionRow) and row.identity.tier == tier]
+        decisions = [
+            row for row in matching_rows if isinstance(row, DecisionRow) and row.identity.tier == tier
+        ]
         fits += [
             fit_columns(decisions, y, "entries", label=f"{y} ({endpoint_use}, tier {tier})")
             for y in _FITTED_DECISION_COLUMNS
         ]
-    lists = [row for row in matching if isinstance(row, ListRow)]
+    lists = [row for row in matching_rows if isinstance(row, ListRow)]
     fits += [fit_columns(lists, y, "entries", label=f"{y} ({endpoint_use})") for y in _FITTED_LIST_COLUMNS]
     return fits
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -134,12 +134,12 @@
         for number, (phase, behaviour) in enumerate(_PHASES if depth in plan.faults_at else _PHASES[:1]):
             for upstream in chain.tiers[-1]:
                 await upstream.set_behaviour(behaviour)
-            measured = await _measure_phase(plan, chain, phase, plan.seed + 1 + number)
-            result.rows.append(measured.row)
+            measured_row = await _measure_phase(plan, chain, phase, plan.seed + 1 + number)
+            result.rows.append(measured_row.row)
             result.invalidity_reasons += [
-                f"depth {depth}, {phase}: {reason}" for reason in measured.invalidity_reasons
+                f"depth {depth}, {phase}: {reason}" for reason in measured_row.invalidity_reasons
             ]
-            log.info("measured", **measured.row.columns(), doubts=measured.invalidity_reasons)
+            log.info("measured", **measured_row.row.columns(), doubts=measured_row.invalidity_reasons)
     finally:
         await chain.stop()
 
