--- a/testbed/balancer/watch_only.py
+++ b/testbed/balancer/watch_only.py
@@ -18,7 +18,10 @@
     from loadbalancer.configuration import Configuration, EndpointList
 
 OnListApplied = Callable[[int, float], None]
-"""Called with the version of an applied list and the time, in seconds of the monotonic clock."""
+"""Called once a list has been applied.
+
+The arguments are the version of the list, and the time in seconds of the monotonic clock.
+"""
 
 
 class WatchOnlyBalancer:
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -42,10 +42,7 @@
         return self._pipe.recv()
 
     def stop(self) -> None:
-        """Close the pipe, which makes the child exit; kill the child if that takes too long.
-
-        The limit is `STOP_TIMEOUT_S`.
-        """
+        """Close the pipe, which makes the child exit; kill it if it still runs after `STOP_TIMEOUT_S`."""
         self._pipe.close()
         self._process.join(STOP_TIMEOUT_S)
         if self._process.is_alive():
--- a/testbed/discovery/agent.py
+++ b/testbed/discovery/agent.py
@@ -29,7 +29,8 @@
 WatchObserver = Callable[[int, int, float], None]
 """Called for each watch request.
 
-The arguments are the agent's number, the version of the balancer's list, and the time in seconds.
+The arguments are the agent's number, the version of the balancer's list, and the time of the request in
+seconds of the agent's clock.
 """
 
 
--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -107,5 +107,5 @@
             yield entry
 
     def is_outdated(self, known_version: int) -> bool:
-        """Whether a version is not the current one: an older version, or one that was never created."""
+        """Whether a version differs from the current one: it is older, or was never created."""
         return known_version != self.version
