--- a/testbed/discovery/endpoint_history.py
+++ b/testbed/discovery/endpoint_history.py
@@ -48,7 +48,7 @@
         self._entries: dict[str, EndpointEntry] = {}
         self._changes: dict[str, tuple[int, EndpointEntry]] = {}  # by name, in the order of the changes
         self._oldest_version = 0  # all changes after this version are remembered
-        self._responses: dict[int, ListResponse] = {}  # for the current version, by known version
+        self._responses: dict[int, ListResponse] = {}  # cached for the current version, by known version
 
     @property
     def entries(self) -> list[EndpointEntry]:
@@ -107,5 +107,5 @@
             yield entry
 
     def is_outdated(self, known_version: int) -> bool:
-        """Whether a version is not the current one: an older version, or one that was never created."""
+        """Whether a version differs from the current one: it is older, or was never created."""
         return known_version != self.version
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -40,7 +40,7 @@
 _COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
 """The stored columns for which a line is fitted against the rate of changes."""
 _REAL_COST_COLUMNS = ("real_core_percent",)
-"""Further stored columns for which such a line is fitted if the plan has real balancers."""
+"""The stored columns of real balancers for which a line is fitted against the rate of changes."""
 
 
 class Plan(experiment.Plan):
@@ -78,7 +78,7 @@
 async def _measure_size(
     plan: Plan, watch_only_count: int, result: RunResult[ChangeRow], log: FilteringBoundLogger
 ) -> None:
-    """Start watch-only and real balancers, and measure the rates one after another."""
+    """Start watch-only and real balancers, and measure them at one rate of change after another."""
     acknowledgements: list[VersionObservation] = []
 
     def on_watch(agent: int, known_version: int, at_s: float) -> None:
@@ -101,9 +101,9 @@
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
         for multiple, duration_s in zip(plan.multiples, plan.spans_s, strict=True):
-            measured = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
-            result.add(measured)
-            log.info("under change", **measured.row.columns())
+            measured_row = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
+            result.add(measured_row)
+            log.info("under change", **measured_row.row.columns())
 
 
 async def _measure_rate(
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -24,7 +24,10 @@
 INITIAL_CALIBRATIONS = 100
 """The number of calibrations at the start; their minimum is the time on an undisturbed core."""
 MAX_UNDISTURBED_RATIO = 1.25
-"""The limit on a calibration time divided by the minimum; with a busy sibling, the ratio is nearly 2."""
+"""The maximum ratio of a calibration time in an undisturbed round to the fastest calibration time.
+
+With a busy sibling, the ratio is nearly 2.
+"""
 _NS_PER_US = 1e3
 
 
@@ -36,7 +39,7 @@
     """The number of undisturbed rounds, from which the row is computed."""
     rounds_run: int = stored_as("rounds_played")
     max_calibration_us: float = stored_as("reference_us")
-    """The slowest calibration of the undisturbed rounds, in microseconds."""
+    """The longest calibration time of the undisturbed rounds, in microseconds."""
 
 
 RoundT = TypeVar("RoundT")
@@ -73,7 +76,7 @@
     """The measurements of a round, and the slower of the calibrations before and after it."""
 
     calibration_us: float
-    measured: Any
+    measurements: Any
 
 
 class BenchmarkRunner(Generic[RowT]):
@@ -109,10 +112,10 @@
         while (
             len(rounds) < self._max_rounds and sum(map(self._is_undisturbed, rounds)) < self._required_rounds
         ):
-            measured = benchmark.run_round()
+            measurements = benchmark.run_round()
             after = self._measure_calibration_us()
             self._min_calibration_us = min(self._min_calibration_us, after)
-            rounds.append(_MeasuredRound(max(before, after), measured))
+            rounds.append(_MeasuredRound(max(before, after), measurements))
             before = after
         self._measured_benchmarks.append((benchmark, rounds))
 
@@ -132,6 +135,6 @@
                 max_calibration_us=max(measured_round.calibration_us for measured_round in undisturbed),
             )
             result.rows.append(
-                benchmark.row([measured_round.measured for measured_round in undisturbed], columns)
+                benchmark.row([measured_round.measurements for measured_round in undisturbed], columns)
             )
         return result
