--- a/loadbalancer/network/deadline_watchdog.py
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -69,7 +69,7 @@
         request = self._requests.get(number)
         if request is None or not request.is_open:
             return
-        request.respond(502 if request.may_have_run or request.running_attempts else 503)
+        request.respond(502 if request.may_have_run or request.running_attempt_count else 503)
         # Makes the policy cancel the running attempts.
         self._dispatch(ClientDisconnected(request.number), request)
         request.drop_unsent_attempts()
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -73,7 +73,7 @@
             request: The request that the event belongs to, if any.
         """
         if request is not None:
-            request.queued_events += 1
+            request.queued_event_count += 1
         self._events.append((event, request))
         if self._is_dispatching:
             return
@@ -93,7 +93,7 @@
                 self._log.exception(f"could not perform {action!r}")
                 self._end_failed_request(_request_number(action))
         if request is not None:
-            request.queued_events -= 1
+            request.queued_event_count -= 1
             self._requests.remove_if_finished(request)
 
     def _decide(self, event: Event, request: ProxiedRequest | None) -> list[Action]:
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -24,16 +24,16 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._interval = 0  # number of the interval on the monotonic clock
-        self._lines = 0
+        self._line_count = 0
 
     def write(self, text: str) -> None:
         """Write a line, unless the interval has reached its limit."""
         interval = int(time.monotonic() / INTERVAL_S)
         if interval != self._interval:
             self._interval = interval
-            self._lines = 0
-        self._lines += 1
-        if self._lines <= MAX_LINES:
+            self._line_count = 0
+        self._line_count += 1
+        if self._line_count <= MAX_LINES:
             # A closed standard error must not end the process.
             with contextlib.suppress(OSError):
                 print(f"{self._name}: {text}", file=sys.stderr, flush=True)  # noqa: T201  this is the log
--- a/loadbalancer/network/open_requests.py
+++ b/loadbalancer/network/open_requests.py
@@ -25,8 +25,8 @@
         attempts: The attempts by their index; None in place of an attempt that could not be started.
         is_open: Whether the client still waits for the response.
         may_have_run: Whether an attempt that has ended may have had an effect.
-        running_attempts: The number of attempts that have not ended.
-        queued_events: The number of events of the request that the policy has not handled.
+        running_attempt_count: The number of attempts that have not ended.
+        queued_event_count: The number of events of the request that the policy has not handled.
     """
 
     __slots__ = (
@@ -37,8 +37,8 @@
         "is_open",
         "may_have_run",
         "number",
-        "queued_events",
-        "running_attempts",
+        "queued_event_count",
+        "running_attempt_count",
     )
 
     def __init__(self, number: int, incoming: IncomingRequest, expires_at_ms: float) -> None:
@@ -48,8 +48,8 @@
         self.attempts: list[UpstreamAttempt | None] = []
         self.is_open = True
         self.may_have_run = False
-        self.running_attempts = 0
-        self.queued_events = 0
+        self.running_attempt_count = 0
+        self.queued_event_count = 0
         self._watchdog_timer: asyncio.TimerHandle | None = None
 
     def set_watchdog_timer(self, timer: asyncio.TimerHandle) -> None:
@@ -82,7 +82,7 @@
 
     def is_finished(self) -> bool:
         """Return whether the request is closed, and has no running attempt and no queued event."""
-        return not (self.is_open or self.running_attempts or self.queued_events)
+        return not (self.is_open or self.running_attempt_count or self.queued_event_count)
 
 
 class OpenRequests:
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -58,7 +58,7 @@
         """
         request = self._requests[action.request_id]
         index = len(request.attempts)
-        request.running_attempts += 1
+        request.running_attempt_count += 1
         attempt: UpstreamAttempt | None = None
         outcome = Outcome.NOT_SENT  # if the client no longer waits
         if self._is_response_needed(request):
@@ -104,7 +104,7 @@
 
         The first successful response is sent to the client before the event is passed to the policy.
         """
-        request.running_attempts -= 1
+        request.running_attempt_count -= 1
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED and response is not None:
             request.respond(200, end_to_end_headers(response.headers), response.body)
--- a/loadbalancer/network/upstream/connection_limit.py
+++ b/loadbalancer/network/upstream/connection_limit.py
@@ -27,13 +27,13 @@
 
     Attributes:
         max_connections: The maximum number of connections that may be open.
-        open_connections: The number of connections that are open or being opened.
+        open_connection_count: The number of connections that are open or being opened.
     """
 
     def __init__(self, descriptor_limit: int, close_idle_connection: Callable[[], bool]) -> None:
         usable_descriptors = int(descriptor_limit * UPSTREAM_DESCRIPTORS_FRACTION)
         self.max_connections = max(usable_descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTION_LIMIT)
-        self.open_connections = 0
+        self.open_connection_count = 0
         self._close_idle_connection = close_idle_connection
 
     def acquire(self) -> None:
@@ -42,10 +42,10 @@
         Raises:
             ConnectionLimitError: The limit is reached, and no connection is idle.
         """
-        if self.open_connections >= self.max_connections and not self._close_idle_connection():
+        if self.open_connection_count >= self.max_connections and not self._close_idle_connection():
             raise ConnectionLimitError
-        self.open_connections += 1
+        self.open_connection_count += 1
 
     def release(self) -> None:
         """Stop counting a connection that has closed."""
-        self.open_connections -= 1
+        self.open_connection_count -= 1
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -207,9 +207,9 @@
         return set(self._pools)
 
     @property
-    def open_connections(self) -> int:
+    def open_connection_count(self) -> int:
         """The number of connections that are open or being opened."""
-        return self.connection_limit.open_connections
+        return self.connection_limit.open_connection_count
 
     def pool(self, endpoint: str) -> UpstreamPool:
         """Return the pool of an endpoint, which must be on the endpoint list."""
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -241,12 +241,12 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
-async def contact_times_in_outage(
-    loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
+async def connect_times_in_outage(
+    loop: SimulatedLoop, *, fault: str, balancer_count: int, duration_s: float
 ) -> list[float]:
     """Return the times at which several balancers tried to reach discovery during an outage."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
+    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancer_count + 1)]
     await asyncio.sleep(1.0)
     discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
@@ -259,19 +259,21 @@
 
 def test_retries_in_outage_are_spread_and_limited() -> None:
     """Simultaneous retries would overload discovery as it recovers."""
-    duration_s, balancers = 60.0, 20
+    duration_s, balancer_count = 60.0, 20
     for fault in FAULTS:
         attempts = run_simulated(
-            partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+            partial(
+                connect_times_in_outage, fault=fault, balancer_count=balancer_count, duration_s=duration_s
+            )
         )
         mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
-        assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
+        assert len(attempts) / (balancer_count * duration_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
-        assert max(map(slots.count, set(slots))) < balancers / 3, (
+        assert max(map(slots.count, set(slots))) < balancer_count / 3, (
             "within a tenth of a second, fewer than a third of the balancers try to reach discovery"
         )
     repeated_attempts = run_simulated(
-        partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+        partial(connect_times_in_outage, fault=fault, balancer_count=balancer_count, duration_s=duration_s)
     )
     assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
@@ -314,11 +316,11 @@
 
 async def test_connection_close_from_discovery_is_respected() -> None:
     """If the watch did not close the connection, each response would leak one that discovery keeps open."""
-    open_connections, version, all_served = 0, 7, asyncio.Event()
+    open_connection_count, version, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal open_connections, version
-        open_connections += 1
+        nonlocal open_connection_count, version
+        open_connection_count += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await read_message(reader)
             version += 1
@@ -328,7 +330,7 @@
             body = json.dumps({"index": version, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
             await reader.read()
-        open_connections -= 1
+        open_connection_count -= 1
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -337,4 +339,6 @@
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
     await all_served.wait()
-    assert open_connections < 10, "of 33 connections, only the one in use and those being closed are open"
+    assert open_connection_count < 10, (
+        "of 33 connections, only the one in use and those being closed are open"
+    )
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -105,7 +105,7 @@
     attempts = [ObservedAttempt(pools) for _ in range(12)]
 
     def all_connected_or_finished() -> bool:
-        assert pools.open_connections <= 5
+        assert pools.open_connection_count <= 5
         return upstream.connection_count >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
@@ -113,5 +113,5 @@
         "five attempts have connected and seven have ended",
         state=lambda: (upstream.connection_count, [attempt.outcomes for attempt in attempts]),
     )
-    assert pools.open_connections == upstream.connection_count == 5
+    assert pools.open_connection_count == upstream.connection_count == 5
     assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -94,7 +94,7 @@
     connection.data_received(response())  # read before the timeout, but delivered after it
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.TIMED_OUT]
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
 
 
 async def test_disconnect_after_liveness_check_counts_as_reset(
@@ -150,7 +150,7 @@
     monkeypatch.setattr(UpstreamPool, "connect", connect_and_update)
     assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
 
 
 async def test_queued_events_survive_policy_exception(
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -32,10 +32,11 @@
 # Number of entries of the largest endpoint list that is expected.
 MAX_LIST_ENTRIES = 7_000
 
-# Runs `before`, starts the program, sends SIGTERM when it begins to listen, and prints `expression` as JSON.
+# Runs `setup_code`, starts the program, sends SIGTERM when it begins to listen, and prints `expression` as
+# JSON.
 SCRIPT = """if True:
     import gc, json, os, signal, sys
-    {before}
+    {setup_code}
     from loadbalancer import __main__ as program
     from loadbalancer.network.client.listener import Listener
     start = Listener.start
@@ -48,16 +49,22 @@
 """
 
 
-def evaluate_after_start(tmp_path: Path, expression: str, before: str = "pass", entries: int = 6) -> Any:
+def evaluate_after_start(
+    tmp_path: Path, expression: str, setup_code: str = "pass", entry_count: int = 6
+) -> Any:
     """Run the program until it listens, and return the value of an expression that its process evaluates.
 
-    The configuration of the program contains `entries` known endpoints.
+    The configuration of the program contains `entry_count` known endpoints.
     """
-    known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entries)]
+    known = [entry(f"s{i}", f"127.0.0.1:{i + 1}") for i in range(entry_count)]
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", known))
     completed = subprocess.run(
-        [sys.executable, "-c", SCRIPT.format(before=before.replace("\n", "\n    "), expression=expression)],
+        [
+            sys.executable,
+            "-c",
+            SCRIPT.format(setup_code=setup_code.replace("\n", "\n    "), expression=expression),
+        ],
         env=os.environ | {"LB_CONFIG": str(path)},
         cwd=ROOT,
         capture_output=True,
@@ -160,7 +167,7 @@
 
 
 def test_long_known_list_is_processed_once(tmp_path: Path) -> None:
-    before = """if True:
+    setup_code = """if True:
         from loadbalancer import events
         from loadbalancer.policy import balancer
         from loadbalancer import configuration as config
@@ -178,13 +185,13 @@
             lambda _, event, now: isinstance(event, events.EndpointListUpdate)
                 and event.kind.name != "FAILED")
     """
-    counts = evaluate_after_start(tmp_path, "counts", before, MAX_LIST_ENTRIES)
+    counts = evaluate_after_start(tmp_path, "counts", setup_code, MAX_LIST_ENTRIES)
     assert counts == {"files": 1, "entries": MAX_LIST_ENTRIES, "updates": 1}
 
 
 def test_no_garbage_collection_runs_during_startup(tmp_path: Path) -> None:
     """Each collection would traverse the long-lived objects of thousands of entries, and free nothing."""
-    before = """if True:
+    setup_code = """if True:
         def collections():
             return [generation["collections"] for generation in gc.get_stats()]
         import asyncio
@@ -200,7 +207,7 @@
         gc.freeze = record_and_freeze
     """
     (collections_at_start, collections_at_freeze), enabled = evaluate_after_start(
-        tmp_path, "(seen, gc.isenabled())", before, MAX_LIST_ENTRIES
+        tmp_path, "(seen, gc.isenabled())", setup_code, MAX_LIST_ENTRIES
     )
     assert collections_at_start == collections_at_freeze
     assert enabled
--- a/tests/network/test_startup_signals.py
+++ b/tests/network/test_startup_signals.py
@@ -116,7 +116,7 @@
 
 
 @at_each_startup_step
-def test_sigterm_during_startup_ends_program_silently(step: str, tmp_path: Path) -> None:
+def test_sigterm_during_startup_ends_program_without_traceback(step: str, tmp_path: Path) -> None:
     """Before the event loop runs, the signal itself ends the program; later, a graceful shutdown does."""
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []))
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -27,7 +27,7 @@
     async with full_backlog() as address:
         pools = make_pools(address)
         assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.CONNECT_FAILED
-        assert pools.open_connections == 0
+        assert pools.open_connection_count == 0
 
 
 async def test_attempt_timeout_while_connecting_is_connect_failure() -> None:
@@ -62,7 +62,7 @@
     attempt.attempt.cancel()
     await upstream.connection_closed.wait()
     assert attempt.outcomes == [Outcome.CANCELLED]
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
 
 
 async def test_connection_opened_after_drain_grace_is_not_used(start_server: StartServer) -> None:
@@ -85,25 +85,25 @@
 
     async def send_request() -> None:
         assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
-        assert pools.open_connections == 1
+        assert pools.open_connection_count == 1
 
     await send_request()
     pools.close_idle_connections("s0")
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
     await send_request()
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the idle time limit is 0.8 of 60 s
     await send_request()
     assert upstream.connection_count == 3
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
     pools.close_expired()
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
     await send_request()
     pools.update_endpoints(endpoint_list(entry("s0", await start_server(new_upstream))))
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
     await send_request()
     assert len(new_upstream.received) == 1
     pools.update_endpoints(endpoint_list(is_complete=True))
-    assert pools.open_connections == 0
+    assert pools.open_connection_count == 0
     attempt_factory = UpstreamAttemptFactory(asyncio.get_running_loop(), pools)
     assert attempt_factory.start_attempt("s0", 1.0, lambda: REQUEST, lambda outcome, reply: None) is None
 
@@ -118,7 +118,7 @@
     attempt = attempt_factory.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
     await other_upstream.request_received.wait()
-    assert pools.open_connections == 1
+    assert pools.open_connection_count == 1
     # The balancer may not open a further connection; this must not count as a failure of the upstream.
     assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.NOT_SENT
     attempt.cancel()
