--- a/loadbalancer/network/deadline_watchdog.py
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -19,7 +19,7 @@
     from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
 
 POLICY_DEADLINE_MARGIN_MS = 10.0
-"""Time between the policy's deadline and the client's deadline, in which the response reaches the client."""
+"""Time between the policy's deadline and the client's deadline, for sending the response to the client."""
 
 WATCHDOG_MARGIN_MS = 5.0
 """Time between the watchdog's response and the client's deadline.
@@ -30,7 +30,7 @@
 
 
 class DeadlineWatchdog:
-    """Responds in place of the policy: near the deadline, after a failure of the policy, and at shutdown.
+    """Responds in place of the policy: just before the deadline, after a failure of the policy, at shutdown.
 
     Args:
         loop: The event loop, which runs the timers.
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -3,7 +3,7 @@
 The watch sends one HTTP request after another. Until a list from the current discovery service is known, it
 requests the complete list, which discovery returns immediately. After that it sends watch requests, which
 state the version of the known list and a wait time: discovery responds when the list changes, or when the
-wait time has passed. A list in the configuration counts as one from the first discovery service.
+wait time has passed. A list in the configuration counts as a list from the first discovery service.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     from loadbalancer.configuration import Address, Configuration, EndpointList
 
 WATCH_TIMEOUT_MARGIN_S = 1.0
-"""Time from the end of the wait time of a watch request until the request times out.
+"""Time by which the timeout of a watch request exceeds its wait time.
 
 After the timeout, the list that the request should have returned must be received within one second.
 """
@@ -36,7 +36,10 @@
 """
 
 CONNECT_TIMEOUT_S = 1.0
-"""Timeout for connecting; shorter than that of a request, since a host that is down never responds."""
+"""Connect timeout; shorter than the timeout of a request.
+
+An attempt to connect to a host that is down may end only after this time.
+"""
 
 _NO_VERSION = -1  # until a list from the discovery service is known
 
--- a/loadbalancer/network/headers.py
+++ b/loadbalancer/network/headers.py
@@ -22,7 +22,7 @@
 )
 
 Headers = list[tuple[bytes, bytes]]
-"""Headers in their order on the wire; the names of received ones are in lower case."""
+"""Headers in their order on the wire; the names of received headers are in lower case."""
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
--- a/loadbalancer/network/log.py
+++ b/loadbalancer/network/log.py
@@ -15,7 +15,7 @@
 
 
 class RateLimitedLog:
-    """Writes up to `MAX_LINES` lines to standard error in each interval, and drops further ones.
+    """Writes up to `MAX_LINES` lines to standard error in each interval, and drops further lines.
 
     Args:
         name: The prefix of each line.
@@ -27,7 +27,7 @@
         self._line_count = 0
 
     def write(self, text: str) -> None:
-        """Write a line, unless the interval has reached its limit."""
+        """Write a line, unless `MAX_LINES` lines have been written in the current interval."""
         interval = int(time.monotonic() / INTERVAL_S)
         if interval != self._interval:
             self._interval = interval
--- a/loadbalancer/network/proxy.py
+++ b/loadbalancer/network/proxy.py
@@ -29,7 +29,7 @@
     from loadbalancer.network.client.incoming_request import IncomingRequest
 
 IDLE_CHECK_INTERVAL_S = 1.0
-"""Interval between two checks for upstream connections that have exceeded the idle timeout."""
+"""Interval at which upstream connections that have exceeded the idle time limit are closed."""
 
 
 class Proxy:
--- a/loadbalancer/network/request_ids.py
+++ b/loadbalancer/network/request_ids.py
@@ -8,14 +8,15 @@
 """Length of a generation; ids of finished requests are remembered for one to two generations."""
 
 MAX_FINISHED_IDS = 4_096
-"""Maximum number of finished ids in a generation; when it is reached, the next generation begins."""
+"""Maximum number of ids of finished requests in a generation; when it is reached, the next one begins."""
 
 
 class RequestIds:
     """The X-Request-Ids in use: those of open requests, and of requests that finished recently.
 
     A second request with the same id, from the same client or another one, is rejected: a duplicate could
-    take effect twice. Finished ids are remembered in two generations, which bounds their number and age.
+    take effect twice. Ids of finished requests are remembered in two generations, which bounds their number
+    and age.
     """
 
     def __init__(self) -> None:
@@ -31,7 +32,7 @@
 
     @property
     def finished_count(self) -> int:
-        """The number of ids of finished requests that are remembered."""
+        """The number of remembered ids of finished requests."""
         return len(self._recent) + len(self._older)
 
     def add(self, request_id: bytes) -> bool:
--- a/loadbalancer/network/upstream/attempt_runner.py
+++ b/loadbalancer/network/upstream/attempt_runner.py
@@ -60,10 +60,10 @@
         index = len(request.attempts)
         request.running_attempt_count += 1
         attempt: UpstreamAttempt | None = None
-        outcome = Outcome.NOT_SENT  # if the client no longer waits
+        outcome = Outcome.NOT_SENT  # if the client no longer waits for the response
         if self._is_response_needed(request):
             attempt = self._start_attempt(request, index, action)
-            outcome = Outcome.CONNECT_FAILED  # if the endpoint is no longer on the list
+            outcome = Outcome.CONNECT_FAILED  # if the endpoint is no longer on the endpoint list
         request.attempts.append(attempt)
         if attempt is None:
             self._on_finished(request, index, action.endpoint, outcome, None)
--- a/loadbalancer/network/upstream/pool.py
+++ b/loadbalancer/network/upstream/pool.py
@@ -39,7 +39,7 @@
 
     Attributes:
         connect_s: Time limit for opening a connection.
-        idle_s: Time limit for a connection to stay idle.
+        idle_s: Maximum time for which a connection may be idle.
         send_while_draining_s: Period after the start of draining in which a request may still be sent on a
             new connection.
     """
@@ -71,7 +71,7 @@
     Attributes:
         connect_timeout_s: Time limit for opening a connection.
         draining_since: When this process learned that the upstream is draining, or that it was removed, moved
-            or restarted, in seconds of `time.monotonic`; None if none of this is the case.
+            or restarted, in seconds of `time.monotonic`; None otherwise.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
 
         Connections that have ended or have exceeded the idle time limit are closed. A connection is not
         reused until `REUSE_DELAY_S` has passed since its last response: stray bytes that follow the response
-        arrive in this time, and must not be taken for the response to the next request.
+        arrive in this time, and must not be parsed as the response to the next request.
         """
         now = time.monotonic()
         for connection in reversed(self._idle_connections[:]):
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -122,7 +122,7 @@
 
 
 async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """If the watch awaited the rest until the poll times out, draining upstreams would still be used."""
+    """If the watch waited until the poll timed out, requests would still be sent to draining upstreams."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -34,15 +34,15 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# Time limit until the policy receives a list or a change, once discovery has it and can be reached.
+# Time limit from when discovery has a list or change and can be reached until the policy receives it.
 MAX_LIST_DELAY_S = 6.0
-# Time limit until the policy receives a change that an unresponsive watch request missed, from the end of the
-# wait time of that request. The later one of this limit and `MAX_LIST_DELAY_S` applies.
+# If a watch request gets no response: time limit from the end of its wait time until the policy receives the
+# change that the request missed. The later of this limit and `MAX_LIST_DELAY_S` applies.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
 # Time limit from a switch to another discovery service (SIGHUP) until the policy receives the list of that
 # service.
 MAX_SWITCH_DELAY_S = 4.0
-# Part of `MAX_LIST_DELAY_S` that must remain unused.
+# Safety margin: worst-case delays must be below `MAX_LIST_DELAY_S` by this time.
 MARGIN_S = 1.0
 # Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
@@ -315,7 +315,7 @@
 
 
 async def test_connection_close_from_discovery_is_respected() -> None:
-    """If the watch did not close the connection, each response would leak one that discovery keeps open."""
+    """Discovery leaves each connection open; if the watch did not close it, each response would leak one."""
     open_connection_count, version, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
+    """Return the maximum number of open descriptors, up to one second after it has reached `min_count`."""
     counts = list[int]()
 
     def has_reached() -> bool:
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -29,7 +29,7 @@
     from collections.abc import Iterator
 
 ROOT = Path(__file__).parents[2]
-# Number of entries of the largest endpoint list that is expected.
+# Number of entries in the largest expected endpoint list.
 MAX_LIST_ENTRIES = 7_000
 
 # Runs `setup_code`, starts the program, sends SIGTERM when it begins to listen, and prints `expression` as
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -91,7 +91,7 @@
     pools.close_idle_connections("s0")
     assert pools.open_connection_count == 0
     await send_request()
-    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the idle time limit is 0.8 of 60 s
+    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the idle time limit is 0.8 times 60 s
     await send_request()
     assert upstream.connection_count == 3
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
@@ -174,7 +174,7 @@
     upstream = Upstream()
     pools = make_pools(await start_server(upstream))
     assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
-    assert pools.pool("s0").take_idle_connection() is None  # not immediately after the response
+    assert pools.pool("s0").take_idle_connection() is None  # neither immediately after the response
     pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
@@ -183,7 +183,7 @@
 
 
 async def test_timed_out_attempt_is_closed_before_policy_event(start_proxy: StartProxy) -> None:
-    """If a retry started before the connection is closed, upstreams could process both attempts at once."""
+    """If a retry started before the connection was closed, both attempts could be processed at once."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
     disconnect_results = list[bool]()
