--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -126,6 +126,8 @@
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
-    assert "wait_ms" in request_line, "only a watch request has a response that may begin late"
+    assert "wait_ms" in request_line, (
+        "the request must be a watch request, to which the response may begin late"
+    )
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.requests.get(), 5)
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -81,7 +81,7 @@
             client_descriptors = DESCRIPTOR_LIMIT // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
             assert client_descriptors <= max_open <= DESCRIPTOR_LIMIT // 2, (
-                "the other half is for upstreams and discovery"
+                "the other half of the descriptors is for upstreams and discovery"
             )
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             await discovery.requests.get()
@@ -91,7 +91,7 @@
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
             assert status(await client.read_response()) == 200
-            assert not any(task.done() for task in clients), "each idle client must keep connecting"
+            assert not any(task.done() for task in clients), "each idle client must continue to reconnect"
             server.close()
             for task in clients:
                 task.cancel()
