--- a/loadbalancer/network/deadline_watchdog.py
+++ b/loadbalancer/network/deadline_watchdog.py
@@ -19,7 +19,7 @@
     from loadbalancer.network.open_requests import OpenRequests, ProxiedRequest
 
 POLICY_DEADLINE_MARGIN_MS = 10.0
-"""Time between the policy's deadline and the client's deadline, in which the response reaches the client."""
+"""Time between the policy's deadline and the client's deadline, for sending the response to the client."""
 
 WATCHDOG_MARGIN_MS = 5.0
 """Time between the watchdog's response and the client's deadline.
@@ -30,7 +30,7 @@
 
 
 class DeadlineWatchdog:
-    """Responds in place of the policy: near the deadline, after a failure of the policy, and at shutdown.
+    """Responds in place of the policy: just before the deadline, after a failure of the policy, at shutdown.
 
     Args:
         loop: The event loop, which runs the timers.
@@ -69,7 +69,7 @@
         request = self._requests.get(number)
         if request is None or not request.is_open:
             return
-        request.respond(502 if request.may_have_run or request.running_attempts else 503)
+        request.respond(502 if request.may_have_run or request.running_attempt_count else 503)
         # Makes the policy cancel the running attempts.
         self._dispatch(ClientDisconnected(request.number), request)
         request.drop_unsent_attempts()
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -122,10 +122,12 @@
 
 
 async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """If the watch awaited the rest until the poll times out, draining upstreams would still be used."""
+    """If the watch waited until the poll timed out, requests would still be sent to draining upstreams."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
-    assert "wait_ms" in request_line, "only a watch request has a response that may begin late"
+    assert "wait_ms" in request_line, (
+        "the request must be a watch request, to which the response may begin late"
+    )
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.requests.get(), 5)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -34,15 +34,15 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartProxy
 
-# Time limit until the policy receives a list or a change, once discovery has it and can be reached.
+# Time limit from when discovery has a list or change and can be reached until the policy receives it.
 MAX_LIST_DELAY_S = 6.0
-# Time limit until the policy receives a change that an unresponsive watch request missed, from the end of the
-# wait time of that request. The later one of this limit and `MAX_LIST_DELAY_S` applies.
+# If a watch request gets no response: time limit from the end of its wait time until the policy receives the
+# change that the request missed. The later of this limit and `MAX_LIST_DELAY_S` applies.
 MAX_UNRESPONSIVE_WATCH_DELAY_S = 2.0
 # Time limit from a switch to another discovery service (SIGHUP) until the policy receives the list of that
 # service.
 MAX_SWITCH_DELAY_S = 4.0
-# Part of `MAX_LIST_DELAY_S` that must remain unused.
+# Safety margin: worst-case delays must be below `MAX_LIST_DELAY_S` by this time.
 MARGIN_S = 1.0
 # Time to connect, and to receive and parse a list of 7,000 entries (930 kB).
 LIST_TRANSFER_S = 0.35
@@ -241,12 +241,12 @@
     assert await wait_ms() > retry_schedule.RECOVERY_WAIT_MS
 
 
-async def contact_times_in_outage(
-    loop: SimulatedLoop, *, fault: str, balancers: int, duration_s: float
+async def connect_times_in_outage(
+    loop: SimulatedLoop, *, fault: str, balancer_count: int, duration_s: float
 ) -> list[float]:
     """Return the times at which several balancers tried to reach discovery during an outage."""
     discovery = SimulatedDiscovery(loop, 1)
-    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancers + 1)]
+    proxies = [WatchingProxy(discovery, seed, 120_000.0, "ask") for seed in range(1, balancer_count + 1)]
     await asyncio.sleep(1.0)
     discovery.begin_outage(fault)
     await asyncio.sleep(20.0)
@@ -259,19 +259,21 @@
 
 def test_retries_in_outage_are_spread_and_limited() -> None:
     """Simultaneous retries would overload discovery as it recovers."""
-    duration_s, balancers = 60.0, 20
+    duration_s, balancer_count = 60.0, 20
     for fault in FAULTS:
         attempts = run_simulated(
-            partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+            partial(
+                connect_times_in_outage, fault=fault, balancer_count=balancer_count, duration_s=duration_s
+            )
         )
         mean_delay_s = poll_backoff.MAX_BACKOFF_MS / 1000
-        assert len(attempts) / (balancers * duration_s) < 1.1 / mean_delay_s, fault
+        assert len(attempts) / (balancer_count * duration_s) < 1.1 / mean_delay_s, fault
         slots = [int(at * 10) for at in attempts]
-        assert max(map(slots.count, set(slots))) < balancers / 3, (
+        assert max(map(slots.count, set(slots))) < balancer_count / 3, (
             "within a tenth of a second, fewer than a third of the balancers try to reach discovery"
         )
     repeated_attempts = run_simulated(
-        partial(contact_times_in_outage, fault=fault, balancers=balancers, duration_s=duration_s)
+        partial(connect_times_in_outage, fault=fault, balancer_count=balancer_count, duration_s=duration_s)
     )
     assert attempts == pytest.approx(repeated_attempts), "the same seeds give the same delays"
 
@@ -313,12 +315,12 @@
 
 
 async def test_connection_close_from_discovery_is_respected() -> None:
-    """If the watch did not close the connection, each response would leak one that discovery keeps open."""
-    open_connections, version, all_served = 0, 7, asyncio.Event()
+    """Discovery leaves each connection open; if the watch did not close it, each response would leak one."""
+    open_connection_count, version, all_served = 0, 7, asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal open_connections, version
-        open_connections += 1
+        nonlocal open_connection_count, version
+        open_connection_count += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             await read_message(reader)
             version += 1
@@ -328,7 +330,7 @@
             body = json.dumps({"index": version, "snapshot": False, "endpoints": []}).encode()
             writer.write(response(200, body, "Connection: close"))
             await reader.read()
-        open_connections -= 1
+        open_connection_count -= 1
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -337,4 +339,6 @@
     watch = endpoint_watch.EndpointWatch(config, lambda endpoint_list: None, lambda: None)
     watch.start_watch()
     await all_served.wait()
-    assert open_connections < 10, "of 33 connections, only the one in use and those being closed are open"
+    assert open_connection_count < 10, (
+        "of 33 connections, only the one in use and those being closed are open"
+    )
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
+    """Return the maximum number of open descriptors, up to one second after it has reached `min_count`."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -81,7 +81,7 @@
             client_descriptors = DESCRIPTOR_LIMIT // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
             assert client_descriptors <= max_open <= DESCRIPTOR_LIMIT // 2, (
-                "the other half is for upstreams and discovery"
+                "the other half of the descriptors is for upstreams and discovery"
             )
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             await discovery.requests.get()
@@ -91,7 +91,7 @@
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
             assert status(await client.read_response()) == 200
-            assert not any(task.done() for task in clients), "each idle client must keep connecting"
+            assert not any(task.done() for task in clients), "each idle client must continue to reconnect"
             server.close()
             for task in clients:
                 task.cancel()
@@ -105,7 +105,7 @@
     attempts = [ObservedAttempt(pools) for _ in range(12)]
 
     def all_connected_or_finished() -> bool:
-        assert pools.open_connections <= 5
+        assert pools.open_connection_count <= 5
         return upstream.connection_count >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
@@ -113,5 +113,5 @@
         "five attempts have connected and seven have ended",
         state=lambda: (upstream.connection_count, [attempt.outcomes for attempt in attempts]),
     )
-    assert pools.open_connections == upstream.connection_count == 5
+    assert pools.open_connection_count == upstream.connection_count == 5
     assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
