--- a/loadbalancer/network/client/eviction.py
+++ b/loadbalancer/network/client/eviction.py
@@ -15,15 +15,15 @@
     from loadbalancer.network.client.connection import ClientConnection
 
 EVICTION_DIVISOR = 4
-"""An eviction closes idle connections until 1/4 of all connections are closed.
+"""An eviction closes idle connections until it has closed 1/4 of all connections.
 
-Connections whose request did not arrive in time count towards the 1/4; all of them are closed, even if that
-is more than 1/4.
+Before that, it closes all connections whose request did not arrive in time; they count towards the 1/4, but
+are closed even if there are more of them.
 """
 
 
 class ConnectionEviction:
-    """Applies the timeouts to all connections of a listener."""
+    """Closes the connections of a listener that have exceeded a timeout."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connections: Collection[ClientConnection]) -> None:
         self._loop = loop
@@ -31,7 +31,7 @@
         self._last_eviction_at = -math.inf
 
     def sweep(self) -> None:
-        """Close connections that have exceeded a timeout, now and every `SWEEP_INTERVAL_S` from now on.
+        """Close connections that have exceeded a timeout; repeat this every `SWEEP_INTERVAL_S` seconds.
 
         The timeout of the first request starts when the client connects, so it includes the time in the
         accept queue.
@@ -46,8 +46,8 @@
 
         All connections whose request did not arrive in time are closed, then the longest idle ones, so that
         a flood of connections without requests cannot block new clients. A connection with an open request
-        is not closed, unless its client has stopped reading responses, or has disconnected while reading
-        from the connection was paused. A call within `MIN_EVICTION_INTERVAL_S` of the last eviction has no
+        is closed only if its client has stopped reading responses, or has disconnected while reading from
+        the connection was paused. A call within `MIN_EVICTION_INTERVAL_S` of the last eviction has no
         effect.
         """
         now = time.monotonic()
@@ -55,7 +55,7 @@
             return
         self._last_eviction_at = now
         remaining_evictions = max(len(self._connections) // EVICTION_DIVISOR, 1)
-        for connection in sorted(self._connections, key=_eviction_order):
+        for connection in sorted(self._connections, key=_eviction_sort_key):
             if not connection.is_awaiting_request() and remaining_evictions <= 0:
                 break
             remaining_evictions -= connection.close_if_timed_out(
@@ -65,6 +65,6 @@
             )
 
 
-def _eviction_order(connection: ClientConnection) -> tuple[bool, float]:
+def _eviction_sort_key(connection: ClientConnection) -> tuple[bool, float]:
     """Return a sort key: connections without a complete request first, then the longest idle ones."""
     return not connection.is_awaiting_request(), connection.idle_since
--- a/testbed/balancer/real.py
+++ b/testbed/balancer/real.py
@@ -19,7 +19,7 @@
 
 REPOSITORY_ROOT = Path(__file__).parents[2]
 SOURCE_TREE_COMMAND = f"exec {sys.executable} -m loadbalancer"
-"""The command that runs the balancer from this tree with the running Python interpreter."""
+"""The command that runs the balancer from this source tree with the current Python interpreter."""
 
 MAX_RUNNING_BALANCERS = 150
 """The maximum number of balancers that run at the same time: each uses about 40 MiB of memory."""
@@ -60,21 +60,23 @@
         super().__init__(f"balancer not ready after {timeout_s} s: {log[-_LOG_TAIL_CHARACTERS:]}")
 
 
-def deploy_command() -> str:
-    """Return the `run` command of the deploy file, which requires that its `build` command has been run."""
+def read_deploy_command() -> str:
+    """Return the `run` command of the deploy file; it works only after the file's `build` command has run."""
     deploy = tomllib.loads((REPOSITORY_ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     return str(deploy["run"])
 
 
-def free_address(host: str) -> str:
+def find_free_address(host: str) -> str:
     """Return `host:port` with a port that is currently free."""
     with socket.socket() as listener:
         listener.bind((host, 0))
         return f"{host}:{listener.getsockname()[1]}"
 
 
-def _write_files(folder: Path, configuration: dict[str, Any], configuration_text: str) -> dict[str, str]:
-    """Write a balancer's configuration into a folder, and return the balancer's environment variables."""
+def _write_configuration(
+    folder: Path, configuration: dict[str, Any], configuration_text: str
+) -> dict[str, str]:
+    """Write a balancer's configuration file, and return the balancer's environment variables."""
     configuration_path, temporary_folder = folder / "config.json", folder / "tmp"
     configuration_path.write_text(configuration_text, encoding="utf-8")
     temporary_folder.mkdir()
@@ -91,8 +93,8 @@
     """One balancer process; `start` starts it, `stop` terminates it and removes its temporary files.
 
     Attributes:
-        pid: Its process id.
-        address: Where it listens.
+        pid: The process id.
+        address: Where the balancer listens.
     """
 
     def __init__(self, process: asyncio.subprocess.Process, folder: Path, address: Address) -> None:
@@ -108,8 +110,8 @@
         Args:
             configuration_text: The text of its configuration (DEPLOY page, `LB_CONFIG`).
             command: A command for `/bin/sh -c` in the repository's root, by default the deploy file's `run`
-                command. It has to `exec` the program, so that the process id is the program's and signals
-                reach it.
+                command. It has to `exec` the program, so that the process id is that of the program and
+                signals reach the program.
 
         Raises:
             TooManyBalancersError: `MAX_RUNNING_BALANCERS` balancers are running already.
@@ -118,12 +120,12 @@
             raise TooManyBalancersError
         configuration = json.loads(configuration_text)
         folder = Path(tempfile.mkdtemp(prefix="balancer-"))
-        environment = _write_files(folder, configuration, configuration_text)
+        environment = _write_configuration(folder, configuration, configuration_text)
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
-                command or deploy_command(),
+                command or read_deploy_command(),
                 cwd=REPOSITORY_ROOT,
                 env=os.environ | environment,
                 stdin=asyncio.subprocess.DEVNULL,
@@ -142,14 +144,14 @@
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        while await self._health_status() != 200:
+        while await self._check_health() != 200:
             if self._process.returncode is not None:
                 raise BalancerExitedError(self._process.returncode, self.log())
             if loop.time() > deadline:
                 raise BalancerNotReadyError(timeout_s, self.log())
             await asyncio.sleep(_HEALTH_CHECK_INTERVAL_S)
 
-    async def _health_status(self) -> int:
+    async def _check_health(self) -> int:
         """Send one health check and return the response status, or 0 if there is no response."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
@@ -169,7 +171,10 @@
         return (self._folder / "log").read_text(encoding="utf-8", errors="replace")
 
     async def stop(self, kill_after_s: float = _KILL_AFTER_S) -> int:
-        """Send SIGTERM, and SIGKILL after `kill_after_s`; remove the files and return the exit status."""
+        """Stop the process, remove its files and return its exit status.
+
+        The process receives SIGTERM, and SIGKILL if it still runs after `kill_after_s`.
+        """
         with suppress(ProcessLookupError):
             self._process.terminate()
         try:
--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -74,7 +74,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the request has its response, no running attempt and no queued event."""
+        """Whether the response has been sent, no attempt is running and no event is queued."""
         return not (self.is_open or self.running_attempts or self.queued_events)
 
 
@@ -90,7 +90,7 @@
         servers: list[Server],
         seed: int,
     ) -> None:
-        """Start a balancer that sends to the servers of a tier, counted from 1."""
+        """Start a balancer that sends to `servers`, the servers of `tier`; tiers are numbered from 1."""
         self._clock = clock
         self._recorder = recorder
         self._tier = tier
@@ -99,10 +99,10 @@
         self._requests: dict[int, _Request] = {}
         self._events: deque[tuple[Event, _Request | None]] = deque()
         self._is_dispatching = False
-        self._last_number = 0
+        self._last_request_number = 0
         self._class_name = settings.request_class.name
-        self._dispatch(self._endpoint_list(EndpointListKind.CACHED))
-        self._dispatch(self._endpoint_list(EndpointListKind.SNAPSHOT))
+        self._dispatch(self._endpoint_list_update(EndpointListKind.CACHED))
+        self._dispatch(self._endpoint_list_update(EndpointListKind.SNAPSHOT))
 
     @property
     def open_requests(self) -> int:
@@ -120,10 +120,10 @@
         Returns:
             The number of the request at this balancer.
         """
-        self._last_number += 1
+        self._last_request_number += 1
         now = self._clock.now
         request = _Request(
-            self._last_number, caller, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
+            self._last_request_number, caller, client_request, now + remaining_ms - POLICY_DEADLINE_MARGIN_MS
         )
         self._requests[request.number] = request
         self._clock.schedule(
@@ -139,7 +139,7 @@
         if request is not None and request.is_open:
             self._abandon(request)
 
-    def _endpoint_list(self, kind: EndpointListKind) -> EndpointListUpdate:
+    def _endpoint_list_update(self, kind: EndpointListKind) -> EndpointListUpdate:
         return EndpointListUpdate(kind, tuple(Endpoint(name) for name in self._servers))
 
     def _abandon(self, request: _Request) -> None:
@@ -153,7 +153,7 @@
                 attempt.finish_if_unsent()
 
     def _respond_before_deadline(self, request: _Request) -> None:
-        """Respond shortly before the deadline if the policy has not.
+        """Respond shortly before the deadline if the request is still open.
 
         The status is 503 if no server may have processed the request, else 502.
         """
@@ -173,15 +173,15 @@
             return
         self._is_dispatching = True
         while self._events:
-            self._handle(*self._events.popleft())
+            self._handle_event(*self._events.popleft())
         self._is_dispatching = False
 
-    def _handle(self, event: Event, request: _Request | None) -> None:
+    def _handle_event(self, event: Event, request: _Request | None) -> None:
         start_s = time.perf_counter()
         actions = self._balancer.handle(event, self._clock.now)
         self._recorder.record_policy_event(time.perf_counter() - start_s)
         for action in actions:
-            self._perform(action)
+            self._perform_action(action)
         if request is not None:
             request.queued_events -= 1
             if request.is_finished:
@@ -189,7 +189,7 @@
 
     # ---- actions ------------------------------------------------------------------------------
 
-    def _perform(self, action: Action) -> None:
+    def _perform_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -202,7 +202,7 @@
             case CancelAttempt(number, index):
                 self._cancel_attempt(number, index)
             case WatchEndpoints():
-                snapshot = self._endpoint_list(EndpointListKind.SNAPSHOT)
+                snapshot = self._endpoint_list_update(EndpointListKind.SNAPSHOT)
                 self._clock.schedule(self._clock.now, self._dispatch, snapshot)
             case CloseIdleConnections() | LogMessage():
                 pass  # simulated connections do not become idle, and log messages are dropped
@@ -245,7 +245,10 @@
         self._finish_attempt(request, attempt.index, attempt.server.name, outcome)
 
     def _finish_attempt(self, request: _Request, index: int, endpoint: str, outcome: Outcome) -> None:
-        """Record an attempt's outcome; the first successful response is forwarded before the policy runs."""
+        """Record an attempt's outcome.
+
+        The first successful response is forwarded to the caller before the policy handles the outcome.
+        """
         request.running_attempts -= 1
         request.may_have_run = request.may_have_run or outcome not in UNPROCESSED_OUTCOMES
         if request.is_open and outcome is Outcome.SUCCEEDED:
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -13,11 +13,11 @@
     from multiprocessing.connection import Connection
 
 STOP_TIMEOUT_S = 10.0
-"""The time in seconds that a child has to exit before it is killed."""
+"""The time in seconds after which a child that has not exited is killed."""
 
 
 class ChildProcess:
-    """A child process, which exits when the process that started it exits.
+    """A child process, which is terminated when its parent exits.
 
     Attributes:
         pid: Its process id.
@@ -42,7 +42,10 @@
         return self._pipe.recv()
 
     def stop(self) -> None:
-        """Close the pipe, which makes the child exit; kill it if it has not exited after `STOP_TIMEOUT_S`."""
+        """Close the pipe, which makes the child exit; kill the child if that takes too long.
+
+        The limit is `STOP_TIMEOUT_S`.
+        """
         self._pipe.close()
         self._process.join(STOP_TIMEOUT_S)
         if self._process.is_alive():
@@ -56,15 +59,18 @@
         runner.run(main)
 
 
-async def serve_pipe(pipe: Connection, respond: Callable[[], object]) -> None:
-    """Respond to each request on the child's end of the pipe until the other end is closed."""
+async def serve_pipe(pipe: Connection, make_response: Callable[[], object]) -> None:
+    """Send `make_response()` for each received message, until the other end of the pipe is closed.
+
+    The content of the messages is ignored.
+    """
     loop = asyncio.get_running_loop()
     closed = asyncio.Event()
 
     def on_readable() -> None:
         try:
             pipe.recv()
-            pipe.send(respond())
+            pipe.send(make_response())
         except (EOFError, OSError):
             closed.set()
 
--- a/testbed/experiment.py
+++ b/testbed/experiment.py
@@ -53,7 +53,10 @@
     seed: Annotated[int, Field(ge=0)]
     """The seed of all random numbers."""
     sizes: Annotated[tuple[int, ...], Field(min_length=1)]
-    """The sizes to compare, ascending; each kind of run defines their meaning. A fit needs at least four."""
+    """The sizes to compare, ascending; each kind of run defines their meaning.
+
+    A useful fit needs at least four sizes.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,6 +84,6 @@
     try:
         return run_kind.plan_type.model_validate(raw)
     except ValidationError as error:
-        first = error.errors()[0]
-        field_path = ".".join(map(str, first["loc"]))
-        raise ExperimentError(path, f"{field_path}: {first['msg']}") from None
+        first_error = error.errors()[0]
+        field_path = ".".join(map(str, first_error["loc"]))
+        raise ExperimentError(path, f"{field_path}: {first_error['msg']}") from None
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -1,4 +1,4 @@
-"""Measures how fast balancers apply a change of the endpoint list, and what it costs them.
+"""Measures how fast balancers apply changes of the endpoint list, and the cost at several rates of change.
 
 Hundreds of watch-only balancers and a few real ones follow the list while it changes.
 """
@@ -23,8 +23,8 @@
     FOLLOW_TIMEOUT_S,
     BalancerGroup,
     all_up_to_date,
+    create_discovery,
     run_on_new_loop,
-    start_discovery,
     start_group,
     wait_until,
 )
@@ -36,11 +36,11 @@
 
 SECONDS_PER_DAY = 86_400
 _DELAY_COLUMNS = ("in_force_ms_median", "in_force_ms_99", "in_force_ms_longest", "everywhere_ms_median")
-"""The stored columns to fit over the number of balancers."""
+"""The stored columns for which a line is fitted against the number of balancers."""
 _COST_COLUMNS = ("core_percent", "bytes_per_s", "calls_per_s")
-"""The stored columns to fit over the rate of changes."""
+"""The stored columns for which a line is fitted against the rate of changes."""
 _REAL_COST_COLUMNS = ("real_core_percent",)
-"""The stored columns to fit over the rate of changes if the plan has real balancers."""
+"""Further stored columns for which such a line is fitted if the plan has real balancers."""
 
 
 class Plan(experiment.Plan):
@@ -85,8 +85,8 @@
         acknowledgements.append(VersionObservation(agent, known_version, at_s))
 
     async with AsyncExitStack() as stack:
-        discovery = start_discovery(stack, time.monotonic, on_watch)
-        await discovery.start("127.33.0.1")
+        discovery = create_discovery(stack, time.monotonic, on_watch)
+        await discovery.set_first_host("127.33.0.1")
         discovery.replace_entries(settings.endpoint_entries(plan.entries, seed=plan.seed))
         group = await start_group(
             stack,
@@ -118,8 +118,8 @@
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
     seed = plan.seed + round(1000 * multiple) + group.watch_only_count
-    change_times_s = arrival_times(rate_per_s, duration_s, random.Random(seed))
-    max_lateness_s = await apply_changes_over_time(group.discovery, changes, change_times_s)
+    scheduled_times_s = arrival_times(rate_per_s, duration_s, random.Random(seed))
+    max_lateness_s = await apply_changes_over_time(group.discovery, changes, scheduled_times_s)
     await asyncio.sleep(max(duration_s - measurement.elapsed_s, 0.0))
     await wait_until(
         lambda: all_up_to_date(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
@@ -128,7 +128,11 @@
 
 
 def _add_fits(plan: Plan, result: RunResult[ChangeRow]) -> None:
-    """Fit delays over the number of balancers, by rate; fit costs over the rate, overall and by number."""
+    """Add fitted lines to the result.
+
+    Delays are fitted against the number of balancers, for each rate. Costs are fitted against the rate, for
+    all numbers of balancers together and for each number.
+    """
     for multiple in plan.multiples:
         rows = [row for row in result.rows if row.multiple == multiple]
         for y in _DELAY_COLUMNS:
--- a/testbed/runs/control/change_measurement.py
+++ b/testbed/runs/control/change_measurement.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DelayColumns(Row):
-    """Delays in milliseconds from a change of the list at discovery until an event; null without changes.
+    """Delays in milliseconds from a change of the list at discovery; null if the list did not change.
 
     The watch-only balancers of a process apply a change one after another, so their delays are upper bounds.
     """
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeRow(Row):
-    """A group of balancers while the list changes at one rate."""
+    """The measurements of a group of balancers while the list changes at one rate."""
 
     balancers: int
     """The number of watch-only balancers."""
@@ -63,13 +63,13 @@
     changes: int
     """The number of changes, each of one entry."""
     changes_per_s: float
-    """The achieved rate."""
+    """The achieved rate of changes."""
     delays: DelayColumns
     core_percent: float
     """Processor time of a watch-only balancer, as a percentage of a core.
 
     It includes a share of the cost of measuring the event loop's lag (less than 1% of a core per process).
-    This cost does not depend on the rate, so the slope over the rate does not include it.
+    This cost does not depend on the rate, so it does not affect the slope that is fitted against the rate.
     """
     real_core_percent: float | None
     """Mean processor time of a real balancer, as a percentage of a core; null if there is none."""
@@ -137,20 +137,20 @@
             after - before for after, before in zip(_processor_s(self._group), self._processor_s, strict=True)
         ]
         counts = sum_counts(self._group.discovery, self._group.watch_only_agents) - self._counts
-        reasons = self._core_monitor.invalid_reasons(name)
+        reasons = self._core_monitor.invalidity_reasons(name)
         p99_lag_s, _ = self._lag_monitor.take_lag()
         self._lag_monitor.stop()
         reports = [process.report() for process in self._group.processes]
         p99_lag_s = max([p99_lag_s, *(report.p99_lag_s for report in reports)])
         readings = _Readings(elapsed_s, processor_s, counts, reports, p99_lag_s)
-        reasons += _invalid_reasons(name, readings, max_lateness_s)
+        reasons += _invalidity_reasons(name, readings, max_lateness_s)
         return MeasuredRow(self._row(multiple, readings, acknowledgements), reasons)
 
     def _row(
         self, multiple: float, readings: _Readings, acknowledgements: Sequence[VersionObservation]
     ) -> ChangeRow:
         group, elapsed_s, counts = self._group, readings.elapsed_s, readings.counts
-        changes = len(group.discovery.changed_at[self._first_version :])
+        changes = len(group.discovery.change_times_s[self._first_version :])
         core_percent = np.array(readings.processor_s) / elapsed_s * 100
         watch_only_percent = core_percent[: len(group.processes)]
         real_percent = core_percent[len(group.processes) :]
@@ -173,11 +173,13 @@
         self, reports: list[AppliedListsReport], acknowledgements: Sequence[VersionObservation]
     ) -> DelayColumns:
         group, first_version = self._group, self._first_version
-        changed_at = np.array(group.discovery.changed_at[first_version:])
-        applied = delays_ms(_applied_versions(reports), group.watch_only_agents, first_version, changed_at)
-        acknowledged = delays_ms(acknowledgements, group.watch_only_agents, first_version, changed_at)
-        real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, changed_at)
-        written_s = np.array(group.discovery.written_at[first_version:]) - changed_at
+        change_times_s = np.array(group.discovery.change_times_s[first_version:])
+        applied = delays_ms(
+            _applied_versions(reports), group.watch_only_agents, first_version, change_times_s
+        )
+        acknowledged = delays_ms(acknowledgements, group.watch_only_agents, first_version, change_times_s)
+        real_acknowledged = delays_ms(acknowledgements, group.real_agents, first_version, change_times_s)
+        written_s = np.array(group.discovery.write_times_s[first_version:]) - change_times_s
         applied_quantiles, acknowledged_quantiles = delay_quantiles(applied), delay_quantiles(acknowledged)
         real_acknowledged_quantiles = delay_quantiles(real_acknowledged)
         return DelayColumns(
@@ -195,8 +197,8 @@
         )
 
 
-def _invalid_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
-    """Return the reasons why the measurement is invalid, except saturated cores."""
+def _invalidity_reasons(name: str, readings: _Readings, max_lateness_s: float) -> list[str]:
+    """Return the reasons why the measurement is invalid, other than saturated cores."""
     reasons = []
     if readings.p99_lag_s >= MAX_LATENESS_S:
         reasons.append(f"{name}: an event loop lagged by {readings.p99_lag_s * 1000:.0f} ms")
--- a/testbed/runs/depth/plan.py
+++ b/testbed/runs/depth/plan.py
@@ -28,7 +28,7 @@
     """The number of faulty servers; 0 for all of the tier."""
 
     def tier_number(self, depth: int) -> int:
-        """Return the tier of the faulty servers, counted from 1."""
+        """Return the number of the tier of the faulty servers; tiers are numbered from 1."""
         return {"first": 1, "middle": (depth + 1) // 2, "bottom": depth}[self.tier]
 
 
@@ -73,7 +73,7 @@
     queue: Annotated[int, Field(ge=0)] = 64
     """The limit on requests that wait at a server; further requests are rejected."""
     events_max: Annotated[int, Field(ge=1), renamed_field("events_max", "events_most")] = 3_000_000
-    """The limit on events of one simulation (one depth and fault), which is cut short when it is reached."""
+    """The limit on events; a simulation (of one depth and fault) that reaches the limit is cut short."""
 
     def chain_settings(self, depth: int) -> ChainSettings:
         """Return the settings of a chain with `depth` tiers."""
--- a/testbed/runs/real_depth/chain.py
+++ b/testbed/runs/real_depth/chain.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from testbed import settings
-from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, find_free_address
 from testbed.discovery.service import Discovery
 from testbed.http import client as http_client
 from testbed.upstream.group import UpstreamGroup
@@ -33,7 +33,7 @@
         self._depth = depth
         self._seeds = itertools.count(seed * 1_000)
         self._upstreams = UpstreamGroup(seed)
-        self._discoveries: list[Discovery] = []
+        self._discovery_services: list[Discovery] = []
         self.tiers: list[list[Upstream]] = []
         self.balancers: list[RealBalancer] = []
         self.front_clients: list[http_client.Client] = []
@@ -45,7 +45,7 @@
 
     async def start(self) -> None:
         """Start the upstreams and the balancers, and connect them once all balancers are ready."""
-        await self._start_direct()
+        await self._start_direct_chain()
         for tier in range(self._depth):
             await self._start_tier(tier)
         await self._start_balancers()
@@ -53,7 +53,7 @@
         for upstream in self.tiers[-1]:
             upstream.on_request = self._record_deadline
 
-    async def _start_direct(self) -> None:
+    async def _start_direct_chain(self) -> None:
         """Start the direct chain."""
         upstreams = await self._upstreams.start(self._depth)
         for upstream, next_upstream in itertools.pairwise(upstreams):
@@ -63,11 +63,11 @@
         self.direct_client = http_client.Client(upstreams[0].address)
 
     async def _start_tier(self, tier: int) -> None:
-        """Start the upstreams of a tier and its discovery."""
+        """Start the upstreams of a tier and the discovery service that lists them."""
         self.tiers.append(await self._upstreams.start(_TIER_SIZE))
-        self._discoveries.append(Discovery())
-        await self._discoveries[tier].start(f"127.79.{tier}.1")
-        self._discoveries[tier].replace_entries(
+        self._discovery_services.append(Discovery())
+        await self._discovery_services[tier].set_first_host(f"127.79.{tier}.1")
+        self._discovery_services[tier].replace_entries(
             [
                 settings.endpoint_entry(f"s-{tier:04x}{i:04x}", upstream.address)
                 for i, upstream in enumerate(self.tiers[tier])
@@ -75,7 +75,7 @@
         )
 
     async def _start_balancers(self) -> None:
-        """Start the balancers of every tier, `_START_BATCH_SIZE` at a time."""
+        """Start the balancers of every tier, in batches of `_START_BATCH_SIZE`."""
         configuration_texts = [
             self._configuration_text(tier, i) for tier in range(self._depth) for i in range(_TIER_SIZE)
         ]
@@ -85,15 +85,15 @@
             await asyncio.gather(*(balancer.wait_until_ready() for balancer in self.balancers[batch_start:]))
 
     def _configuration_text(self, tier: int, number: int) -> str:
-        """Return the configuration of balancer `number` that sends to `tier`, both counted from 0."""
+        """Return the configuration of balancer `number` that sends to `tier`, both numbered from 0."""
         return settings.configuration_text(
             f"n{tier}-{number}",
-            free_address(f"127.78.{tier}.{number + 1}"),
-            self._discoveries[tier].agent_address(number),
-            self._discoveries[tier].entries,
+            find_free_address(f"127.78.{tier}.{number + 1}"),
+            self._discovery_services[tier].agent_address(number),
+            self._discovery_services[tier].entries,
             settings.balancer_settings(balancers=_TIER_SIZE, tier=tier, familyInfo={"passesDeadline": True}),
             seed=next(self._seeds),
-            list_version=self._discoveries[tier].version,
+            list_version=self._discovery_services[tier].version,
         )
 
     def _connect_tiers(self) -> None:
@@ -107,13 +107,13 @@
     def _record_deadline(self, request: ReceivedRequest) -> None:
         self.deadlines_ms.append(request.deadline_ms)
 
-    def attempts(self) -> list[int]:
+    def attempts_by_tier(self) -> list[int]:
         """Return the number of attempts at each tier so far."""
         return [sum(upstream.counts.requests for upstream in tier) for tier in self.tiers]
 
     async def stop(self) -> None:
-        """Stop the balancers, discovery and the upstreams."""
+        """Stop the balancers, the discovery services and the upstreams."""
         await asyncio.gather(*(balancer.stop() for balancer in self.balancers))
-        for discovery in self._discoveries:
+        for discovery in self._discovery_services:
             await discovery.stop()
         self._upstreams.close()
--- a/testbed/runs/real_depth/run.py
+++ b/testbed/runs/real_depth/run.py
@@ -1,4 +1,4 @@
-"""Measures real balancers in deep chains: added latency, deadlines at the last tier, and faults there.
+"""Measures real balancers in deep chains: added latency, deadlines and faults at the last tier.
 
 Direct requests go through a chain of the same depth without balancers, with one upstream in each tier; the
 difference in latency is what the balancers add.
@@ -37,10 +37,10 @@
     ("hangs", Behaviour(UpstreamMode.HANG)),
     ("back after hanging", _NO_FAULT),
 )
-"""The name of each phase, and the behaviour of the last tier in it."""
+"""The name of each phase, and the behaviour of the last tier during the phase."""
 
 _FITTED_COLUMNS = ("added_50_ms", "bottom_deadline_50_ms", "processor_us_a_call")
-"""The stored columns to fit over depth."""
+"""The stored columns for which a line is fitted against the depth."""
 _OK = 200
 _REJECTED_STATUSES = (503, 429)
 _MIB = 2**20
@@ -90,7 +90,10 @@
     failed: int
     """All other requests."""
     last_unserved_s: float
-    """When the last request without a 200 response was scheduled, from the phase start; 0 if all got one."""
+    """When the last request without a 200 response was scheduled, in seconds from the start of the phase.
+
+    It is 0 if every request was served.
+    """
     times: LatencyColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
     """Omitted if no direct request, or no request through the balancers, was served."""
     deadlines: DeadlineColumns | None = field(default=None, metadata=OMITTED_IF_NONE)
@@ -109,7 +112,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[RealDepthRow]:
-    """Measure each depth and phase, and fit lines over depth for the phase without a fault."""
+    """Measure each depth and phase, and fit lines against the depth for the phase without a fault."""
     result: RunResult[RealDepthRow] = RunResult()
     for depth in plan.sizes:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -133,10 +136,10 @@
                 await upstream.set_behaviour(behaviour)
             measured = await _measure_phase(plan, chain, phase, plan.seed + 1 + number)
             result.rows.append(measured.row)
-            result.invalid_reasons += [
-                f"depth {depth}, {phase}: {reason}" for reason in measured.invalid_reasons
+            result.invalidity_reasons += [
+                f"depth {depth}, {phase}: {reason}" for reason in measured.invalidity_reasons
             ]
-            log.info("measured", **measured.row.columns(), doubts=measured.invalid_reasons)
+            log.info("measured", **measured.row.columns(), doubts=measured.invalidity_reasons)
     finally:
         await chain.stop()
 
@@ -167,14 +170,16 @@
     pids = [balancer.pid for balancer in chain.balancers]
     cores = CoreMonitor()
     usage_before = measure_usage(pids)
-    attempts_before = chain.attempts()
+    attempts_before = chain.attempts_by_tier()
     reports = await load.run_streams(_streams(plan, chain), plan.phase_s, seed)
     usage_after = measure_usage(pids)
     busy = cores.busy_fraction()
-    attempts = [after - before for before, after in zip(attempts_before, chain.attempts(), strict=True)]
-    reasons = cores.invalid_reasons("the phase")
+    attempts = [
+        after - before for before, after in zip(attempts_before, chain.attempts_by_tier(), strict=True)
+    ]
+    reasons = cores.invalidity_reasons("the phase")
     for name, report in reports.items():
-        reasons += report.invalid_reasons(name, plan.late_ms)
+        reasons += report.invalidity_reasons(name, plan.late_ms)
     readings = _Readings(usage_before, usage_after, busy, attempts, reports)
     return MeasuredRow(_row(chain, phase, readings), reasons)
 
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -26,22 +26,22 @@
 ) -> None:
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 20
-    clients = [await harness.client() for _ in range(100)]
+    clients = [await harness.connect_client() for _ in range(100)]
     started_at = time.monotonic()
     assert status(await harness.send_request()) == 200
-    assert time.monotonic() - started_at < 3.0  # how long a client waits
+    assert time.monotonic() - started_at < 3.0  # clients wait for a response no longer than this
     for client in clients:
         assert await client.reader.read() == b""
 
 
 async def test_idle_connections_are_evicted_early_for_waiting_clients(start_proxy: StartProxy) -> None:
-    """Without early eviction, 168 connections kept for 2 s each would serve only 84 requests per second."""
-    # A client whose request races with the close of its connection retries it on a new one.
+    """Without early eviction, 168 connections kept for 2 s each would allow only 84 requests per second."""
+    # If a request races with the close of its connection, the client retries the request on a new one.
     assert timeouts.IDLE_TIMEOUT_UNDER_PRESSURE_S <= 0.25
 
     harness = await start_proxy(Upstream(), tier=1)  # tier 1 does not shed load
     harness.proxy.listener.connection_limit = 20
-    clients = [await harness.client() for _ in range(60)]
+    clients = [await harness.connect_client() for _ in range(60)]
     for client in clients:
         client.send(deadline="4000m")
     for client in clients:
@@ -54,8 +54,8 @@
     """Accepting is retried at intervals, not only when a connection closes."""
     harness = await start_proxy(Upstream())
     harness.proxy.listener.connection_limit = 2
-    first = await harness.client()
-    second = await harness.client()
+    first = await harness.connect_client()
+    second = await harness.connect_client()
     for client in (first, second):
         client.send()
         assert status(await client.read_response()) == 200
@@ -65,7 +65,7 @@
 
 
 async def test_accepting_resumes_after_running_out_of_descriptors(tmp_path: Path) -> None:
-    """With fewer descriptors than configured, accepting fails for some time."""
+    """The process has fewer descriptors than configured, so that accepting fails for some time."""
     port = free_port()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -28,10 +28,10 @@
     buffers.limit_bytes = 200_000
     clients: list[Client] = []
     for _ in range(4):
-        clients.append(await harness.client())
+        clients.append(await harness.connect_client())
         for _ in range(4):
             clients[-1].send("/pay/x", b"x" * 60_000)
-    health_client = await harness.client()
+    health_client = await harness.connect_client()
     await wait_until(
         lambda: any(connection.discards_input for connection in listener.connections),
         "a connection discards its input",
@@ -52,7 +52,7 @@
     start_proxy: StartProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A leak would grow with the number of requests and connections."""
-    # Otherwise the size of the pool would depend on how many requests are sent within the delay.
+    # With a delay, the size of the pool would depend on how many requests are sent within the delay.
     monkeypatch.setattr("loadbalancer.network.upstream.pool.REUSE_DELAY_S", 0.0)
 
     def count_objects() -> Counter[str]:
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -53,7 +53,8 @@
         steps_ms = sum(row[f"list_{step}_ms"] for step in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
-        assert row["memory_kib"] > row["entries"]  # more than the list alone: less than 1 KiB per entry
+        # The list alone needs less than 1 KiB per entry, so the memory includes other state.
+        assert row["memory_kib"] > row["entries"]
     fits_by_y = {fit.y: fit for fit in result.fits}
     assert fits_by_y["list_bytes (all)"].slope == pytest.approx(
         (lists[3]["list_bytes"] - lists[1]["list_bytes"]) / 34
@@ -76,10 +77,10 @@
 
 def test_growth_is_exponent_of_list_length() -> None:
     rows = [list_row(entries, ms) for entries, ms in ((10, 1.0), (100, 1.0), (1000, 100.0))]
-    grown_rows = [row.columns() for row in with_growth(rows)]
-    assert "list_module_ms_growth" not in grown_rows[0]
-    assert [row["list_module_ms_growth"] for row in grown_rows[1:]] == pytest.approx([0.0, 2.0])
-    assert [row["delta_module_us_growth"] for row in grown_rows[1:]] == [0.0, 0.0]
+    rows_with_growth = [row.columns() for row in with_growth(rows)]
+    assert "list_module_ms_growth" not in rows_with_growth[0]
+    assert [row["list_module_ms_growth"] for row in rows_with_growth[1:]] == pytest.approx([0.0, 2.0])
+    assert [row["delta_module_us_growth"] for row in rows_with_growth[1:]] == [0.0, 0.0]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -117,9 +118,9 @@
         runner.measure(CountingBenchmark())
         assert next(calibrations, None) is None
         result = runner.result()
-        return [row.columns() for row in result.rows], result.invalid_reasons
+        return [row.columns() for row in result.rows], result.invalidity_reasons
 
-    # A slow calibration before or after a round excludes the round; rounds end once enough were undisturbed.
+    # A slow calibration before or after a round excludes the round; rounds stop once enough were undisturbed.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
