--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle time after which connections are dead is learned, and such connections are closed."""
+"""The balancer learns the idle time after which connections are dead, and closes such connections."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from tests.policy.helpers import PAY, PolicyHarness, actions_of_type, first_endpoint
 
 
-def closes_idle_connections(harness: PolicyHarness, interval_ms: float) -> bool:
+def closes_idle_connections(harness: PolicyHarness, idle_ms: float) -> bool:
     """Serve a request after an idle time; return whether idle connections were closed for it."""
-    harness.now += interval_ms
+    harness.now += idle_ms
     request, actions = harness.request(PAY)
     harness.now += 20
     harness.finish(request, 0, first_endpoint(actions), Outcome.SUCCEEDED)
@@ -17,7 +17,7 @@
 
 
 def test_idle_limit_is_learned_from_timeouts() -> None:
-    """Otherwise attempts on connections dropped silently after a second of idle time would time out."""
+    """If no limit were learned, attempts on connections dropped after 1 s without use would time out."""
     harness = PolicyHarness(1, tier=1)  # inner tiers shed no load
     for _ in range(20):
         assert not closes_idle_connections(harness, 400.0)
@@ -30,10 +30,8 @@
         harness.now += 1_000
         harness.finish(request, 0, "s0", Outcome.TIMED_OUT)
     closes_idle_connections(harness, 10.0)
-    assert closes_idle_connections(harness, 1_600.0), (
-        "idle for as long as before the attempts without a response"
-    )
-    assert not closes_idle_connections(harness, 400.0), "shorter idle times have proved safe"
+    assert closes_idle_connections(harness, 1_600.0), "idle for longer than the connections found dead"
+    assert not closes_idle_connections(harness, 400.0), "connections with shorter idle times were alive"
     for _ in range(60):
         closes_idle_connections(harness, 400.0)
-    assert not closes_idle_connections(harness, 1_600.0), "the evidence has been replaced"
+    assert not closes_idle_connections(harness, 1_600.0), "the samples with timeouts have been replaced"
