--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -28,8 +28,8 @@
 MIN_BURST_ATTEMPTS = 8
 """Minimum number of attempts in flight that can count as a burst.
 
-With hundreds of balancers, the limit of each is less than one attempt, and for so small a mean the normal
-approximation of a Poisson count is not valid.
+With hundreds of balancers, the limit of each is less than one attempt, and the normal approximation of a
+Poisson count is not valid for such a small mean.
 """
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
 """Attempts of all balancers, per unit of available capacity, that are always considered sustainable.
@@ -98,11 +98,11 @@
 
 
 class OverloadDetector:
-    """Compares the attempts in flight with two limits, from endpoint capacity and sustainable concurrency.
+    """Compares the attempts in flight with a limit from capacity and one from sustainable concurrency.
 
-    This detects an overload of any cause (more requests, fewer endpoints, slower endpoints) before latency
-    increases. Latency alone shows an overload too late, and if the work of requests varies widely, latency is
-    high for some requests without any overload.
+    This detects an overload of any cause (more requests, fewer endpoints, slower endpoints) before the
+    endpoints slow down. Latency alone shows an overload too late, and if the work of requests varies widely,
+    latency is high for some requests without any overload.
     """
 
     def __init__(self, available_capacity: AvailableCapacity) -> None:
@@ -122,7 +122,7 @@
         )
 
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
-        """Return whether the attempts in flight of all balancers together reach the limit from capacity.
+        """Return whether the attempts in flight of all balancers together reach the capacity limit.
 
         Each other balancer is assumed to have this balancer's mean number of attempts in flight, not its
         current number: a random peak does not occur at all balancers at once. A burst that arrives at all
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -13,7 +13,7 @@
 If a poll takes longer than this to fail, MIN_DELAY_MS determines the delay.
 """
 MAX_BACKOFF_MS = 2_000.0
-"""Maximum time between two polls, in milliseconds, before jitter; with jitter 3 s.
+"""Maximum time between two polls, in milliseconds, before jitter; jitter can increase it to 3 s.
 
 The operators require that balancers have the endpoint list within 6 s after discovery has become reachable.
 """
