--- a/loadbalancer/network/client/pipeline.py
+++ b/loadbalancer/network/client/pipeline.py
@@ -26,7 +26,7 @@
     """Reads the requests of a connection, passes them to the handler one at a time, and writes the responses.
 
     Attributes:
-        reader: Parses the input, and holds the queued requests.
+        reader: Parses the input, and queues the requests.
         idle_since: When the last response was written, or when the client connected if there has been none
             (seconds of the monotonic clock).
     """
@@ -37,7 +37,7 @@
         self._current_request: IncomingRequest | None = None
         self._rejection: Rejection | None = None  # written after the responses to earlier requests
         self._is_dispatching = False
-        self._accounted_bytes = 0  # share of this connection in the buffer account
+        self._accounted_bytes = 0  # what this connection has added to the buffer account
         self.reader = reader
         self.idle_since = reader.arrival.started_at
 
@@ -56,7 +56,7 @@
     def parse_input(self) -> None:
         """Parse the received bytes, up to the limit on queued requests."""
         self._update_buffer_account()
-        # Otherwise many clients together could exhaust the memory.
+        # Without this limit, many clients together could exhaust the memory.
         if self._context.buffers.is_limit_exceeded() and self._accounted_bytes > GUARANTEED_BUFFER_BYTES:
             self.reject(BUFFERS_FULL)
         while not self._transport.discards_input and self.reader.can_parse():
@@ -103,19 +103,19 @@
         self.reader.discard_input()
         self.advance()
 
-    def abandon(self) -> None:
-        """Drop all requests, since the client has disconnected, and notify the handler of the current one."""
+    def drop_requests(self) -> None:
+        """Drop all requests after a disconnect, and notify the handler if it is handling one of them."""
         request = self._current_request
         self._current_request = None
         self.reader.close()
         self._update_buffer_account()
         if request is not None:
-            request.abandon()
+            request.suppress_response()
             self._context.handler.handle_disconnect(request)
 
     def _may_resume_reading(self) -> bool:
         is_paused = self._transport.is_reading_paused and self._transport.is_open
-        return is_paused and self.reader.may_resume()
+        return is_paused and self.reader.can_resume_reading()
 
     def _dispatch_requests(self) -> None:
         self._is_dispatching = True
@@ -138,8 +138,8 @@
             return
         try:
             self._context.handler.handle_request(request)
-        except Exception:  # noqa: BLE001  the client must get a response after any error
-            self._context.report("a request could not be handled")
+        except Exception:  # noqa: BLE001  the client must receive a response after any error
+            self._context.log_exception("a request could not be handled")
             request.respond(500)
 
     def _write_response(self, status: int, headers: Headers, body: bytes, *, is_final: bool) -> None:
--- a/loadbalancer/network/event_dispatcher.py
+++ b/loadbalancer/network/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes events to the policy one at a time, and performs the resulting actions in order."""
+"""Passes events to the policy one at a time, and executes the resulting actions in order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from loadbalancer.policy.balancer import LoadBalancer
 
 MAX_LOGGED_EVENT_CHARS = 500
-"""Maximum length of the log line on an event that the policy failed to handle."""
+"""Maximum length of the message, without traceback, about an event that the policy failed to handle."""
 
 _HANDLERS_NOT_SET = "an event was dispatched before the handlers were set"
 
@@ -28,7 +28,7 @@
     """Queues events for the policy.
 
     An event that is dispatched while another one is being handled, for example by an action that completes
-    immediately, remains in the queue until all actions for the current event have been performed. An
+    immediately, remains in the queue until all actions for the current event have been executed. An
     exception in the policy or in an action is logged, and ends only the request that it concerns.
 
     Args:
@@ -47,22 +47,22 @@
         self._log = log
         self._events: deque[tuple[Event, ProxiedRequest | None]] = deque()
         self._is_dispatching = False
-        self._perform: Callable[[Action], None] = _raise_handlers_not_set
+        self._execute: Callable[[Action], None] = _raise_handlers_not_set
         self._end_failed_request: Callable[[int | None], None] = _raise_handlers_not_set
 
     def set_handlers(
-        self, perform: Callable[[Action], None], end_failed_request: Callable[[int | None], None]
+        self, execute: Callable[[Action], None], end_failed_request: Callable[[int | None], None]
     ) -> None:
         """Set the functions that handle actions and failures.
 
         They cannot be passed to the constructor, since the objects that provide them need the dispatcher.
 
         Args:
-            perform: Performs one action of the policy.
+            execute: Executes one action of the policy.
             end_failed_request: Ends the request whose event or action failed, given its number; the number is
                 None if the event or action belongs to no request.
         """
-        self._perform = perform
+        self._execute = execute
         self._end_failed_request = end_failed_request
 
     def dispatch(self, event: Event, request: ProxiedRequest | None = None) -> None:
@@ -87,7 +87,7 @@
     def _handle(self, event: Event, request: ProxiedRequest | None) -> None:
         for action in self._decide(event, request):
             try:
-                self._perform(action)
+                self._execute(action)
             except Exception:  # noqa: BLE001  an action may raise any exception
                 # An exception in one action must not prevent the actions after it.
                 self._log.exception(f"could not perform {action!r}")
--- a/loadbalancer/network/response_parser.py
+++ b/loadbalancer/network/response_parser.py
@@ -56,11 +56,11 @@
 
     @property
     def may_reuse(self) -> bool:
-        """Whether the connection may carry a further request."""
+        """Whether the connection may be reused for another request."""
         return self._may_reuse
 
     def feed(self, data: bytes) -> Response | None:
-        """Parse further bytes of the connection.
+        """Parse the next bytes received on the connection.
 
         Returns:
             The response if these bytes complete it; None otherwise.
--- a/testbed/discovery/service.py
+++ b/testbed/discovery/service.py
@@ -42,11 +42,11 @@
 
 
 class Discovery:
-    """The endpoint list and its agents, on the running event loop.
+    """The endpoint list and an agent for each balancer, on the running event loop.
 
     Attributes:
-        changed_at: When each version was created, in seconds of the clock; the index is the version.
-        written_at: When each version had been written to all open watches; the index is the version.
+        change_times_s: When each version was created, in seconds of the clock; the index is the version.
+        write_times_s: When each version had been written to all open watches; the index is the version.
         agents: The agents by number.
     """
 
@@ -56,19 +56,19 @@
         """Start with an empty list.
 
         Args:
-            clock: Returns the time of changes and requests in seconds.
-            on_watch: Called with each watch request.
+            clock: Returns the current time in seconds, which is recorded for changes and requests.
+            on_watch: Called for each watch request.
         """
         self._clock = clock
         self._on_watch = on_watch
         self._history = EndpointHistory()
         self._states: dict[Hashable, AgentState] = {}  # by group, or by the key of a single agent
         self._first_host = ipaddress.IPv4Address(FIRST_HOST)
-        self.changed_at: list[float] = [clock()]
-        self.written_at: list[float] = [clock()]
+        self.change_times_s: list[float] = [clock()]
+        self.write_times_s: list[float] = [clock()]
         self.agents: dict[int, Agent] = {}
 
-    async def start(self, host: str = FIRST_HOST) -> None:
+    async def set_first_host(self, host: str = FIRST_HOST) -> None:
         """Set where agents listen: agent 0 on `host`, agent n on the n-th address above it.
 
         Raises:
@@ -96,12 +96,16 @@
         return self._history.entries
 
     def replace_entries(self, entries: Iterable[EndpointEntry]) -> int:
-        """Replace the list and return its version; every balancer gets a snapshot of the new list."""
+        """Replace the list and return its version; every balancer receives a snapshot of the new list."""
         self._history.replace_entries(entries)
         return self._publish()
 
     def apply_changes(self, entries: Iterable[EndpointEntry]) -> int:
-        """Publish changed, new and (if `terminated`) removed entries as one version, and return it."""
+        """Publish changes as one new version of the list, and return that version.
+
+        Args:
+            entries: The entries that are new or have changed, and removed ones with the status `terminated`.
+        """
         self._history.apply_changes(entries)
         return self._publish()
 
@@ -110,10 +114,10 @@
         return self._history.response_after(known_version)
 
     def _publish(self) -> int:
-        self.changed_at.append(self._clock())
+        self.change_times_s.append(self._clock())
         for agent in self.agents.values():
             agent.respond_to_open_requests()
-        self.written_at.append(self._clock())
+        self.write_times_s.append(self._clock())
         return self.version
 
     # ---- agents ---------------------------------------------------------------------------------
@@ -137,7 +141,7 @@
         return total
 
     def set_state(self, state: AgentState, *, agent: int | None = None, group: Hashable = ALL_AGENTS) -> None:
-        """Set the state of one agent, or of a group."""
+        """Set the state of one agent if `agent` is given, else the state of a group."""
         key = _agent_key(agent) if agent is not None else group
         self._states[key] = state
         for started_agent in self.agents.values():
@@ -153,5 +157,5 @@
 
 
 def _agent_key(number: int) -> Hashable:
-    """Return the key of a single agent among the keys of groups."""
+    """Return the key for the state of a single agent; it differs from the keys of groups."""
     return ("agent", number)
--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -1,4 +1,4 @@
-"""Groups of balancers with one simulated discovery, for the runs that measure the control plane.
+"""Groups of balancers with one simulated discovery service, for the runs that measure the control plane.
 
 A group has watch-only balancers, spread over a few processes, and real ones, each in its own process.
 """
@@ -13,7 +13,7 @@
 import uvloop
 
 from testbed import settings
-from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, free_address
+from testbed.balancer.real import SOURCE_TREE_COMMAND, RealBalancer, find_free_address
 from testbed.balancer.watch_only_process import WatchOnlyProcess
 from testbed.discovery.agent_state import RequestCounts
 from testbed.discovery.service import Discovery
@@ -36,7 +36,7 @@
 """The time in seconds within which all balancers have to acknowledge the last change."""
 POLL_INTERVAL_S = 0.01
 """The interval in seconds between two checks of a condition."""
-_REAL_HOST = "127.30.0.{}"
+_REAL_BALANCER_HOST_FORMAT = "127.30.0.{}"
 
 
 class ConditionTimeoutError(TestbedError, RuntimeError):
@@ -71,7 +71,7 @@
 
 
 def sum_counts(discovery: Discovery, agent_numbers: range) -> RequestCounts:
-    """Return the sum of the counts of some agents."""
+    """Return the sum of the counts of the given agents."""
     total = RequestCounts()
     for agent_number in agent_numbers:
         total += discovery.agents[agent_number].counts
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class BalancerGroup:
-    """Balancers with one simulated discovery.
+    """Balancers with one simulated discovery service.
 
     The first `watch_only_count` agents belong to the watch-only balancers, the others to the real ones.
     """
@@ -113,7 +113,7 @@
 ) -> BalancerGroup:
     """Start watch-only balancers, spread evenly over processes, and real balancers.
 
-    The function returns once all of them follow the list.
+    The function returns once all of them have acknowledged the current version of the list.
     """
     group = BalancerGroup(discovery, [], [], watch_only_count)
 
@@ -132,7 +132,7 @@
         stack.callback(process.stop)
         group.processes.append(process)
     for number in range(watch_only_count, watch_only_count + real_count):
-        listen = free_address(_REAL_HOST.format(number - watch_only_count + 1))
+        listen = find_free_address(_REAL_BALANCER_HOST_FORMAT.format(number - watch_only_count + 1))
         balancer = await RealBalancer.start(configuration_text(number, listen), SOURCE_TREE_COMMAND)
         stack.push_async_callback(balancer.stop)
         group.real_balancers.append(balancer)
@@ -142,8 +142,8 @@
     return group
 
 
-def start_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
-    """Create a simulated discovery that stops when the stack closes; `args` are passed to `Discovery`."""
+def create_discovery(stack: AsyncExitStack, *args: Any) -> Discovery:
+    """Create a `Discovery` with the arguments `args`, and stop it when the stack is closed."""
     discovery = Discovery(*args)
     stack.push_async_callback(discovery.stop)
     return discovery
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -55,9 +55,10 @@
     served_during: float | None = stored_as("served_while")
     served_after: float | None
     recovery_s: float | None = stored_as("back_after_s")
-    """The time from the end of the fault to the end of the first window with `served_before` or more.
+    """The time from the end of the fault to the end of the first window in which service had recovered.
 
-    Null if there is no such window.
+    In this window, the fraction of served requests is at least `served_before`. Null if there is no such
+    window.
     """
     shed_during: float | None = stored_as("shed_while")
     """The fraction of requests during the fault that were rejected without an attempt."""
@@ -105,9 +106,12 @@
     rejected_queue_full: int = stored_as("turned_away_full")
     """Attempts that servers rejected because their queues were full."""
     p50_added_per_tier_ms: float | None = stored_as("added_a_hop_p50_ms")
-    """The median time per tier of served requests, minus two messages and the mean service time."""
+    """The median latency of served requests per tier, minus the expected latency.
+
+    The expected latency per tier is that of two messages plus the mean service time.
+    """
     p99_added_per_tier_ms: float | None = stored_as("added_a_hop_p99_ms")
-    """The 99th percentile of the same time."""
+    """The 99th percentile of the same latency."""
     last_tier_deadline_fraction: float | None = stored_as("deadline_part_at_bottom")
     """The median fraction of the deadline that remains for the first attempt at the last tier."""
     served_after_by_window: list[float | None]
@@ -226,7 +230,7 @@
         )
 
     def _added_per_tier_ms(self, requests: Sequence[ClientRequest]) -> list[float]:
-        """Return the time per tier of each served request, minus two messages and the mean service time."""
+        """Return the latency per tier of each served request, minus the expected latency."""
         expected_ms = 2 * self._plan.hop_ms + self._plan.service_ms
         depth = self._chain.settings.depth
         return [
@@ -268,7 +272,7 @@
 
 
 def _recovery_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
-    """Return the time to the end of the first window with `served_before` or more; None if there is none."""
+    """Return the end of the first window with a fraction of at least `served_before`, or None."""
     for i, served in enumerate(windows):
         if served is not None and served_before is not None and served >= served_before:
             return (i + 1) * WINDOW_MS / 1000
--- a/tests/network/client/test_abandoned_requests.py
+++ b/tests/network/client/test_abandoned_requests.py
@@ -49,7 +49,7 @@
     client.sendall(request_bytes("/read", 1))
     await wait_until(lambda: client.fileno() < 0, "the client has disconnected")
     await wait_until_idle(harness)
-    assert not upstream.connections
+    assert not upstream.connection_count
 
 
 async def test_disconnect_while_retry_connects_prevents_retry(
@@ -119,7 +119,7 @@
 async def test_pipelined_request_starts_once_previous_response_is_read(
     start_proxy: StartProxy,
 ) -> None:
-    """The next request must start without further bytes from the client."""
+    """The next request must be sent to the upstream without further bytes from the client."""
     upstream = Upstream(response(200, b"x" * 60_000), response(200, b"the second"))
     harness = await start_proxy(upstream)
     client, received_bytes = await connect_without_reading_response(harness), b""
@@ -131,7 +131,7 @@
 async def test_disconnect_with_unread_response_drops_pipelined_request(
     start_proxy: StartProxy,
 ) -> None:
-    """Otherwise the next request would start once the client reads the response, despite the disconnect."""
+    """If the disconnect did not drop the queued request, it would be sent once the response is read."""
     upstream = Upstream(response(200, b"x" * 60_000))
     harness = await start_proxy(upstream)
     client = await connect_without_reading_response(harness)
@@ -199,7 +199,7 @@
     skip_reuse_delay(harness)
     assert status(await harness.send_request()) == 200
     assert len(upstream.received) == 1
-    assert upstream.connections == 1, "the connection carries the next request"
+    assert upstream.connection_count == 1, "the connection carries the next request"
 
 
 async def test_disconnect_prevents_retry_of_uncancellable_attempt(
@@ -231,19 +231,19 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The first attempt succeeds before the hedged request has a connection."""
-    connects = DelayedConnects(monkeypatch, undelayed=1)
+    connects = DelayedConnects(monkeypatch, undelayed_count=1)
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams, limits=HEDGING_LIMITS | {"mayCancel": False})
-    client = await harness.client()
+    client = await harness.connect_client()
     client.send(deadline="1200m")
     await connects.connect_pending.wait()  # the hedged request is connecting
-    first = next(upstream for upstream in upstreams if upstream.received)
-    first.writers[0].write(response(200, b"first"))
+    first_upstream = next(upstream for upstream in upstreams if upstream.received)
+    first_upstream.writers[0].write(response(200, b"first"))
     assert (await client.read_response()).body == b"first"
     connects.allowed.set()
     await wait_until_idle(harness)
-    other = await harness.client()
+    other = await harness.connect_client()
     other.send(deadline="400m")
     await other.read_response()  # every earlier request has arrived by now
     received = [request.headers["x-request-id"] for upstream in upstreams for request in upstream.received]
-    assert received.count(first.received[0].headers["x-request-id"]) == 1
+    assert received.count(first_upstream.received[0].headers["x-request-id"]) == 1
--- a/tests/network/discovery/test_endpoint_list_updates.py
+++ b/tests/network/discovery/test_endpoint_list_updates.py
@@ -42,7 +42,7 @@
     ]
 
 
-async def test_draining_upstream_gets_no_new_requests(start_proxy: StartProxy) -> None:
+async def test_draining_upstream_receives_no_new_requests(start_proxy: StartProxy) -> None:
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request("/pay/x", b"debit")) == 200
@@ -65,21 +65,21 @@
     assert list_kinds(events) == [EndpointListKind.FAILED] * 2
 
 
-async def test_unanswered_poll_times_out(
+async def test_poll_without_response_times_out(
     start_proxy: StartProxy, start_server: StartServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise upstreams that were replaced in the meantime would still be sent requests."""
+    """If the poll never timed out, requests would still be sent to upstreams that were replaced meanwhile."""
     harness = await start_proxy(Upstream(reset_connection))
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
     assert float(request_line.partition("wait_ms=")[2].split(" ")[0]) <= 10_000
     harness.discovery.responses.put_nowait(response(503, b""))
     monkeypatch.setattr(retry_schedule, "WATCH_WAIT_MS", 100)
-    await harness.discovery.requests.get()  # never answered
+    await harness.discovery.requests.get()  # gets no response
     started_at = asyncio.get_running_loop().time()
     await harness.discovery.requests.get()
     elapsed_s = asyncio.get_running_loop().time() - started_at
-    assert elapsed_s < 3, "a missed update has to be requested again by then"
+    assert elapsed_s < 3, "a missed update must be requested again within 3 s"
     new_upstream = Upstream()
     harness.discovery.publish(8, entry("s9", await start_server(new_upstream)), snapshot=True)
     await harness.discovery.requests.get()
@@ -91,14 +91,14 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A retry delay could exceed the drain grace of an upstream, which would then be sent requests."""
+    """A retry delay could exceed the drain grace of an upstream, to which requests would still be sent."""
     monkeypatch.setattr(retry_schedule, "PUSH_RETRY_DELAY_S", 2 * TEST_TIMEOUT_S)
     harness = await start_proxy(Upstream(), discovery="push")
-    for index in (8, 9):
+    for version in (8, 9):
         await harness.discovery.requests.get()
-        harness.discovery.responses.put_nowait(b"no answer\r\n\r\n")
+        harness.discovery.responses.put_nowait(b"not HTTP\r\n\r\n")
         await harness.discovery.requests.get()
-        harness.discovery.publish(index)
+        harness.discovery.publish(version)
     assert "after=9&" in await harness.discovery.requests.get()
 
 
@@ -106,7 +106,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Requests to a local agent cost little, so its timeout is shorter than that of a central service."""
+    """Requests to a local agent cost little, so they time out earlier than requests to a central service."""
     harness = await start_proxy(Upstream(), discovery="push")
     request_line = await harness.discovery.requests.get()
     wait_ms = float(request_line.partition("wait_ms=")[2].split(" ")[0])
@@ -116,16 +116,16 @@
     monkeypatch.setattr(retry_schedule, "PUSH_WATCH_WAIT_MS", 100)
     await harness.discovery.requests.get()
     harness.discovery.publish(9)
-    await harness.discovery.requests.get()  # never answered
+    await harness.discovery.requests.get()  # gets no response
     await harness.discovery.connection_closed.wait()
     assert "after=9&" in await harness.discovery.requests.get()
 
 
 async def test_truncated_list_times_out(start_proxy: StartProxy) -> None:
-    """Otherwise draining upstreams would be sent requests until the poll times out."""
+    """If the watch awaited the rest until the poll times out, draining upstreams would still be used."""
     harness = await start_proxy(Upstream())
     await harness.send_request()
     request_line = await harness.discovery.requests.get()
-    assert "wait_ms" in request_line, "a watch request, whose response may begin late"
+    assert "wait_ms" in request_line, "only a watch request has a response that may begin late"
     harness.discovery.responses.put_nowait(response(200, b'{"index":8,"snap' + b" " * 900)[:-500])
     await asyncio.wait_for(harness.discovery.requests.get(), 5)
--- a/tests/network/test_descriptor_limits.py
+++ b/tests/network/test_descriptor_limits.py
@@ -24,12 +24,12 @@
 if TYPE_CHECKING:
     from tests.support.fixture_types import StartServer
 
-DESCRIPTORS = 256
-CLIENTS = 320
+DESCRIPTOR_LIMIT = 256
+IDLE_CLIENTS = 320
 
 
 async def hold_idle_connection(port: int) -> None:
-    """Hold an idle connection, and open a new one each time the balancer closes it."""
+    """Hold an idle connection, and open a new one each time the balancer closes the current one."""
     for _ in range(100):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         with contextlib.suppress(ConnectionError):
@@ -42,7 +42,7 @@
 
 
 async def max_open_descriptors(process: asyncio.subprocess.Process, min_count: int) -> int:
-    """Return the maximum number of descriptors open until one second after `min_count` are reached."""
+    """Return the maximum number of open descriptors, observed until one second after `min_count` are open."""
     counts = list[int]()
 
     def has_reached() -> bool:
@@ -61,12 +61,12 @@
 def write_configuration(path: Path, port: int, discovery_port: int) -> None:
     document: dict[str, Any] = json.loads(config_text(f"127.0.0.1:{discovery_port}", []))
     document["listen"] = f"127.0.0.1:{port}"
-    document["limits"] = {"memory_mb": 192, "sockets": DESCRIPTORS}
+    document["limits"] = {"memory_mb": 192, "sockets": DESCRIPTOR_LIMIT}
     path.write_text(json.dumps(document))
 
 
 async def test_idle_clients_do_not_exhaust_descriptors(start_server: StartServer, tmp_path: Path) -> None:
-    """Idle clients must not use up the descriptors for discovery and upstreams while discovery is down."""
+    """While discovery is down, idle clients must not use up the descriptors for discovery and upstreams."""
     upstream, discovery = Upstream(), DiscoveryServer()
     path = tmp_path / "config.json"
     clients: list[asyncio.Task[None]] = []
@@ -74,14 +74,14 @@
         discovery_socket.bind(("127.0.0.1", 0))  # not listening yet: connections are refused
         port = free_port()
         write_configuration(path, port, discovery_socket.getsockname()[1])
-        async with running_program(path, DESCRIPTORS) as process:
+        async with running_program(path, DESCRIPTOR_LIMIT) as process:
             assert b"list is unreachable" in await read_log_line(process)
-            clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(CLIENTS))
-            # Of these clients, which keep connecting, the balancer accepts less than a third.
-            client_descriptors = DESCRIPTORS // 2 - RESERVED_DESCRIPTORS
+            clients.extend(asyncio.ensure_future(hold_idle_connection(port)) for _ in range(IDLE_CLIENTS))
+            # All clients keep connecting, but fewer than a third of them can be connected at the same time.
+            client_descriptors = DESCRIPTOR_LIMIT // 2 - RESERVED_DESCRIPTORS
             max_open = await max_open_descriptors(process, client_descriptors)
-            assert client_descriptors <= max_open <= DESCRIPTORS // 2, (
-                "the rest is for upstreams and discovery"
+            assert client_descriptors <= max_open <= DESCRIPTOR_LIMIT // 2, (
+                "the other half is for upstreams and discovery"
             )
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             await discovery.requests.get()
@@ -91,7 +91,7 @@
             client.reader, client.writer = await asyncio.open_connection("127.0.0.1", port)
             client.send()
             assert status(await client.read_response()) == 200
-            assert not any(task.done() for task in clients), "the idle clients keep connecting"
+            assert not any(task.done() for task in clients), "each idle client must keep connecting"
             server.close()
             for task in clients:
                 task.cancel()
@@ -106,12 +106,12 @@
 
     def all_connected_or_finished() -> bool:
         assert pools.open_connections <= 5
-        return upstream.connections >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
+        return upstream.connection_count >= 5 and sum(bool(attempt.outcomes) for attempt in attempts) >= 7
 
     await wait_until(
         all_connected_or_finished,
         "five attempts have connected and seven have ended",
-        state=lambda: (upstream.connections, [attempt.outcomes for attempt in attempts]),
+        state=lambda: (upstream.connection_count, [attempt.outcomes for attempt in attempts]),
     )
-    assert pools.open_connections == upstream.connections == 5
+    assert pools.open_connections == upstream.connection_count == 5
     assert [attempt.outcomes for attempt in attempts if attempt.outcomes] == [[Outcome.NOT_SENT]] * 7
--- a/tests/network/test_request_ids.py
+++ b/tests/network/test_request_ids.py
@@ -17,15 +17,15 @@
 async def test_duplicate_id_is_rejected(start_proxy: StartProxy) -> None:
     upstream = Upstream(never_respond)
     harness = await start_proxy(upstream)
-    first = await harness.client()
-    second = await harness.client()
+    first = await harness.connect_client()
+    second = await harness.connect_client()
     first.send("/pay/x", b"debit", x_request_id="same")
     await upstream.request_received.wait()
     second.send("/pay/x", b"debit", x_request_id="same")
     assert status(await second.read_response()) == 409
     upstream.writers[0].write(response(200, b"unaffected"))
     assert (await first.read_response()).body == b"unaffected"
-    second.send("/pay/x", b"debit", x_request_id="same")  # the first request with this id has run
+    second.send("/pay/x", b"debit", x_request_id="same")  # the first request with this id is finished
     assert status(await second.read_response()) == 409
     assert len(upstream.received) == 1
 
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -26,18 +26,18 @@
 async def test_connect_timeout_is_connect_failure() -> None:
     async with full_backlog() as address:
         pools = make_pools(address)
-        assert await ObservedAttempt(pools).outcome() is Outcome.CONNECT_FAILED
+        assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.CONNECT_FAILED
         assert pools.open_connections == 0
 
 
 async def test_attempt_timeout_while_connecting_is_connect_failure() -> None:
     async with full_backlog() as address:
         pools = make_pools(address, connectTimeout=60_000.0)
-        assert await ObservedAttempt(pools, timeout_s=0.05).outcome() is Outcome.CONNECT_FAILED
+        assert await ObservedAttempt(pools, timeout_s=0.05).wait_for_outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_reset_during_write_is_connect_failure() -> None:
-    """The upstream resets the connection while a part of the request is still in the balancer's buffer."""
+    """The upstream resets the connection while a part of the request is still in the write buffer."""
     accepted = asyncio.Event()
 
     async def read_ten_bytes_and_reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -49,7 +49,7 @@
     port = server.sockets[0].getsockname()[1]
     attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
     await accepted.wait()
-    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    assert await attempt.wait_for_outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_cancel_and_response_end_attempt_once(start_server: StartServer) -> None:
@@ -73,8 +73,8 @@
     pool = pools.pool("s0")
     pools.update_endpoints(endpoint_list(entry("s0", address, status="terminating")))
     assert pool.draining_since is not None
-    pool.draining_since -= 0.5  # the grace period ends during the connect
-    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    pool.draining_since -= 0.5  # the grace period ends while the connection is being opened
+    assert await attempt.wait_for_outcome() is Outcome.CONNECT_FAILED
     assert not upstream.received
 
 
@@ -84,16 +84,16 @@
     pools = make_pools(address)
 
     async def send_request() -> None:
-        assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+        assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
         assert pools.open_connections == 1
 
     await send_request()
     pools.close_idle_connections("s0")
     assert pools.open_connections == 0
     await send_request()
-    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the balancer's limit is 0.8 of 60 s
+    pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60  # the idle time limit is 0.8 of 60 s
     await send_request()
-    assert upstream.connections == 3
+    assert upstream.connection_count == 3
     pools.pool("s0").idle_connections[0].idle_since -= 0.9 * 60
     pools.close_expired()
     assert pools.open_connections == 0
@@ -113,14 +113,14 @@
     pools = make_pools(await start_server(upstream))
     pools.update_endpoints(endpoint_list(entry("s1", await start_server(other_upstream))))
     pools.connection_limit.max_connections = 1
-    assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
     attempt_factory = UpstreamAttemptFactory(asyncio.get_running_loop(), pools)
     attempt = attempt_factory.start_attempt("s1", 5.0, lambda: REQUEST, lambda outcome, reply: None)
     assert attempt is not None
     await other_upstream.request_received.wait()
     assert pools.open_connections == 1
-    # The balancer lacks a descriptor; this must not count as a failure of the upstream.
-    assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
+    # The balancer may not open a further connection; this must not count as a failure of the upstream.
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.NOT_SENT
     attempt.cancel()
 
 
@@ -148,7 +148,7 @@
 
 async def test_cached_endpoint_list_is_applied_first(start_proxy: StartProxy) -> None:
     harness = await start_proxy(Upstream())
-    assert harness.proxy.balancer.ready_endpoints  # before the first iteration of the event loop
+    assert harness.proxy.balancer.ready_endpoints  # even before the first iteration of the event loop
     assert harness.discovery.requests.empty()
 
 
@@ -167,23 +167,23 @@
     harness = await start_proxy(upstream)
     assert (await harness.send_request()).body == b"the answer"
     assert (await harness.send_request()).body == b"the next"
-    assert upstream.connections == 2  # the first connection is not reused
+    assert upstream.connection_count == 2  # the first connection is not reused
 
 
 async def test_reuse_delay_between_requests(start_server: StartServer) -> None:
     upstream = Upstream()
     pools = make_pools(await start_server(upstream))
-    assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
     assert pools.pool("s0").take_idle_connection() is None  # not immediately after the response
-    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # and not 10 ms later
+    pools.pool("s0").idle_connections[0].idle_since -= 0.01  # nor 10 ms later
     assert pools.pool("s0").take_idle_connection() is None
     pools.pool("s0").idle_connections[0].idle_since -= REUSE_DELAY_S
-    assert await ObservedAttempt(pools).outcome() is Outcome.SUCCEEDED
-    assert upstream.connections == 1
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.SUCCEEDED
+    assert upstream.connection_count == 1
 
 
 async def test_timed_out_attempt_is_closed_before_policy_event(start_proxy: StartProxy) -> None:
-    """Otherwise upstreams could process two attempts at once until the event loop closes the connection."""
+    """If a retry started before the connection is closed, upstreams could process both attempts at once."""
     upstreams = Upstream(never_respond), Upstream(never_respond)
     harness = await start_proxy(*upstreams)
     disconnect_results = list[bool]()
@@ -211,7 +211,7 @@
     server = await asyncio.start_server(respond_early, "127.0.0.1", 0, limit=1024)
     port = server.sockets[0].getsockname()[1]
     attempt = ObservedAttempt(make_pools(f"127.0.0.1:{port}"), REQUEST + b"x" * 50_000_000)
-    assert await attempt.outcome() is Outcome.CONNECT_FAILED
+    assert await attempt.wait_for_outcome() is Outcome.CONNECT_FAILED
 
 
 async def test_descriptor_shortage_is_not_an_upstream_failure(
@@ -224,7 +224,7 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     monkeypatch.setattr(UpstreamPool, "connect", fail_to_connect)
-    assert await ObservedAttempt(pools).outcome() is Outcome.NOT_SENT
+    assert await ObservedAttempt(pools).wait_for_outcome() is Outcome.NOT_SENT
 
 
 CLASSES_WITH_SHORT_OBJECTIVE = [
@@ -273,4 +273,6 @@
     assert count_received("read") - reads_before <= 4, (
         "only occasional requests test whether the upstream has recovered"
     )
-    assert count_received("pay") - pays_before >= 20, "requests of the other class are still sent to it"
+    assert count_received("pay") - pays_before >= 20, (
+        "requests of the other class must still be sent to the failing upstream"
+    )
--- a/tests/testbed/upstream/test_upstream.py
+++ b/tests/testbed/upstream/test_upstream.py
@@ -95,7 +95,7 @@
 
 
 async def test_chain_forwards_remaining_time_with_new_ids() -> None:
-    clock = SteppingClock(step=0.1)
+    clock = SteppingClock(step_s=0.1)
     upstreams = UpstreamGroup(seed=1, clock=clock)
     chain = await upstreams.start(3, second_octet=82)
     received: list[ReceivedRequest] = []
@@ -125,7 +125,7 @@
     task = asyncio.ensure_future(send_request(Client(top.address)))
     await wait_until(lambda: bottom.counts.hung, "the last tier has received the request")
     task.cancel()
-    await wait_until(lambda: bottom.counts.abandoned, "the last tier has abandoned the request")
+    await wait_until(lambda: bottom.counts.abandoned, "the request at the last tier has been abandoned")
     assert (top.counts.abandoned, top.counts.failed, bottom.counts.requests) == (1, 0, 1)
 
 
