--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -60,7 +60,7 @@
         """Return the mean rate over the last LONG_TERM_REQUESTS requests."""
         return self._rate_per_ms(self.long_term_interarrival_ms, LONG_TERM_REQUESTS, now)
 
-    def _rate_per_ms(self, interarrival_ms: float, requests: int, now: float) -> float:
+    def _rate_per_ms(self, interarrival_ms: float, request_count: int, now: float) -> float:
         """Return the inverse of a mean interarrival time over the given number of requests.
 
         The clock's resolution, divided by the number of requests, is added to the mean interarrival time,
@@ -70,6 +70,6 @@
         the time since `started_at` and one slow-start window. The window keeps the rate low right after the
         start.
         """
-        if self._count >= requests:
-            return 1.0 / (interarrival_ms + self._tick_ms / requests)
+        if self._count >= request_count:
+            return 1.0 / (interarrival_ms + self._tick_ms / request_count)
         return self._count / (now - self.started_at + self._window_ms)
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -70,7 +70,7 @@
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.warmup = WarmupRamp(settings)
-        self._balancers = settings.balancers
+        self._balancer_count = settings.balancers
         self._random = random
         self.by_name: dict[str, EndpointStats] = {}
         self.ready: list[EndpointStats] = []
@@ -87,7 +87,7 @@
         self.by_name = {name: e for name, e in self.by_name.items() if e.is_ready or e.in_flight}
         self.ready = [e for e in self.by_name.values() if e.is_ready]
         self.warmup.update(self.ready)
-        size = math.ceil(len(self.ready) * BALANCERS_PER_ENDPOINT / self._balancers)
+        size = math.ceil(len(self.ready) * BALANCERS_PER_ENDPOINT / self._balancer_count)
         self.subset = sorted(self.ready, key=lambda e: e.subset_rank)[: max(MIN_SUBSET_SIZE, size)]
 
     def _update_entry(self, entry: Endpoint, now: float) -> None:
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -136,9 +136,9 @@
             + (MAX_IN_FLIGHT_PER_CAPACITY - MIN_IN_FLIGHT_PER_CAPACITY) * importance
         )
         limit = max_per_capacity * capacity
-        balancers = self._available_capacity.balancer_count.estimate
-        total_in_flight = in_flight + self._mean_in_flight * (balancers - 1)
-        return total_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancers)
+        balancer_count = self._available_capacity.balancer_count.estimate
+        total_in_flight = in_flight + self._mean_in_flight * (balancer_count - 1)
+        return total_in_flight >= limit or _exceeds_poisson_bound(in_flight, limit / balancer_count)
 
     def _exceeds_sustainable(self, in_flight: int, importance: float, now: float) -> bool:
         """Return whether the latency inflation is too high for requests of the given importance.
@@ -147,14 +147,14 @@
         alone may be a random peak, and the mean alone may stem from attempts that have ended. As with the
         capacity limit, a current number that reaches the Poisson bound for the limit is sufficient by itself.
         """
-        inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
+        max_inflation = MIN_LATENCY_INFLATION + (MAX_LATENCY_INFLATION - MIN_LATENCY_INFLATION) * importance
         concurrency = self.sustainable_concurrency.estimate(now)
         min_sustainable = (
             MIN_SUSTAINABLE_PER_CAPACITY
             * self._available_capacity.weight
             / self._available_capacity.balancer_count.estimate
         )
-        limit = inflation * (concurrency + min_sustainable)
+        limit = max_inflation * (concurrency + min_sustainable)
         return min(in_flight, self._mean_in_flight) >= limit or _exceeds_poisson_bound(in_flight, limit)
 
     def _update_mean(self, in_flight: int, now: float) -> None:
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -36,20 +36,20 @@
     def __init__(self, settings: Settings, random: Random) -> None:
         self._settings = settings
         self._random = random
-        self._failures = 0
+        self._failure_count = 0
         self._next_poll_at = -math.inf
 
     def record_success(self) -> list[Action]:
         """Reset the backoff after an update from discovery; log the end of an outage."""
-        if not self._failures:
+        if not self._failure_count:
             return []
-        self._failures = 0
+        self._failure_count = 0
         return [LogMessage("endpoint list is reachable again")]
 
     def record_failure(self, now: float) -> list[Action]:
         """Set the timer for the next poll after a failed one; log the start of an outage."""
         actions: list[Action] = []
-        if not self._failures:
+        if not self._failure_count:
             actions.append(LogMessage("endpoint list is unreachable; keeping the last one"))
         actions.append(SetTimer(self._next_poll_time(now), EndpointListTimer()))
         return actions
@@ -62,9 +62,9 @@
         from all polling discovery at the same time when it becomes reachable.
         """
         max_backoff_ms = min(MAX_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
-        backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_backoff_ms)
+        backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failure_count, MAX_DOUBLINGS), max_backoff_ms)
         jitter = 0.5 + self._random.random()
-        self._failures += 1
+        self._failure_count += 1
         earliest = now + min(MIN_DELAY_MS, backoff_ms) * jitter
         self._next_poll_at = max(min(self._next_poll_at, now) + backoff_ms * jitter, earliest)
         return self._next_poll_at
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -34,7 +34,7 @@
         }
         self._mean_ms = dict(self._initial_ms)
         self._baseline_ms = dict(self._initial_ms)
-        self._baseline_attempts = {c.name: BASELINE_PSEUDO_OBSERVATIONS for c in settings.classes}
+        self._baseline_attempt_counts = {c.name: BASELINE_PSEUDO_OBSERVATIONS for c in settings.classes}
 
     def mean_ms(self, class_name: str) -> float:
         """Return the mean service time of recent successful attempts of a class."""
@@ -58,9 +58,9 @@
             class_name: The class of the request.
             elapsed_ms: The service time of the attempt divided by the expected work of the request.
         """
-        attempts = min(self._baseline_attempts[class_name] + 1, SMOOTHING_ATTEMPTS)
-        self._baseline_attempts[class_name] = attempts
-        self._baseline_ms[class_name] += (elapsed_ms - self._baseline_ms[class_name]) / attempts
+        attempt_count = min(self._baseline_attempt_counts[class_name] + 1, SMOOTHING_ATTEMPTS)
+        self._baseline_attempt_counts[class_name] = attempt_count
+        self._baseline_ms[class_name] += (elapsed_ms - self._baseline_ms[class_name]) / attempt_count
 
 
 class CostHints:
