--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -12,10 +12,10 @@
 """Exponent applied to the relative priority weight, the weight of a class divided by the largest weight.
 
 With an exponent of 1, a class with an eighth of the largest weight is shed as early as requests over quota.
-With 1/2, fewer requests of one class are still served than the minimum required for every class.
+With 1/2, the number of requests served is still below the required minimum for one class.
 """
 FULL_TIMEOUT_FRACTION = 0.9
-"""Fraction of the longest remaining time of a class; a request with less counts as a client retry.
+"""A request counts as a client retry if it has less than this fraction of the class's longest remaining time.
 
 The remaining time of a client retry is shorter than the longest one seen for the class, since the client's
 first attempt has used up part of the deadline.
@@ -26,18 +26,19 @@
 Without the decay, the value would remain too high after clients shorten their timeouts.
 """
 QUOTA_BURST_MS = 2_000.0
-"""Time, in ms, in which a tenant's quota fills its empty bucket; determines the largest burst.
+"""Time, in ms, in which a tenant's quota fills an empty bucket; it determines the largest burst.
 
-A bucket that grows with the square root of the number of balancers has no advantage.
+Increasing the bucket size with the square root of the number of balancers has no advantage.
 """
 
 
 class Quotas:
-    """One token bucket per tenant, filled at this balancer's part of the quota; each request costs one token.
+    """Limits each tenant with a token bucket; each request costs one token.
 
-    Each balancer's part is the quota divided by the number of balancers; this assumes that a tenant's
-    requests spread evenly over them. A tenant whose quota per balancer is below 1 / QUOTA_BURST_MS (0.5
-    requests per second) always counts as over quota, since its bucket is too small for one token.
+    The bucket is refilled at the rate of this balancer's share of the quota. Each balancer's share is the
+    quota divided by the number of balancers; this assumes that a tenant's requests are spread evenly over the
+    balancers. A tenant whose quota per balancer is below 1 / QUOTA_BURST_MS (0.5 requests per second) always
+    counts as over quota, since its bucket is too small for one token.
     """
 
     def __init__(self, settings: Settings, balancer_count: BalancerCountEstimator) -> None:
@@ -59,7 +60,7 @@
         return self._tokens[tenant] < 1
 
     def spend(self, tenant: str | None) -> None:
-        """Remove the token of a request that was admitted within the quota."""
+        """Remove one token for a request that was admitted within the quota."""
         if tenant in self._tokens:
             self._tokens[tenant] -= 1
 
@@ -102,7 +103,7 @@
         return True
 
     def _is_late_client_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
-        """Return whether a request is a client retry and its latency objective has already passed.
+        """Return whether a request is a client retry whose latency objective has already passed.
 
         The client's first attempt is estimated to have started `deadline_ms - remaining_ms` ago. However, a
         request whose remaining time is close to the longest one seen for its class counts as a first attempt:
--- a/loadbalancer/policy/arrivals.py
+++ b/loadbalancer/policy/arrivals.py
@@ -13,7 +13,7 @@
 class ArrivalRate:
     """Estimates the mean interarrival time and the arrival rate of requests.
 
-    The mean of the first N intervals is arithmetic; after that it is an exponential moving average in which
+    The mean of the first N intervals is arithmetic; from then on it is an exponential moving average in which
     each new interval has the weight 1/N. N is SHORT_TERM_REQUESTS or LONG_TERM_REQUESTS.
 
     Attributes:
@@ -67,8 +67,8 @@
         which is 0 if all requests arrive within one clock tick.
 
         If fewer requests than the given number have arrived, the rate is their count divided by the sum of
-        the time since `started_at` and one slow-start window. The window keeps the rate low right after the
-        start.
+        the time since `started_at` and one slow-start window. Adding the window prevents the first few
+        requests from yielding a very high rate.
         """
         if self._count >= request_count:
             return 1.0 / (interarrival_ms + self._tick_ms / request_count)
--- a/loadbalancer/policy/attempt_recorder.py
+++ b/loadbalancer/policy/attempt_recorder.py
@@ -20,8 +20,8 @@
 REUSABLE_CONNECTION_OUTCOMES = (Outcome.SUCCEEDED, Outcome.ERROR)
 """Outcomes after which the connection can be reused.
 
-These outcomes, and those of the two constants below, are tuples: a lookup in a set would call
-`Enum.__hash__`, which is slow because it is implemented in Python.
+This constant and the two below are tuples: a lookup in a set would call `Enum.__hash__`, which is slow
+because it is implemented in Python.
 """
 LIVENESS_OUTCOMES = (Outcome.SUCCEEDED, Outcome.TIMED_OUT, Outcome.RESET)
 """Outcomes that show whether an idle connection was still alive when it was used."""
@@ -55,8 +55,9 @@
         """Record the start of an attempt and return it.
 
         An attempt counts toward the baseline service time if the balancer has at most one attempt in flight
-        per unit of its part of the available capacity and is not shedding load: during an overload, service
-        times are inflated even if little of the load comes from this balancer.
+        per unit of its share of the available capacity, and is not shedding load. The second condition is
+        needed because service times are inflated during an overload, even if little of the load comes from
+        this balancer.
 
         Args:
             endpoint: The endpoint that the attempt is sent to.
--- a/loadbalancer/policy/available_capacity.py
+++ b/loadbalancer/policy/available_capacity.py
@@ -13,8 +13,8 @@
 UPDATE_INTERVAL_MS = 100.0
 """Age, in ms, at which the sum is recomputed.
 
-Recomputing it costs little at hundreds of requests per second. The age is small compared with the second in
-which an overload builds up.
+Recomputing it costs little at hundreds of requests per second. The interval is short compared with the
+second in which an overload builds up.
 """
 
 
@@ -43,7 +43,7 @@
         self.reachable: list[EndpointStats] = []
 
     def invalidate(self, now: float) -> None:
-        """Make the next call of `update` recompute the sum; the endpoint list has changed."""
+        """Make the next call of `update` recompute the sum because the endpoint list has changed."""
         self._updated_at = min(self._updated_at, now - UPDATE_INTERVAL_MS)
 
     def update(self, now: float) -> float:
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -49,7 +49,7 @@
 SHEDDING_HOLD_TIME_MS = 6_000.0
 """Time after a shed request during which the balancer counts as shedding load, in milliseconds.
 
-During this time further shed requests are not logged, and attempts that start do not count toward the
+During this time, further shed requests are not logged, and attempts that start then do not count toward the
 baseline service time.
 """
 
@@ -108,7 +108,7 @@
         Raises:
             DuplicateRequestError: A request has the id of an open request.
             UnknownClassError: A request has a class that the settings don't define.
-            UnknownRequestError: An event refers to an attempt that was never started.
+            UnknownRequestError: An event refers to a request that is not open, or to an unknown attempt.
         """
         self._actions, self._initial_actions = self._initial_actions, []
         match event:
@@ -147,7 +147,7 @@
             self._shed(request, "no endpoint is eligible: rejecting requests", now)
 
     def _shed(self, request: Request, reason: str, now: float) -> None:
-        """Reject a request before its first attempt; log the reason if the balancer was not shedding load."""
+        """Reject a request before its first attempt; log the reason unless load was already being shed."""
         if now > self._shedding_until:
             self._actions.append(LogMessage(reason))
         self._shedding_until = now + SHEDDING_HOLD_TIME_MS
--- a/loadbalancer/policy/balancer_count.py
+++ b/loadbalancer/policy/balancer_count.py
@@ -13,7 +13,7 @@
 
 
 class BalancerCountEstimator:
-    """Estimates how many balancers of this tier are running; no message reports their number.
+    """Estimates how many balancers of this tier are running, since no message reports their number.
 
     The balancers and endpoints of a zone fail together, and the requests of the failed balancers move to the
     other balancers. So the estimate is the configured number times the larger of two ratios, capped at 1:
@@ -28,7 +28,7 @@
     balancers.
 
     If the configured number were used after the loss of a zone, the capacity and quotas assigned to the lost
-    balancers would be unused, since the other balancers would not increase their parts.
+    balancers would be unused, since the other balancers would not increase their shares.
 
     Attributes:
         estimate: The estimated number of balancers, including this one; at least 1, not necessarily an
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -20,14 +20,14 @@
 PSEUDO_OBSERVATIONS, so that the attempts within one time constant outweigh the prior.
 """
 MAX_CAPACITY_TIME_CONSTANT_MS = 20_000.0
-"""Upper bound of the time constant, in ms: estimates must follow a recovered endpoint within a minute."""
+"""Upper bound of the time constant, in ms: estimates must reflect an endpoint's recovery within a minute."""
 PSEUDO_OBSERVATIONS = 2.0
 """Number of fictitious attempts, served at the prior capacity, that are added to each endpoint's statistics.
 
 With two, a single slow response of an endpoint with few attempts does not distort the estimate much.
 """
 MIN_SERVED_WORK = 0.5
-"""Recently served work, in units of the mean request, above which an endpoint is included in the median."""
+"""Recently served work, in units of the mean request, that an endpoint must exceed to count in the median."""
 MEDIAN_INTERVAL_MS = 500.0
 """Age, in ms, at which the median is recomputed; sorting all endpoints for each request is too expensive."""
 
@@ -81,7 +81,7 @@
         return estimates
 
     def current_median(self, now: float) -> float:
-        """Return the median, recomputed after MEDIAN_INTERVAL_MS; 1 until an endpoint has served work.
+        """Return the median, recomputed if it is MEDIAN_INTERVAL_MS old; 1 until an endpoint has served work.
 
         Until an endpoint has served work, endpoints are selected by weight alone, and any positive value
         gives the same result. If no endpoint has served work recently, the last median is kept.
@@ -101,7 +101,7 @@
         self.median = (
             capacities_per_weight[len(capacities_per_weight) // 2] if capacities_per_weight else self.median
         )
-        # A sum that decays with the time constant T converges to T times the rate at which it is added to.
+        # A sum that decays with the time constant T converges to T times the rate of the additions.
         if warm_served_work := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_work_per_ms = sum(warm_served_work) / len(warm_served_work) / self.time_constant_ms
         # Each of hundreds of balancers starts few attempts: with a short time constant, the statistics of an
--- a/loadbalancer/policy/endpoint_set.py
+++ b/loadbalancer/policy/endpoint_set.py
@@ -26,7 +26,7 @@
     i and T are settings.
 
     Attributes:
-        active_until: The time from which all ready endpoints are warm, in milliseconds.
+        active_until: The time at which the newest ready endpoint becomes warm, in milliseconds.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -102,5 +102,5 @@
             endpoint.reset(now)
         endpoint.entry = entry
         endpoint.is_ready = entry.state is EndpointState.READY
-        # The endpoint list may contain weights that are not positive and finite.
+        # The endpoint list may contain weights that are zero, negative or not finite.
         endpoint.weight = entry.weight if 0 < entry.weight < math.inf else 1.0
--- a/loadbalancer/policy/endpoint_stats.py
+++ b/loadbalancer/policy/endpoint_stats.py
@@ -1,7 +1,7 @@
 """The statistics of one endpoint: served work, busy time, and succeeded and failed attempts by class.
 
-The statistics decay exponentially. They are as of `updated_at`; callers advance them to the present with
-`EndpointStats.advance_to` before reading them.
+The statistics decay exponentially. Their values are those at the time `updated_at`; callers advance them to
+the present with `EndpointStats.advance_to` before reading them.
 """
 
 import math
@@ -19,7 +19,7 @@
 STATISTICS_UPDATE_INTERVAL_MS = 20.0
 """Age, in ms, at which statistics are advanced before being read; small compared with the time constant."""
 MAX_FAILED_ATTEMPTS = 4.0
-"""Upper bound of the count of failed attempts and of the count of failed connects.
+"""Upper bound of the decayed counts of failed attempts per class and of failed connects.
 
 It limits how long an endpoint stays ejected after many failures.
 """
@@ -32,9 +32,10 @@
     Attributes:
         entry: The entry of the endpoint in the endpoint list.
         updated_at: The time to which the statistics have been advanced.
-        subset_rank: Random, from 0 to 1; the endpoints with the lowest ranks form this balancer's subset.
-        slow_start_rank: Random, from 0 to 1; while the endpoint is in slow start, it is selected only by the
-            balancers that have drawn the lowest ranks for it.
+        subset_rank: A random number from 0 to 1; the endpoints with the lowest ranks form this balancer's
+            subset.
+        slow_start_rank: A random number from 0 to 1; while the endpoint is in slow start, it is selected only
+            by the balancers that have drawn the lowest ranks for it.
         is_ready: Whether the endpoint list marks the endpoint as ready.
         weight: The relative capacity according to the endpoint list.
         in_flight: The number of this balancer's attempts in flight at the endpoint.
--- a/loadbalancer/policy/idempotency.py
+++ b/loadbalancer/policy/idempotency.py
@@ -7,7 +7,7 @@
 
 
 class IdempotencyRules:
-    """Restricts attempts to endpoints where the request cannot have its effect a second time."""
+    """Restricts attempts to endpoints where the request cannot take effect a second time."""
 
     def __init__(self, settings: Settings, endpoints: EndpointSet) -> None:
         self._settings = settings
@@ -16,7 +16,8 @@
     def eligible(self, request: Request, now: float) -> list[EndpointStats]:
         """Return the endpoints that may receive the next attempt of a request.
 
-        - If no earlier attempt may have run, or the class is safe to repeat: the balancer's subset.
+        - If the class is safe to repeat, or it is certain that no earlier attempt has run: the balancer's
+          subset.
         - If the class is not idempotent: none.
         - If the class uses idempotency keys: the ready endpoints in the scope of the key, as long as the
           idempotency window is open. They know the key from the first attempt that may have run, except those
--- a/loadbalancer/policy/idle_connections.py
+++ b/loadbalancer/policy/idle_connections.py
@@ -1,21 +1,21 @@
-"""Learns the idle time after which connections are dead from the attempts made on idle connections."""
+"""Learns from attempts on idle connections how long a connection can be idle before it is dead."""
 
 import math
 from bisect import bisect_left
 from collections import deque
 
 MAX_SAMPLES = 40
-"""Number of the most recent attempts on idle connections, from which the limit is learned.
+"""The limit is learned from this number of most recent attempts on idle connections.
 
 After a change of the true limit, the old samples are replaced within 40 such attempts.
 """
 MIN_UNRESPONSIVE = 2.0
-"""Minimum number of attempts without a response from which a limit is inferred.
+"""Minimum number of attempts without a response that are needed to infer a limit.
 
-The cause of a single one may be the endpoint instead of the connection.
+A single missing response may be caused by the endpoint instead of the connection.
 """
 MIN_UNRESPONSIVE_FRACTION = 0.6
-"""Minimum fraction of attempts without a response among those on connections idle for the limit or longer.
+"""Of the attempts on connections idle for the limit or longer, the minimum fraction without a response.
 
 It is less than 1 because the idle time of a connection may be overestimated: another attempt may have used
 the connection in the meantime.
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -3,7 +3,7 @@
 from loadbalancer.policy.endpoint_stats import STATISTICS_UPDATE_INTERVAL_MS, EndpointStats
 
 EJECTION_MIN_FAILURES = 2.0
-"""Minimum number of recent failed attempts at an outlier; a single failure may be due to the request.
+"""An outlier has at least this number of recent failed attempts; one failure may be due to the request.
 
 The count decays exponentially.
 """
@@ -52,6 +52,6 @@
         if has_statistics and now - endpoint.updated_at >= STATISTICS_UPDATE_INTERVAL_MS:
             endpoint.advance_to(now)
     reachable = [e for e in endpoints if e.connect_failures <= 1] or endpoints
-    # An endpoint without outcomes is no outlier. Most have none, so checking this first saves most calls.
+    # An endpoint without outcomes is no outlier. Most have none, so checking this first avoids most calls.
     healthy = [e for e in reachable if not e.outcomes or not is_outlier_for(e, class_name)]
     return healthy if 2 * len(healthy) >= len(reachable) else reachable
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -8,23 +8,23 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
-"""Limit on the attempts in flight of all balancers, per unit of available capacity, for importance 0."""
+"""Limit on all balancers' attempts in flight per unit of available capacity, for importance 0."""
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
 """The same limit for importance 1.
 
-With limits of 6 and 11, or 8 and 12, endpoints become slow and stay slow for tens of seconds. With lower
-limits, fewer requests are served.
+With limits of 6 (importance 0) and 11 (importance 1), or 8 and 12, endpoints become slow and stay slow for
+tens of seconds. With lower limits, fewer requests are served.
 """
 MIN_LATENCY_INFLATION = 1.0
 """Limit on the latency inflation, the mean latency divided by the baseline service time, for importance 0."""
 MAX_LATENCY_INFLATION = 1.8
 """The same limit for importance 1.
 
-With limits of 0.8 and 1.2, or 1.0 and 2.6, fewer requests are served while the tier behind the endpoints is
-overloaded.
+With limits of 0.8 (importance 0) and 1.2 (importance 1), or 1.0 and 2.6, fewer requests are served while
+the tier behind the endpoints is overloaded.
 """
 BURST_Z_SCORE = 1.0
-"""Standard deviations above the limit from which a count is treated as a burst, not as a random peak."""
+"""A count this many standard deviations above the limit is treated as a burst, not as a random peak."""
 MIN_BURST_ATTEMPTS = 8
 """Minimum number of attempts in flight that can count as a burst.
 
@@ -32,7 +32,7 @@
 approximation of a Poisson count is not valid.
 """
 MIN_SUSTAINABLE_PER_CAPACITY = 0.5
-"""Attempts of all balancers, per unit of available capacity, that are always considered sustainable.
+"""Number of all balancers' attempts per unit of available capacity that is always considered sustainable.
 
 Without this minimum, an estimate that has decayed to zero would remain there: all requests would be shed, and
 none could complete to raise it.
@@ -73,7 +73,7 @@
         self._updated_at = -math.inf
 
     def estimate(self, now: float) -> float:
-        """Return the estimate, capped at this balancer's part of the capacity limit for importance 1.
+        """Return the estimate, capped at this balancer's share of the capacity limit for importance 1.
 
         Before the first completion, the estimate is a fraction of this limit. If new balancers began with
         the full limit, balancers that start together would use it up before the first responses show an
@@ -98,7 +98,7 @@
 
 
 class OverloadDetector:
-    """Compares the attempts in flight with two limits, from endpoint capacity and sustainable concurrency.
+    """Compares the attempts in flight with a capacity limit and with the sustainable concurrency.
 
     This detects an overload of any cause (more requests, fewer endpoints, slower endpoints) before latency
     increases. Latency alone shows an overload too late, and if the work of requests varies widely, latency is
@@ -122,12 +122,12 @@
         )
 
     def _exceeds_capacity(self, in_flight: int, importance: float, capacity: float) -> bool:
-        """Return whether the attempts in flight of all balancers together reach the limit from capacity.
+        """Return whether the attempts in flight of all balancers together reach the capacity limit.
 
         Each other balancer is assumed to have this balancer's mean number of attempts in flight, not its
         current number: a random peak does not occur at all balancers at once. A burst that arrives at all
-        balancers does not show in the mean yet, so the current number also counts as an overload if it
-        reaches the Poisson bound for this balancer's part of the limit. This assumes that clients spread
+        balancers is not yet visible in the mean, so the current number also counts as an overload if it
+        reaches the Poisson bound for this balancer's share of the limit. This assumes that clients spread
         evenly over the balancers; a balancer that receives more requests than the others sheds load too
         early.
         """
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -13,12 +13,12 @@
 If a poll takes longer than this to fail, MIN_DELAY_MS determines the delay.
 """
 MAX_BACKOFF_MS = 2_000.0
-"""Maximum time between two polls, in milliseconds, before jitter; with jitter 3 s.
+"""Maximum time between two polls, in milliseconds, before jitter; up to 3 s with jitter.
 
 The operators require that balancers have the endpoint list within 6 s after discovery has become reachable.
 """
 MIN_DELAY_MS = 250.0
-"""Minimum time from a failure to the next poll, in milliseconds.
+"""Minimum time from a failure to the next poll, in milliseconds, before jitter.
 
 It applies to a poll that took longer than the backoff to fail. It is short because an update missed by a
 watch request that got no response must be received within 2 s of the request's timeout.
@@ -55,7 +55,7 @@
         return actions
 
     def _next_poll_time(self, now: float) -> float:
-        """Count a failed poll and return the time of the next one.
+        """Count a failed poll and return the time of the next poll.
 
         The backoff is measured from one poll to the next, not from a failure to the next poll: a poll that is
         slow to fail uses up part of the backoff. A random factor between 0.5 and 1.5 prevents the balancers
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -16,13 +16,13 @@
     from loadbalancer.policy.service_times import ServiceTimes
 
 RETRY_TOKENS_PER_RESPONSE = 0.2
-"""Tokens added per response; a retry costs one, so the long-term limit is one retry per five responses."""
+"""Tokens per response. A retry costs one token, so the long-term limit is one retry per five responses."""
 RETRY_INITIAL_TOKENS = 2.0
 """Initial number of tokens; small, so that balancers restarting during an outage hardly add to the load."""
 RETRY_MAX_TOKENS = 10.0
 """Size of the bucket: enough to retry a short series of failures, but not all failures of an outage."""
 TRANSPARENT_RETRY_TOKENS_PER_RESPONSE = 2.0
-"""Tokens for transparent retries added per response.
+"""Number of tokens for transparent retries that each response adds.
 
 If half of the endpoints are lost with a zone, there is on average one transparent retry per response, and
 random variation may double that number.
--- a/loadbalancer/policy/selection.py
+++ b/loadbalancer/policy/selection.py
@@ -16,8 +16,8 @@
 MAX_SAMPLED_ENDPOINTS = 4
 """Maximum number of endpoints sampled for an attempt.
 
-The published algorithm needs two. Sampling more adds little cost, since sampling continues only while every
-endpoint sampled so far has an attempt of this balancer in flight.
+The published algorithm samples two endpoints. Sampling more adds little cost, since sampling continues only
+while every endpoint sampled so far has an attempt of this balancer in flight.
 """
 
 
@@ -68,7 +68,7 @@
         could be overloaded while endpoints of other zones are idle.
 
         Sampling stops at the first endpoint without an attempt of this balancer in flight. The load of such
-        an endpoint is 1 / capacity, so if sampling continued, the one with the largest capacity would be
+        an endpoint is 1 / capacity, so if sampling continued, the endpoint with the largest capacity would be
         preferred, and many balancers with few requests each would overload it. Because sampling stops, they
         select endpoints without attempts in proportion to capacity.
         """
@@ -95,9 +95,9 @@
 
     If the balancers are spread evenly over the zones, each zone has to serve as many requests as a zone of
     mean capacity can. A zone below the mean capacity serves as many of its requests as its own capacity
-    allows; the others spill over to the zones above the mean, in proportion to their excess over the mean. A
-    zone above the mean serves all its requests. The weights are the capacities if the balancer's zone is
-    unknown, has no endpoint, or is the only one.
+    allows; the other requests spill over to the zones above the mean, in proportion to these zones' excess
+    over the mean. A zone above the mean serves all its requests. The weights are the capacities if the
+    balancer's zone is unknown, has no endpoint, or is the only zone.
     """
     zone_capacities: dict[str, float] = {}
     for endpoint, capacity in zip(endpoints, capacities, strict=True):
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -8,15 +8,16 @@
 Each new value has a weight of 1/50, so the standard deviation of a mean is a tenth of that of a single value.
 """
 INITIAL_OBJECTIVE_FRACTION = 0.2
-"""Initial service time of a class, as a fraction of its latency objective.
+"""Initial mean service time of a class, as a fraction of its latency objective.
 
 A response that takes five times this service time is just within the objective. A larger fraction would
 leave too little time for queuing under load.
 """
 BASELINE_PSEUDO_OBSERVATIONS = 2.0
-"""Number of attempts that the initial value counts as in the mean of the baseline service times.
+"""Weight of the initial value in the baseline service time, as a number of attempts.
 
-With two, the first attempt changes the baseline by only a third of the difference to it.
+With the weight of two attempts, the first attempt moves the baseline by only a third of the difference
+between the baseline and its own service time.
 """
 
 
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -29,7 +29,7 @@
 requests.
 """
 UPDATE_INTERVAL_MS = 100.0
-"""Age, in milliseconds, at which the estimates are recomputed; computing them less often saves CPU time."""
+"""Age, in milliseconds, at which the estimates are recomputed; recomputing them more often costs CPU time."""
 
 
 class SlowStart:
@@ -63,7 +63,7 @@
         self._unrestricted_fraction = 1.0
 
     def invalidate(self) -> None:
-        """Make the next call of `within_limits` recompute the estimates; the endpoint list has changed."""
+        """Make the next call of `within_limits` recompute the estimates because the endpoint list changed."""
         self._updated_at = -math.inf
 
     def within_limits(
@@ -140,10 +140,10 @@
 
         The warm rate assumes that all balancers send requests at the same rate: it is this balancer's rate
         per unit of weight, times the number of balancers that use an endpoint. This balancer's rate is the
-        rate at which its warm endpoints serve requests. After a restart this rate is too low at first; the
-        missing fraction, estimated from the time since the restart, is replaced by that fraction of the
-        arrival rate, spread evenly over the subset. The lower bound of the warm rate is the median capacity:
-        the rate of an endpoint that always has one attempt in flight.
+        rate at which its warm endpoints serve requests. After a restart this rate is too low at first. To
+        compensate, the missing fraction is estimated from the time since the restart, and the same fraction
+        of the arrival rate, spread evenly over the subset, is added. The lower bound of the warm rate is the
+        median capacity: the rate of an endpoint that always has one attempt in flight.
 
         Without the arrival rate and the lower bound, balancers that have few requests or have restarted would
         estimate the capacity of an endpoint as nearly 0 and send no requests to warming endpoints.
