--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -13,12 +13,12 @@
 If a poll takes longer than this to fail, MIN_DELAY_MS determines the delay.
 """
 MAX_BACKOFF_MS = 2_000.0
-"""Maximum time between two polls, in milliseconds, before jitter; jitter can increase it to 3 s.
+"""Maximum time between two polls, in milliseconds, before jitter; up to 3 s with jitter.
 
 The operators require that balancers have the endpoint list within 6 s after discovery has become reachable.
 """
 MIN_DELAY_MS = 250.0
-"""Minimum time from a failure to the next poll, in milliseconds.
+"""Minimum time from a failure to the next poll, in milliseconds, before jitter.
 
 It applies to a poll that took longer than the backoff to fail. It is short because an update missed by a
 watch request that got no response must be received within 2 s of the request's timeout.
@@ -36,35 +36,35 @@
     def __init__(self, settings: Settings, random: Random) -> None:
         self._settings = settings
         self._random = random
-        self._failures = 0
+        self._failure_count = 0
         self._next_poll_at = -math.inf
 
     def record_success(self) -> list[Action]:
         """Reset the backoff after an update from discovery; log the end of an outage."""
-        if not self._failures:
+        if not self._failure_count:
             return []
-        self._failures = 0
+        self._failure_count = 0
         return [LogMessage("endpoint list is reachable again")]
 
     def record_failure(self, now: float) -> list[Action]:
         """Set the timer for the next poll after a failed one; log the start of an outage."""
         actions: list[Action] = []
-        if not self._failures:
+        if not self._failure_count:
             actions.append(LogMessage("endpoint list is unreachable; keeping the last one"))
         actions.append(SetTimer(self._next_poll_time(now), EndpointListTimer()))
         return actions
 
     def _next_poll_time(self, now: float) -> float:
-        """Count a failed poll and return the time of the next one.
+        """Count a failed poll and return the time of the next poll.
 
         The backoff is measured from one poll to the next, not from a failure to the next poll: a poll that is
         slow to fail uses up part of the backoff. A random factor between 0.5 and 1.5 prevents the balancers
         from all polling discovery at the same time when it becomes reachable.
         """
         max_backoff_ms = min(MAX_BACKOFF_MS, self._settings.poll_deadline_ms / 3)
-        backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failures, MAX_DOUBLINGS), max_backoff_ms)
+        backoff_ms = min(INITIAL_BACKOFF_MS * 2 ** min(self._failure_count, MAX_DOUBLINGS), max_backoff_ms)
         jitter = 0.5 + self._random.random()
-        self._failures += 1
+        self._failure_count += 1
         earliest = now + min(MIN_DELAY_MS, backoff_ms) * jitter
         self._next_poll_at = max(min(self._next_poll_at, now) + backoff_ms * jitter, earliest)
         return self._next_poll_at
--- a/loadbalancer/policy/service_times.py
+++ b/loadbalancer/policy/service_times.py
@@ -8,15 +8,16 @@
 Each new value has a weight of 1/50, so the standard deviation of a mean is a tenth of that of a single value.
 """
 INITIAL_OBJECTIVE_FRACTION = 0.2
-"""Initial service time of a class, as a fraction of its latency objective.
+"""Initial mean service time of a class, as a fraction of its latency objective.
 
 A response that takes five times this service time is just within the objective. A larger fraction would
 leave too little time for queuing under load.
 """
 BASELINE_PSEUDO_OBSERVATIONS = 2.0
-"""Number of attempts that the initial value counts as in the mean of the baseline service times.
+"""Weight of the initial value in the baseline service time, as a number of attempts.
 
-With two, the first attempt changes the baseline by only a third of the difference to it.
+With the weight of two attempts, the first attempt moves the baseline by only a third of the difference
+between the baseline and its own service time.
 """
 
 
@@ -34,7 +35,7 @@
         }
         self._mean_ms = dict(self._initial_ms)
         self._baseline_ms = dict(self._initial_ms)
-        self._baseline_attempts = {c.name: BASELINE_PSEUDO_OBSERVATIONS for c in settings.classes}
+        self._baseline_attempt_counts = {c.name: BASELINE_PSEUDO_OBSERVATIONS for c in settings.classes}
 
     def mean_ms(self, class_name: str) -> float:
         """Return the mean service time of recent successful attempts of a class."""
@@ -58,9 +59,9 @@
             class_name: The class of the request.
             elapsed_ms: The service time of the attempt divided by the expected work of the request.
         """
-        attempts = min(self._baseline_attempts[class_name] + 1, SMOOTHING_ATTEMPTS)
-        self._baseline_attempts[class_name] = attempts
-        self._baseline_ms[class_name] += (elapsed_ms - self._baseline_ms[class_name]) / attempts
+        attempt_count = min(self._baseline_attempt_counts[class_name] + 1, SMOOTHING_ATTEMPTS)
+        self._baseline_attempt_counts[class_name] = attempt_count
+        self._baseline_ms[class_name] += (elapsed_ms - self._baseline_ms[class_name]) / attempt_count
 
 
 class CostHints:
