--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -29,7 +29,7 @@
     clients = [await harness.connect_client() for _ in range(100)]
     started_at = time.monotonic()
     assert status(await harness.send_request()) == 200
-    assert time.monotonic() - started_at < 3.0  # clients wait for a response no longer than this
+    assert time.monotonic() - started_at < 3.0  # clients do not wait longer than this for a response
     for client in clients:
         assert await client.reader.read() == b""
 
--- a/tests/network/client/test_memory_limits.py
+++ b/tests/network/client/test_memory_limits.py
@@ -1,4 +1,4 @@
-"""The memory of buffered requests is limited and is released afterwards."""
+"""The memory of buffered requests is limited, and is released when requests finish or clients disconnect."""
 
 from __future__ import annotations
 
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -23,7 +23,7 @@
 CELL_ORDER = RequestClass("cell_order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.CELL, 2_000)
 GLOBAL_ORDER = RequestClass("global_order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ALL, 2_000)
 ZONE_ORDER = RequestClass("zone_order", 1_000, 3_000, Idempotency.KEYED, IdempotencyScope.ZONE, 2_000)
-# The window has no effect on a class that is not idempotent, but the settings may contain one.
+# An idempotency window is valid for a class that is not idempotent, but has no effect.
 PAY = RequestClass("pay", 1_000, 3_000, Idempotency.NOT_IDEMPOTENT, idempotency_window_ms=2_000)
 CLASSES = (READ, CELL_ORDER, GLOBAL_ORDER, ZONE_ORDER, PAY)
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -42,7 +42,10 @@
 
 
 def test_burst_above_limit_is_shed() -> None:
-    """If only a mean over seconds were limited, bursts would be admitted and endpoints would remain slow."""
+    """A limit on the mean number of attempts in flight over several seconds would admit bursts.
+
+    Endpoints would then remain slow.
+    """
     harness = complete_startup(PolicyHarness(4, balancers=2))
     in_flight = send_until_shed(harness)
     assert 10 <= len(in_flight) <= 20, "the limit is 8 for each of 4 endpoints, shared by 2 balancers"
@@ -77,7 +80,7 @@
 
 
 def test_shedding_ends_soon_after_overload() -> None:
-    """If only responses raised the limit, it would remain low: few admitted requests, few responses."""
+    """If only responses raised the limit, it would remain low: few admitted requests yield few responses."""
     harness = PolicyHarness(8)
     apply_load(harness, 950.0, (READ, None))
     harness.now += 4_000
@@ -121,7 +124,10 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_total_limit_is_independent_of_balancer_count(balancers: int) -> None:
-    """With a minimum limit of eight per balancer, endpoints would get 11 each after the loss of a zone."""
+    """With a minimum limit of eight attempts per balancer, a zone loss would overload the other endpoints.
+
+    Each of them would have 11 attempts in flight.
+    """
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
         "the limit is 4 for each endpoint, over all balancers"
@@ -156,7 +162,7 @@
 
 
 def test_limit_ignores_attempts_at_draining_endpoints() -> None:
-    """If attempts at draining endpoints counted, they would use up the limit of the others in a rollout."""
+    """If attempts at draining endpoints counted, they would use up the others' limit during a rollout."""
     harness = PolicyHarness(6)
     endpoints = [first_endpoint(harness.request()[1]) for _ in range(24)]
     harness.update_endpoints(*endpoint_list(6)[:3], *endpoint_list(6, state=EndpointState.DRAINING)[3:])
@@ -220,7 +226,7 @@
 
 
 def test_new_balancer_starts_below_limit() -> None:
-    """If new balancers admitted all requests of their first second, they would overload the next tier."""
+    """If new balancers admitted all requests in their first second, they would overload the next tier."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
     assert 20 <= admitted <= 45, "the full limit is 80"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -45,9 +45,10 @@
 
 
 def test_low_priority_class_keeps_most_of_limit() -> None:
-    """Without the exponent, an eighth of the largest weight would give nearly the limit of weight 0.
+    """Without the exponent, a class with an eighth of the largest weight would have too low a limit.
 
-    A third of the requests of such a class would then be shed.
+    The limit would be nearly that of a class with weight 0, and a third of the requests of the class would
+    be shed.
     """
     low, high = (
         replace(request_class, priority_weight=weight)
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -77,7 +77,7 @@
 def test_transparent_retries_stop_when_tokens_run_out(
     outcome: Outcome,
 ) -> None:
-    """Without a budget, each request would be retried until its maximum number of attempts."""
+    """Without a budget, each request would be retried up to its maximum number of attempts."""
     assert send_requests(harness_with_full_buckets(), 300, repeat(outcome)) == (
         retry_policy.TRANSPARENT_RETRY_MAX_TOKENS,
         0,
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("outcome", UNPROCESSED_OUTCOMES[:2])
 def test_budget_covers_two_transparent_retries_per_request(outcome: Outcome) -> None:
-    """If requests refilled the budget, it would run out too early with half of the connections refused."""
+    """If requests refilled the budget, it would run out too early if half of the connections were refused."""
     harness = inner_tier_harness()
     assert send_requests(harness, 300, cycle((outcome, outcome, Outcome.SUCCEEDED))) == (600, 300)
 
@@ -97,7 +97,7 @@
 
 
 def test_retries_are_limited_to_fifth_of_responses() -> None:
-    """If nine of ten attempts fail, one in about ten gets a response, which adds a fifth of a token."""
+    """If nine of ten attempts fail, one request in about ten gets a response, which adds 0.2 tokens."""
     harness = inner_tier_harness()
     retries, responses = send_requests(harness, 2_000, cycle([Outcome.ERROR] * 9 + [Outcome.SUCCEEDED]))
     assert responses > 200
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -26,7 +26,7 @@
 def test_zone_with_sufficient_capacity_keeps_its_requests() -> None:
     assert count_by_zone({"a": 1.0, "b": 1.0, "c": 0.5}) == {"a": 600}
     assert count_by_zone({"a": 0.3, "b": 0.3, "c": 0.3}) == {"a": 600}
-    third = 0.1 + 0.2  # the mean of three such zones differs by rounding
+    third = 0.1 + 0.2  # the weights and their mean differ only by rounding
     assert count_by_zone({"a": third, "b": 0.3, "c": third}).keys() <= {"a", "b", "c"}
 
 
@@ -53,7 +53,7 @@
             in_own_zone[-1] += sum(
                 first_endpoint(harness.request(PAY)[1])[0] == "a" for _ in range(2 * endpoints)
             )
-    assert in_own_zone[0] <= 45  # the 30 first requests, and no more than half of the 30 second ones
+    assert in_own_zone[0] <= 45  # all 30 first requests, and at most half of the 30 second requests
     assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # only the first sample prefers the zone
 
 
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -53,7 +53,7 @@
         steps_ms = sum(row[f"list_{step}_ms"] for step in ("parse", "read", "pools", "module"))
         assert 0 < row["list_module_ms"] < steps_ms
         assert 0 < row["delta_module_us"] < row["delta_whole_us_99"]
-        # The list alone needs less than 1 KiB per entry, so the memory includes other state.
+        # The list alone needs less than 1 KiB per entry: more memory shows that other state is included.
         assert row["memory_kib"] > row["entries"]
     fits_by_y = {fit.y: fit for fit in result.fits}
     assert fits_by_y["list_bytes (all)"].slope == pytest.approx(
@@ -120,7 +120,8 @@
         result = runner.result()
         return [row.columns() for row in result.rows], result.invalidity_reasons
 
-    # A slow calibration before or after a round excludes the round; rounds stop once enough were undisturbed.
+    # A slow calibration before or after a round excludes the round. No further round is run once the required
+    # number of rounds was undisturbed.
     rows, reasons = measure_rounds(2, 9, 10.0, 12.0, 19.0, 11.0, 12.5)
     assert rows == [{"round": [1.0, 4.0], "rounds": 2, "rounds_played": 4, "reference_us": 12.5}]
     assert reasons == []
@@ -128,6 +129,6 @@
         [],
         ["{'entries': 6}: none of 2 rounds was undisturbed"],
     )
-    # A later calibration lowers the minimum, so that the earlier rounds no longer count as undisturbed.
+    # A later, faster calibration lowers the minimum: the earlier rounds no longer count as undisturbed.
     rows, reasons = measure_rounds(3, 3, 10.0, 10.0, 6.0, 6.0)
     assert [row["round"] for row in rows] == [[3.0]]
