--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -44,7 +44,7 @@
     )
 
 
-def test_low_priority_class_keeps_most_of_limit() -> None:
+def test_low_priority_class_may_use_most_of_limit() -> None:
     """Without the exponent, a class with an eighth of the largest weight would have too low a limit.
 
     The limit would be nearly that of a class with weight 0, and a third of the requests of the class would
@@ -94,7 +94,7 @@
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
 
-def test_short_client_timeout_counts_as_first_attempt() -> None:
+def test_request_with_short_client_timeout_counts_as_first_attempt() -> None:
     """First attempts of clients that wait for only six tenths of the deadline must not count as retries."""
     admitted = {}
     for remaining in (1_800.0, 3_000.0):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -84,7 +84,7 @@
     simulation.run(OBSERVATION_MS)
 
 
-def restart_everything(simulation: SlowStartSimulation) -> None:
+def restart_balancers_and_all_endpoints(simulation: SlowStartSimulation) -> None:
     simulation.restart_endpoints(list(simulation.endpoints))
     simulation.restart_balancers()
     simulation.run(OBSERVATION_MS)
@@ -114,7 +114,7 @@
     restart_third_of_endpoints,
     restart_balancers_and_add_tenth,
     restart_all_endpoints,
-    restart_everything,
+    restart_balancers_and_all_endpoints,
     set_half_to_reject,
     set_half_unreachable,
 )
@@ -143,9 +143,9 @@
 @pytest.mark.parametrize(
     ("balancers", "scenario"),
     [
-        (20, restart_everything),
-        (30, restart_everything),
-        (300, restart_everything),
+        (20, restart_balancers_and_all_endpoints),
+        (30, restart_balancers_and_all_endpoints),
+        (300, restart_balancers_and_all_endpoints),
         (300, restart_all_endpoints),
         (300, set_half_unreachable),
     ],
@@ -165,7 +165,7 @@
         (300, 20, add_tenth_of_endpoints, 120),
         (300, 30, restart_third_of_endpoints, 600),
         (30, 12, restart_all_endpoints, 800),
-        (30, 12, restart_everything, 800),
+        (30, 12, restart_balancers_and_all_endpoints, 800),
     ],
 )
 def test_warming_endpoints_with_spare_capacity_are_used(
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -23,11 +23,11 @@
     return counts
 
 
-def test_zone_with_sufficient_capacity_keeps_its_requests() -> None:
+def test_zone_with_sufficient_capacity_serves_its_requests() -> None:
     assert count_by_zone({"a": 1.0, "b": 1.0, "c": 0.5}) == {"a": 600}
     assert count_by_zone({"a": 0.3, "b": 0.3, "c": 0.3}) == {"a": 600}
-    third = 0.1 + 0.2  # the weights and their mean differ only by rounding
-    assert count_by_zone({"a": third, "b": 0.3, "c": third}).keys() <= {"a", "b", "c"}
+    rounded_weight = 0.1 + 0.2  # the weights and their mean differ only by rounding
+    assert count_by_zone({"a": rounded_weight, "b": 0.3, "c": rounded_weight}).keys() <= {"a", "b", "c"}
 
 
 def test_small_zone_spills_over_to_larger_zones() -> None:
--- a/tests/testbed/load/test_load.py
+++ b/tests/testbed/load/test_load.py
@@ -47,7 +47,7 @@
     )
 
 
-async def test_late_load_counts_as_latency_and_is_invalid() -> None:
+async def test_late_sending_increases_latency_and_invalidates_report() -> None:
     async def report_with_stall(stall_s: float) -> StreamReport:
         clock = SteppingClock(stall_s=stall_s)
         upstreams = UpstreamGroup(seed=1)
--- a/tests/testbed/measurement/test_latency.py
+++ b/tests/testbed/measurement/test_latency.py
@@ -5,7 +5,7 @@
 from testbed.measurement.latency import Latencies, compare_latencies
 
 
-def test_added_time_by_quantile_and_over_direct_median() -> None:
+def test_quantile_differences_and_excess_over_direct_median() -> None:
     direct, through = Latencies(), Latencies()
     for latency_us in range(1, 1_001):
         direct.record(latency_us / 1e6)
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -101,9 +101,9 @@
     assert row["served"] == 1.0
 
 
-def test_fractional_failures_and_shed_requests() -> None:
-    fractional_failures = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
-    [row] = run_depth_rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=fractional_failures)
+def test_partial_failures_and_shed_requests_are_measured() -> None:
+    partial_failures = [{"name": "part", "behaviour": "fails", "fraction": 0.25}]
+    [row] = run_depth_rows(sizes=(1,), attempts_cap=1, fault_s=10, faults=partial_failures)
     assert 0.70 < row["served_while"] < 0.80
     assert row["bottom_attempts_a_call"] == 1.0
     [hung] = run_depth_rows(sizes=(1,), fault_s=5, faults=[{"name": "hang", "behaviour": "hangs"}])
