--- a/tests/network/client/test_busy_event_loop.py
+++ b/tests/network/client/test_busy_event_loop.py
@@ -214,7 +214,7 @@
     send_without_event_loop(idle.writer.get_extra_info("socket"), request_bytes("/read", 3))
     set_timeouts_under_pressure(monkeypatch, 0.0)
     monkeypatch.setattr(timeouts, "MIN_EVICTION_INTERVAL_S", 0.0)
-    assert not listener.accept_pending()  # evicts connections
+    assert not listener.accept_pending()  # this call evicts connections
     setup_allowed.set()
     assert status(await idle.read_response()) == 200
     for client in (accepted, waiting):
--- a/tests/policy/test_zone_locality.py
+++ b/tests/policy/test_zone_locality.py
@@ -53,7 +53,7 @@
             in_own_zone[-1] += sum(
                 first_endpoint(harness.request(PAY)[1])[0] == "a" for _ in range(2 * endpoints)
             )
-    assert in_own_zone[0] <= 45  # all 30 first requests, and at most half of the 30 second requests
+    assert in_own_zone[0] <= 45  # all 30 first requests, and at most half of the 30 others
     assert 30 * 2 <= in_own_zone[1] <= 30 * 6 * 0.7  # only the first sample prefers the zone
 
 
