--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -210,7 +210,7 @@
     apply_load(harness, 150.0, (READ, None), rounds=300)
     admitted = apply_load(harness, duration_ms, (READ, None), rounds=600)["read"]
     assert (admitted == 600) is all_admitted, (
-        "75 attempts in flight of a limit of 80, at 7 times the baseline service time"
+        "75 attempts in flight, with a limit of 80 and 7 times the baseline service time"
     )
     assert admitted > 200
 
@@ -221,7 +221,7 @@
     for _ in range(20):
         harness.serve(duration_ms=900.0)
     assert apply_load(harness, 900.0, (READ, None), rounds=600)["read"] > 540, (
-        "all requests except those of the first second"
+        "all requests except those in the first second"
     )
 
 
@@ -229,4 +229,4 @@
     """If new balancers admitted all requests in their first second, they would overload the next tier."""
     harness = PolicyHarness(60, balancers=6)
     admitted = apply_load(harness, 10_000.0, (READ, None), rounds=100)["read"]
-    assert 20 <= admitted <= 45, "the full limit is 80"
+    assert 20 <= admitted <= 45, "the full limit is 80 attempts in flight"
--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -78,7 +78,7 @@
     for request, endpoint in in_flight[:6]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
     assert len(send_until_shed(harness, tenant="small")) == 6, (
-        "all are within the quota; a request over quota would be shed"
+        "all requests are within the quota; a request over quota would be shed"
     )
 
 
--- a/tests/policy/test_balancer_count.py
+++ b/tests/policy/test_balancer_count.py
@@ -35,4 +35,6 @@
     serve_at_interval(harness, 40.0, 10)
     harness.update_endpoints(*endpoint_list(10)[:5])
     serve_at_interval(harness, 10.0, 3)
-    assert len(send_until_shed(harness, tenant="small")) > 20, "a quarter of the quota would allow only 15"
+    assert len(send_until_shed(harness, tenant="small")) > 20, (
+        "a quarter of the quota allows only 15 requests"
+    )
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -122,4 +122,4 @@
         counts[
             harness.serve(duration_ms={f"s{i}": 1_500.0 if f"s{i}" == slow else 100.0 for i in range(12)})
         ] += 1
-    assert 0 < counts[slow] <= 6, "an even distribution would send 12 of 150 requests there"
+    assert 0 < counts[slow] <= 6, "an even distribution would send 12 of 150 requests to s3"
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -146,5 +146,7 @@
     request = Request(1, READ, expires_at=now + 1_000)
     selected = [selector.select(request, now) for _ in range(2_000)]
     counts = Counter(endpoint.entry.name for endpoint in selected if endpoint)
-    assert counts["s0"] > 1_900, "s1 is selected only if none of the four samples is s0: 1 in 81"
+    assert counts["s0"] > 1_900, (
+        "s1 is selected only if none of the four samples is s0, once in 81 selections"
+    )
     assert counts["s1"] > 5
