--- a/tests/policy/test_admission_priorities.py
+++ b/tests/policy/test_admission_priorities.py
@@ -44,10 +44,11 @@
     )
 
 
-def test_low_priority_class_keeps_most_of_limit() -> None:
-    """Without the exponent, an eighth of the largest weight would give nearly the limit of weight 0.
+def test_low_priority_class_may_use_most_of_limit() -> None:
+    """Without the exponent, a class with an eighth of the largest weight would have too low a limit.
 
-    A third of the requests of such a class would then be shed.
+    The limit would be nearly that of a class with weight 0, and a third of the requests of the class would
+    be shed.
     """
     low, high = (
         replace(request_class, priority_weight=weight)
@@ -77,7 +78,7 @@
     for request, endpoint in in_flight[:6]:
         harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
     assert len(send_until_shed(harness, tenant="small")) == 6, (
-        "all are within the quota; a request over quota would be shed"
+        "all requests are within the quota; a request over quota would be shed"
     )
 
 
@@ -93,7 +94,7 @@
     assert started_attempts(harness.request(remaining_ms=2_100)[1])
 
 
-def test_short_client_timeout_counts_as_first_attempt() -> None:
+def test_request_with_short_client_timeout_counts_as_first_attempt() -> None:
     """First attempts of clients that wait for only six tenths of the deadline must not count as retries."""
     admitted = {}
     for remaining in (1_800.0, 3_000.0):
