--- a/tests/network/test_proxy.py
+++ b/tests/network/test_proxy.py
@@ -140,7 +140,7 @@
     assert not harness.proxy.open_requests
 
 
-async def test_policy_exception_fails_only_its_request(
+async def test_policy_exception_fails_only_one_request(
     start_proxy: StartProxy, capsys: pytest.CaptureFixture[str]
 ) -> None:
     upstream = Upstream()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -71,7 +71,7 @@
             harness.finish(request, 0, endpoint, Outcome.SUCCEEDED)
 
 
-def test_one_late_response_sheds_no_load() -> None:
+def test_one_late_response_causes_no_shedding() -> None:
     """If mean latency were limited, one late response would cause a tenth of a light load to be shed."""
     harness = PolicyHarness(4)
     count_admitted(harness, 50.0, READ, 20)
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -71,7 +71,7 @@
     return recorder, endpoints.by_name["s0"]
 
 
-def test_failed_attempt_adds_its_timeout_to_busy_time() -> None:
+def test_failed_attempt_adds_timeout_to_busy_time() -> None:
     """A fast failure must not count as a fast response or as an attempt in flight."""
     recorder, endpoint = make_recorder_and_endpoint()
     attempt = recorder.start(endpoint, 0.0, TIMEOUT_MS, START_MS, is_shedding=False)
