--- a/loadbalancer/events.py
+++ b/loadbalancer/events.py
@@ -53,7 +53,7 @@
 
 
 UNPROCESSED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-"""Outcomes of attempts that were certainly not processed, so that any class allows a transparent retry.
+"""Outcomes of attempts that were certainly not processed, so any class allows a transparent retry.
 
 This is a tuple because a lookup in a set would call `Enum.__hash__`, which is a Python function.
 """
--- a/loadbalancer/network/client/connection.py
+++ b/loadbalancer/network/client/connection.py
@@ -83,7 +83,7 @@
         return self.expiry.is_awaiting_request()
 
     def can_close_without_loss(self) -> bool:
-        """Return whether closing loses no request: the connection is idle, and has no unread input."""
+        """Return whether the connection can be closed without losing a request."""
         return self.expiry.can_close_without_loss()
 
     # ---- callbacks of asyncio.Protocol ----------------------------------------------------------
@@ -108,7 +108,7 @@
         """Treat a client that closes its sending side as disconnected.
 
         The event loop closes the transport once the write buffer is empty. The timer aborts the connection
-        if the client does not read the response, so that the buffer never becomes empty.
+        if the buffer never becomes empty because the client does not read the response.
         """
         self._disconnect()
         self._transport.schedule_abort(timeouts.WRITE_STALL_TIMEOUT_S)
--- a/loadbalancer/network/client/expiry.py
+++ b/loadbalancer/network/client/expiry.py
@@ -34,7 +34,10 @@
         return is_awaited and not self._pipeline.has_open_request()
 
     def can_close_without_loss(self) -> bool:
-        """Return whether closing loses no request: the connection is idle, and has no unread input."""
+        """Return whether the connection can be closed without losing a request.
+
+        It must be open and idle; unread input may be a request, unless input is discarded anyway.
+        """
         if not self._transport.is_open or not self.is_idle():
             return False
         return self._transport.discards_input or not self._transport.has_unread_bytes()
--- a/loadbalancer/network/discovery/watch.py
+++ b/loadbalancer/network/discovery/watch.py
@@ -95,10 +95,11 @@
             self._task = asyncio.get_running_loop().create_task(self._watch())
 
     def switch_to(self, address: Address) -> None:
-        """Switch to another discovery service immediately, and first request the complete list.
+        """Switch to another discovery service immediately.
 
-        The list versions of the old service have no meaning for the new one. The watch is restarted, so that
-        a list that still arrives from the old service is ignored, and a pending retry delay is cancelled.
+        The list versions of the old service have no meaning for the new one, so the first request to the new
+        one asks for the complete list. The watch is restarted, so that a list that still arrives from the old
+        service is ignored, and a pending retry delay is cancelled.
         """
         if self._task is not None:
             self._task.cancel()
--- a/loadbalancer/network/headers.py
+++ b/loadbalancer/network/headers.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 MAX_BODY_BYTES = 65_536
-"""Maximum size of the body of a message, as set by the protocol between the services."""
+"""Maximum size of the body of a request or response, in bytes, as set by the upstreams' protocol."""
 
 MAX_HEAD_BYTES = 65_536
-"""Maximum size of a message without its body: start line, headers, chunk framing, interim responses."""
+"""Maximum size of a request or response without its body, in bytes.
+
+This includes the start line, headers, chunk framing and interim responses.
+"""
 
 _HOP_BY_HOP_HEADERS = frozenset(
     (
--- a/loadbalancer/network/response_parser.py
+++ b/loadbalancer/network/response_parser.py
@@ -39,7 +39,7 @@
     """Parses the consecutive responses on a connection.
 
     Endless headers or interim responses, invalid lengths, and bodies that exceed the limit are rejected as
-    soon as they are detected, which leaves time for another attempt. Bytes that follow a complete response do
+    soon as they are detected, to leave time for another attempt. Bytes that follow a complete response do
     not affect it, but the connection cannot be reused.
 
     Args:
--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -18,7 +18,7 @@
 """A request counts as a client retry if it has less than this fraction of the class's longest remaining time.
 
 The remaining time of a client retry is shorter than the longest one seen for the class, since the client's
-first attempt has used up part of the deadline.
+first try has used up part of the deadline.
 """
 MAX_TIMEOUT_DECAY_REQUESTS = LONG_TERM_REQUESTS
 """Time constant of the exponential decay of a class's longest remaining time, in requests of that class.
@@ -105,10 +105,10 @@
     def _is_late_client_retry(self, request_class: RequestClass, remaining_ms: float) -> bool:
         """Return whether a request is a client retry whose latency objective has already passed.
 
-        The client's first attempt is estimated to have started `deadline_ms - remaining_ms` ago. However, a
-        request whose remaining time is close to the longest one seen for its class counts as a first attempt:
-        some clients give each attempt only a fraction of the deadline, so a short remaining time alone does
-        not mean that the rest of the deadline has passed.
+        The client is estimated to have sent the request for the first time `deadline_ms - remaining_ms` ago.
+        However, a request whose remaining time is close to the longest one seen for its class is not
+        considered a retry: some clients give each try only a fraction of the class's deadline, so a short
+        remaining time alone does not mean that the client has tried before.
         """
         decayed_ms = self._max_client_timeout_ms[request_class.name] * (1 - 1 / MAX_TIMEOUT_DECAY_REQUESTS)
         max_timeout_ms = max(remaining_ms, decayed_ms)
--- a/loadbalancer/policy/capacity.py
+++ b/loadbalancer/policy/capacity.py
@@ -104,8 +104,8 @@
         # A sum that decays with the time constant T converges to T times the rate of the additions.
         if warm_served_work := [e.served_work for e in subset if self._warmup.fraction(e, now) >= 1]:
             self.served_work_per_ms = sum(warm_served_work) / len(warm_served_work) / self.time_constant_ms
-        # Each of hundreds of balancers starts few attempts: with a short time constant, the statistics of an
-        # endpoint would decay to nearly 0 between two attempts.
+        # If there are hundreds of balancers, each one starts few attempts per endpoint: with a short time
+        # constant, the statistics of an endpoint would decay to nearly 0 between two attempts.
         interval_ms = self._arrivals.short_term_interarrival_ms
         required_ms = MIN_ATTEMPTS_PER_TIME_CONSTANT * interval_ms * len(subset)
         time_constant_ms = min(max(STATISTICS_TIME_CONSTANT_MS, required_ms), MAX_CAPACITY_TIME_CONSTANT_MS)
--- a/loadbalancer/policy/overload.py
+++ b/loadbalancer/policy/overload.py
@@ -8,7 +8,7 @@
 from loadbalancer.policy.available_capacity import AvailableCapacity
 
 MIN_IN_FLIGHT_PER_CAPACITY = 4.0
-"""Limit on all balancers' attempts in flight per unit of available capacity, for importance 0."""
+"""Limit on all balancers' attempts in flight per unit of available capacity, for requests of importance 0."""
 MAX_IN_FLIGHT_PER_CAPACITY = 8.0
 """The same limit for importance 1.
 
@@ -16,7 +16,10 @@
 tens of seconds. With lower limits, fewer requests are served.
 """
 MIN_LATENCY_INFLATION = 1.0
-"""Limit on the latency inflation, the mean latency divided by the baseline service time, for importance 0."""
+"""Limit on the latency inflation for requests of importance 0, the lowest.
+
+The latency inflation is the mean latency divided by the baseline service time.
+"""
 MAX_LATENCY_INFLATION = 1.8
 """The same limit for importance 1.
 
--- a/loadbalancer/policy/poll_backoff.py
+++ b/loadbalancer/policy/poll_backoff.py
@@ -8,9 +8,10 @@
 from loadbalancer.timers import EndpointListTimer
 
 INITIAL_BACKOFF_MS = 500.0
-"""Time from the first failed poll to the next poll, in milliseconds; doubles with each further failure.
+"""Backoff after the first failure, in milliseconds, before jitter; doubles with each further failure.
 
-If a poll takes longer than this to fail, MIN_DELAY_MS determines the delay.
+The backoff starts at the last poll that `PollBackoff` scheduled. At the first failure after a success, that
+poll is normally long past, or there was none: the next poll then follows after MIN_DELAY_MS instead.
 """
 MAX_BACKOFF_MS = 2_000.0
 """Maximum time between two polls, in milliseconds, before jitter; up to 3 s with jitter.
@@ -20,7 +21,7 @@
 MIN_DELAY_MS = 250.0
 """Minimum time from a failure to the next poll, in milliseconds, before jitter.
 
-It applies to a poll that took longer than the backoff to fail. It is short because an update missed by a
+It applies if less of the backoff than this remains at the failure. It is short because an update missed by a
 watch request that got no response must be received within 2 s of the request's timeout.
 """
 MAX_DOUBLINGS = 9
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -21,7 +21,7 @@
     idle_ms: float  # how long the connection had been idle; 0 if it was new, in use or unknown
     started_at: float
     times_out_at: float
-    is_baseline: bool  # whether it started without load, so that it counts toward the baseline service time
+    is_baseline: bool  # whether it started without load; if so, it counts toward the baseline service time
     is_open: bool = True  # whether it is in flight
     may_have_run: bool = True  # whether it may have had an effect; false if the outcome rules that out
 
--- a/loadbalancer/policy/retry.py
+++ b/loadbalancer/policy/retry.py
@@ -119,7 +119,7 @@
         return min(delay_ms, MAX_HEDGE_DELAY_FRACTION * timeout_ms)
 
     def allows(self, request: Request) -> bool:
-        """Return whether a request has no response and only one attempt, so that a hedged one may start."""
+        """Return whether a request may be hedged: whether it has no response and only one attempt."""
         return self._is_enabled and request.is_response_pending and len(request.attempts) == 1
 
 
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -52,7 +52,7 @@
             least 0. Load of lower weight is shed first.
         late_value: The value of a response between the latency objective and the deadline, as a fraction of
             `priority_weight`, from 0 to 1.
-        is_streaming: Whether the response is a stream, so that the deadline applies to its first byte.
+        is_streaming: Whether the response is a stream; if so, the deadline applies to its first byte.
     """
 
     name: str
--- a/tests/network/client/test_connection_limit.py
+++ b/tests/network/client/test_connection_limit.py
@@ -65,7 +65,7 @@
 
 
 async def test_accepting_resumes_after_running_out_of_descriptors(tmp_path: Path) -> None:
-    """The process has fewer descriptors than configured, so that accepting fails for some time."""
+    """The process has fewer descriptors than configured, so accepting fails for some time."""
     port = free_port()
     path = tmp_path / "config.json"
     path.write_text(config_text("127.0.0.1:9", []).replace(LISTEN_ON_ANY_PORT, f"127.0.0.1:{port}"))
--- a/tests/network/test_event_ordering.py
+++ b/tests/network/test_event_ordering.py
@@ -101,7 +101,7 @@
     start_proxy: StartProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The upstream may have processed the request, so that only an idempotent request may be retried."""
+    """The upstream may have processed the request, so only an idempotent request may be retried."""
     upstream = Upstream()
     harness = await start_proxy(upstream)
     assert status(await harness.send_request()) == 200
--- a/tests/network/test_readiness.py
+++ b/tests/network/test_readiness.py
@@ -83,7 +83,7 @@
         listener.bind(("127.0.0.1", 0))
         if state == "silent":
             listener.listen()
-        if state == "down":  # the backlog is full, so that connections are never established
+        if state == "down":  # the backlog is full, so connections are never established
             listener.listen(0)
             for filler in (first, second):
                 filler.settimeout(0.0)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -124,9 +124,10 @@
 
 @pytest.mark.parametrize("balancers", [1, 3, 7, 40])
 def test_total_limit_is_independent_of_balancer_count(balancers: int) -> None:
-    """With a minimum limit of eight attempts per balancer, a zone loss would overload the other endpoints.
+    """The limit must not have a minimum per balancer.
 
-    Each of them would have 11 attempts in flight.
+    A minimum limit of eight attempts per balancer would add up to 11 attempts in flight per endpoint after
+    the loss of a zone.
     """
     harness = PolicyHarness(6, balancers=balancers, tenants=(Tenant("big", 0.0),), over_quota_weight=0.0)
     assert mean_in_flight(harness, "big", 10) * balancers == pytest.approx(24, rel=0.25), (
--- a/tests/policy/test_capacity_estimates.py
+++ b/tests/policy/test_capacity_estimates.py
@@ -57,7 +57,7 @@
 
 
 def make_recorder_and_endpoint() -> tuple[AttemptRecorder, EndpointStats]:
-    """Return an attempt recorder and the statistics of the only endpoint."""
+    """Return an attempt recorder for a list of one endpoint, and the statistics of that endpoint."""
     settings = make_settings()
     endpoints = EndpointSet(settings, Random(1))
     endpoints.update(EndpointListUpdate(EndpointListKind.SNAPSHOT, endpoint_list(1)), START_MS)
