--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -101,12 +101,14 @@
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
         for multiple, duration_s in zip(plan.multiples, plan.spans_s, strict=True):
-            measured_row = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
+            measured_row = await _measure_at_rate(
+                plan, group, multiple, duration_s, changes, acknowledgements
+            )
             result.add(measured_row)
             log.info("under change", **measured_row.row.columns())
 
 
-async def _measure_rate(
+async def _measure_at_rate(
     plan: Plan,
     group: BalancerGroup,
     multiple: float,
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -216,7 +216,7 @@
             served_during=_served_fraction(during),
             served_after=_served_fraction(after),
             recovery_s=_recovery_s(windows, served_before),
-            shed_during=_fraction(shed),
+            shed_during=_true_fraction(shed),
         )
 
     def _attempt_columns(self) -> AttemptColumns:
@@ -267,12 +267,12 @@
         )
 
 
-def _fraction(flags: Sequence[bool]) -> float | None:
+def _true_fraction(flags: Sequence[bool]) -> float | None:
     return sum(flags) / len(flags) if flags else None
 
 
 def _served_fraction(requests: Sequence[ClientRequest]) -> float | None:
-    return _fraction([request.status == _OK for request in requests])
+    return _true_fraction([request.status == _OK for request in requests])
 
 
 def _recovery_s(windows: Sequence[float | None], served_before: float | None) -> float | None:
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -85,7 +85,7 @@
     assert "inside a batch" in errors
 
 
-def test_policy_error_affects_only_its_instance() -> None:
+def test_policy_error_affects_only_failing_instance() -> None:
     text = "sync time=90.0 batch=0\n" + instance_start_line(2) + "eob\n" + instance_start_batch(1)
     text += "sync time=110.0 batch=2\nknock who=1 corr=9 remaining=900.0 grade=nosuch\n"
     text += "knock who=2 corr=9 remaining=900.0 grade=read\neob\n"
--- a/tests/support/test_waiting.py
+++ b/tests/support/test_waiting.py
@@ -15,7 +15,7 @@
     assert isinstance(asyncio.get_running_loop(), uvloop.Loop)
 
 
-async def test_first_true_result_is_returned() -> None:
+async def test_first_truthy_result_is_returned() -> None:
     results = iter([0, None, 7, 8])
     assert await wait_until(lambda: next(results), "a number is returned") == 7
 
--- a/tests/testbed/runs/test_depth_run.py
+++ b/tests/testbed/runs/test_depth_run.py
@@ -32,7 +32,7 @@
     return [row.columns() for row in run_depth(**overrides).rows]
 
 
-def test_attempts_multiply_by_tier() -> None:
+def test_attempts_multiply_with_each_tier() -> None:
     faults = [{"name": "refused", "behaviour": "refuses"}]
     one_tier, two_tiers = run_depth_rows(
         single_call=True, deadline_ms=600_000, latency_objective_ms=600_000, faults=faults
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("tier", "faulty_tier"), [("first", 1), ("middle", 2), ("bottom", 4)])
-def test_fault_affects_only_its_tier_and_servers(tier: str, faulty_tier: int) -> None:
+def test_fault_affects_only_chosen_tier_and_servers(tier: str, faulty_tier: int) -> None:
     fault = {"name": "one", "behaviour": "refuses", "tier": tier, "servers": 1}
     parsed_fault = depth_run.Fault.model_validate(fault)
     assert parsed_fault.tier_number(4) == faulty_tier
--- a/tests/testbed/test_virtual_clock.py
+++ b/tests/testbed/test_virtual_clock.py
@@ -38,7 +38,7 @@
     assert clock.run(max_events=3)
 
 
-def test_run_until_includes_its_time_and_sets_clock() -> None:
+def test_run_until_includes_end_time_and_sets_clock() -> None:
     clock = VirtualClock()
     ran: list[str] = []
     clock.schedule(1.0, ran.append, "before")
