--- a/testbed/chain/server.py
+++ b/testbed/chain/server.py
@@ -76,7 +76,7 @@
         client_request: The client request that it belongs to.
         timeout_ms: The time that the balancer waits for a response.
         is_finished: Whether its outcome has been reported to the balancer.
-        was_sent: Whether it was sent, so that the server may have received it.
+        was_sent: Whether it was sent; the server may then have received it.
         is_connection_closed: Whether the server has noticed that the balancer closed the connection.
         stage: Its stage at the server.
         deadline_ms: When the timeout expires at the server, which counts it from the arrival of the attempt.
--- a/testbed/measurement/resource_usage.py
+++ b/testbed/measurement/resource_usage.py
@@ -108,7 +108,7 @@
         self._timer = self._loop.call_at(self._next_tick_at, self._tick)
 
     def take_lag(self) -> Lag:
-        """Return the lag since the last call, or zeros if the timer has not fired since then."""
+        """Return the lag since the last call and start again; zeros if the timer has not fired since then."""
         lags, self._lags = sorted(self._lags), []
         return Lag(lags[int(0.99 * (len(lags) - 1))], lags[-1]) if lags else Lag(0.0, 0.0)
 
--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -116,7 +116,7 @@
     changes: Iterator[tuple[settings.EndpointEntry, ...]],
     acknowledgements: list[VersionObservation],
 ) -> MeasuredRow[ChangeRow]:
-    """Apply changes at one rate, and measure until every balancer has the last change."""
+    """Apply changes at one rate, and measure until every balancer has acknowledged the last one."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
     seed = plan.seed + round(1000 * multiple) + group.watch_only_count
--- a/testbed/runs/control/idle.py
+++ b/testbed/runs/control/idle.py
@@ -76,7 +76,7 @@
 
 
 def measure(plan: Plan, log: FilteringBoundLogger) -> RunResult[IdleRow]:
-    """Measure all lengths at the same time, first with pushed lists and then with polling."""
+    """Measure balancers of all list lengths at the same time: first with pushed lists, then with polling."""
     return run_on_new_loop(_measure_all(plan, log))
 
 
--- a/testbed/runs/depth/simulation.py
+++ b/testbed/runs/depth/simulation.py
@@ -118,7 +118,7 @@
     served_after_by_window: list[float | None]
     """The fraction of requests served, for each window of `WINDOW_MS` after the fault."""
     cut_short: bool
-    """Whether the simulation reached `Plan.events_max`, so that its attempts are lower bounds."""
+    """Whether the simulation reached `Plan.events_max`; its attempts are then lower bounds."""
     work: WorkColumns
 
 
--- a/testbed/settings.py
+++ b/testbed/settings.py
@@ -57,7 +57,7 @@
 
 ENDPOINT_TYPES = ("m1", "m2", "m4")
 ENDPOINT_WEIGHTS = (1.0, 1.0, 1.0, 2.0)
-"""The weights of endpoints, drawn uniformly, so that about a quarter of the endpoints have double weight."""
+"""The weights of endpoints, drawn uniformly: about a quarter of the endpoints have double weight."""
 
 ENDPOINT_PORT = 5000
 HOSTS_PER_OCTET = 250
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -12,7 +12,7 @@
 
 T = TypeVar("T")
 
-# Time limit of an asynchronous test; only a hanging test comes near it.
+# Time limit of an asynchronous test; only a test that hangs reaches it.
 TEST_TIMEOUT_S = 10.0
 
 # Time limit of `wait_until`: shorter than that of a test, so that the failure describes the condition.
