--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -124,7 +124,9 @@
     max_lateness_s = await apply_changes_over_time(group.discovery, changes, scheduled_times_s)
     await asyncio.sleep(max(duration_s - measurement.elapsed_s, 0.0))
     await wait_until(
-        lambda: all_up_to_date(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
+        lambda: all_up_to_date(group.discovery),
+        FOLLOW_TIMEOUT_S,
+        "every balancer has acknowledged the changes",
     )
     return measurement.finish(multiple, max_lateness_s, acknowledgements)
 
--- a/testbed/runs/list_size/rounds.py
+++ b/testbed/runs/list_size/rounds.py
@@ -126,7 +126,7 @@
             undisturbed = list(filter(self._is_undisturbed, rounds))
             if not undisturbed:
                 result.invalidity_reasons.append(
-                    f"{benchmark.identity.columns()}: none of {len(rounds)} rounds was undisturbed"
+                    f"{benchmark.identity.columns()}: the core was disturbed in all {len(rounds)} rounds"
                 )
                 continue
             columns = RoundColumns(
--- a/tests/testbed/runs/test_list_size_run.py
+++ b/tests/testbed/runs/test_list_size_run.py
@@ -127,7 +127,7 @@
     assert reasons == []
     assert measure_rounds(1, 2, 19.0, 10.0, 19.0) == (
         [],
-        ["{'entries': 6}: none of 2 rounds was undisturbed"],
+        ["{'entries': 6}: the core was disturbed in all 2 rounds"],
     )
     # A later, faster calibration lowers the minimum: the earlier rounds no longer count as undisturbed.
     rows, reasons = measure_rounds(3, 3, 10.0, 10.0, 6.0, 6.0)
