--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -47,7 +47,7 @@
 
 
 class UnexpectedHealthCheckError(TestbedError, ValueError):
-    """The policy started a health check, which the settings of a simulated chain do not enable."""
+    """The policy started a health check, although a simulated chain does not enable health checks."""
 
     def __init__(self) -> None:
         super().__init__("the policy started a health check, which the settings do not enable")
--- a/testbed/runs/list_size/run.py
+++ b/testbed/runs/list_size/run.py
@@ -1,7 +1,7 @@
 """Measures the costs of a balancer for each length of its list: decisions, updates, memory and bytes.
 
 The run uses the real policy and the real connection pools in one process, on a virtual clock. It measures
-each length twice: with as many balancers as endpoints, so that the measured balancer uses a subset of the
+each length twice: with as many balancers as endpoints, where the measured balancer uses a subset of the
 endpoints, and with a single balancer, which uses all endpoints.
 """
 
--- a/tests/support/proxy_harness.py
+++ b/tests/support/proxy_harness.py
@@ -80,7 +80,7 @@
         return client
 
     def connect_socket(self) -> socket.socket:
-        """Connect a blocking socket, whose operations take effect at once and not through the event loop."""
+        """Connect a blocking socket: its operations take effect immediately, without the event loop."""
         client_socket = socket.create_connection(self.proxy.listener.address[:2])
         self._sockets.append(client_socket)
         return client_socket
