--- a/testbed/chain/host.py
+++ b/testbed/chain/host.py
@@ -50,7 +50,7 @@
     """The policy started a health check, although a simulated chain does not enable health checks."""
 
     def __init__(self) -> None:
-        super().__init__("the policy started a health check, which the settings do not enable")
+        super().__init__("the policy started a health check, although the settings do not enable any")
 
 
 @dataclass(slots=True)
