--- a/testbed/runs/control/change.py
+++ b/testbed/runs/control/change.py
@@ -101,12 +101,14 @@
         )
         changes = single_changes(discovery.entries, plan.seed, lambda: time.time() * 1000)
         for multiple, duration_s in zip(plan.multiples, plan.spans_s, strict=True):
-            measured_row = await _measure_rate(plan, group, multiple, duration_s, changes, acknowledgements)
+            measured_row = await _measure_at_rate(
+                plan, group, multiple, duration_s, changes, acknowledgements
+            )
             result.add(measured_row)
             log.info("under change", **measured_row.row.columns())
 
 
-async def _measure_rate(
+async def _measure_at_rate(
     plan: Plan,
     group: BalancerGroup,
     multiple: float,
@@ -114,7 +116,7 @@
     changes: Iterator[tuple[settings.EndpointEntry, ...]],
     acknowledgements: list[VersionObservation],
 ) -> MeasuredRow[ChangeRow]:
-    """Apply changes at one rate, and measure until every balancer has the last change."""
+    """Apply changes at one rate, and measure until every balancer has acknowledged the last one."""
     measurement = ChangeMeasurement(group)
     rate_per_s = multiple * plan.changes_per_day / SECONDS_PER_DAY
     seed = plan.seed + round(1000 * multiple) + group.watch_only_count
@@ -122,7 +124,9 @@
     max_lateness_s = await apply_changes_over_time(group.discovery, changes, scheduled_times_s)
     await asyncio.sleep(max(duration_s - measurement.elapsed_s, 0.0))
     await wait_until(
-        lambda: all_up_to_date(group.discovery), FOLLOW_TIMEOUT_S, "every balancer has the last change"
+        lambda: all_up_to_date(group.discovery),
+        FOLLOW_TIMEOUT_S,
+        "every balancer has acknowledged the changes",
     )
     return measurement.finish(multiple, max_lateness_s, acknowledgements)
 
