--- a/loadbalancer/network/headers.py
+++ b/loadbalancer/network/headers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MAX_BODY_BYTES = 65_536
-"""Maximum size of the body of a request or response, in bytes, as set by the upstreams' protocol."""
+"""Maximum body size in bytes, set by the HTTP protocol that clients, balancers and upstreams share."""
 
 MAX_HEAD_BYTES = 65_536
 """Maximum size of a request or response without its body, in bytes.
--- a/testbed/balancer/watch_only_process.py
+++ b/testbed/balancer/watch_only_process.py
@@ -98,7 +98,7 @@
 
 
 def _ignore_warning(_warning: str) -> None:
-    """Ignore a warning about the configuration: it is generated, so nobody has to correct it."""
+    """Ignore a warning about the configuration, which is generated, so the warning needs no action."""
 
 
 def _run(pipe: Connection, configuration_texts: dict[int, str]) -> None:
--- a/testbed/runs/list_size/plan.py
+++ b/testbed/runs/list_size/plan.py
@@ -62,7 +62,7 @@
 
 
 def ignore_message(text: str) -> None:
-    """Ignore a warning about the configuration: it is generated, so nobody has to correct it."""
+    """Ignore a warning about the configuration, which is generated, so the warning needs no action."""
 
 
 def freeze_live_objects() -> None:
