--- a/testbed/runs/control/group.py
+++ b/testbed/runs/control/group.py
@@ -138,9 +138,7 @@
         group.real_balancers.append(balancer)
     for balancer in group.real_balancers:
         await balancer.wait_until_ready()
-    await wait_until(
-        lambda: all_up_to_date(discovery), START_TIMEOUT_S, "every balancer has acknowledged the list"
-    )
+    await wait_until(lambda: all_up_to_date(discovery), START_TIMEOUT_S, "every balancer is up to date")
     return group
 
 
